--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -76,7 +76,10 @@
     let memory = given.memory.unwrap_or(u64::MAX);
     let http1 = |sockets: u64, memory: u64| sockets.min(memory / given.http1_holds.max(1)) as usize;
     let Some(asked) = http2 else {
-        return Ok(Fronts { http1_connections: http1(given.sockets, memory), http2: None });
+        return Ok(Fronts {
+            http1_connections: http1(given.sockets, memory),
+            http2: None,
+        });
     };
     let share = memory / HTTP2_MEMORY.1 * HTTP2_MEMORY.0;
     let sockets = (given.sockets / HTTP2_SOCKETS.1 * HTTP2_SOCKETS.0).max(1);
@@ -103,9 +106,16 @@
         ));
     }
     // What HTTP/2 leaves is HTTP/1.1's.
-    let used = if given.memory.is_some() { front.connections as u64 * front.connection_holds() } else { 0 };
+    let used = if given.memory.is_some() {
+        front.connections as u64 * front.connection_holds()
+    } else {
+        0
+    };
     let http1_connections = http1(given.sockets - front.connections as u64, memory - used);
-    Ok(Fronts { http1_connections, http2: Some(front) })
+    Ok(Fronts {
+        http1_connections,
+        http2: Some(front),
+    })
 }
 
 #[cfg(test)]
@@ -113,20 +123,47 @@
     use super::*;
     use proptest::prelude::*;
 
-    const GIVEN: Given = Given { sockets: 600, memory: Some(115 << 20), http1_holds: 128 << 10 };
+    const GIVEN: Given = Given {
+        sockets: 600,
+        memory: Some(115 << 20),
+        http1_holds: 128 << 10,
+    };
 
     #[test]
     fn without_http2_all_is_left_to_http1() {
         let fronts = divide(GIVEN, None).unwrap();
-        assert_eq!(fronts, Fronts { http1_connections: 600, http2: None });
+        assert_eq!(
+            fronts,
+            Fronts {
+                http1_connections: 600,
+                http2: None
+            }
+        );
     }
 
     #[test]
     fn what_does_not_fit_is_refused_with_the_figure_that_would() {
-        let error = divide(GIVEN, Some(Asked { connections: Some(100), ..Asked::default() })).unwrap_err();
-        assert!(error.contains("http2-connections 100 do not fit: 19 do"), "{error}");
-        let huge = Asked { streams: Some(65_536), ..Asked::default() };
-        assert!(divide(GIVEN, Some(huge)).unwrap_err().contains("lower http2-streams"));
+        let error = divide(
+            GIVEN,
+            Some(Asked {
+                connections: Some(100),
+                ..Asked::default()
+            }),
+        )
+        .unwrap_err();
+        assert!(
+            error.contains("http2-connections 100 do not fit: 19 do"),
+            "{error}"
+        );
+        let huge = Asked {
+            streams: Some(65_536),
+            ..Asked::default()
+        };
+        assert!(
+            divide(GIVEN, Some(huge))
+                .unwrap_err()
+                .contains("lower http2-streams")
+        );
     }
 
     proptest! {
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -22,7 +22,11 @@
 impl Shares {
     /// So much room, in queries and parts together.
     pub fn new(room: usize) -> Self {
-        Shares { room, held: 0, by_connection: BTreeMap::new() }
+        Shares {
+            room,
+            held: 0,
+            by_connection: BTreeMap::new(),
+        }
     }
 
     /// Takes room for a query and its parts. False: the connection holds more than its share already. One that holds
@@ -41,10 +45,16 @@
     /// Gives room back that [`Shares::take`] took.
     pub fn give_back(&mut self, connection: Connection, units: usize) {
         let Some(own) = self.by_connection.get_mut(&connection) else {
-            debug_assert!(false, "connection {connection} gives back what it does not hold");
+            debug_assert!(
+                false,
+                "connection {connection} gives back what it does not hold"
+            );
             return;
         };
-        debug_assert!(units <= *own, "connection {connection} gives back {units} of {own}");
+        debug_assert!(
+            units <= *own,
+            "connection {connection} gives back {units} of {own}"
+        );
         let units = units.min(*own);
         *own -= units;
         self.held -= units;
--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -17,8 +17,13 @@
 impl Clock {
     /// A clock that starts at zero now.
     pub fn start() -> Self {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { origin: Instant::now(), unix_origin: unix.as_millis() as i64 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            origin: Instant::now(),
+            unix_origin: unix.as_millis() as i64,
+        }
     }
     /// The time now.
     pub fn now(&self) -> Micros {
@@ -30,7 +35,9 @@
     }
     /// A Unix time in milliseconds on this clock: negative if before the start.
     pub fn of_unix_ms(&self, unix_ms: i64) -> i64 {
-        unix_ms.saturating_sub(self.unix_origin).saturating_mul(MILLI as i64)
+        unix_ms
+            .saturating_sub(self.unix_origin)
+            .saturating_mul(MILLI as i64)
     }
 }
 
@@ -40,7 +47,10 @@
 }
 
 /// Ends a wait with an error once its time is over.
-pub async fn limited<T>(time: Duration, work: impl Future<Output = io::Result<T>>) -> io::Result<T> {
+pub async fn limited<T>(
+    time: Duration,
+    work: impl Future<Output = io::Result<T>>,
+) -> io::Result<T> {
     let late = async {
         Timer::after(time).await;
         Err(io::ErrorKind::TimedOut.into())
@@ -54,7 +64,10 @@
 
     #[test]
     fn unix_times_map_to_the_origin() {
-        let clock = Clock { origin: Instant::now(), unix_origin: 1_000_000 };
+        let clock = Clock {
+            origin: Instant::now(),
+            unix_origin: 1_000_000,
+        };
         assert_eq!(clock.of_unix_ms(1_000_250), 250_000);
         assert_eq!(clock.of_unix_ms(999_000), -1_000_000);
         assert_eq!(clock.of_unix_ms(i64::MIN), i64::MIN);
--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -24,7 +24,10 @@
 /// How long the whole list may take, which is answered at once but may be long.
 const WHOLE: Duration = Duration::from_secs(2);
 /// The longest answer: a list of many thousand servers.
-const LIMITS: Limits = Limits { head: 16 * 1024, body: 4 << 20 };
+const LIMITS: Limits = Limits {
+    head: 16 * 1024,
+    body: 4 << 20,
+};
 /// First and longest wait after a failure, of which up to half is left to chance. The first is well under the
 /// 200 ms that a watch may pause; the longest is short, since what an agent is told while we sleep counts as told.
 const BACK_OFF: (Duration, Duration) = (Duration::from_millis(20), Duration::from_millis(250));
@@ -49,13 +52,20 @@
     ) -> Self {
         let mut chance = Rng::with_seed(seed);
         let _watch = executor.spawn(watch(address, Some(rev), inbox.clone(), chance.fork()));
-        Discovery { executor, inbox, chance, _watch }
+        Discovery {
+            executor,
+            inbox,
+            chance,
+            _watch,
+        }
     }
 
     /// Watches at another address. Its versions need not be those of the last one, and what changed meanwhile
     /// is known to nobody: it is asked for the whole list first.
     pub fn move_to(&mut self, address: SocketAddr) {
-        self._watch = self.executor.spawn(watch(address, None, self.inbox.clone(), self.chance.fork()));
+        self._watch =
+            self.executor
+                .spawn(watch(address, None, self.inbox.clone(), self.chance.fork()));
     }
 }
 
@@ -88,7 +98,10 @@
     loop {
         let called = Instant::now();
         let (query, time) = match rev {
-            Some(rev) => (format!("?index={rev}&wait={}", WAIT.as_millis()), WAIT + GRACE),
+            Some(rev) => (
+                format!("?index={rev}&wait={}", WAIT.as_millis()),
+                WAIT + GRACE,
+            ),
             None => (String::new(), WHOLE),
         };
         let call = format!("GET /api/targets{query} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
@@ -97,9 +110,13 @@
         if message.value.status() != 200 {
             // It may not know our version, as after a loss of its own data: the whole list comes next.
             *rev = None;
-            return Err(io::Error::other(format!("status {}", message.value.status())));
+            return Err(io::Error::other(format!(
+                "status {}",
+                message.value.status()
+            )));
         }
-        let targets: Targets = serde_json::from_slice(message.value.body()).map_err(io::Error::other)?;
+        let targets: Targets =
+            serde_json::from_slice(message.value.body()).map_err(io::Error::other)?;
         if let Some(why) = misfit(&targets, *rev) {
             // It answers something else, as one that lost its data or lags behind: the whole list tells.
             *rev = None;
@@ -140,7 +157,9 @@
             Step::More(_) => {
                 if read_some(stream, input).await? == 0 {
                     // A reset is an error of its own, so that this is the end that some answers go by.
-                    return decoder.end().ok_or_else(|| io::ErrorKind::UnexpectedEof.into());
+                    return decoder
+                        .end()
+                        .ok_or_else(|| io::ErrorKind::UnexpectedEof.into());
                 }
             }
         }
--- a/crates/broker/src/front/accept.rs
+++ b/crates/broker/src/front/accept.rs
@@ -34,14 +34,18 @@
 impl<S: Serve> Arrived<'_, S> {
     fn admit(mut self, slot: Slot) {
         if let Some(stream) = self.stream.take() {
-            self.executor.spawn(self.front.clone().serve(stream, slot)).detach();
+            self.executor
+                .spawn(self.front.clone().serve(stream, slot))
+                .detach();
         }
     }
 }
 
 impl<S: Serve> Drop for Arrived<'_, S> {
     fn drop(&mut self) {
-        let Some(stream) = self.stream.take() else { return };
+        let Some(stream) = self.stream.take() else {
+            return;
+        };
         self.front.turn_away(&stream);
         // Its request may lie unread, which would make the end a reset and lose what it was told.
         if let Some(ending) = self.front.slots().end() {
@@ -63,7 +67,11 @@
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
-                let arrived = Arrived { front: &front, executor: &executor, stream: Some(stream) };
+                let arrived = Arrived {
+                    front: &front,
+                    executor: &executor,
+                    stream: Some(stream),
+                };
                 if front.slots().make_room().await {
                     arrived.admit(front.slots().take());
                 }
@@ -87,7 +95,11 @@
     while let Ok((stream, _)) = listener.get_ref().accept()
         && let Ok(stream) = Async::new(stream)
     {
-        let arrived = Arrived { front, executor, stream: Some(stream) };
+        let arrived = Arrived {
+            front,
+            executor,
+            stream: Some(stream),
+        };
         if let Some(slot) = front.slots().try_take() {
             arrived.admit(slot);
         }
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -30,7 +30,10 @@
 /// How often one that has sent more than that is looked at: it may have gone behind what it sent.
 const LOOK: Duration = Duration::from_millis(50);
 /// What a request may take.
-const LIMITS: Limits = Limits { head: HEAD_CAP, body: BODY_CAP };
+const LIMITS: Limits = Limits {
+    head: HEAD_CAP,
+    body: BODY_CAP,
+};
 
 /// The front of HTTP/1.1.
 pub struct Http1 {
@@ -80,12 +83,19 @@
 }
 
 /// The reader of an answer that ends its connection.
-const LAST: Reader = Reader { version: Version::HTTP_11, head_only: false, keep_alive: false };
+const LAST: Reader = Reader {
+    version: Version::HTTP_11,
+    head_only: false,
+    keep_alive: false,
+};
 
 impl Http1 {
     /// A front that holds so many connections at most.
     pub fn new(shared: Rc<Shared>, most: usize) -> Self {
-        Http1 { shared, slots: Slots::new(most) }
+        Http1 {
+            shared,
+            slots: Slots::new(most),
+        }
     }
 
     /// Open connections.
@@ -101,7 +111,10 @@
     /// Serves until the connection is to end; for how long at most its client is waited for then.
     async fn connection(&self, stream: &Async<TcpStream>) -> io::Result<Duration> {
         stream.get_ref().set_nodelay(true)?;
-        let mut input = ReadBuffer { bytes: Vec::new(), grown: Instant::now() };
+        let mut input = ReadBuffer {
+            bytes: Vec::new(),
+            grown: Instant::now(),
+        };
         let mut decoder = RequestDecoder::new(LIMITS);
         let mut served = false;
         let number = self.shared.next_connection();
@@ -111,19 +124,29 @@
             }
             let message = match self.request(stream, &mut decoder, &mut input, served).await {
                 Ok(Read::Whole(message)) => message,
-                Ok(Read::Bad(fault)) => return self.reject(stream, fault.status(), fault.why()).await,
+                Ok(Read::Bad(fault)) => {
+                    return self.reject(stream, fault.status(), fault.why()).await;
+                }
                 Err(e) if e.kind() == io::ErrorKind::TimedOut => {
-                    return self.reject(stream, 408, "the request did not come in time").await;
+                    return self
+                        .reject(stream, 408, "the request did not come in time")
+                        .await;
                 }
                 Err(e) => return Err(e),
             };
-            let (response, usable) = self.answer(number, &message.value, stream, &mut input).await?;
+            let (response, usable) = self
+                .answer(number, &message.value, stream, &mut input)
+                .await?;
             let reader = Reader {
                 version: message.value.version(),
                 head_only: message.value.method() == Method::HEAD,
                 keep_alive: message.keep_alive && self.shared.stage() == Stage::Serving,
             };
-            write(stream, &encode_response(&self.shared.dated(response), reader)).await?;
+            write(
+                stream,
+                &encode_response(&self.shared.dated(response), reader),
+            )
+            .await?;
             if !reader.keep_alive {
                 return Ok(LINGER);
             }
@@ -155,8 +178,14 @@
             };
             return Ok(input.read(stream).or(late).await? > 0);
         }
-        let evictable = self.slots.evictable(if served { Rank::Served } else { Rank::Fresh });
-        let silent = Timer::after(if served { self.slots.idle_time() } else { SILENCE });
+        let evictable = self
+            .slots
+            .evictable(if served { Rank::Served } else { Rank::Fresh });
+        let silent = Timer::after(if served {
+            self.slots.idle_time()
+        } else {
+            SILENCE
+        });
         let end = async {
             evictable.closed().or(async { _ = silent.await }).await;
             Ok(0)
@@ -198,7 +227,9 @@
             Routed::Answered { response, usable } => return Ok((response, usable)),
         };
         // One that waited behind another has less time left than it says.
-        ask.patience = ask.patience.saturating_sub(input.grown.elapsed().as_micros() as Micros);
+        ask.patience = ask
+            .patience
+            .saturating_sub(input.grown.elapsed().as_micros() as Micros);
         let ticket = self.shared.inbox.ask(number, ask);
         let reply = async {
             let reply = ticket.reply().await;
@@ -220,8 +251,16 @@
     }
 
     /// Answers a request whose framing is lost; its connection is to end.
-    async fn reject(&self, stream: &Async<TcpStream>, status: u16, why: &str) -> io::Result<Duration> {
-        let response = final_answer(&Reply::Bad { status, why: why.to_owned() });
+    async fn reject(
+        &self,
+        stream: &Async<TcpStream>,
+        status: u16,
+        why: &str,
+    ) -> io::Result<Duration> {
+        let response = final_answer(&Reply::Bad {
+            status,
+            why: why.to_owned(),
+        });
         write(stream, &encode_response(&self.shared.dated(response), LAST)).await?;
         Ok(LINGER)
     }
--- a/crates/broker/src/front/http2/io.rs
+++ b/crates/broker/src/front/http2/io.rs
@@ -23,7 +23,10 @@
 
 impl Watch {
     pub(super) fn new(guard: Guard) -> SharedWatch {
-        Rc::new(RefCell::new(Watch { guard, violation: None }))
+        Rc::new(RefCell::new(Watch {
+            guard,
+            violation: None,
+        }))
     }
 
     pub(super) fn violation(&self) -> Option<Violation> {
@@ -51,7 +54,12 @@
         watch: SharedWatch,
         clock: Clock,
     ) -> Self {
-        Watched { stream, ahead, watch, clock }
+        Watched {
+            stream,
+            ahead,
+            watch,
+            clock,
+        }
     }
 
     /// Shows the guard what comes. False: it must go no further.
@@ -95,7 +103,11 @@
 }
 
 impl AsyncWrite for Watched {
-    fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
         Pin::new(&mut &*self.stream).poll_write(cx, bytes)
     }
 
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -89,7 +89,12 @@
 impl Http2 {
     /// A front with these limits.
     pub fn new(shared: Rc<Shared>, limits: budget::Http2, clock: Clock) -> Self {
-        Http2 { shared, slots: Slots::new(limits.connections), limits: Cell::new(limits), clock }
+        Http2 {
+            shared,
+            slots: Slots::new(limits.connections),
+            limits: Cell::new(limits),
+            clock,
+        }
     }
 
     /// Open connections.
@@ -120,7 +125,10 @@
             Ok(())
         };
         let late = async {
-            evictable.closed().or(async { _ = Timer::after(span(SILENCE)).await }).await;
+            evictable
+                .closed()
+                .or(async { _ = Timer::after(span(SILENCE)).await })
+                .await;
             Err(None)
         };
         read.or(late).await?;
@@ -130,9 +138,16 @@
     /// Tells a client that speaks HTTP/1 what is spoken here.
     async fn refuse(&self, stream: &Async<TcpStream>, violation: Violation) -> std::io::Result<()> {
         if violation == Violation::Http1 {
-            let why = "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)".to_owned();
-            let reply = self.shared.dated(final_answer(&Reply::Bad { status: 400, why }));
-            let reader = Reader { version: Version::HTTP_11, head_only: false, keep_alive: false };
+            let why =
+                "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)".to_owned();
+            let reply = self
+                .shared
+                .dated(final_answer(&Reply::Bad { status: 400, why }));
+            let reader = Reader {
+                version: Version::HTTP_11,
+                head_only: false,
+                keep_alive: false,
+            };
             let bytes = encode_response(&reply, reader);
             limited(span(LAST_WORDS), (&*stream).write_all(&bytes)).await?;
         }
@@ -157,7 +172,9 @@
             .reset_stream_duration(RESET_TIME)
             .handshake::<_, Bytes>(io);
         let handshake = async { handshake.await.map_err(std::io::Error::other) };
-        let Ok(h2) = limited(span(SILENCE), handshake).await else { return };
+        let Ok(h2) = limited(span(SILENCE), handshake).await else {
+            return;
+        };
         let mut life = Life {
             front: self,
             number,
@@ -219,10 +236,13 @@
             }
             let event = self.event().await;
             match event {
-                Event::Request(mut request) if self.refuses() => request.1.send_reset(Reason::REFUSED_STREAM),
+                Event::Request(mut request) if self.refuses() => {
+                    request.1.send_reset(Reason::REFUSED_STREAM)
+                }
                 Event::Request(request) => {
                     let (request, respond) = *request;
-                    let serve = stream::serve(self.front.shared.clone(), self.number, request, respond);
+                    let serve =
+                        stream::serve(self.front.shared.clone(), self.number, request, respond);
                     self.streams.push(Box::pin(serve));
                 }
                 Event::Ended(end) => self.ended(end),
@@ -241,8 +261,9 @@
                 }
                 Event::Down(error) => {
                     let error = error.filter(|e| !e.is_io());
-                    if let Some(error) =
-                        error.as_ref().filter(|e| e.reason() == Some(Reason::ENHANCE_YOUR_CALM))
+                    if let Some(error) = error
+                        .as_ref()
+                        .filter(|e| e.reason() == Some(Reason::ENHANCE_YOUR_CALM))
                     {
                         warn!(name: "http2_flood", connection = self.number, why = %error);
                     } else if let Some(error) = error {
@@ -290,7 +311,12 @@
         if let Phase::Ending(at) = self.phase {
             return at;
         }
-        let half = self.watch.borrow_mut().guard().half_since().map(|at| at + SILENCE);
+        let half = self
+            .watch
+            .borrow_mut()
+            .guard()
+            .half_since()
+            .map(|at| at + SILENCE);
         let idle = self.streams.is_empty().then(|| {
             self.idle_since
                 + match self.phase {
@@ -308,7 +334,12 @@
         if now < self.due() {
             return true;
         }
-        let half = self.watch.borrow_mut().guard().half_since().is_some_and(|at| now >= at + SILENCE);
+        let half = self
+            .watch
+            .borrow_mut()
+            .guard()
+            .half_since()
+            .is_some_and(|at| now >= at + SILENCE);
         match self.phase {
             Phase::Ending(_) => return false,
             _ if half => {
@@ -331,7 +362,11 @@
         let shared = self.front.shared.clone();
         let stage = shared.stage();
         let idle = self.streams.is_empty() && self.phase == Phase::Serving;
-        let rank = if self.served { Rank::Served } else { Rank::Fresh };
+        let rank = if self.served {
+            Rank::Served
+        } else {
+            Rank::Fresh
+        };
         let evictable: Option<Evictable<'_>> = idle.then(|| self.front.slots.evictable(rank));
         let evicted = async {
             match &evictable {
@@ -369,9 +404,10 @@
         }
         let polled = self.h2.poll_accept(cx);
         // Reading may have found it: then whatever was decoded before is of no use any more.
-        if let (Some(violation), false) =
-            (self.watch.borrow().violation(), matches!(self.phase, Phase::Ending(_)))
-        {
+        if let (Some(violation), false) = (
+            self.watch.borrow().violation(),
+            matches!(self.phase, Phase::Ending(_)),
+        ) {
             return Poll::Ready(Event::Violation(violation));
         }
         match polled {
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -54,7 +54,9 @@
                 (bad(400, why), false, begun + MESSAGE_TIME)
             } else {
                 match shared.route(&request) {
-                    Routed::Answered { response, usable } => (response, usable, begun + MESSAGE_TIME),
+                    Routed::Answered { response, usable } => {
+                        (response, usable, begun + MESSAGE_TIME)
+                    }
                     Routed::Query(ask) => {
                         let until = begun + span(ask.patience);
                         let ticket = shared.inbox.ask(connection, ask);
@@ -64,29 +66,47 @@
                             let _ = poll_fn(|cx| respond.poll_reset(cx)).await;
                             None
                         };
-                        let Some(reply) = reply.or(gone).await else { return End::Reset(true) };
-                        (final_answer(&reply), !matches!(reply, Reply::Bad { .. }), until)
+                        let Some(reply) = reply.or(gone).await else {
+                            return End::Reset(true);
+                        };
+                        (
+                            final_answer(&reply),
+                            !matches!(reply, Reply::Bad { .. }),
+                            until,
+                        )
                     }
                 }
             }
         }
-        Ok(Body::TooLong) => (bad(413, "the body is too long"), false, begun + MESSAGE_TIME),
-        Err(e) if e.kind() == io::ErrorKind::TimedOut => {
-            (bad(408, "the request did not come in time"), false, begun + MESSAGE_TIME)
-        }
+        Ok(Body::TooLong) => (
+            bad(413, "the body is too long"),
+            false,
+            begun + MESSAGE_TIME,
+        ),
+        Err(e) if e.kind() == io::ErrorKind::TimedOut => (
+            bad(408, "the request did not come in time"),
+            false,
+            begun + MESSAGE_TIME,
+        ),
         Err(_) => return End::Reset(false),
     };
     let (mut head, bytes) = shared.dated(reply).into_parts();
-    head.headers.insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
+    head.headers
+        .insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
     let bytes = if head_only { Vec::new() } else { bytes };
     let length = bytes.len();
-    let Ok(mut stream) = respond.send_response(Response::from_parts(head, ()), bytes.is_empty()) else {
+    let Ok(mut stream) = respond.send_response(Response::from_parts(head, ()), bytes.is_empty())
+    else {
         return End::Reset(usable);
     };
     // What the client has not sent yet is of no use to anybody (RFC 9113, section 8.1).
     drop(body);
     let until = until.max(Instant::now() + LAST_MOMENT);
-    let sent = if bytes.is_empty() { Ok(()) } else { send(&mut stream, bytes, until).await };
+    let sent = if bytes.is_empty() {
+        Ok(())
+    } else {
+        send(&mut stream, bytes, until).await
+    };
     match sent {
         Ok(()) => End::Answered(length, usable),
         Err(Unsent::Late) => {
@@ -99,7 +119,10 @@
 }
 
 fn bad(status: u16, why: &str) -> plover_query::Response {
-    final_answer(&Reply::Bad { status, why: why.to_owned() })
+    final_answer(&Reply::Bad {
+        status,
+        why: why.to_owned(),
+    })
 }
 
 /// The length that a request declares. Whether its DATA keeps to it is checked by the library.
@@ -119,8 +142,10 @@
         return Ok(Body::TooLong);
     }
     let mut bytes = Vec::new();
-    while let Some(data) =
-        limited(SILENCE, async { body.data().await.transpose().map_err(io::Error::other) }).await?
+    while let Some(data) = limited(SILENCE, async {
+        body.data().await.transpose().map_err(io::Error::other)
+    })
+    .await?
     {
         if bytes.len() + data.len() > BODY_CAP {
             return Ok(Body::TooLong);
@@ -128,7 +153,10 @@
         bytes.extend_from_slice(&data);
     }
     // Trailers are taken and thrown away, as over HTTP/1.1.
-    limited(SILENCE, async { body.trailers().await.map_err(io::Error::other) }).await?;
+    limited(SILENCE, async {
+        body.trailers().await.map_err(io::Error::other)
+    })
+    .await?;
     let _ = body.flow_control().release_capacity(bytes.len());
     Ok(Body::Whole(bytes))
 }
@@ -139,7 +167,9 @@
     match (hosts.next(), hosts.next(), request.uri().authority()) {
         (_, Some(_), _) => Err("Host is given twice"),
         (Some(host), None, Some(authority))
-            if !host.as_bytes().eq_ignore_ascii_case(authority.as_str().as_bytes()) =>
+            if !host
+                .as_bytes()
+                .eq_ignore_ascii_case(authority.as_str().as_bytes()) =>
         {
             Err("Host is not the request's authority")
         }
@@ -153,7 +183,11 @@
 }
 
 /// Sends a body as its reader's windows allow, until the time is over.
-async fn send(stream: &mut SendStream<Bytes>, bytes: Vec<u8>, until: Instant) -> Result<(), Unsent> {
+async fn send(
+    stream: &mut SendStream<Bytes>,
+    bytes: Vec<u8>,
+    until: Instant,
+) -> Result<(), Unsent> {
     let mut rest = Bytes::from(bytes);
     let all = async {
         while !rest.is_empty() {
@@ -163,7 +197,9 @@
                 Some(Err(_)) | None => return Err(Unsent::Gone),
             };
             let slice = rest.split_to(n);
-            stream.send_data(slice, rest.is_empty()).map_err(|_| Unsent::Gone)?;
+            stream
+                .send_data(slice, rest.is_empty())
+                .map_err(|_| Unsent::Gone)?;
         }
         Ok(())
     };
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -56,7 +56,15 @@
         let date = RefCell::new((Instant::now(), date(SystemTime::now())));
         let (stage, connections) = (Cell::new(Stage::Serving), Cell::new(0));
         let moved = RefCell::new(async_channel::bounded(1));
-        Rc::new(Shared { inbox, settings, names, stage, moved, connections, date })
+        Rc::new(Shared {
+            inbox,
+            settings,
+            names,
+            stage,
+            moved,
+            connections,
+            date,
+        })
     }
 
     fn stage(&self) -> Stage {
@@ -81,11 +89,17 @@
     }
 
     fn route(&self, request: &http::Request<Vec<u8>>) -> Routed {
-        match route(request, self.stage() == Stage::Serving, &self.names, &self.settings) {
+        match route(
+            request,
+            self.stage() == Stage::Serving,
+            &self.names,
+            &self.settings,
+        ) {
             // It came after the broker was to end: it might not be done in time.
-            Routed::Query(_) if self.stage() == Stage::Closing => {
-                Routed::Answered { response: refuse_connection(&self.settings), usable: true }
-            }
+            Routed::Query(_) if self.stage() == Stage::Closing => Routed::Answered {
+                response: refuse_connection(&self.settings),
+                usable: true,
+            },
             routed => routed,
         }
     }
@@ -109,10 +123,21 @@
 }
 
 impl<S: accept::Serve> Listening<S> {
-    fn start(front: S, listener: Async<TcpListener>, executor: &Rc<LocalExecutor<'static>>) -> Self {
+    fn start(
+        front: S,
+        listener: Async<TcpListener>,
+        executor: &Rc<LocalExecutor<'static>>,
+    ) -> Self {
         let (front, listener) = (Rc::new(front), Rc::new(listener));
-        let task = executor.spawn(accept::accept(front.clone(), listener.clone(), executor.clone()));
-        Listening { front, accepting: Some((task, listener)) }
+        let task = executor.spawn(accept::accept(
+            front.clone(),
+            listener.clone(),
+            executor.clone(),
+        ));
+        Listening {
+            front,
+            accepting: Some((task, listener)),
+        }
     }
 
     /// Takes what the system has accepted, and no more.
@@ -144,13 +169,27 @@
 
 impl Fronts {
     /// Accepts from now on.
-    pub fn start(shared: Rc<Shared>, plan: Plan, clock: Clock, executor: Rc<LocalExecutor<'static>>) -> Self {
+    pub fn start(
+        shared: Rc<Shared>,
+        plan: Plan,
+        clock: Clock,
+        executor: Rc<LocalExecutor<'static>>,
+    ) -> Self {
         let http1 = Http1::new(shared.clone(), plan.limits.http1_connections);
         let http1 = Listening::start(http1, plan.http1, &executor);
         let http2 = plan.http2.zip(plan.limits.http2).map(|(listener, limits)| {
-            Listening::start(Http2::new(shared.clone(), limits, clock), listener, &executor)
+            Listening::start(
+                Http2::new(shared.clone(), limits, clock),
+                listener,
+                &executor,
+            )
         });
-        Fronts { shared, executor, http1, http2 }
+        Fronts {
+            shared,
+            executor,
+            http1,
+            http2,
+        }
     }
 
     /// Takes other limits, where that is possible while the program runs.
--- a/crates/broker/src/front/slots.rs
+++ b/crates/broker/src/front/slots.rs
@@ -167,12 +167,18 @@
         self.next.set(key.1 + 1);
         let (stay, closed) = async_channel::bounded(1);
         self.evictable.borrow_mut().insert(key, stay);
-        Evictable { slots: self, key, closed }
+        Evictable {
+            slots: self,
+            key,
+            closed,
+        }
     }
 
     /// Closes all that are idle; those in the middle of a request go on.
     pub(super) fn close_idle(&self) {
-        self.evictable.borrow_mut().retain(|(rank, _), _| *rank == Rank::Beginning);
+        self.evictable
+            .borrow_mut()
+            .retain(|(rank, _), _| *rank == Rank::Beginning);
     }
 
     /// How long a connection that has served may be idle.
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -11,7 +11,11 @@
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../model/tests/settings.json")).unwrap();
     let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
-    let names = Names { classes: vec!["a".into()], tenants: vec!["acme".into()], zones: Vec::new() };
+    let names = Names {
+        classes: vec!["a".into()],
+        tenants: vec!["acme".into()],
+        zones: Vec::new(),
+    };
     Shared::new(Rc::default(), site.settings, names)
 }
 
@@ -90,5 +94,9 @@
         Ok(answer)
     };
     let answer = async_io::block_on(executor.run(limited(Duration::from_secs(30), asked))).unwrap();
-    assert!(answer.starts_with(b"HTTP/1.1 503"), "{:?}", String::from_utf8_lossy(&answer));
+    assert!(
+        answer.starts_with(b"HTTP/1.1 503"),
+        "{:?}",
+        String::from_utf8_lossy(&answer)
+    );
 }
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -49,7 +49,12 @@
 impl Default for Inbox {
     fn default() -> Self {
         let bell = async_channel::bounded(1);
-        Inbox { queue: RefCell::default(), bell, next_query: Cell::new(1), asks: Cell::new(0) }
+        Inbox {
+            queue: RefCell::default(),
+            bell,
+            next_query: Cell::new(1),
+            asks: Cell::new(0),
+        }
     }
 }
 
@@ -66,7 +71,11 @@
         let (sender, reply) = async_channel::bounded(1);
         self.asks.set(self.asks.get() + 1);
         self.put(Input::Ask(id, connection, ask, sender));
-        Ticket { inbox: self, id, reply }
+        Ticket {
+            inbox: self,
+            id,
+            reply,
+        }
     }
     /// Takes all that is there.
     pub fn take(&self) -> Vec<Input> {
--- a/crates/broker/src/net.rs
+++ b/crates/broker/src/net.rs
@@ -43,7 +43,10 @@
 /// Whether the peer has closed its side, also where bytes that it sent before wait unread.
 pub fn has_hung_up(stream: &Async<TcpStream>) -> bool {
     let mut polled = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
-    let at_once = Timespec { tv_sec: 0, tv_nsec: 0 };
+    let at_once = Timespec {
+        tv_sec: 0,
+        tv_nsec: 0,
+    };
     let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
     poll(&mut polled, Some(&at_once)).is_ok() && polled[0].revents().intersects(over)
 }
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -40,7 +40,10 @@
     /// Takes settings that stand in no file; reading it again changes nothing.
     pub fn of_text(name: &str, text: &str) -> Result<Self, String> {
         let settings = read(name, text).map_err(|faults| faults.to_string())?;
-        Ok(Operator { path: None, settings })
+        Ok(Operator {
+            path: None,
+            settings,
+        })
     }
 
     fn parse(path: &Path) -> Result<Settings, String> {
@@ -49,7 +52,9 @@
 
     /// Reads the file again, whole or not at all: nothing is changed by this.
     pub fn reread(&self) -> Result<Settings, String> {
-        self.path.as_deref().map_or_else(|| Ok(self.settings.clone()), Self::parse)
+        self.path
+            .as_deref()
+            .map_or_else(|| Ok(self.settings.clone()), Self::parse)
     }
 
     /// The same without a word or an effect, to see what would hold.
@@ -94,7 +99,9 @@
 
     /// How turns are spaced, where the settings' tick is given.
     pub fn pacing(&self, tick: Micros) -> Pacing {
-        self.settings.gather.map_or(Pacing::Fixed(tick), Pacing::Gather)
+        self.settings
+            .gather
+            .map_or(Pacing::Fixed(tick), Pacing::Gather)
     }
 
     /// What the HTTP/2 front is asked to hold, if there is to be one.
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -43,14 +43,19 @@
 fn told(taken: Micros, story: &[Told]) -> String {
     let ms = |at: Micros| at.saturating_sub(taken) / MILLI;
     let one = |t: &Told| {
-        let (part, attempt, server, sent) = (t.attempt.part, t.attempt.attempt, &t.server.0, ms(t.sent));
+        let (part, attempt, server, sent) =
+            (t.attempt.part, t.attempt.attempt, &t.server.0, ms(t.sent));
         match t.ended {
-            Some((outcome, at)) => format!("{part}.{attempt}@{server}+{sent}:{outcome:?}/{}", ms(at)),
+            Some((outcome, at)) => {
+                format!("{part}.{attempt}@{server}+{sent}:{outcome:?}/{}", ms(at))
+            }
             None => format!("{part}.{attempt}@{server}+{sent}:out"),
         }
     };
     // What went well is left out: a line of the log is short, and the bad ones are looked for.
-    let bad = story.iter().filter(|t| t.ended.is_none_or(|(o, _)| o != Outcome::Served));
+    let bad = story
+        .iter()
+        .filter(|t| t.ended.is_none_or(|(o, _)| o != Outcome::Served));
     bad.map(one).collect::<Vec<_>>().join(" ")
 }
 
@@ -131,7 +136,9 @@
         let units = 1 + ask.parts.len();
         if !self.shares.take(connection, units) {
             info!(name: "share_full", connection, held = self.shares.held());
-            return answered(Reply::Refused { retry_after: self.max_retry_after });
+            return answered(Reply::Refused {
+                retry_after: self.max_retry_after,
+            });
         }
         let give_up_at = now + ask.patience;
         if let Some(key) = &ask.key {
@@ -164,8 +171,18 @@
         span.in_scope(|| debug!(name: "query_taken", class = ask.class, parts = ask.parts.len()));
         self.ids.insert(ask.id.clone());
         let values = vec![None; ask.parts.len()];
-        self.pending
-            .insert(id, Pending { connection, ask, reply, values, taken: now, story: Vec::new(), span });
+        self.pending.insert(
+            id,
+            Pending {
+                connection,
+                ask,
+                reply,
+                values,
+                taken: now,
+                story: Vec::new(),
+                span,
+            },
+        );
         Some(query)
     }
 
@@ -177,18 +194,41 @@
     }
 
     /// Ends a query with its one reply.
-    pub(crate) fn finish(&mut self, now: Micros, query: QueryId, reply: impl FnOnce(Values) -> Reply) {
-        let Some(pending) = self.pending.get_mut(&query) else { return };
+    pub(crate) fn finish(
+        &mut self,
+        now: Micros,
+        query: QueryId,
+        reply: impl FnOnce(Values) -> Reply,
+    ) {
+        let Some(pending) = self.pending.get_mut(&query) else {
+            return;
+        };
         let values = std::mem::take(&mut pending.values);
         let parts_in = values.iter().flatten().count();
         let shards = pending.ask.parts.iter().map(|p| p.shard);
-        let reply = reply(shards.zip(values).filter_map(|(shard, v)| Some((shard, v?))).collect());
-        let Some(pending) = self.close(now, query, matches!(reply, Reply::Answer { .. })) else { return };
-        pending.span.in_scope(|| debug!(name: "query_ended", reply = ?std::mem::discriminant(&reply)));
+        let reply = reply(
+            shards
+                .zip(values)
+                .filter_map(|(shard, v)| Some((shard, v?)))
+                .collect(),
+        );
+        let Some(pending) = self.close(now, query, matches!(reply, Reply::Answer { .. })) else {
+            return;
+        };
+        pending
+            .span
+            .in_scope(|| debug!(name: "query_ended", reply = ?std::mem::discriminant(&reply)));
         if !matches!(reply, Reply::Answer { .. }) {
             let refused = matches!(reply, Reply::Refused { .. });
             let after_ms = now.saturating_sub(pending.taken) / MILLI;
-            let Ask { id, class, parts, patience, again, .. } = &pending.ask;
+            let Ask {
+                id,
+                class,
+                parts,
+                patience,
+                again,
+                ..
+            } = &pending.ask;
             let (parts, patience_ms) = (parts.len(), patience / MILLI);
             let (attempts, bad) = (pending.story.len(), told(pending.taken, &pending.story));
             info!(name: "query_unserved", id = %id, class, again, refused, after_ms, patience_ms, parts, parts_in, attempts, bad);
@@ -224,7 +264,12 @@
         pending.span.in_scope(
             || debug!(name: "part_sent", shard = part.shard, attempt = d.attempt.attempt, server = %d.server.0),
         );
-        let told = Told { attempt: d.attempt, server: d.server.clone(), sent: now, ended: None };
+        let told = Told {
+            attempt: d.attempt,
+            server: d.server.clone(),
+            sent: now,
+            ended: None,
+        };
         pending.story.push(told);
         Ok(Send {
             attempt: d.attempt,
@@ -248,11 +293,17 @@
             };
             self.repeats.ended(now, &key, shard, proof);
         }
-        let Some(pending) = self.pending.get_mut(&ended.attempt.query) else { return };
-        pending
-            .span
-            .in_scope(|| debug!(name: "part_ended", part = ended.attempt.part, outcome = ?ended.outcome));
-        if let Some(told) = pending.story.iter_mut().rfind(|t| t.attempt == ended.attempt) {
+        let Some(pending) = self.pending.get_mut(&ended.attempt.query) else {
+            return;
+        };
+        pending.span.in_scope(
+            || debug!(name: "part_ended", part = ended.attempt.part, outcome = ?ended.outcome),
+        );
+        if let Some(told) = pending
+            .story
+            .iter_mut()
+            .rfind(|t| t.attempt == ended.attempt)
+        {
             told.ended = Some((ended.outcome, now));
         }
         if let Some(value) = pending.values.get_mut(ended.attempt.part)
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -86,8 +86,15 @@
     let bind = |address| Async::<TcpListener>::bind(address);
     let listener = bind(config.listen)?;
     let listen = listener.get_ref().local_addr()?;
-    let http2 = operator.settings().http2.map(|h| bind(h.listen)).transpose()?;
-    let listen_http2 = http2.as_ref().map(|l| l.get_ref().local_addr()).transpose()?;
+    let http2 = operator
+        .settings()
+        .http2
+        .map(|h| bind(h.listen))
+        .transpose()?;
+    let listen_http2 = http2
+        .as_ref()
+        .map(|l| l.get_ref().local_addr())
+        .transpose()?;
     let on_signal = inbox.clone();
     executor
         .spawn(async move {
@@ -101,7 +108,11 @@
         })
         .detach();
     let shared = Shared::new(inbox.clone(), config.settings.clone(), config.names.clone());
-    let plan = Plan { http1: listener, http2, limits };
+    let plan = Plan {
+        http1: listener,
+        http2,
+        limits,
+    };
     let rev = config.known.rev;
     let tick = millis(config.settings.tick);
     let mut broker = Broker {
@@ -114,7 +125,13 @@
         queries: Queries::new(&config.settings, config.max_open),
         core: Core::new(config.settings, config.max_open, config.seed),
         upstream: Upstream::new(executor.clone(), inbox.clone(), clock, config.pool),
-        discovery: Discovery::start(executor.clone(), inbox.clone(), config.discovery, rev, config.seed),
+        discovery: Discovery::start(
+            executor.clone(),
+            inbox.clone(),
+            config.discovery,
+            rev,
+            config.seed,
+        ),
         inbox,
         fronts: Fronts::start(shared, plan, clock, executor.clone()),
         dispatches: BTreeMap::new(),
@@ -174,7 +191,9 @@
             Timer::at(self.clock.instant(due)).await;
         };
         self.inbox.wait().or(timer).await;
-        let next = self.pacing.earliest(now, self.queries.len() + self.inbox.asks());
+        let next = self
+            .pacing
+            .earliest(now, self.queries.len() + self.inbox.asks());
         if self.clock.now() < next {
             Timer::at(self.clock.instant(next)).await;
         } else {
@@ -206,7 +225,8 @@
         let reports = self.take_reports(now);
         let decisions = self.core.report(now, reports);
         self.carry_out(now, decisions);
-        let admit = |(id, connection, ask, reply)| self.queries.admit(now, id, connection, ask, reply);
+        let admit =
+            |(id, connection, ask, reply)| self.queries.admit(now, id, connection, ask, reply);
         let queries = asks.into_iter().filter_map(admit).collect();
         let decisions = self.core.pick(now, queries);
         self.carry_out(now, decisions);
@@ -216,7 +236,10 @@
             self.upstream.take_back(now, query, part);
         }
         let sends = std::mem::take(&mut self.dispatches);
-        let sends = sends.into_values().filter_map(|d| self.send(now, d)).collect();
+        let sends = sends
+            .into_values()
+            .filter_map(|d| self.send(now, d))
+            .collect();
         self.upstream.dispatch(now, sends);
         self.upstream.sweep(now);
         self.tell(now);
@@ -241,12 +264,19 @@
         let servers = targets.servers(&self.zones, |ms| self.clock.of_unix_ms(ms));
         if scope != ListScope::Changes {
             let named: BTreeSet<&NodeId> = servers.iter().map(|s| &s.name).collect();
-            for name in self.upstream.serving().iter().filter(|name| !named.contains(name)) {
+            for name in self
+                .upstream
+                .serving()
+                .iter()
+                .filter(|name| !named.contains(name))
+            {
                 self.upstream.learn(now, name.clone(), None);
             }
         }
         for (server, target) in servers.iter().zip(&targets.targets) {
-            let endpoint = target.endpoint.filter(|_| server.state == NodeState::Serving);
+            let endpoint = target
+                .endpoint
+                .filter(|_| server.state == NodeState::Serving);
             self.upstream.learn(now, server.name.clone(), endpoint);
         }
         self.core.learn(scope, servers);
@@ -295,7 +325,12 @@
             if e.outcome == Outcome::Served {
                 self.over.push((e.attempt.query, Some(e.attempt.part)));
             }
-            Report { attempt: e.attempt, outcome: e.outcome, elapsed: e.elapsed, load: e.load }
+            Report {
+                attempt: e.attempt,
+                outcome: e.outcome,
+                elapsed: e.elapsed,
+                load: e.load,
+            }
         };
         ended.into_iter().map(report).collect()
     }
@@ -318,7 +353,8 @@
         for Final { query, verdict } in decisions.finals {
             self.finish(now, query, verdict);
         }
-        self.dispatches.extend(decisions.dispatches.into_iter().map(|d| (d.attempt, d)));
+        self.dispatches
+            .extend(decisions.dispatches.into_iter().map(|d| (d.attempt, d)));
     }
 
     fn finish(&mut self, now: Micros, query: QueryId, verdict: Verdict) {
@@ -348,5 +384,11 @@
 }
 
 fn never_sent(attempt: AttemptId) -> Ended {
-    Ended { attempt, outcome: Outcome::NotSent, elapsed: 0, load: None, value: None }
+    Ended {
+        attempt,
+        outcome: Outcome::NotSent,
+        elapsed: 0,
+        load: None,
+        value: None,
+    }
 }
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -85,7 +85,9 @@
 
     /// Takes back all parts of which no byte is written.
     pub(super) fn withdraw_all(&self) -> Vec<String> {
-        let mut taken: Vec<String> = std::mem::take(&mut *self.lapsed.borrow_mut()).into_iter().collect();
+        let mut taken: Vec<String> = std::mem::take(&mut *self.lapsed.borrow_mut())
+            .into_iter()
+            .collect();
         self.waiting.borrow_mut().retain_mut(|item| match item {
             Item::Call(parts) => {
                 taken.extend(parts.drain(..).map(|p| p.wire));
@@ -104,7 +106,12 @@
             Item::GiveUp(_) => &[],
         });
         let (writing, lapsed) = (self.writing.borrow(), self.lapsed.borrow());
-        parts.map(|p| &p.wire).chain(writing.iter().flatten()).chain(lapsed.iter()).cloned().collect()
+        parts
+            .map(|p| &p.wire)
+            .chain(writing.iter().flatten())
+            .chain(lapsed.iter())
+            .cloned()
+            .collect()
     }
 
     /// Whether the connection had come up.
@@ -137,9 +144,12 @@
             let frame = match &mut item {
                 Item::GiveUp(wire) => frame::give_up(wire),
                 Item::Call(parts) => {
-                    let over =
-                        |p: &mut Outgoing| p.until < now + MILLI || p.expires.is_some_and(|at| at <= now);
-                    self.lapsed.borrow_mut().extend(parts.extract_if(.., over).map(|p| p.wire));
+                    let over = |p: &mut Outgoing| {
+                        p.until < now + MILLI || p.expires.is_some_and(|at| at <= now)
+                    };
+                    self.lapsed
+                        .borrow_mut()
+                        .extend(parts.extract_if(.., over).map(|p| p.wire));
                     if parts.is_empty() {
                         continue;
                     }
@@ -177,11 +187,20 @@
     inbox: Rc<Inbox>,
     clock: Clock,
 ) {
-    let end = match limited(Duration::from_micros(dial), Async::<TcpStream>::connect(endpoint)).await {
+    let end = match limited(
+        Duration::from_micros(dial),
+        Async::<TcpStream>::connect(endpoint),
+    )
+    .await
+    {
         Ok(stream) => {
             queue.up.set(true);
             let written = async { ConnEvent::Down(write(&stream, &queue, clock).await) };
-            let read = async { read(&stream, id, &inbox).await.unwrap_or_else(ConnEvent::Down) };
+            let read = async {
+                read(&stream, id, &inbox)
+                    .await
+                    .unwrap_or_else(ConnEvent::Down)
+            };
             // Reading goes first: nothing is written into a connection that the server has closed by then.
             read.or(written).await
         }
@@ -191,13 +210,19 @@
 }
 
 /// Writes until that fails.
-pub(super) async fn write(mut stream: &Async<TcpStream>, queue: &SendQueue, clock: Clock) -> io::Error {
+pub(super) async fn write(
+    mut stream: &Async<TcpStream>,
+    queue: &SendQueue,
+    clock: Clock,
+) -> io::Error {
     if let Err(error) = stream.get_ref().set_nodelay(true) {
         return error;
     }
     loop {
         queue.something().await;
-        let Some((item, frame)) = queue.begin(clock.now()) else { continue };
+        let Some((item, frame)) = queue.begin(clock.now()) else {
+            continue;
+        };
         let taken = match stream.get_ref().write(&frame) {
             Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
                 queue.put_back(item);
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -153,7 +153,11 @@
 
     /// Forgets a server that is not to be called and has no connections.
     fn forget(&mut self, name: &NodeId) {
-        if self.servers.get(name).is_some_and(|s| s.endpoint.is_none() && s.conns.is_empty()) {
+        if self
+            .servers
+            .get(name)
+            .is_some_and(|s| s.endpoint.is_none() && s.conns.is_empty())
+        {
             self.servers.remove(name);
         }
     }
@@ -189,17 +193,40 @@
             };
             return self.ended.extend(sends.into_iter().map(never));
         };
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         conn.used = now;
         let mut parts = Vec::with_capacity(sends.len());
         for s in sends {
             conn.out.insert(s.wire.clone(), s.attempt);
             let due = s.expires.map_or(s.until, |at| at.min(s.until));
             self.deadlines.insert((due, s.attempt));
-            let flight = Flight { conn: id, wire: s.wire.clone(), sent: now, until: s.until, due };
+            let flight = Flight {
+                conn: id,
+                wire: s.wire.clone(),
+                sent: now,
+                until: s.until,
+                due,
+            };
             self.flights.insert(s.attempt, flight);
-            let Send { until, expires, wire, shard, key, text, .. } = s;
-            parts.push(Outgoing { wire, shard, until, expires, key, text });
+            let Send {
+                until,
+                expires,
+                wire,
+                shard,
+                key,
+                text,
+                ..
+            } = s;
+            parts.push(Outgoing {
+                wire,
+                shard,
+                until,
+                expires,
+                key,
+                text,
+            });
         }
         conn.queue.put(Item::Call(parts));
     }
@@ -210,12 +237,18 @@
     fn conn_for(&mut self, now: Micros, name: &NodeId, parts: usize) -> Option<u64> {
         let server = self.servers.get(name)?;
         let endpoint = server.endpoint?;
-        let open = server.conns.iter().filter_map(|id| Some((*id, self.conns.get(id)?)));
-        let roomy = open.filter(|(_, c)| !c.retiring && c.out.len() + parts <= self.limits.multiplex);
+        let open = server
+            .conns
+            .iter()
+            .filter_map(|id| Some((*id, self.conns.get(id)?)));
+        let roomy =
+            open.filter(|(_, c)| !c.retiring && c.out.len() + parts <= self.limits.multiplex);
         let best = roomy.min_by_key(|(_, c)| (c.out.len(), c.used));
         let most = (self.limits.sockets / self.servers.len().max(1)).clamp(1, PER_SERVER);
         if let Some((id, conn)) = best
-            && (conn.out.is_empty() || server.conns.len() >= most || self.conns.len() >= self.limits.sockets)
+            && (conn.out.is_empty()
+                || server.conns.len() >= most
+                || self.conns.len() >= self.limits.sockets)
         {
             return Some(id);
         }
@@ -253,7 +286,9 @@
     /// Makes room by closing the connection that has been idle for longest.
     fn evict(&mut self) -> bool {
         let idle = self.conns.iter().filter(|(_, c)| c.out.is_empty());
-        let Some(id) = idle.min_by_key(|(_, c)| c.used).map(|(id, _)| *id) else { return false };
+        let Some(id) = idle.min_by_key(|(_, c)| c.used).map(|(id, _)| *id) else {
+            return false;
+        };
         self.close(id);
         true
     }
@@ -261,15 +296,30 @@
     /// Takes back what a query that has ended, or one part of it that is in, has not begun to send. Nothing of it
     /// reaches a server, so that it needs no leave to call off.
     pub fn take_back(&mut self, now: Micros, query: QueryId, part: Option<usize>) {
-        let first = AttemptId { query, part: part.unwrap_or(0), attempt: 0 };
-        let last = AttemptId { query, part: part.unwrap_or(usize::MAX), attempt: u32::MAX };
-        let out: Vec<AttemptId> = self.flights.range(first..=last).map(|(attempt, _)| *attempt).collect();
-        out.into_iter().for_each(|attempt| self.withdraw(now, attempt));
+        let first = AttemptId {
+            query,
+            part: part.unwrap_or(0),
+            attempt: 0,
+        };
+        let last = AttemptId {
+            query,
+            part: part.unwrap_or(usize::MAX),
+            attempt: u32::MAX,
+        };
+        let out: Vec<AttemptId> = self
+            .flights
+            .range(first..=last)
+            .map(|(attempt, _)| *attempt)
+            .collect();
+        out.into_iter()
+            .for_each(|attempt| self.withdraw(now, attempt));
     }
 
     /// Ends an attempt of which nothing has left yet.
     fn withdraw(&mut self, now: Micros, attempt: AttemptId) {
-        let Some(Flight { conn, wire, .. }) = self.flights.get(&attempt) else { return };
+        let Some(Flight { conn, wire, .. }) = self.flights.get(&attempt) else {
+            return;
+        };
         if self.conns.get(conn).is_some_and(|c| c.queue.withdraw(wire)) {
             self.end(now, attempt, Outcome::NotSent, None, None);
         }
@@ -281,9 +331,13 @@
     }
 
     fn abandon(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
-        let Some(flight) = self.flights.get(&attempt) else { return };
+        let Some(flight) = self.flights.get(&attempt) else {
+            return;
+        };
         let (id, sent, wire) = (flight.conn, flight.sent, flight.wire.clone());
-        let Some(conn) = self.conns.get_mut(&id) else { return self.end(now, attempt, outcome, None, None) };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return self.end(now, attempt, outcome, None, None);
+        };
         let unsent = conn.queue.withdraw(&wire);
         if !unsent {
             if conn.given_up.len() >= GIVEN_UP {
@@ -291,7 +345,8 @@
             }
             conn.given_up.push_back(wire.clone());
             conn.queue.put(Item::GiveUp(wire));
-            conn.retiring |= conn.heard <= sent && now - sent >= SILENT_DIALS * self.limits.dial_timeout;
+            conn.retiring |=
+                conn.heard <= sent && now - sent >= SILENT_DIALS * self.limits.dial_timeout;
         }
         let (up, stuck) = (conn.queue.was_up(), conn.queue.is_stuck());
         let timed_out = outcome == Outcome::TimedOut;
@@ -319,23 +374,38 @@
         load: Option<f64>,
         value: Option<String>,
     ) {
-        let Some(flight) = self.flights.remove(&attempt) else { return };
+        let Some(flight) = self.flights.remove(&attempt) else {
+            return;
+        };
         self.deadlines.remove(&(flight.due, attempt));
         if let Some(conn) = self.conns.get_mut(&flight.conn) {
             conn.out.remove(&flight.wire);
             conn.used = now;
         }
         let elapsed = now.saturating_sub(flight.sent);
-        self.ended.push(Ended { attempt, outcome, elapsed, load, value });
+        self.ended.push(Ended {
+            attempt,
+            outcome,
+            elapsed,
+            load,
+            value,
+        });
     }
 
     /// Takes news of a connection.
     pub fn hear(&mut self, now: Micros, id: u64, event: ConnEvent) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         conn.heard = now;
         conn.begun = None;
         match event {
-            ConnEvent::Frame(FromServer::Answer { id: wire, outcome, held, value }) => {
+            ConnEvent::Frame(FromServer::Answer {
+                id: wire,
+                outcome,
+                held,
+                value,
+            }) => {
                 if let Some(&attempt) = conn.out.get(&wire) {
                     let value = (outcome == Outcome::Served).then_some(value);
                     return self.end(now, attempt, outcome, held, value);
@@ -370,7 +440,9 @@
     /// attempt counts as an error, which may have run; those beside it may have run too, but tell nothing of
     /// their server, which has failed but once, nor of their query, which does not bring down servers.
     fn spoil(&mut self, now: Micros, id: u64, error: &str) {
-        let Some(conn) = self.conns.get(&id) else { return };
+        let Some(conn) = self.conns.get(&id) else {
+            return;
+        };
         warn!(name: "upstream_bad_frame", server = %conn.server.0, error, out = conn.out.len());
         let unwritten = conn.queue.unwritten();
         let mut out: Vec<(String, AttemptId)> = conn.out.clone().into_iter().collect();
@@ -393,7 +465,9 @@
     /// byte never ran; any other may have. What waited behind a connection that had come up tells nothing of
     /// whether the server can be reached.
     fn lose(&mut self, now: Micros, id: u64) {
-        let Some(conn) = self.conns.get(&id) else { return };
+        let Some(conn) = self.conns.get(&id) else {
+            return;
+        };
         let (unwritten, was_up) = (conn.queue.unwritten(), conn.queue.was_up());
         for (wire, attempt) in conn.out.clone() {
             let outcome = match unwritten.contains(&wire) {
@@ -408,7 +482,9 @@
 
     /// Lets a connection finish what is out on it, and takes back what it has not begun to write.
     fn retire(&mut self, now: Micros, id: u64) {
-        let Some(conn) = self.conns.get_mut(&id) else { return };
+        let Some(conn) = self.conns.get_mut(&id) else {
+            return;
+        };
         conn.retiring = true;
         for wire in conn.queue.withdraw_all() {
             if let Some(&attempt) = self.conns.get(&id).and_then(|c| c.out.get(&wire)) {
@@ -419,7 +495,9 @@
 
     /// The one place where a connection is given back.
     fn close(&mut self, id: u64) {
-        let Some(conn) = self.conns.remove(&id) else { return };
+        let Some(conn) = self.conns.remove(&id) else {
+            return;
+        };
         if let Some(server) = self.servers.get_mut(&conn.server) {
             server.conns.remove(&id);
         }
@@ -429,21 +507,43 @@
     /// Closes what is idle for too long, or retired and done with.
     pub fn sweep(&mut self, now: Micros) {
         let idle = self.limits.keepalive * IDLE_SHARE.0 / IDLE_SHARE.1;
-        let done = |c: &Conn| c.out.is_empty() && (c.retiring || now.saturating_sub(c.used) >= idle);
-        let done: Vec<u64> = self.conns.iter().filter(|(_, c)| done(c)).map(|(id, _)| *id).collect();
+        let done =
+            |c: &Conn| c.out.is_empty() && (c.retiring || now.saturating_sub(c.used) >= idle);
+        let done: Vec<u64> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| done(c))
+            .map(|(id, _)| *id)
+            .collect();
         done.into_iter().for_each(|id| self.close(id));
         let stall = self.limits.dial_timeout;
         let stalled = |c: &Conn| c.begun.is_some_and(|at| now.saturating_sub(at) >= stall);
-        let stalled: Vec<u64> = self.conns.iter().filter(|(_, c)| stalled(c)).map(|(id, _)| *id).collect();
-        stalled.into_iter().for_each(|id| self.spoil(now, id, "its end does not come"));
+        let stalled: Vec<u64> = self
+            .conns
+            .iter()
+            .filter(|(_, c)| stalled(c))
+            .map(|(id, _)| *id)
+            .collect();
+        stalled
+            .into_iter()
+            .for_each(|id| self.spoil(now, id, "its end does not come"));
     }
 
     /// Takes the attempts that have ended, those included whose time is over by now. A turn begins with this:
     /// the module ends a query at the moment at which its attempts time out, and would else call them off first,
     /// so that no time-out ever reached it and silent servers went unnoticed.
     pub fn take_ended(&mut self, now: Micros) -> Vec<Ended> {
-        while let Some((due, attempt)) = self.deadlines.first().copied().filter(|(due, _)| *due <= now) {
-            match self.flights.get_mut(&attempt).filter(|flight| flight.until > now) {
+        while let Some((due, attempt)) = self
+            .deadlines
+            .first()
+            .copied()
+            .filter(|(due, _)| *due <= now)
+        {
+            match self
+                .flights
+                .get_mut(&attempt)
+                .filter(|flight| flight.until > now)
+            {
                 // It must not be sent any more. If it was, it is waited for.
                 Some(flight) => {
                     self.deadlines.remove(&(due, attempt));
@@ -464,8 +564,15 @@
 
     /// When the next attempt's time is over, or the next frame is late that has begun.
     pub fn due(&self) -> Micros {
-        let deadline = self.deadlines.first().map_or(Micros::MAX, |(until, _)| *until);
-        let stalls = self.conns.values().filter_map(|c| c.begun).map(|at| at + self.limits.dial_timeout);
+        let deadline = self
+            .deadlines
+            .first()
+            .map_or(Micros::MAX, |(until, _)| *until);
+        let stalls = self
+            .conns
+            .values()
+            .filter_map(|c| c.begun)
+            .map(|at| at + self.limits.dial_timeout);
         stalls.min().map_or(deadline, |stall| stall.min(deadline))
     }
 
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -20,7 +20,13 @@
 
 fn limits() -> PoolLimits {
     let (dial_timeout, keepalive) = (SECOND / 4, 15 * SECOND);
-    PoolLimits { sockets: 10, batch: 2, multiplex: 4, dial_timeout, keepalive }
+    PoolLimits {
+        sockets: 10,
+        batch: 2,
+        multiplex: 4,
+        dial_timeout,
+        keepalive,
+    }
 }
 
 fn server() -> NodeId {
@@ -29,7 +35,11 @@
 
 fn sends(query: u64, parts: usize) -> Vec<Send> {
     let send = |part| Send {
-        attempt: AttemptId { query, part, attempt: 0 },
+        attempt: AttemptId {
+            query,
+            part,
+            attempt: 0,
+        },
         server: server(),
         until: SECOND,
         expires: None,
@@ -51,7 +61,12 @@
 
 fn answer(wire: &str) -> ConnEvent {
     let (id, outcome, held) = (wire.to_owned(), Outcome::Served, Some(1.0));
-    ConnEvent::Frame(FromServer::Answer { id, outcome, held, value: "v".to_owned() })
+    ConnEvent::Frame(FromServer::Answer {
+        id,
+        outcome,
+        held,
+        value: "v".to_owned(),
+    })
 }
 
 #[test]
@@ -63,7 +78,10 @@
     pool.dispatch(20, sends(2, 1));
     assert_eq!((pool.open(), pool.conns[&1].out.len()), (2, 1));
     (3..20).for_each(|query| pool.dispatch(30, sends(query, 1)));
-    assert_eq!(pool.conns.values().map(|c| c.out.len()).collect::<Vec<_>>(), [4; 5]);
+    assert_eq!(
+        pool.conns.values().map(|c| c.out.len()).collect::<Vec<_>>(),
+        [4; 5]
+    );
 }
 
 /// A server may close a connection right after its answer: the one that rested longest is the safest.
@@ -81,7 +99,10 @@
 /// The end of a connection that had come up is no news of whether its server can be reached.
 #[test]
 fn what_waits_behind_a_connection_that_was_up_is_not_sent() {
-    let (mut pool, _listener) = pool(PoolLimits { sockets: 1, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits {
+        sockets: 1,
+        ..limits()
+    });
     pool.dispatch(0, sends(1, 1));
     let (executor, queue) = (pool.executor.clone(), pool.conns[&0].queue.clone());
     let written = async {
@@ -92,11 +113,17 @@
     async_io::block_on(executor.run(written));
     pool.dispatch(10, sends(2, 1));
     pool.hear(20, 0, broken());
-    assert_eq!(outcomes(&mut pool, 30), [Outcome::ConnectionLost, Outcome::NotSent]);
+    assert_eq!(
+        outcomes(&mut pool, 30),
+        [Outcome::ConnectionLost, Outcome::NotSent]
+    );
 }
 
 fn outcomes_of_spoilt(event: ConnEvent, sent: usize) -> (Vec<Outcome>, usize) {
-    let (mut pool, _listener) = pool(PoolLimits { batch: 4, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits {
+        batch: 4,
+        ..limits()
+    });
     pool.dispatch(0, sends(1, sent));
     pool.conns[&0].queue.begin(0);
     pool.conns[&0].queue.written();
@@ -108,21 +135,37 @@
 /// It is one failure of the server, whatever else was out on the connection, and none of a query's own.
 #[test]
 fn a_spoilt_answer_fails_one_attempt_and_closes_its_connection() {
-    for event in [answer("q7.0"), ConnEvent::Bad(plover_frames::BadFrame("noise"))] {
+    for event in [
+        answer("q7.0"),
+        ConnEvent::Bad(plover_frames::BadFrame("noise")),
+    ] {
         let outcomes = outcomes_of_spoilt(event, 3);
-        assert_eq!(outcomes, (vec![Outcome::Error, Outcome::Cancelled, Outcome::Cancelled], 0));
+        assert_eq!(
+            outcomes,
+            (
+                vec![Outcome::Error, Outcome::Cancelled, Outcome::Cancelled],
+                0
+            )
+        );
     }
 }
 
 /// A second copy or noise after a good answer fails nothing, but nobody can tell what else would come.
 #[test]
 fn surplus_after_a_good_answer_closes_the_connection_and_fails_nothing() {
-    for surplus in [answer("q1.0"), ConnEvent::Begun, ConnEvent::Bad(plover_frames::BadFrame("noise"))] {
+    for surplus in [
+        answer("q1.0"),
+        ConnEvent::Begun,
+        ConnEvent::Bad(plover_frames::BadFrame("noise")),
+    ] {
         let (mut pool, _listener) = pool(limits());
         pool.dispatch(0, sends(1, 1));
         pool.hear(10, 0, answer("q1.0"));
         pool.hear(10, 0, surplus);
-        assert_eq!((outcomes(&mut pool, 20), pool.open()), (vec![Outcome::Served], 0));
+        assert_eq!(
+            (outcomes(&mut pool, 20), pool.open()),
+            (vec![Outcome::Served], 0)
+        );
     }
 }
 
@@ -133,29 +176,55 @@
     pool.dispatch(0, sends(1, 2));
     pool.conns[&0].queue.begin(0);
     pool.conns[&0].queue.written();
-    pool.give_up(10, AttemptId { query: 1, part: 0, attempt: 0 });
+    pool.give_up(
+        10,
+        AttemptId {
+            query: 1,
+            part: 0,
+            attempt: 0,
+        },
+    );
     pool.hear(20, 0, answer("q1.0"));
-    assert_eq!((outcomes(&mut pool, 20), pool.open()), (vec![Outcome::Cancelled], 1));
+    assert_eq!(
+        (outcomes(&mut pool, 20), pool.open()),
+        (vec![Outcome::Cancelled], 1)
+    );
     pool.hear(30, 0, answer("q1.0"));
-    assert_eq!((outcomes(&mut pool, 30), pool.open()), (vec![Outcome::Error], 0));
+    assert_eq!(
+        (outcomes(&mut pool, 30), pool.open()),
+        (vec![Outcome::Error], 0)
+    );
 }
 
 /// A slow server answers in its turn what several rounds have given up: that must not end what is out now.
 #[test]
 fn late_answers_to_more_than_may_be_out_spoil_nothing() {
-    let (mut pool, _listener) = pool(PoolLimits { sockets: 1, ..limits() });
+    let (mut pool, _listener) = pool(PoolLimits {
+        sockets: 1,
+        ..limits()
+    });
     for query in 1..=limits().multiplex as u64 + 2 {
         pool.dispatch(0, sends(query, 1));
         while pool.conns[&0].queue.begin(0).is_some() {
             pool.conns[&0].queue.written();
         }
-        pool.give_up(10, AttemptId { query, part: 0, attempt: 0 });
+        pool.give_up(
+            10,
+            AttemptId {
+                query,
+                part: 0,
+                attempt: 0,
+            },
+        );
     }
     pool.dispatch(20, sends(100, 1));
     pool.take_ended(20);
     pool.hear(30, 0, answer("q1.0"));
     pool.hear(30, 0, answer("q100.0"));
-    assert_eq!((outcomes(&mut pool, 30), pool.open()), (vec![Outcome::Served], 1));
+    assert_eq!(
+        (outcomes(&mut pool, 30), pool.open()),
+        (vec![Outcome::Served], 1)
+    );
 }
 
 /// A length that does not fit promises bytes that never come: the attempt must not wait for its whole time.
@@ -170,22 +239,39 @@
     pool.sweep(9 + limits().dial_timeout);
     assert_eq!(pool.open(), 1);
     pool.sweep(10 + limits().dial_timeout);
-    assert_eq!((outcomes(&mut pool, SECOND / 2), pool.open()), (vec![Outcome::Error], 0));
+    assert_eq!(
+        (outcomes(&mut pool, SECOND / 2), pool.open()),
+        (vec![Outcome::Error], 0)
+    );
 }
 
 /// Every dispatched attempt ends, also where no descriptor is left for it.
 #[test]
 fn with_no_descriptor_left_an_idle_connection_makes_room_or_the_attempt_ends() {
-    let (mut pool, listener) = pool(PoolLimits { sockets: 1, ..limits() });
+    let (mut pool, listener) = pool(PoolLimits {
+        sockets: 1,
+        ..limits()
+    });
     pool.dispatch(0, sends(1, 1));
     let other = NodeId("s1".into());
     pool.learn(0, other.clone(), Some(listener.local_addr().unwrap()));
-    let to_other = |query| sends(query, 1).into_iter().map(|s| Send { server: other.clone(), ..s }).collect();
+    let to_other = |query| {
+        sends(query, 1)
+            .into_iter()
+            .map(|s| Send {
+                server: other.clone(),
+                ..s
+            })
+            .collect()
+    };
     pool.dispatch(0, to_other(2));
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NoConnection]);
     pool.hear(10, 0, answer("q1.0"));
     pool.dispatch(20, to_other(3));
-    assert_eq!((outcomes(&mut pool, 30), pool.open()), (vec![Outcome::Served], 1));
+    assert_eq!(
+        (outcomes(&mut pool, 30), pool.open()),
+        (vec![Outcome::Served], 1)
+    );
 }
 
 /// A part that crosses the server's closing of an idle connection would end as a reset.
@@ -233,7 +319,12 @@
         }
     };
     async_io::block_on(executor.run(written));
-    assert!(!inbox.take().iter().any(|i| matches!(i, Input::Conn(1, ConnEvent::Down(_)))));
+    assert!(
+        !inbox
+            .take()
+            .iter()
+            .any(|i| matches!(i, Input::Conn(1, ConnEvent::Down(_))))
+    );
     pool.hear(40, 1, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::ConnectionLost]);
 }
@@ -262,8 +353,18 @@
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 2));
     pool.conns[&0].queue.begin(0);
-    pool.give_up(SECOND / 2, AttemptId { query: 1, part: 0, attempt: 0 });
-    assert_eq!(outcomes(&mut pool, SECOND / 2), [Outcome::Cancelled, Outcome::NoConnection]);
+    pool.give_up(
+        SECOND / 2,
+        AttemptId {
+            query: 1,
+            part: 0,
+            attempt: 0,
+        },
+    );
+    assert_eq!(
+        outcomes(&mut pool, SECOND / 2),
+        [Outcome::Cancelled, Outcome::NoConnection]
+    );
     assert_eq!(pool.open(), 0);
 }
 
@@ -277,12 +378,23 @@
 /// Polls the task once that writes to a socket.
 fn poll_write(stream: &Async<TcpStream>, queue: &SendQueue) {
     let write = pin!(connection::write(stream, queue, Clock::start()));
-    assert!(write.poll(&mut Context::from_waker(Waker::noop())).is_pending());
+    assert!(
+        write
+            .poll(&mut Context::from_waker(Waker::noop()))
+            .is_pending()
+    );
 }
 
 fn outgoing(wire: &str, until: Micros) -> Item {
     let text = "c41e77d0".into();
-    Item::Call(vec![Outgoing { wire: wire.to_owned(), shard: 0, until, expires: None, key: None, text }])
+    Item::Call(vec![Outgoing {
+        wire: wire.to_owned(),
+        shard: 0,
+        until,
+        expires: None,
+        key: None,
+        text,
+    }])
 }
 
 /// A send counts from its first byte: until the socket takes that, the part can be taken back.
@@ -310,10 +422,22 @@
     let (ours, _server) = pair();
     while ours.get_ref().write(&[0; 4096]).is_ok() {}
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 1).into_iter().map(|s| Send { until: 3600 * SECOND, ..s }).collect());
+    pool.dispatch(
+        0,
+        sends(1, 1)
+            .into_iter()
+            .map(|s| Send {
+                until: 3600 * SECOND,
+                ..s
+            })
+            .collect(),
+    );
     let queue = pool.conns[&0].queue.clone();
     poll_write(&ours, &queue);
-    assert_eq!((outcomes(&mut pool, 3600 * SECOND), pool.open()), (vec![Outcome::NoConnection], 0));
+    assert_eq!(
+        (outcomes(&mut pool, 3600 * SECOND), pool.open()),
+        (vec![Outcome::NoConnection], 0)
+    );
 }
 
 /// What a part waited for is no longer left to its client, and a part with nothing left is not sent.
@@ -326,12 +450,17 @@
         Some(String::from_utf8_lossy(&frame[5..]).into_owned())
     };
     queue.put(outgoing("q1.0", SECOND));
-    assert_eq!(told(250 * MILLI).as_deref(), Some("q1.0 0 d=750 8\nc41e77d0"));
+    assert_eq!(
+        told(250 * MILLI).as_deref(),
+        Some("q1.0 0 d=750 8\nc41e77d0")
+    );
     queue.put(outgoing("q2.0", SECOND));
     queue.put(outgoing("q3.0", 2 * SECOND));
     assert_eq!(told(SECOND).as_deref(), Some("q3.0 0 d=1000 8\nc41e77d0"));
     assert_eq!(told(SECOND), None);
-    assert!(queue.unwritten().contains("q2.0") && queue.withdraw("q2.0") && !queue.withdraw("q2.0"));
+    assert!(
+        queue.unwritten().contains("q2.0") && queue.withdraw("q2.0") && !queue.withdraw("q2.0")
+    );
 }
 
 /// The server closes an idle connection, and a part goes out before the pool has heard of it: it must not end as
@@ -340,7 +469,11 @@
 fn a_part_that_meets_the_closing_of_an_idle_connection_never_ran() {
     let (mut pool, listener) = pool(limits());
     pool.dispatch(0, sends(1, 1));
-    let (executor, inbox, queue) = (pool.executor.clone(), pool.inbox.clone(), pool.conns[&0].queue.clone());
+    let (executor, inbox, queue) = (
+        pool.executor.clone(),
+        pool.inbox.clone(),
+        pool.conns[&0].queue.clone(),
+    );
     async_io::block_on(executor.run(async {
         while !queue.unwritten().is_empty() {
             yield_now().await;
@@ -403,8 +536,15 @@
 #[test]
 fn a_part_that_expires_is_given_back_unless_it_was_sent() {
     let (mut pool, _listener) = pool(limits());
-    let expiring =
-        |query| sends(query, 1).into_iter().map(|s| Send { expires: Some(SECOND / 2), ..s }).collect();
+    let expiring = |query| {
+        sends(query, 1)
+            .into_iter()
+            .map(|s| Send {
+                expires: Some(SECOND / 2),
+                ..s
+            })
+            .collect()
+    };
     pool.dispatch(0, expiring(1));
     pool.dispatch(0, expiring(2));
     pool.conns[&1].queue.begin(SECOND / 2 - 1);
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -59,21 +59,30 @@
 /// Reads the configuration again, as SIGHUP asks. The file was written later than the environment, so that its
 /// `discovery` is the one that holds now.
 pub fn reread(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    read(|key| if key == "RELAY_DISCOVERY" { None } else { env(key) })
+    read(|key| {
+        if key == "RELAY_DISCOVERY" {
+            None
+        } else {
+            env(key)
+        }
+    })
 }
 
 /// Reads the configuration of this process. The error is the line to print; it names the faulty key.
 pub fn read(env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
     let path = env("RELAY_CONFIG").ok_or("RELAY_CONFIG is not set")?;
-    let text = std::fs::read(&path).map_err(|e| format!("RELAY_CONFIG: {path} cannot be read: {e}"))?;
-    let value =
-        serde_json::from_slice(&text).map_err(|e| format!("RELAY_CONFIG: {path} is not JSON: {e}"))?;
+    let text =
+        std::fs::read(&path).map_err(|e| format!("RELAY_CONFIG: {path} cannot be read: {e}"))?;
+    let value = serde_json::from_slice(&text)
+        .map_err(|e| format!("RELAY_CONFIG: {path} is not JSON: {e}"))?;
     check(&value, env)
 }
 
 /// Checks a configuration. What the environment names goes before the file.
 pub fn check(value: &Value, env: impl Fn(&str) -> Option<String>) -> Result<Config, String> {
-    let fields = value.as_object().ok_or("RELAY_CONFIG: it is not an object")?;
+    let fields = value
+        .as_object()
+        .ok_or("RELAY_CONFIG: it is not an object")?;
     let m = Message::new("RELAY_CONFIG", fields);
     let text = |variable: &str, field: &str| match env(variable) {
         Some(text) => Ok(text),
@@ -81,8 +90,9 @@
     };
     let address = |variable: &str, field: &str| -> Result<SocketAddr, String> {
         let text = text(variable, field)?;
-        text.parse()
-            .map_err(|_| format!("{variable} (field {field}): {text:?} is not an address with a port"))
+        text.parse().map_err(|_| {
+            format!("{variable} (field {field}): {text:?} is not an address with a port")
+        })
     };
     let seed = m.text("seed")?;
     let seed = u64::from_str_radix(seed, 16).or_else(|_| m.bad("seed", "is not 16 hex digits"))?;
@@ -92,11 +102,16 @@
         return env.bad("Services", "is empty or holds a class without a name");
     }
     if site.settings.classes.iter().any(|c| c.second_step) {
-        return env.bad("FamilyInfo", "asks for a second step (FetchParts), which the protocol cannot carry");
+        return env.bad(
+            "FamilyInfo",
+            "asks for a second step (FetchParts), which the protocol cannot carry",
+        );
     }
-    for (field, figure) in
-        [("Positions", site.settings.cells), ("Shards", site.settings.shards), ("Batch", site.settings.batch)]
-    {
+    for (field, figure) in [
+        ("Positions", site.settings.cells),
+        ("Shards", site.settings.shards),
+        ("Batch", site.settings.batch),
+    ] {
         if !(1..=1_000_000).contains(&figure) {
             return env.inner("FamilyInfo")?.bad(field, "is out of bounds");
         }
@@ -109,7 +124,9 @@
         None => SOCKETS,
     };
     if sockets < LEAST_SOCKETS {
-        return m.inner("limits")?.bad("sockets", "is too small to serve with");
+        return m
+            .inner("limits")?
+            .bad("sockets", "is too small to serve with");
     }
     let memory_mb = match m.get("limits") {
         Some(_) => m.inner("limits")?.opt_whole("memory_mb")?,
@@ -118,12 +135,16 @@
     // Descriptors alone would let half-sent requests fill a small machine's memory.
     let memory = memory_mb.map(|mb| mb.saturating_mul(1 << 20) / CLIENT_MEMORY.1 * CLIENT_MEMORY.0);
     if memory.is_some_and(|bytes| bytes < CLIENT_HOLDS) {
-        return m.inner("limits")?.bad("memory_mb", "is too small to serve with");
+        return m
+            .inner("limits")?
+            .bad("memory_mb", "is too small to serve with");
     }
     let shared = sockets.min(SOCKETS) - OWN_SOCKETS;
-    let known = m.get("known").ok_or("RELAY_CONFIG: field known is missing")?;
-    let known: Targets =
-        serde_json::from_value(known.clone()).map_err(|e| format!("RELAY_CONFIG: field known: {e}"))?;
+    let known = m
+        .get("known")
+        .ok_or("RELAY_CONFIG: field known is missing")?;
+    let known: Targets = serde_json::from_value(known.clone())
+        .map_err(|e| format!("RELAY_CONFIG: field known: {e}"))?;
     Ok(Config {
         name: text("RELAY_NAME", "name")?,
         listen: address("RELAY_LISTEN", "listen")?,
@@ -131,7 +152,11 @@
         seed,
         known,
         max_open: site.max_open.unwrap_or(MAX_OPEN) as usize,
-        clients: Given { sockets: shared * 2 / 3, memory, http1_holds: CLIENT_HOLDS },
+        clients: Given {
+            sockets: shared * 2 / 3,
+            memory,
+            http1_holds: CLIENT_HOLDS,
+        },
         pool: PoolLimits {
             sockets: (shared / 3) as usize,
             batch: site.settings.batch,
@@ -139,7 +164,11 @@
             dial_timeout: millis(site.dial_timeout.unwrap_or(DIAL_TIMEOUT_MS)),
             keepalive: millis(site.keepalive.unwrap_or(KEEPALIVE_MS)),
         },
-        names: Names { classes: site.class_names, tenants: site.tenant_names, zones: site.zones },
+        names: Names {
+            classes: site.class_names,
+            tenants: site.tenant_names,
+            zones: site.zones,
+        },
         settings: site.settings,
     })
 }
@@ -151,7 +180,8 @@
     use serde_json::json;
 
     fn config() -> Value {
-        let settings: Value = serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
+        let settings: Value =
+            serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
         json!({"name": "n3", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f30d27a5be964",
             "limits": {"sockets": 4096, "memory_mb": 2048}, "known": {"rev": 1, "all": true, "targets": []}, "settings": settings})
     }
@@ -160,9 +190,19 @@
     fn the_environment_goes_before_the_file_and_limits_have_defaults() {
         let env = |key: &str| (key == "RELAY_LISTEN").then(|| "127.0.0.1:3".to_owned());
         let config = check(&config(), env).unwrap();
-        assert_eq!((config.listen.port(), config.discovery.port(), config.name.as_str()), (3, 2, "n3"));
+        assert_eq!(
+            (
+                config.listen.port(),
+                config.discovery.port(),
+                config.name.as_str()
+            ),
+            (3, 2, "n3")
+        );
         assert!(config.clients.sockets + (config.pool.sockets as u64) < SOCKETS);
-        assert_eq!((config.pool.batch, config.pool.dial_timeout, config.max_open), (2, 250_000, 100));
+        assert_eq!(
+            (config.pool.batch, config.pool.dial_timeout, config.max_open),
+            (2, 250_000, 100)
+        );
     }
 
     /// As many clients as there are slots for, each in the middle of the longest request, must fit the memory.
@@ -170,7 +210,9 @@
     fn client_connections_fit_the_memory() {
         let mut config = config();
         let slots = |config: &Value| -> usize {
-            divide(check(config, |_| None).unwrap().clients, None).unwrap().http1_connections
+            divide(check(config, |_| None).unwrap().clients, None)
+                .unwrap()
+                .http1_connections
         };
         assert_eq!(slots(&config), 661);
         config["limits"]["memory_mb"] = json!(32);
@@ -189,7 +231,11 @@
             ("/settings/Tick", json!(0), "Tick"),
             ("/settings/Tick", json!(null), "Tick"),
             ("/settings/FamilyInfo/Shards", json!(0), "Shards"),
-            ("/settings/FamilyInfo/FetchParts", json!([0, 2, 0]), "FetchParts"),
+            (
+                "/settings/FamilyInfo/FetchParts",
+                json!([0, 2, 0]),
+                "FetchParts",
+            ),
             ("/settings/Services/0/Name", json!(null), "Services"),
             ("/settings/Allowed/MaxOpen", json!("x"), "MaxOpen"),
         ] {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -171,7 +171,10 @@
             zone: s.zone,
             started: s.started.map(|at| at as f64 / MILLI as f64),
         };
-        self.staged.push(Event::List { kind, members: servers.into_iter().map(member).collect() });
+        self.staged.push(Event::List {
+            kind,
+            members: servers.into_iter().map(member).collect(),
+        });
     }
 
     /// The query's client has gone away: nothing more is owed.
@@ -186,13 +189,14 @@
         if reports.is_empty() {
             return Decisions::default();
         }
-        self.staged.extend(reports.into_iter().map(|r| Event::Ended {
-            part: part_name(r.attempt.query, r.attempt.part),
-            attempt: r.attempt.attempt,
-            outcome: r.outcome,
-            elapsed: to_ms(r.elapsed),
-            load: r.load,
-        }));
+        self.staged
+            .extend(reports.into_iter().map(|r| Event::Ended {
+                part: part_name(r.attempt.query, r.attempt.part),
+                attempt: r.attempt.attempt,
+                outcome: r.outcome,
+                elapsed: to_ms(r.elapsed),
+                load: r.load,
+            }));
         self.run(now)
     }
 
@@ -206,12 +210,21 @@
             let needs = 1 + q.parts.len();
             if self.held + needs > self.max_open {
                 let retry_after = no_room_advice(&self.settings, q.class).map(millis);
-                refused.push(Final { query: q.id, verdict: Verdict::Refuse { retry_after } });
+                refused.push(Final {
+                    query: q.id,
+                    verdict: Verdict::Refuse { retry_after },
+                });
                 continue;
             }
             self.held += needs;
             self.ends.insert((q.give_up_at, q.id));
-            self.open.insert(q.id, Open { attempts: vec![0; q.parts.len()], give_up_at: q.give_up_at });
+            self.open.insert(
+                q.id,
+                Open {
+                    attempts: vec![0; q.parts.len()],
+                    give_up_at: q.give_up_at,
+                },
+            );
             self.staged.push(Event::Query(brookbend::api::Query {
                 id: query_name(q.id),
                 group: q.id,
@@ -249,7 +262,10 @@
         let last = now + millis(self.settings.tick);
         while let Some(&(_, query)) = self.ends.first().filter(|(at, _)| *at <= last) {
             self.leave(query);
-            decisions.finals.push(Final { query, verdict: Verdict::Fail });
+            decisions.finals.push(Final {
+                query,
+                verdict: Verdict::Fail,
+            });
             decisions.overdue += 1;
         }
         decisions
@@ -259,8 +275,16 @@
     pub fn due(&self) -> Micros {
         let margin = millis(self.settings.tick);
         let end = self.ends.first().map(|(at, _)| at.saturating_sub(margin));
-        let wake = if self.staged.is_empty() { self.wake_at } else { Some(0) };
-        [end, wake].into_iter().flatten().min().unwrap_or(Micros::MAX)
+        let wake = if self.staged.is_empty() {
+            self.wake_at
+        } else {
+            Some(0)
+        };
+        [end, wake]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(Micros::MAX)
     }
 
     /// What the decisions go by, as one line of a log can tell it.
@@ -268,10 +292,17 @@
         let views = self.aggregator.views(to_ms(now));
         let classes = self.aggregator.class_views();
         let join = |of: &dyn Fn(&ClassView) -> f64| {
-            classes.iter().map(|c| format!("{:.1}", of(c))).collect::<Vec<_>>().join(",")
+            classes
+                .iter()
+                .map(|c| format!("{:.1}", of(c)))
+                .collect::<Vec<_>>()
+                .join(",")
         };
         Summary {
-            serving: views.iter().filter(|v| v.state == NodeState::Serving).count(),
+            serving: views
+                .iter()
+                .filter(|v| v.state == NodeState::Serving)
+                .count(),
             passed_over: views.iter().filter(|v| v.ejected_until.is_some()).count(),
             cold: views.iter().filter(|v| v.cold_since.is_some()).count(),
             pace: self.aggregator.usual_pace(),
@@ -289,7 +320,9 @@
 
     /// The one place where a query is given back. True if it was open.
     fn close(&mut self, query: QueryId) -> bool {
-        let Some(open) = self.open.remove(&query) else { return false };
+        let Some(open) = self.open.remove(&query) else {
+            return false;
+        };
         self.held -= 1 + open.attempts.len();
         self.ends.remove(&(open.give_up_at, query));
         true
@@ -301,14 +334,27 @@
         for action in self.aggregator.on_batch(to_ms(now), events) {
             match action {
                 Action::Send { part, node, within } => {
-                    let Some(attempt) = self.next_attempt(&part) else { continue };
-                    let give_up_at = self.open.get(&attempt.query).map_or(now, |open| open.give_up_at);
+                    let Some(attempt) = self.next_attempt(&part) else {
+                        continue;
+                    };
+                    let give_up_at = self
+                        .open
+                        .get(&attempt.query)
+                        .map_or(now, |open| open.give_up_at);
                     let until = within.map_or(give_up_at, |ms| give_up_at.min(now + millis(ms)));
-                    decisions.dispatches.push(Dispatch { attempt, server: node, until });
+                    decisions.dispatches.push(Dispatch {
+                        attempt,
+                        server: node,
+                        until,
+                    });
                 }
                 Action::Cancel { part, attempt } => {
                     if let Some((query, part)) = parse_part(&part) {
-                        decisions.give_up.push(AttemptId { query, part, attempt });
+                        decisions.give_up.push(AttemptId {
+                            query,
+                            part,
+                            attempt,
+                        });
                     }
                 }
                 Action::Answer { query, whole } => {
@@ -338,7 +384,11 @@
         let (query, part) = parse_part(part)?;
         let attempts = self.open.get_mut(&query)?.attempts.get_mut(part)?;
         *attempts += 1;
-        Some(AttemptId { query, part, attempt: *attempts - 1 })
+        Some(AttemptId {
+            query,
+            part,
+            attempt: *attempts - 1,
+        })
     }
 }
 
@@ -368,7 +418,8 @@
     use serde_json::Value;
 
     fn core(max_open: usize) -> Core {
-        let settings: Value = serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
+        let settings: Value =
+            serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
         let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
         let mut core = Core::new(site.settings, max_open, 7);
         let server = |n: usize| ServerInfo {
@@ -384,27 +435,72 @@
 
     fn query(id: QueryId, shards: &[usize]) -> Query {
         let weight = 1.0 / shards.len() as f64;
-        let parts = shards.iter().map(|&shard| PartSpec { shard, weight, hint: None }).collect();
-        Query { id, class: 0, tenant: 0, give_up_at: 1_000_000, again: false, parts }
+        let parts = shards
+            .iter()
+            .map(|&shard| PartSpec {
+                shard,
+                weight,
+                hint: None,
+            })
+            .collect();
+        Query {
+            id,
+            class: 0,
+            tenant: 0,
+            give_up_at: 1_000_000,
+            again: false,
+            parts,
+        }
     }
 
     fn ended(attempt: AttemptId, outcome: Outcome) -> Report {
-        Report { attempt, outcome, elapsed: 20_000, load: None }
+        Report {
+            attempt,
+            outcome,
+            elapsed: 20_000,
+            load: None,
+        }
     }
 
     #[test]
     fn a_query_goes_out_is_tried_again_and_ends_once() {
         let mut core = core(10);
         let first = core.pick(1000, vec![query(1, &[0, 1])]).dispatches;
-        assert_eq!(first.iter().map(|d| d.attempt.part).collect::<Vec<_>>(), [0, 1]);
-        assert!(first.iter().all(|d| d.attempt.attempt == 0 && d.until <= 1_000_000));
+        assert_eq!(
+            first.iter().map(|d| d.attempt.part).collect::<Vec<_>>(),
+            [0, 1]
+        );
+        assert!(
+            first
+                .iter()
+                .all(|d| d.attempt.attempt == 0 && d.until <= 1_000_000)
+        );
         let attempts = first.iter().map(|d| d.attempt);
         let outcomes = [Outcome::Served, Outcome::Full];
-        let again = core.report(30_000, attempts.zip(outcomes).map(|(a, o)| ended(a, o)).collect());
+        let again = core.report(
+            30_000,
+            attempts.zip(outcomes).map(|(a, o)| ended(a, o)).collect(),
+        );
         assert_eq!(again.finals, []);
-        assert_eq!(again.dispatches[0].attempt, AttemptId { query: 1, part: 1, attempt: 1 });
-        let last = core.report(60_000, vec![ended(again.dispatches[0].attempt, Outcome::Served)]);
-        assert_eq!(last.finals, [Final { query: 1, verdict: Verdict::Answer { whole: true } }]);
+        assert_eq!(
+            again.dispatches[0].attempt,
+            AttemptId {
+                query: 1,
+                part: 1,
+                attempt: 1
+            }
+        );
+        let last = core.report(
+            60_000,
+            vec![ended(again.dispatches[0].attempt, Outcome::Served)],
+        );
+        assert_eq!(
+            last.finals,
+            [Final {
+                query: 1,
+                verdict: Verdict::Answer { whole: true }
+            }]
+        );
         assert_eq!((core.held(), core.tick(2_000_000).finals), (0, vec![]));
     }
 
@@ -415,14 +511,25 @@
         let both = core.pick(1000, vec![query(1, &[0, 1]), query(2, &[2])]);
         assert!(matches!(
             both.finals[..],
-            [Final { query: 2, verdict: Verdict::Refuse { retry_after: Some(_) } }]
+            [Final {
+                query: 2,
+                verdict: Verdict::Refuse {
+                    retry_after: Some(_)
+                }
+            }]
         ));
-        assert_eq!((core.held(), both.dispatches.len(), both.no_room), (3, 2, 1));
+        assert_eq!(
+            (core.held(), both.dispatches.len(), both.no_room),
+            (3, 2, 1)
+        );
         core.leave(1);
         core.leave(1);
         assert_eq!(core.held(), 0);
         let next = core.pick(6000, vec![query(3, &[2])]);
-        assert_eq!((next.give_up.len(), next.dispatches.len(), core.held()), (2, 1, 2));
+        assert_eq!(
+            (next.give_up.len(), next.dispatches.len(), core.held()),
+            (2, 1, 2)
+        );
     }
 
     /// Whatever the module does, a query is not left to run out of time.
@@ -433,18 +540,32 @@
         core.aggregator = Aggregator::new(core.settings.clone(), 7);
         assert!(core.due() <= 1_000_000 - 5000);
         let late = core.tick(995_000);
-        assert_eq!(late.finals, [Final { query: 1, verdict: Verdict::Fail }]);
+        assert_eq!(
+            late.finals,
+            [Final {
+                query: 1,
+                verdict: Verdict::Fail
+            }]
+        );
         assert_eq!((late.overdue, core.held()), (1, 0));
     }
 
     #[test]
     fn a_drained_server_is_sent_nothing_from_the_same_turn_on() {
         let mut core = core(100);
-        let name = core.pick(1000, vec![query(1, &[0])]).dispatches[0].server.clone();
+        let name = core.pick(1000, vec![query(1, &[0])]).dispatches[0]
+            .server
+            .clone();
         let state = NodeState::Draining;
         core.learn(
             ListScope::Changes,
-            vec![ServerInfo { name: name.clone(), cell: 0, state, zone: None, started: None }],
+            vec![ServerInfo {
+                name: name.clone(),
+                cell: 0,
+                state,
+                zone: None,
+                started: None,
+            }],
         );
         for id in 2..20 {
             let sent = core.pick(6000, vec![query(id, &[0])]).dispatches;
--- a/crates/frames/src/from_broker.rs
+++ b/crates/frames/src/from_broker.rs
@@ -63,7 +63,11 @@
 
 /// Encodes the answer to a probe.
 pub fn probe_answer(load: bool, held: usize) -> Vec<u8> {
-    if load { frame(b'p', format!("inflight={held}").as_bytes()) } else { frame(b'o', b"good") }
+    if load {
+        frame(b'p', format!("inflight={held}").as_bytes())
+    } else {
+        frame(b'o', b"good")
+    }
 }
 
 /// Encodes the word that the frame before could not be used.
@@ -73,12 +77,16 @@
 
 /// Decodes the frame that `input` begins with; the number is its length. `None`: it is not all there yet.
 pub fn decode(input: &[u8]) -> Result<Option<(FromBroker, usize)>, BadFrame> {
-    let Some((length, after)) = input.split_first_chunk::<4>() else { return Ok(None) };
+    let Some((length, after)) = input.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*length) as usize;
     if length == 0 || length > LONGEST {
         return Err(BadFrame("its length is out of bounds"));
     }
-    let Some(body) = after.get(..length) else { return Ok(None) };
+    let Some(body) = after.get(..length) else {
+        return Ok(None);
+    };
     let (letter, rest) = (body[0], &body[1..]);
     let message = match letter {
         b'm' => FromBroker::Call(call(rest)?),
@@ -96,15 +104,23 @@
 fn call(mut rest: &[u8]) -> Result<Vec<Part>, BadFrame> {
     let mut parts = Vec::new();
     while !rest.is_empty() {
-        let end = rest.iter().position(|b| *b == b'\n').ok_or(BadFrame("a line has no end"))?;
+        let end = rest
+            .iter()
+            .position(|b| *b == b'\n')
+            .ok_or(BadFrame("a line has no end"))?;
         let words: Vec<&str> = text(&rest[..end])?.split(' ').collect();
         let [id, shard, list, length] = words[..] else {
             return Err(BadFrame("a line does not have four words"));
         };
-        let number = |word: &str| word.parse::<usize>().map_err(|_| BadFrame("a number is none"));
+        let number = |word: &str| {
+            word.parse::<usize>()
+                .map_err(|_| BadFrame("a number is none"))
+        };
         let length = number(length)?;
         rest = &rest[end + 1..];
-        let Some(bytes) = rest.get(..length) else { return Err(BadFrame("a text is not all there")) };
+        let Some(bytes) = rest.get(..length) else {
+            return Err(BadFrame("a text is not all there"));
+        };
         rest = &rest[length..];
         let mut part = Part {
             id: id.to_owned(),
@@ -122,7 +138,11 @@
         }
         parts.push(part);
     }
-    if parts.is_empty() { Err(BadFrame("a call has no parts")) } else { Ok(parts) }
+    if parts.is_empty() {
+        Err(BadFrame("a call has no parts"))
+    } else {
+        Ok(parts)
+    }
 }
 
 #[cfg(test)]
@@ -132,7 +152,13 @@
 
     #[test]
     fn what_one_side_encodes_the_other_decodes() {
-        let line = PartLine { id: "9b.3", shard: 3, wait_ms: 240, key: Some("5c0f"), text: "c41e\n77" };
+        let line = PartLine {
+            id: "9b.3",
+            shard: 3,
+            wait_ms: 240,
+            key: Some("5c0f"),
+            text: "c41e\n77",
+        };
         let bytes = crate::call([line.clone(), PartLine { key: None, ..line }]);
         let part = Part {
             id: "9b.3".into(),
@@ -144,9 +170,14 @@
         let call = FromBroker::Call(vec![part.clone(), Part { key: None, ..part }]);
         assert_eq!(decode(&bytes), Ok(Some((call, bytes.len()))));
         let given_up = crate::give_up("9b.3");
-        assert_eq!(decode(&given_up), Ok(Some((FromBroker::GiveUp("9b.3".into()), given_up.len()))));
+        assert_eq!(
+            decode(&given_up),
+            Ok(Some((FromBroker::GiveUp("9b.3".into()), given_up.len())))
+        );
         let bytes = answer("9b.3", End::Later, 7, "");
-        let Ok(Some((FromServer::Answer { id, held, .. }, _))) = crate::decode(&bytes) else { panic!() };
+        let Ok(Some((FromServer::Answer { id, held, .. }, _))) = crate::decode(&bytes) else {
+            panic!()
+        };
         assert_eq!((id.as_str(), held), ("9b.3", Some(7.0)));
     }
 
--- a/crates/frames/src/lib.rs
+++ b/crates/frames/src/lib.rs
@@ -79,19 +79,27 @@
 /// Decodes the frame that `input` begins with; the number is its length. `None`: it is not all there yet. What
 /// can be seen to be spoilt from its first bytes is not waited for: the rest may never come.
 pub fn decode(input: &[u8]) -> Result<Option<(FromServer, usize)>, BadFrame> {
-    let Some((length, after)) = input.split_first_chunk::<4>() else { return Ok(None) };
+    let Some((length, after)) = input.split_first_chunk::<4>() else {
+        return Ok(None);
+    };
     let length = u32::from_be_bytes(*length) as usize;
     if length == 0 || length > LONGEST {
         return Err(BadFrame("its length is out of bounds"));
     }
-    let Some((letter, rest)) = after.split_first() else { return Ok(None) };
+    let Some((letter, rest)) = after.split_first() else {
+        return Ok(None);
+    };
     // No probes are sent, so that an answer to one is as unknown as any other letter.
     if !matches!(letter, b'q' | b'r') {
         return Err(BadFrame("its letter is unknown"));
     }
     let Some(rest) = rest.get(..length - 1) else {
         let endless = *letter == b'q' && rest.len() > LINE && !rest[..LINE].contains(&b'\n');
-        return if endless { Err(BadFrame("its line has no end")) } else { Ok(None) };
+        return if endless {
+            Err(BadFrame("its line has no end"))
+        } else {
+            Ok(None)
+        };
     };
     let message = match letter {
         b'q' => answer(rest)?,
@@ -101,7 +109,10 @@
 }
 
 fn answer(rest: &[u8]) -> Result<FromServer, BadFrame> {
-    let end = rest.iter().position(|b| *b == b'\n').ok_or(BadFrame("its line has no end"))?;
+    let end = rest
+        .iter()
+        .position(|b| *b == b'\n')
+        .ok_or(BadFrame("its line has no end"))?;
     let (line, value) = (&rest[..end], &rest[end + 1..]);
     let mut words = line.splitn(4, |b| *b == b' ');
     let (Some(id), Some(end), Some(score), Some(report)) =
@@ -141,11 +152,26 @@
 
     #[test]
     fn a_call_carries_a_line_and_the_text_for_each_part() {
-        let part = PartLine { id: "9b.3", shard: 3, wait_ms: 240, key: Some("5c0f"), text: "c41e77d0" };
-        let next = PartLine { id: "9b.4", shard: 4, key: None, text: "é", ..part.clone() };
+        let part = PartLine {
+            id: "9b.3",
+            shard: 3,
+            wait_ms: 240,
+            key: Some("5c0f"),
+            text: "c41e77d0",
+        };
+        let next = PartLine {
+            id: "9b.4",
+            shard: 4,
+            key: None,
+            text: "é",
+            ..part.clone()
+        };
         let bytes = call([part, next]);
         assert_eq!(&bytes[..5], &[0, 0, 0, 48, b'm']);
-        assert_eq!(&bytes[5..], "9b.3 3 d=240,k=5c0f 8\nc41e77d09b.4 4 d=240 2\né".as_bytes());
+        assert_eq!(
+            &bytes[5..],
+            "9b.3 3 d=240,k=5c0f 8\nc41e77d09b.4 4 d=240 2\né".as_bytes()
+        );
         assert_eq!(give_up("9b.3"), b"\0\0\0\x05n9b.3");
     }
 
@@ -157,7 +183,12 @@
         }
         let id = "9b.3".to_owned();
         let value = "5be2".to_owned();
-        let answer = FromServer::Answer { id, outcome: Outcome::Served, held: Some(7.0), value };
+        let answer = FromServer::Answer {
+            id,
+            outcome: Outcome::Served,
+            held: Some(7.0),
+            value,
+        };
         assert_eq!(decode(&bytes), Ok(Some((answer, bytes.len()))));
     }
 
@@ -165,7 +196,12 @@
     #[test]
     fn a_spoilt_frame_is_seen_from_its_first_bytes() {
         let long = [&[0, 1, 0, 0, b'q'][..], &[b'x'; LINE + 1]].concat();
-        for input in [&[179, 0, 0, 0][..], &[0, 0, 0, 72, 1], &[0, 0, 0, 5, b'o'], &long] {
+        for input in [
+            &[179, 0, 0, 0][..],
+            &[0, 0, 0, 72, 1],
+            &[0, 0, 0, 5, b'o'],
+            &long,
+        ] {
             assert!(decode(input).is_err(), "{input:?}");
         }
     }
@@ -173,9 +209,21 @@
     #[test]
     fn odd_frames_are_errors_and_odd_reports_are_none() {
         let noise = frame(b'q', b"9b.3 good 1 \xff rif=3 \x01\n5be2");
-        assert!(matches!(decode(&noise), Ok(Some((FromServer::Answer { held: None, .. }, _)))));
+        assert!(matches!(
+            decode(&noise),
+            Ok(Some((FromServer::Answer { held: None, .. }, _)))
+        ));
         let either = frame(b'q', b"9b.3 good 1 util=2,inflight=3.5\n5be2");
-        assert!(matches!(decode(&either), Ok(Some((FromServer::Answer { held: Some(3.5), .. }, _)))));
+        assert!(matches!(
+            decode(&either),
+            Ok(Some((
+                FromServer::Answer {
+                    held: Some(3.5),
+                    ..
+                },
+                _
+            )))
+        ));
         for rest in [
             &b"9b.3 good 1 -"[..],
             b"9b.3 good -\n",
@@ -192,7 +240,9 @@
         assert!(decode(&[255, 0, 0, 0]).is_err());
         for report in ["-", "rif=NaN", "rif=-1", "rif", "rate=1"] {
             let bytes = frame(b'q', format!("i later 0 {report}\n").as_bytes());
-            let Ok(Some((FromServer::Answer { held, outcome, .. }, _))) = decode(&bytes) else { panic!() };
+            let Ok(Some((FromServer::Answer { held, outcome, .. }, _))) = decode(&bytes) else {
+                panic!()
+            };
             assert_eq!((held, outcome), (None, Outcome::Full));
         }
     }
--- a/crates/h2-guard/src/bucket.rs
+++ b/crates/h2-guard/src/bucket.rs
@@ -16,7 +16,12 @@
     /// A full bucket.
     pub fn new(now: Micros, most: u32, per_second: u32) -> Self {
         let most = u64::from(most) * SECOND;
-        Bucket { most, per_second: u64::from(per_second), level: most, at: now }
+        Bucket {
+            most,
+            per_second: u64::from(per_second),
+            level: most,
+            at: now,
+        }
     }
 
     /// Takes so many tokens. False: there are not so many, and none was taken.
@@ -35,7 +40,10 @@
 
     /// Puts tokens in.
     pub fn put(&mut self, tokens: u32) {
-        self.level = self.level.saturating_add(u64::from(tokens) * SECOND).min(self.most);
+        self.level = self
+            .level
+            .saturating_add(u64::from(tokens) * SECOND)
+            .min(self.most);
     }
 }
 
@@ -50,7 +58,10 @@
         assert!(!bucket.take(99_999, 1) && bucket.take(100_000, 1));
         bucket.put(9);
         assert!(bucket.take(100_000, 2) && !bucket.take(100_000, 1));
-        assert!(!bucket.take(50_000, 1), "a clock that goes back refills nothing");
+        assert!(
+            !bucket.take(50_000, 1),
+            "a clock that goes back refills nothing"
+        );
         assert!(bucket.take(u64::MAX, 2) && !bucket.take(u64::MAX, 1));
     }
 }
--- a/crates/h2-guard/src/frames.rs
+++ b/crates/h2-guard/src/frames.rs
@@ -64,7 +64,11 @@
             9 => Kind::Continuation,
             _ => Kind::Other,
         };
-        Frame { kind, length: u32::from_be_bytes([0, head[0], head[1], head[2]]), flags: head[4] }
+        Frame {
+            kind,
+            length: u32::from_be_bytes([0, head[0], head[1], head[2]]),
+            flags: head[4],
+        }
     }
 
     pub(crate) fn ends_stream(&self) -> bool {
@@ -120,8 +124,11 @@
                     return Ok((n, None));
                 }
                 let frame = Frame::decode(head);
-                *self =
-                    if frame.length > 0 { Scanner::Rest(frame.length) } else { Scanner::Head([0; HEAD], 0) };
+                *self = if frame.length > 0 {
+                    Scanner::Rest(frame.length)
+                } else {
+                    Scanner::Head([0; HEAD], 0)
+                };
                 Ok((n, Some(frame)))
             }
             Scanner::Rest(left) => {
--- a/crates/h2-guard/src/lib.rs
+++ b/crates/h2-guard/src/lib.rs
@@ -35,7 +35,12 @@
     /// For connections with so many streams and so long a header list: a client may give up all its requests at once,
     /// twice, before it counts as a flood.
     pub fn new(streams: u32, header_list: u32) -> Self {
-        Budget { burst: 2 * streams + 200, per_second: 100, per_answer: 4, header_block: 2 * header_list }
+        Budget {
+            burst: 2 * streams + 200,
+            per_second: 100,
+            per_answer: 4,
+            header_block: 2 * header_list,
+        }
     }
 }
 
@@ -102,7 +107,11 @@
             }
         }
         let whole = self.scanner.is_between_frames() && self.header_block == 0 && self.settled;
-        self.begun = if whole { None } else { Some(self.begun.unwrap_or(now)) };
+        self.begun = if whole {
+            None
+        } else {
+            Some(self.begun.unwrap_or(now))
+        };
         Ok(())
     }
 
@@ -127,13 +136,18 @@
             Kind::Settings | Kind::Ping => u32::from(!frame.is_ack()),
             Kind::WindowUpdate | Kind::Reset | Kind::Priority | Kind::GoAway | Kind::Other => 1,
         };
-        if self.bucket.take(now, tokens) { Ok(()) } else { Err(Violation::Flood(frame.kind)) }
+        if self.bucket.take(now, tokens) {
+            Ok(())
+        } else {
+            Err(Violation::Flood(frame.kind))
+        }
     }
 
     /// A request was answered with a body of so many bytes, which its reader owes some window updates for.
     pub fn answered(&mut self, body: usize) {
         let updates = u32::try_from(body / 1024).unwrap_or(u32::MAX);
-        self.bucket.put(self.budget.per_answer.saturating_add(updates));
+        self.bucket
+            .put(self.budget.per_answer.saturating_add(updates));
     }
 
     /// Since when the preface, a frame or a header block is half-sent.
--- a/crates/h2-guard/tests/guard.rs
+++ b/crates/h2-guard/tests/guard.rs
@@ -3,7 +3,12 @@
 use plover_h2_guard::{Budget, Guard, Kind, PREFACE, Violation};
 use proptest::prelude::*;
 
-const BUDGET: Budget = Budget { burst: 10, per_second: 5, per_answer: 2, header_block: 100 };
+const BUDGET: Budget = Budget {
+    burst: 10,
+    per_second: 5,
+    per_answer: 2,
+    header_block: 100,
+};
 const SECOND: u64 = 1_000_000;
 
 fn frame(kind: u8, flags: u8, length: usize) -> Vec<u8> {
@@ -16,12 +21,21 @@
 /// A guard that has seen the preface and SETTINGS, at time 0.
 fn settled() -> Guard {
     let mut guard = Guard::new(0, BUDGET);
-    guard.feed(0, &[&PREFACE[..], &frame(4, 0, 6)].concat()).unwrap();
+    guard
+        .feed(0, &[&PREFACE[..], &frame(4, 0, 6)].concat())
+        .unwrap();
     guard
 }
 
-fn feed_many(guard: &mut Guard, now: u64, frame: &[u8], times: usize) -> Result<usize, (usize, Violation)> {
-    (0..times).try_fold(0, |n, _| guard.feed(now, frame).map(|()| n + 1).map_err(|v| (n, v)))
+fn feed_many(
+    guard: &mut Guard,
+    now: u64,
+    frame: &[u8],
+    times: usize,
+) -> Result<usize, (usize, Violation)> {
+    (0..times).try_fold(0, |n, _| {
+        guard.feed(now, frame).map(|()| n + 1).map_err(|v| (n, v))
+    })
 }
 
 /// Each kind of frame that carries nothing is bounded; what SETTINGS cost at the start is one token.
@@ -37,7 +51,10 @@
         (frame(77, 0, 3), Kind::Other),
     ] {
         let mut guard = settled();
-        assert_eq!(feed_many(&mut guard, 0, &bytes, 1000), Err((9, Violation::Flood(kind))));
+        assert_eq!(
+            feed_many(&mut guard, 0, &bytes, 1000),
+            Err((9, Violation::Flood(kind)))
+        );
         let mut slow = settled();
         assert!(
             (1..1000).all(|s| feed_many(&mut slow, s * SECOND, &bytes, 5) == Ok(5)),
@@ -49,7 +66,13 @@
 #[test]
 fn acknowledgements_and_data_cost_nothing() {
     let mut guard = settled();
-    for bytes in [frame(6, 1, 8), frame(4, 1, 0), frame(0, 0, 50), frame(0, 1, 0), frame(1, 5, 20)] {
+    for bytes in [
+        frame(6, 1, 8),
+        frame(4, 1, 0),
+        frame(0, 0, 50),
+        frame(0, 1, 0),
+        frame(1, 5, 20),
+    ] {
         assert_eq!(feed_many(&mut guard, 0, &bytes, 1000), Ok(1000));
     }
 }
@@ -92,10 +115,17 @@
         (b"get / HTTP/1.1\r\n", Violation::NotHttp2),
         (b"PRI * HTTP/2.0\r\n\r\nXX", Violation::Http1),
     ] {
-        assert_eq!(Guard::new(0, BUDGET).feed(0, bytes), Err(violation), "{bytes:?}");
+        assert_eq!(
+            Guard::new(0, BUDGET).feed(0, bytes),
+            Err(violation),
+            "{bytes:?}"
+        );
     }
     let mut guard = Guard::new(0, BUDGET);
-    assert_eq!(guard.feed(0, &[&PREFACE[..], &frame(6, 0, 8)].concat()), Err(Violation::NoSettings));
+    assert_eq!(
+        guard.feed(0, &[&PREFACE[..], &frame(6, 0, 8)].concat()),
+        Err(Violation::NoSettings)
+    );
 }
 
 #[test]
--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -54,7 +54,12 @@
             Framing::Chunked => Phase::ChunkLine,
             Framing::Close => Phase::Rest,
         };
-        Ok(Body { phase, cap, overhead: 0, data: Vec::new() })
+        Ok(Body {
+            phase,
+            cap,
+            overhead: 0,
+            data: Vec::new(),
+        })
     }
 
     /// Takes what it can use from the front of `input`; the number is how much that is, and whether it is whole.
@@ -132,7 +137,11 @@
     /// The line that begins a chunk.
     fn chunk_line(&mut self, rest: &[u8]) -> Result<Option<usize>, Fault> {
         let Some(end) = rest.windows(2).position(|w| w == b"\r\n") else {
-            return if rest.len() > CHUNK_LINE { Err(Fault::Chunk) } else { Ok(None) };
+            return if rest.len() > CHUNK_LINE {
+                Err(Fault::Chunk)
+            } else {
+                Ok(None)
+            };
         };
         let line = &rest[..end];
         // A bare line end within an extension is where two readers of one stream begin to differ.
@@ -141,19 +150,31 @@
         }
         let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
         let (size, extension) = line.split_at(digits);
-        let blank = extension.iter().take_while(|b| matches!(b, b' ' | b'\t')).count();
-        if !matches!(extension[blank..].first(), None | Some(b';')) || (blank > 0 && blank == extension.len())
+        let blank = extension
+            .iter()
+            .take_while(|b| matches!(b, b' ' | b'\t'))
+            .count();
+        if !matches!(extension[blank..].first(), None | Some(b';'))
+            || (blank > 0 && blank == extension.len())
         {
             return Err(Fault::Chunk);
         }
-        let size = std::str::from_utf8(size).ok().and_then(|s| u64::from_str_radix(s, 16).ok());
-        let Some(size) = size else { return Err(Fault::Chunk) };
+        let size = std::str::from_utf8(size)
+            .ok()
+            .and_then(|s| u64::from_str_radix(s, 16).ok());
+        let Some(size) = size else {
+            return Err(Fault::Chunk);
+        };
         self.overhead += end + 4;
         let room = self.cap - self.data.len();
         if size > room as u64 || self.overhead > OVERHEAD * self.cap.max(CHUNK_LINE) {
             return Err(Fault::BodyTooLong);
         }
-        self.phase = if size == 0 { Phase::Trailer } else { Phase::ChunkData(size as usize) };
+        self.phase = if size == 0 {
+            Phase::Trailer
+        } else {
+            Phase::ChunkData(size as usize)
+        };
         Ok(Some(end + 2))
     }
 }
--- a/crates/http1/src/decode.rs
+++ b/crates/http1/src/decode.rs
@@ -52,7 +52,10 @@
 impl RequestDecoder {
     /// A decoder at the beginning of a connection.
     pub fn new(limits: Limits) -> Self {
-        RequestDecoder { limits, begun: None }
+        RequestDecoder {
+            limits,
+            begun: None,
+        }
     }
 
     /// Takes what it can use from `input`.
@@ -83,7 +86,10 @@
 impl ResponseDecoder {
     /// A decoder at the beginning of a connection.
     pub fn new(limits: Limits) -> Self {
-        ResponseDecoder { limits, begun: None }
+        ResponseDecoder {
+            limits,
+            begun: None,
+        }
     }
 
     /// Takes what it can use from `input`. Interim responses (RFC 9110, section 15.2) are passed over.
@@ -102,9 +108,15 @@
 
     /// The connection has ended in order, not by a reset: the response that ends with it, if one was on its way.
     pub fn end(&mut self) -> Option<Message<Response<Vec<u8>>>> {
-        let mut begun = self.begun.take().filter(|b| b.body.ends_with_connection())?;
+        let mut begun = self
+            .begun
+            .take()
+            .filter(|b| b.body.ends_with_connection())?;
         *begun.value.body_mut() = begun.body.data;
-        Some(Message { value: begun.value, keep_alive: false })
+        Some(Message {
+            value: begun.value,
+            keep_alive: false,
+        })
     }
 }
 
@@ -113,14 +125,19 @@
     input: &mut Vec<u8>,
     body_of: impl Fn(&mut T) -> &mut Vec<u8>,
 ) -> Result<Step<T>, Fault> {
-    let Some(begun) = state else { return Ok(Step::More(false)) };
+    let Some(begun) = state else {
+        return Ok(Step::More(false));
+    };
     let waits = begun.expects && input.is_empty() && begun.body.data.is_empty();
     let (used, whole) = begun.body.take(input)?;
     input.drain(..used);
     match state.take_if(|_| whole) {
         Some(mut begun) => {
             *body_of(&mut begun.value) = begun.body.data;
-            Ok(Step::Whole(Message { value: begun.value, keep_alive: begun.keep_alive }))
+            Ok(Step::Whole(Message {
+                value: begun.value,
+                keep_alive: begun.keep_alive,
+            }))
         }
         None => Ok(Step::More(waits)),
     }
@@ -128,7 +145,10 @@
 
 /// The head that `input` begins with, and its length.
 #[allow(clippy::type_complexity)]
-fn request_head(input: &[u8], limits: Limits) -> Result<Option<(Begun<Request<Vec<u8>>>, usize)>, Fault> {
+fn request_head(
+    input: &[u8],
+    limits: Limits,
+) -> Result<Option<(Begun<Request<Vec<u8>>>, usize)>, Fault> {
     let mut parsed = [httparse::EMPTY_HEADER; head::FIELDS];
     let mut head = httparse::Request::new(&mut parsed);
     let length = match head.parse(input) {
@@ -140,8 +160,13 @@
         Err(httparse::Error::Version) => return later_minor(input, limits),
         Err(_) => return Err(Fault::Head),
     };
-    let version = if head.version == Some(0) { Version::HTTP_10 } else { Version::HTTP_11 };
-    let method = Method::from_bytes(head.method.unwrap_or_default().as_bytes()).map_err(|_| Fault::Head)?;
+    let version = if head.version == Some(0) {
+        Version::HTTP_10
+    } else {
+        Version::HTTP_11
+    };
+    let method =
+        Method::from_bytes(head.method.unwrap_or_default().as_bytes()).map_err(|_| Fault::Head)?;
     let uri = head::target(&method, head.path.unwrap_or_default())?;
     let fields = head::fields(head.headers)?;
     head::host(&fields, version)?;
@@ -151,7 +176,9 @@
         }
         framing => framing.unwrap_or(Framing::Length(0)),
     };
-    let expects = fields.get(EXPECT).is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"100-continue"));
+    let expects = fields
+        .get(EXPECT)
+        .is_some_and(|v| v.as_bytes().eq_ignore_ascii_case(b"100-continue"));
     let keep_alive = head::keeps_alive(&fields, version);
     let mut value = Request::new(Vec::new());
     *value.method_mut() = method;
@@ -160,14 +187,30 @@
     *value.headers_mut() = fields;
     let expects = expects && version == Version::HTTP_11 && framing != Framing::Length(0);
     let body = Body::new(framing, limits.body)?;
-    Ok(Some((Begun { value, keep_alive, expects, body }, length)))
+    Ok(Some((
+        Begun {
+            value,
+            keep_alive,
+            expects,
+            body,
+        },
+        length,
+    )))
 }
 
 /// A later minor version is read as the latest one known (RFC 9110, section 2.5); another major one is not.
 #[allow(clippy::type_complexity)]
-fn later_minor(input: &[u8], limits: Limits) -> Result<Option<(Begun<Request<Vec<u8>>>, usize)>, Fault> {
-    let line = input.iter().position(|b| *b == b'\n').unwrap_or(input.len());
-    let Some(at) = input[..line].windows(7).position(|w| w == b"HTTP/1.") else { return Err(Fault::Version) };
+fn later_minor(
+    input: &[u8],
+    limits: Limits,
+) -> Result<Option<(Begun<Request<Vec<u8>>>, usize)>, Fault> {
+    let line = input
+        .iter()
+        .position(|b| *b == b'\n')
+        .unwrap_or(input.len());
+    let Some(at) = input[..line].windows(7).position(|w| w == b"HTTP/1.") else {
+        return Err(Fault::Version);
+    };
     match &input[at + 7..] {
         [b'2'..=b'9'] => Ok(None),
         [b'2'..=b'9', b'\r' | b'\n', ..] => {
@@ -180,7 +223,10 @@
 }
 
 #[allow(clippy::type_complexity)]
-fn response_head(input: &[u8], limits: Limits) -> Result<Option<(Begun<Response<Vec<u8>>>, usize)>, Fault> {
+fn response_head(
+    input: &[u8],
+    limits: Limits,
+) -> Result<Option<(Begun<Response<Vec<u8>>>, usize)>, Fault> {
     let mut parsed = [httparse::EMPTY_HEADER; head::FIELDS];
     let mut head = httparse::Response::new(&mut parsed);
     let length = match head.parse(input) {
@@ -189,7 +235,11 @@
         Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(Fault::HeadTooLong),
         Err(_) => return Err(Fault::Head),
     };
-    let version = if head.version == Some(0) { Version::HTTP_10 } else { Version::HTTP_11 };
+    let version = if head.version == Some(0) {
+        Version::HTTP_10
+    } else {
+        Version::HTTP_11
+    };
     let status = StatusCode::from_u16(head.code.unwrap_or_default()).map_err(|_| Fault::Head)?;
     let fields = head::fields(head.headers)?;
     let bodiless = status.is_informational() || [204, 304].contains(&status.as_u16());
@@ -203,5 +253,13 @@
     *value.version_mut() = version;
     *value.headers_mut() = fields;
     let body = Body::new(framing, limits.body)?;
-    Ok(Some((Begun { value, keep_alive, expects: false, body }, length)))
+    Ok(Some((
+        Begun {
+            value,
+            keep_alive,
+            expects: false,
+            body,
+        },
+        length,
+    )))
 }
--- a/crates/http1/src/encode.rs
+++ b/crates/http1/src/encode.rs
@@ -20,8 +20,12 @@
     let body = response.body();
     let mut out = Vec::with_capacity(256 + body.len());
     // Writing into memory does not fail.
-    let _ =
-        write!(out, "HTTP/1.1 {} {}\r\n", status.as_u16(), status.canonical_reason().unwrap_or("Unknown"));
+    let _ = write!(
+        out,
+        "HTTP/1.1 {} {}\r\n",
+        status.as_u16(),
+        status.canonical_reason().unwrap_or("Unknown")
+    );
     for (name, value) in response.headers() {
         title(name.as_str(), &mut out);
         out.extend_from_slice(b": ");
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -2,7 +2,9 @@
 
 use crate::body::Framing;
 use crate::fault::Fault;
-use http::header::{CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING};
+use http::header::{
+    CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING,
+};
 use http::{Method, Uri, Version};
 
 /// Most fields of a head.
@@ -22,7 +24,10 @@
 /// The members of a field that is a list, over all its lines.
 fn members<'a>(fields: &'a HeaderMap, name: &HeaderName) -> impl Iterator<Item = &'a [u8]> {
     let lines = fields.get_all(name).iter();
-    lines.flat_map(|v| v.as_bytes().split(|b| *b == b',')).map(<[u8]>::trim_ascii).filter(|m| !m.is_empty())
+    lines
+        .flat_map(|v| v.as_bytes().split(|b| *b == b','))
+        .map(<[u8]>::trim_ascii)
+        .filter(|m| !m.is_empty())
 }
 
 /// How the body is delimited; `None`: nothing is said of one.
@@ -42,17 +47,23 @@
         let chunked = |c: &&[u8]| c.eq_ignore_ascii_case(b"chunked");
         return match codings.split_last() {
             Some((last, [])) if chunked(last) => Ok(Some(Framing::Chunked)),
-            Some((last, before)) if chunked(last) && !before.iter().any(chunked) => Err(Fault::CodingUnknown),
+            Some((last, before)) if chunked(last) && !before.iter().any(chunked) => {
+                Err(Fault::CodingUnknown)
+            }
             _ => Err(Fault::Coding),
         };
     }
-    let Some(length) = length else { return Ok(None) };
+    let Some(length) = length else {
+        return Ok(None);
+    };
     let digits = length.as_bytes();
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return Err(Fault::Length);
     }
     // More digits than a number holds are a length all the same: one that is too long.
-    let length = std::str::from_utf8(digits).ok().and_then(|d| d.parse().ok());
+    let length = std::str::from_utf8(digits)
+        .ok()
+        .and_then(|d| d.parse().ok());
     Ok(Some(Framing::Length(length.unwrap_or(u64::MAX))))
 }
 
@@ -77,7 +88,9 @@
         "*" if *method == Method::OPTIONS => Ok(uri),
         origin if origin.starts_with('/') => Ok(uri),
         _ => match (uri.scheme_str(), uri.authority()) {
-            (Some("http" | "https"), Some(authority)) if is_host(authority.as_str(), false) => Ok(uri),
+            (Some("http" | "https"), Some(authority)) if is_host(authority.as_str(), false) => {
+                Ok(uri)
+            }
             _ => Err(Fault::Target),
         },
     }
@@ -97,12 +110,16 @@
 fn is_host(text: &str, may_be_empty: bool) -> bool {
     let (host, port) = match text.strip_prefix('[').and_then(|t| t.split_once(']')) {
         Some((v6, rest)) => {
-            let Some(port) = rest.strip_prefix(':').or(rest.is_empty().then_some("")) else { return false };
+            let Some(port) = rest.strip_prefix(':').or(rest.is_empty().then_some("")) else {
+                return false;
+            };
             return v6.parse::<std::net::Ipv6Addr>().is_ok() && is_port(port);
         }
         None => text.split_once(':').unwrap_or((text, "")),
     };
-    let named = host.bytes().all(|b| b.is_ascii_alphanumeric() || b"-._~%!$&'()*+,;=".contains(&b));
+    let named = host
+        .bytes()
+        .all(|b| b.is_ascii_alphanumeric() || b"-._~%!$&'()*+,;=".contains(&b));
     named && is_port(port) && (may_be_empty || !host.is_empty())
 }
 
--- a/crates/http1/tests/any_bytes.rs
+++ b/crates/http1/tests/any_bytes.rs
@@ -3,7 +3,10 @@
 use plover_http1::{Fault, Limits, RequestDecoder, ResponseDecoder, Step};
 use proptest::prelude::*;
 
-const LIMITS: Limits = Limits { head: 512, body: 128 };
+const LIMITS: Limits = Limits {
+    head: 512,
+    body: 128,
+};
 
 /// What a stream decodes to when it comes in pieces of these lengths, and the most that was kept of it.
 fn decode(bytes: &[u8], cuts: &[usize]) -> (Vec<String>, Option<Fault>) {
@@ -11,7 +14,9 @@
     let (mut seen, mut input, mut rest) = (Vec::new(), Vec::new(), bytes);
     let mut cuts = cuts.iter().cycle();
     while !rest.is_empty() {
-        let n = cuts.next().map_or(rest.len(), |n| (*n).clamp(1, rest.len()));
+        let n = cuts
+            .next()
+            .map_or(rest.len(), |n| (*n).clamp(1, rest.len()));
         input.extend_from_slice(&rest[..n]);
         rest = &rest[n..];
         loop {
@@ -22,7 +27,11 @@
             }
         }
         // What waits for more is never longer than a head, a chunk's line or a trailer, and the piece.
-        assert!(input.len() <= 8 * 1024 + n, "{} bytes are kept", input.len());
+        assert!(
+            input.len() <= 8 * 1024 + n,
+            "{} bytes are kept",
+            input.len()
+        );
     }
     (seen, None)
 }
--- a/crates/load/src/ask.rs
+++ b/crates/load/src/ask.rs
@@ -26,7 +26,13 @@
     /// A query of this id for these shards.
     pub fn new(id: impl Into<String>, class: &str, shards: &[usize]) -> Self {
         let patience = Duration::from_secs(4);
-        Ask { id: id.into(), class: class.to_owned(), shards: shards.to_vec(), patience, key: None }
+        Ask {
+            id: id.into(),
+            class: class.to_owned(),
+            shards: shards.to_vec(),
+            patience,
+            key: None,
+        }
     }
 
     /// Under an idempotency key.
@@ -44,9 +50,14 @@
     /// Its request, whose target is a whole URI.
     pub fn request(&self) -> Request<Vec<u8>> {
         let portion = 1.0 / self.shards.len() as f64;
-        let ranges: Vec<Value> =
-            self.shards.iter().map(|s| json!({"range": s, "portion": portion})).collect();
-        let body = json!({"ranges": ranges, "predicate": TEXT}).to_string().into_bytes();
+        let ranges: Vec<Value> = self
+            .shards
+            .iter()
+            .map(|s| json!({"range": s, "portion": portion}))
+            .collect();
+        let body = json!({"ranges": ranges, "predicate": TEXT})
+            .to_string()
+            .into_bytes();
         let mut builder = Request::post(format!("http://broker.svc/{}", self.class))
             .header("x-request-id", &self.id)
             .header("x-class", &self.class)
@@ -91,7 +102,10 @@
                 Answer::Served(body["total"] == true, values.unwrap_or_default())
             }
             429 | 503 => {
-                let after = response.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
+                let after = response
+                    .headers()
+                    .get("retry-after")
+                    .and_then(|v| v.to_str().ok()?.parse().ok());
                 Answer::Refused(after)
             }
             status => Answer::Failed(status),
--- a/crates/load/src/direct.rs
+++ b/crates/load/src/direct.rs
@@ -17,16 +17,28 @@
     pub(crate) async fn connect(to: SocketAddr) -> io::Result<Self> {
         let stream = Async::<TcpStream>::connect(to).await?;
         stream.get_ref().set_nodelay(true)?;
-        Ok(Direct { stream, input: Vec::new() })
+        Ok(Direct {
+            stream,
+            input: Vec::new(),
+        })
     }
 
     /// Sends all parts in one call and waits for their answers.
     pub(crate) async fn ask(&mut self, ask: &Ask) -> io::Result<Answer> {
-        let ids: Vec<String> = ask.shards.iter().map(|s| format!("{}.{s}", ask.id)).collect();
+        let ids: Vec<String> = ask
+            .shards
+            .iter()
+            .map(|s| format!("{}.{s}", ask.id))
+            .collect();
         let wait_ms = ask.patience.as_millis() as u64;
         let parts = ids.iter().zip(&ask.shards);
-        let bytes =
-            call(parts.map(|(id, shard)| PartLine { id, shard: *shard, wait_ms, key: None, text: TEXT }));
+        let bytes = call(parts.map(|(id, shard)| PartLine {
+            id,
+            shard: *shard,
+            wait_ms,
+            key: None,
+            text: TEXT,
+        }));
         self.stream.write_all(&bytes).await?;
         let (mut values, mut chunk) = (Vec::new(), [0; 4096]);
         while values.len() < ids.len() {
--- a/crates/load/src/http1.rs
+++ b/crates/load/src/http1.rs
@@ -8,7 +8,10 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-const LIMITS: Limits = Limits { head: 16 * 1024, body: 1 << 20 };
+const LIMITS: Limits = Limits {
+    head: 16 * 1024,
+    body: 1 << 20,
+};
 
 /// A connection.
 pub struct Http1 {
@@ -33,7 +36,10 @@
 
     /// The same; where the broker closed an idle connection as the request was on its way, it is sent once more on a
     /// new one (RFC 9112, section 9.3.1: nothing came back, and the broker had not read it).
-    pub async fn send_or_reconnect(&mut self, request: &Request<Vec<u8>>) -> io::Result<Response<Vec<u8>>> {
+    pub async fn send_or_reconnect(
+        &mut self,
+        request: &Request<Vec<u8>>,
+    ) -> io::Result<Response<Vec<u8>>> {
         match self.send(request).await {
             Err(_) if self.input.is_empty() => {
                 *self = Http1::connect(self.stream.get_ref().peer_addr()?).await?;
@@ -53,7 +59,11 @@
         let bytes = [&head(request)[..], request.body()].concat();
         self.stream.write_all(&bytes).await?;
         loop {
-            match self.decoder.step(&mut self.input).map_err(io::Error::other)? {
+            match self
+                .decoder
+                .step(&mut self.input)
+                .map_err(io::Error::other)?
+            {
                 Step::Whole(message) => return Ok(message.value),
                 Step::More(_) => match self.stream.read(&mut self.chunk).await? {
                     0 => return Err(io::ErrorKind::UnexpectedEof.into()),
--- a/crates/load/src/http2.rs
+++ b/crates/load/src/http2.rs
@@ -38,20 +38,30 @@
     ) -> io::Result<Self> {
         let stream = Async::<TcpStream>::connect(to).await?;
         stream.get_ref().set_nodelay(true)?;
-        let (sender, connection) = builder.handshake(stream.compat()).await.map_err(io::Error::other)?;
+        let (sender, connection) = builder
+            .handshake(stream.compat())
+            .await
+            .map_err(io::Error::other)?;
         let driver = executor.spawn(async move { _ = connection.await });
-        Ok(Http2 { sender, _driver: driver })
+        Ok(Http2 {
+            sender,
+            _driver: driver,
+        })
     }
 
     /// Opens a stream with a whole request, once the other side allows one more.
     pub async fn open(&self, request: &Request<Vec<u8>>) -> Result<Stream, h2::Error> {
         let mut sender = self.sender.clone().ready().await?;
         let (head, body) = request.clone().into_parts();
-        let (response, mut stream) = sender.send_request(Request::from_parts(head, ()), body.is_empty())?;
+        let (response, mut stream) =
+            sender.send_request(Request::from_parts(head, ()), body.is_empty())?;
         if !body.is_empty() {
             stream.send_data(Bytes::from(body), true)?;
         }
-        Ok(Stream { response, body: stream })
+        Ok(Stream {
+            response,
+            body: stream,
+        })
     }
 
     /// Opens a stream with the head of a request; its body never comes.
--- a/crates/load/src/open_loop.rs
+++ b/crates/load/src/open_loop.rs
@@ -111,7 +111,9 @@
                 connections[next.get()].ask(ask).await
             }
             Way::Direct(idle) => {
-                let Some(mut direct) = idle.take() else { return Answer::Reset("one at a time".to_owned()) };
+                let Some(mut direct) = idle.take() else {
+                    return Answer::Reset("one at a time".to_owned());
+                };
                 let answer = direct.ask(ask).await;
                 idle.replace(Some(direct));
                 answer.unwrap_or_else(|e| Answer::Reset(e.to_string()))
@@ -126,12 +128,20 @@
     async_io::block_on(executor.run(run(target, load, executor.clone())))
 }
 
-async fn run(target: Target, load: &Load, executor: Rc<LocalExecutor<'static>>) -> io::Result<Outcome> {
+async fn run(
+    target: Target,
+    load: &Load,
+    executor: Rc<LocalExecutor<'static>>,
+) -> io::Result<Outcome> {
     let way = Rc::new(Way::open(target, &executor).await?);
     let mut random = Pcg64Mcg::seed_from_u64(load.seed);
     let latency = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-    let outcome =
-        Rc::new(RefCell::new(Outcome { latency, served: 0, unserved: 0, time: load.time - load.warm_up }));
+    let outcome = Rc::new(RefCell::new(Outcome {
+        latency,
+        served: 0,
+        unserved: 0,
+        time: load.time - load.warm_up,
+    }));
     let (permits, permit) = async_channel::bounded(load.at_once);
     for _ in 0..load.at_once {
         let _ = permits.try_send(());
@@ -143,7 +153,9 @@
     for n in 0u64.. {
         match load.rate {
             // Exponential gaps: arrivals that know nothing of each other.
-            Some(rate) => due += Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / rate),
+            Some(rate) => {
+                due += Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / rate)
+            }
             None => due = Instant::now(),
         }
         if due >= end {
@@ -167,7 +179,9 @@
                     let mut outcome = outcome.borrow_mut();
                     if matches!(answer, Answer::Served(..)) {
                         outcome.served += 1;
-                        outcome.latency.saturating_record(due.elapsed().as_micros() as u64);
+                        outcome
+                            .latency
+                            .saturating_record(due.elapsed().as_micros() as u64);
                     } else {
                         outcome.unserved += 1;
                     }
@@ -181,7 +195,10 @@
             Timer::after(Duration::from_secs(5)).await;
             Err(async_channel::RecvError)
         };
-        if futures_lite::FutureExt::or(permit.recv(), late).await.is_err() {
+        if futures_lite::FutureExt::or(permit.recv(), late)
+            .await
+            .is_err()
+        {
             break;
         }
     }
--- a/crates/load/src/raw.rs
+++ b/crates/load/src/raw.rs
@@ -88,9 +88,16 @@
         ("x-tenant", "public-site"),
     ];
     let changed = |name: &str| changes.iter().find(|(n, _)| *n == name).map(|(_, v)| *v);
-    let mut pairs: Vec<(&str, &str)> = usual.iter().map(|(n, v)| (*n, changed(n).unwrap_or(v))).collect();
+    let mut pairs: Vec<(&str, &str)> = usual
+        .iter()
+        .map(|(n, v)| (*n, changed(n).unwrap_or(v)))
+        .collect();
     pairs.retain(|(_, v)| !v.is_empty());
-    pairs.extend(changes.iter().filter(|(n, v)| !v.is_empty() && !usual.iter().any(|(u, _)| u == n)));
+    pairs.extend(
+        changes
+            .iter()
+            .filter(|(n, v)| !v.is_empty() && !usual.iter().any(|(u, _)| u == n)),
+    );
     fields(&pairs)
 }
 
@@ -99,8 +106,11 @@
 
 /// A query on a stream, whole.
 pub fn query(stream: u32, id: &str) -> Vec<u8> {
-    [frame(HEADERS, END_HEADERS, stream, &query_fields(id, &[])), frame(DATA, END_STREAM, stream, BODY)]
-        .concat()
+    [
+        frame(HEADERS, END_HEADERS, stream, &query_fields(id, &[])),
+        frame(DATA, END_STREAM, stream, BODY),
+    ]
+    .concat()
 }
 
 /// A connection whose frames are written by hand.
@@ -114,8 +124,13 @@
     pub fn connect(to: SocketAddr) -> Raw {
         let stream = TcpStream::connect(to).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_write_timeout(Some(Duration::from_secs(20))).unwrap();
-        Raw { stream, input: Vec::new() }
+        stream
+            .set_write_timeout(Some(Duration::from_secs(20)))
+            .unwrap();
+        Raw {
+            stream,
+            input: Vec::new(),
+        }
     }
 
     /// With the preface and settings that keep the other side from indexing fields (SETTINGS_HEADER_TABLE_SIZE is 1).
@@ -140,7 +155,8 @@
         let until = Instant::now() + within;
         loop {
             if self.input.len() >= 9 {
-                let length = u32::from_be_bytes([0, self.input[0], self.input[1], self.input[2]]) as usize;
+                let length =
+                    u32::from_be_bytes([0, self.input[0], self.input[1], self.input[2]]) as usize;
                 if self.input.len() >= 9 + length {
                     let bytes: Vec<u8> = self.input.drain(..9 + length).collect();
                     let stream = u32::from_be_bytes(bytes[5..9].try_into().unwrap());
@@ -159,7 +175,9 @@
     }
 
     fn read(&mut self, until: Instant) -> bool {
-        let left = until.saturating_duration_since(Instant::now()).max(Duration::from_millis(1));
+        let left = until
+            .saturating_duration_since(Instant::now())
+            .max(Duration::from_millis(1));
         self.stream.set_read_timeout(Some(left)).unwrap();
         let mut chunk = [0; 16384];
         match self.stream.read(&mut chunk) {
@@ -194,7 +212,10 @@
         while let Some(frame) = self.next(within.saturating_sub(begun.elapsed())) {
             frames.push(frame);
         }
-        assert!(begun.elapsed() < within, "the connection stays open; it sent {frames:?}");
+        assert!(
+            begun.elapsed() < within,
+            "the connection stays open; it sent {frames:?}"
+        );
         (frames, begun.elapsed())
     }
 
@@ -228,12 +249,15 @@
             }
             let bits: String = bytes.iter().map(|b| format!("{b:08b}")).collect();
             let codes = [
-                "00000", "00001", "00010", "011001", "011010", "011011", "011100", "011101", "011110",
-                "011111",
+                "00000", "00001", "00010", "011001", "011010", "011011", "011100", "011101",
+                "011110", "011111",
             ];
             let (mut at, mut digits) = (0, String::new());
             while digits.len() < 3 {
-                let digit = codes.iter().position(|c| bits[at..].starts_with(c)).unwrap();
+                let digit = codes
+                    .iter()
+                    .position(|c| bits[at..].starts_with(c))
+                    .unwrap();
                 digits += &digit.to_string();
                 at += codes[digit].len();
             }
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -77,7 +77,11 @@
 impl Targets {
     /// What the list is to the decisions.
     pub fn scope(&self) -> ListScope {
-        if self.all { ListScope::Whole } else { ListScope::Changes }
+        if self.all {
+            ListScope::Whole
+        } else {
+            ListScope::Changes
+        }
     }
 
     /// The entries as the decisions see them; `of_unix_ms` puts a Unix time in milliseconds on the program's clock.
@@ -109,7 +113,10 @@
             {"uid":"c","state":"left"}]}"#;
         let targets: Targets = serde_json::from_str(text).unwrap();
         let servers = targets.servers(&["x".to_owned(), "y".to_owned()], |unix_ms| unix_ms - 1);
-        let seen: Vec<_> = servers.iter().map(|s| (s.cell, s.state, s.zone, s.started)).collect();
+        let seen: Vec<_> = servers
+            .iter()
+            .map(|s| (s.cell, s.state, s.zone, s.started))
+            .collect();
         let leaving = (3, NodeState::Draining, Some(1), None);
         let active = (1, NodeState::Serving, None, Some(1_796_125_499_999));
         assert_eq!(seen, [leaving, active, (0, NodeState::Gone, None, None)]);
--- a/crates/operator-file/src/fault.rs
+++ b/crates/operator-file/src/fault.rs
@@ -23,8 +23,19 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}:{}:{}: {}", self.source.name(), self.line, self.column, self.what)?;
-        if self.expected.is_empty() { Ok(()) } else { write!(f, "; {}", self.expected) }
+        write!(
+            f,
+            "{}:{}:{}: {}",
+            self.source.name(),
+            self.line,
+            self.column,
+            self.what
+        )?;
+        if self.expected.is_empty() {
+            Ok(())
+        } else {
+            write!(f, "; {}", self.expected)
+        }
     }
 }
 
@@ -67,7 +78,10 @@
 
 impl<'a> Source<'a> {
     pub(crate) fn new(name: &str, text: &'a str) -> Self {
-        Source { text, named: Arc::new(NamedSource::new(name, text.to_owned())) }
+        Source {
+            text,
+            named: Arc::new(NamedSource::new(name, text.to_owned())),
+        }
     }
 
     pub(crate) fn fault(
@@ -91,6 +105,9 @@
     pub(crate) fn place(&self, at: usize) -> (usize, usize) {
         let before = &self.text[..at];
         let start = before.rfind('\n').map_or(0, |n| n + 1);
-        (before.matches('\n').count() + 1, before[start..].chars().count() + 1)
+        (
+            before.matches('\n').count() + 1,
+            before[start..].chars().count() + 1,
+        )
     }
 }
--- a/crates/operator-file/src/grammar.rs
+++ b/crates/operator-file/src/grammar.rs
@@ -37,7 +37,10 @@
         };
         let mut words = words.into_iter();
         if let Some(keyword) = words.next() {
-            lines.push(Line { keyword, arguments: words.collect() });
+            lines.push(Line {
+                keyword,
+                arguments: words.collect(),
+            });
         }
     }
     lines
@@ -51,9 +54,12 @@
 
 fn word(input: &mut Input<'_>) -> Result<Word, EmptyError> {
     let start = input.current_token_start();
-    let text: &str =
-        take_while(1.., |c: char| !matches!(c, ' ' | '\t' | '\r' | '\n' | '#')).parse_next(input)?;
-    Ok(Word { text: text.to_owned(), span: start..start + text.len() })
+    let text: &str = take_while(1.., |c: char| !matches!(c, ' ' | '\t' | '\r' | '\n' | '#'))
+        .parse_next(input)?;
+    Ok(Word {
+        text: text.to_owned(),
+        span: start..start + text.len(),
+    })
 }
 
 #[cfg(test)]
@@ -65,8 +71,19 @@
         let text = "# all of it\n\n a  b\tc # d\r\ne#f";
         let seen: Vec<(String, Vec<String>)> = lines(text)
             .into_iter()
-            .map(|l| (text[l.keyword.span].to_owned(), l.arguments.into_iter().map(|a| a.text).collect()))
+            .map(|l| {
+                (
+                    text[l.keyword.span].to_owned(),
+                    l.arguments.into_iter().map(|a| a.text).collect(),
+                )
+            })
             .collect();
-        assert_eq!(seen, [("a".into(), vec!["b".into(), "c".into()]), ("e".into(), vec![])]);
+        assert_eq!(
+            seen,
+            [
+                ("a".into(), vec!["b".into(), "c".into()]),
+                ("e".into(), vec![])
+            ]
+        );
     }
 }
--- a/crates/operator-file/src/keywords.rs
+++ b/crates/operator-file/src/keywords.rs
@@ -33,14 +33,26 @@
     effect: Effect,
     needs: Option<&'static str>,
 ) -> Keyword {
-    Keyword { name, takes, about, effect, needs }
+    Keyword {
+        name,
+        takes,
+        about,
+        effect,
+        needs,
+    }
 }
 
 const HTTP2: Option<&str> = Some("listen-http2");
 
 /// All keywords; each stands on one line of a file at most, with one argument.
 pub const KEYWORDS: &[Keyword] = &[
-    keyword("log-format", "logfmt or json", "form of the log's lines", Effect::AtOnce, None),
+    keyword(
+        "log-format",
+        "logfmt or json",
+        "form of the log's lines",
+        Effect::AtOnce,
+        None,
+    ),
     keyword(
         "log-level",
         "error, warn, info, debug or trace",
@@ -62,7 +74,13 @@
         Effect::Restart,
         None,
     ),
-    keyword("http2-connections", "1 to 65536", "most HTTP/2 connections", Effect::Restart, HTTP2),
+    keyword(
+        "http2-connections",
+        "1 to 65536",
+        "most HTTP/2 connections",
+        Effect::Restart,
+        HTTP2,
+    ),
     keyword(
         "http2-streams",
         "1 to 65536",
--- a/crates/operator-file/src/settings.rs
+++ b/crates/operator-file/src/settings.rs
@@ -80,7 +80,10 @@
     /// What changes from this file to a new one.
     pub fn changes(&self, new: &Settings) -> Changes {
         let mut changes = Changes::default();
-        for k in KEYWORDS.iter().filter(|k| self.given.get(k.name) != new.given.get(k.name)) {
+        for k in KEYWORDS
+            .iter()
+            .filter(|k| self.given.get(k.name) != new.given.get(k.name))
+        {
             match k.effect {
                 Effect::AtOnce | Effect::NewConnections => changes.now.push(k.name),
                 Effect::Restart => changes.restart.push(k.name),
@@ -92,7 +95,11 @@
     /// The settings that hold after `new` was read by a running program: what waits for a restart stays.
     pub fn adopt(&self, new: &Settings) -> Settings {
         let http2 = match (self.http2, new.http2) {
-            (Some(old), Some(new)) => Some(Http2 { listen: old.listen, connections: old.connections, ..new }),
+            (Some(old), Some(new)) => Some(Http2 {
+                listen: old.listen,
+                connections: old.connections,
+                ..new
+            }),
             // Opening or closing a front takes a restart.
             (old, _) => old,
         };
@@ -104,7 +111,11 @@
                 None => given.remove(k.name),
             };
         }
-        Settings { http2, given, ..new.clone() }
+        Settings {
+            http2,
+            given,
+            ..new.clone()
+        }
     }
 }
 
@@ -113,9 +124,17 @@
     let source = Source::new(name, text);
     if text.len() > LONGEST {
         let what = format!("the file holds {} bytes", text.len());
-        return Err(Faults(vec![source.fault(&(0..0), what, format!("expected {LONGEST} at most"))]));
+        return Err(Faults(vec![source.fault(
+            &(0..0),
+            what,
+            format!("expected {LONGEST} at most"),
+        )]));
     }
-    let mut reading = Reading { source, faults: Vec::new(), taken: BTreeMap::new() };
+    let mut reading = Reading {
+        source,
+        faults: Vec::new(),
+        taken: BTreeMap::new(),
+    };
     for line in lines(text) {
         reading.line(line);
     }
@@ -144,8 +163,13 @@
     fn line(&mut self, line: Line) {
         let name = &line.keyword.text;
         let Some(k) = keywords::find(name) else {
-            let nearest = keywords::nearest(name).map_or(String::new(), |n| format!("did you mean {n}?"));
-            return self.fault(&line.keyword, format!("unknown keyword {}", shown(name)), nearest);
+            let nearest =
+                keywords::nearest(name).map_or(String::new(), |n| format!("did you mean {n}?"));
+            return self.fault(
+                &line.keyword,
+                format!("unknown keyword {}", shown(name)),
+                nearest,
+            );
         };
         if let Some((first, _)) = self.taken.get(k.name) {
             let (first, _) = self.source.place(first.span.start);
@@ -198,16 +222,23 @@
             ("trace", LogLevel::Trace),
         ];
         let log = Log {
-            format: self.value("log-format", |w| values::choice(w, &formats)).unwrap_or_default(),
-            level: self.value("log-level", |w| values::choice(w, &levels)).unwrap_or_default(),
+            format: self
+                .value("log-format", |w| values::choice(w, &formats))
+                .unwrap_or_default(),
+            level: self
+                .value("log-level", |w| values::choice(w, &levels))
+                .unwrap_or_default(),
         };
         let gather = self.value("gather-time", |w| values::span(w, &(0..=50 * MILLI)));
         let listen = self.value("listen-http2", values::address);
         let connections = self.value("http2-connections", |w| values::whole(w, &(1..=65_536)));
         let streams = self.value("http2-streams", |w| values::whole(w, &(1..=65_536)));
-        let connection_window =
-            self.value("http2-connection-window", |w| values::size(w, &(64 << 10..=64 << 20)));
-        let header_list = self.value("http2-header-list", |w| values::size(w, &(1 << 10..=64 << 10)));
+        let connection_window = self.value("http2-connection-window", |w| {
+            values::size(w, &(64 << 10..=64 << 20))
+        });
+        let header_list = self.value("http2-header-list", |w| {
+            values::size(w, &(1 << 10..=64 << 10))
+        });
         self.contradictions();
         let http2 = listen.map(|listen| Http2 {
             listen,
@@ -216,8 +247,17 @@
             connection_window: connection_window.map(|n| n as u32),
             header_list: header_list.map(|n| n as u32),
         });
-        let given = self.taken.iter().map(|(name, (_, argument))| (*name, argument.text.clone())).collect();
-        Settings { log, http2, gather, given }
+        let given = self
+            .taken
+            .iter()
+            .map(|(name, (_, argument))| (*name, argument.text.clone()))
+            .collect();
+        Settings {
+            log,
+            http2,
+            gather,
+            given,
+        }
     }
 
     /// What is right by itself and wrong beside the rest.
@@ -237,5 +277,9 @@
 fn shown(word: &str) -> String {
     let short: String = word.chars().take(64).collect();
     let plain = short.chars().all(|c| c.is_ascii_graphic() && c != '"');
-    if plain && !short.is_empty() { short } else { format!("{short:?}") }
+    if plain && !short.is_empty() {
+        short
+    } else {
+        format!("{short:?}")
+    }
 }
--- a/crates/operator-file/tests/files.rs
+++ b/crates/operator-file/tests/files.rs
@@ -16,18 +16,35 @@
 ";
 
 fn faults(text: &str) -> Vec<String> {
-    read("f", text).unwrap_err().0.iter().map(ToString::to_string).collect()
+    read("f", text)
+        .unwrap_err()
+        .0
+        .iter()
+        .map(ToString::to_string)
+        .collect()
 }
 
 #[test]
 fn a_file_with_every_keyword_is_read() {
     let settings = read("f", FULL).unwrap();
-    assert_eq!((settings.log.format, settings.log.level), (LogFormat::Json, LogLevel::Debug));
+    assert_eq!(
+        (settings.log.format, settings.log.level),
+        (LogFormat::Json, LogLevel::Debug)
+    );
     assert_eq!(settings.gather, Some(500));
     let http2 = settings.http2.unwrap();
-    assert_eq!((http2.listen.port(), http2.connections, http2.streams), (8081, Some(64), Some(200)));
-    assert_eq!((http2.connection_window, http2.header_list), (Some(1 << 20), Some(16 << 10)));
-    assert!(KEYWORDS.iter().all(|k| FULL.contains(k.name)), "a keyword is not tested");
+    assert_eq!(
+        (http2.listen.port(), http2.connections, http2.streams),
+        (8081, Some(64), Some(200))
+    );
+    assert_eq!(
+        (http2.connection_window, http2.header_list),
+        (Some(1 << 20), Some(16 << 10))
+    );
+    assert!(
+        KEYWORDS.iter().all(|k| FULL.contains(k.name)),
+        "a keyword is not tested"
+    );
     assert_eq!(read("f", "").unwrap(), Settings::default());
 }
 
@@ -53,13 +70,22 @@
 #[test]
 fn a_change_is_told_by_when_it_takes_effect_and_a_restart_is_waited_for() {
     let old = read("f", FULL).unwrap();
-    let text = FULL.replace("8081", "9091").replace("streams 200", "streams 100").replace("debug", "info");
+    let text = FULL
+        .replace("8081", "9091")
+        .replace("streams 200", "streams 100")
+        .replace("debug", "info");
     let new = read("f", &text).unwrap();
     let changes = old.changes(&new);
-    assert_eq!((changes.now, changes.restart), (vec!["log-level", "http2-streams"], vec!["listen-http2"]));
+    assert_eq!(
+        (changes.now, changes.restart),
+        (vec!["log-level", "http2-streams"], vec!["listen-http2"])
+    );
     let adopted = old.adopt(&new);
     let http2 = adopted.http2.unwrap();
-    assert_eq!((http2.listen.port(), http2.streams, adopted.log.level), (8081, Some(100), LogLevel::Info));
+    assert_eq!(
+        (http2.listen.port(), http2.streams, adopted.log.level),
+        (8081, Some(100), LogLevel::Info)
+    );
     // What waits for the restart is told again with each file until it comes.
     assert_eq!(adopted.changes(&new).restart, ["listen-http2"]);
     assert_eq!(old.adopt(&read("f", "").unwrap()).http2, old.http2);
--- a/crates/ploverport/src/bench/floods.rs
+++ b/crates/ploverport/src/bench/floods.rs
@@ -36,12 +36,20 @@
 
 fn resets(n: u32) -> Vec<u8> {
     let stream = 1 + 2 * n;
-    [query(stream, &format!("flood{n}")), frame(RST_STREAM, 0, stream, &8u32.to_be_bytes())].concat()
+    [
+        query(stream, &format!("flood{n}")),
+        frame(RST_STREAM, 0, stream, &8u32.to_be_bytes()),
+    ]
+    .concat()
 }
 
 /// All kinds.
-pub(super) const KINDS: [(&str, Option<Burst>); 4] =
-    [("none", None), ("PING", Some(pings)), ("SETTINGS", Some(settings)), ("rapid resets", Some(resets))];
+pub(super) const KINDS: [(&str, Option<Burst>); 4] = [
+    ("none", None),
+    ("PING", Some(pings)),
+    ("SETTINGS", Some(settings)),
+    ("rapid resets", Some(resets)),
+];
 
 /// Usual load beside an attacker that comes back as soon as it is ended.
 pub(super) fn measure(
@@ -50,12 +58,19 @@
     burst: Option<Burst>,
     seconds: Duration,
 ) -> io::Result<Row> {
-    let (fleet, program) = build.start(Plan { work: Duration::from_millis(2), ..Plan::default() }, true)?;
+    let (fleet, program) = build.start(
+        Plan {
+            work: Duration::from_millis(2),
+            ..Plan::default()
+        },
+        true,
+    )?;
     let to = http2(&program)?;
     let stop = Arc::new(AtomicBool::new(false));
     let seen = stop.clone();
-    let attacker =
-        std::thread::spawn(move || burst.map_or((0, Duration::ZERO), |burst| attack(to, burst, &seen)));
+    let attacker = std::thread::spawn(move || {
+        burst.map_or((0, Duration::ZERO), |burst| attack(to, burst, &seen))
+    });
     let load = Load {
         rate: Some(RATE),
         at_once: 100,
@@ -67,10 +82,18 @@
     };
     let outcome = open_loop(Target::Http2(to, 2), &load);
     stop.store(true, Ordering::Relaxed);
-    let (ended, longest) = attacker.join().map_err(|_| io::Error::other("the attacker broke"))?;
+    let (ended, longest) = attacker
+        .join()
+        .map_err(|_| io::Error::other("the attacker broke"))?;
     let outcome = outcome?;
     drop(fleet);
-    Ok(Row { what, latency: outcome.latency, unserved: outcome.unserved, ended, longest })
+    Ok(Row {
+        what,
+        latency: outcome.latency,
+        unserved: outcome.unserved,
+        ended,
+        longest,
+    })
 }
 
 /// Attacks until told to stop: how many of its connections were ended, and the longest that one lived.
--- a/crates/ploverport/src/bench/memory.rs
+++ b/crates/ploverport/src/bench/memory.rs
@@ -10,15 +10,26 @@
 /// Streams of a connection.
 const STREAMS: usize = 100;
 /// Requests at once, over HTTP/1.1 as far as its slots go.
-pub(super) const SIZES: [(bool, usize); 5] =
-    [(false, 250), (false, 500), (true, 250), (true, 500), (true, 1000)];
+pub(super) const SIZES: [(bool, usize); 5] = [
+    (false, 250),
+    (false, 500),
+    (true, 250),
+    (true, 500),
+    (true, 1000),
+];
 
 /// Time for the broker to take what was sent. A request that stops is given up after 2 s.
 const SETTLE: Duration = Duration::from_millis(700);
 
 /// The broker's resident memory before and with so many half-sent requests, in bytes.
 pub(super) fn measure(build: &Build, http2: bool, requests: usize) -> io::Result<(u64, u64)> {
-    let (_fleet, program) = build.start(Plan { work: Duration::ZERO, ..Plan::default() }, false)?;
+    let (_fleet, program) = build.start(
+        Plan {
+            work: Duration::ZERO,
+            ..Plan::default()
+        },
+        false,
+    )?;
     let executor = LocalExecutor::new();
     let before = program.memory()?;
     let to = program.http2.filter(|_| http2);
@@ -31,7 +42,12 @@
                     if n % STREAMS == 0 {
                         new.push(Http2::connect(to, &executor).await?);
                     }
-                    streams.push(new[n / STREAMS].open_half(&request).await.map_err(io::Error::other)?);
+                    streams.push(
+                        new[n / STREAMS]
+                            .open_half(&request)
+                            .await
+                            .map_err(io::Error::other)?,
+                    );
                 }
                 None => {
                     let mut connection = Http1::connect(program.http1).await?;
--- a/crates/ploverport/src/bench/mod.rs
+++ b/crates/ploverport/src/bench/mod.rs
@@ -90,10 +90,20 @@
     for turns in [Turns::Ticks, Turns::Gather] {
         // One after another, far from any load: what the broker adds by itself.
         for front in [Front::Direct, Front::Http1(1), Front::Http2(1)] {
-            plan.push(Measurement { front, turns, rate: Some(50.0), at_once: 1 });
+            plan.push(Measurement {
+                front,
+                turns,
+                rate: Some(50.0),
+                at_once: 1,
+            });
         }
         for front in [Front::Http1(256), Front::Http2(4)] {
-            plan.push(Measurement { front, turns, rate: Some(4000.0), at_once: 256 });
+            plan.push(Measurement {
+                front,
+                turns,
+                rate: Some(4000.0),
+                at_once: 256,
+            });
         }
         for (front, at_once) in [
             (Front::Http1(16), 16),
@@ -103,7 +113,12 @@
             (Front::Http1(400), 400),
             (Front::Http2(4), 400),
         ] {
-            plan.push(Measurement { front, turns, rate: None, at_once });
+            plan.push(Measurement {
+                front,
+                turns,
+                rate: None,
+                at_once,
+            });
         }
     }
     plan
@@ -111,17 +126,26 @@
 
 fn measure_all(arguments: &BenchArguments) -> io::Result<()> {
     let seconds = Duration::from_secs_f64(arguments.seconds);
-    let exe = arguments.exe.clone().map_or_else(std::env::current_exe, Ok)?;
-    let build = Build { exe, http2: !arguments.http1_only };
+    let exe = arguments
+        .exe
+        .clone()
+        .map_or_else(std::env::current_exe, Ok)?;
+    let build = Build {
+        exe,
+        http2: !arguments.http1_only,
+    };
     let mut plan = plan();
     plan.retain(|m| build.http2 || !matches!(m.front, Front::Http2(_)));
     plan.retain(|m| build.http2 || matches!(m.turns, Turns::Ticks));
-    let sizes: Vec<_> = memory::SIZES.into_iter().filter(|(http2, _)| build.http2 || !http2).collect();
+    let sizes: Vec<_> = memory::SIZES
+        .into_iter()
+        .filter(|(http2, _)| build.http2 || !http2)
+        .collect();
     let floods = if build.http2 { &floods::KINDS[..] } else { &[] };
     let steps = plan.len() + sizes.len() + floods.len();
     let bar = ProgressBar::new(steps as u64);
-    let style =
-        ProgressStyle::with_template("{pos}/{len} {wide_bar} {msg} {eta}").map_err(io::Error::other)?;
+    let style = ProgressStyle::with_template("{pos}/{len} {wide_bar} {msg} {eta}")
+        .map_err(io::Error::other)?;
     bar.set_style(style);
     let mut rows = Vec::new();
     for measurement in &plan {
@@ -155,7 +179,11 @@
 
 /// A deployment with room for whatever is measured.
 fn deployment() -> Deployment {
-    Deployment { max_open: 20_000, memory_mb: 1024, ..Deployment::default() }
+    Deployment {
+        max_open: 20_000,
+        memory_mb: 1024,
+        ..Deployment::default()
+    }
 }
 
 /// The build that is measured.
@@ -168,7 +196,11 @@
     /// A fleet, and a broker with the fronts that the build has.
     fn start(&self, plan: Plan, gather: bool) -> io::Result<(Fleet, Program)> {
         let fleet = Fleet::start(plan)?;
-        let http2 = if self.http2 { "listen-http2 127.0.0.1:0\nhttp2-streams 400\n" } else { "" };
+        let http2 = if self.http2 {
+            "listen-http2 127.0.0.1:0\nhttp2-streams 400\n"
+        } else {
+            ""
+        };
         let gather = if gather { "gather-time 5ms\n" } else { "" };
         let program = Program::start(&self.exe, deployment(), &fleet, &format!("{http2}{gather}"))?;
         Ok((fleet, program))
@@ -176,12 +208,17 @@
 }
 
 fn http2(program: &Program) -> io::Result<SocketAddr> {
-    program.http2.ok_or_else(|| io::Error::other("the broker does not listen for HTTP/2"))
+    program
+        .http2
+        .ok_or_else(|| io::Error::other("the broker does not listen for HTTP/2"))
 }
 
 /// A broker and a fleet of its own for each measurement, so that none inherits from another.
 fn measure(build: &Build, m: &Measurement, seconds: Duration) -> io::Result<Row> {
-    let plan = Plan { work: Duration::ZERO, ..Plan::default() };
+    let plan = Plan {
+        work: Duration::ZERO,
+        ..Plan::default()
+    };
     let (fleet, program) = build.start(plan, matches!(m.turns, Turns::Gather))?;
     let target = match m.front {
         Front::Direct => Target::Direct(fleet.servers()[0].address),
@@ -202,7 +239,12 @@
     let (cpu, attempts) = (program.cpu()?, fleet.attempts());
     load.time = seconds;
     load.seed = 8;
-    let Outcome { latency, served, unserved, time } = open_loop(target, &load)?;
+    let Outcome {
+        latency,
+        served,
+        unserved,
+        time,
+    } = open_loop(target, &load)?;
     let cpu = program.cpu()? - cpu;
     let (parts, calls) = fleet.attempts();
     let calls = (parts - attempts.0) as f64 / (calls - attempts.1).max(1) as f64;
@@ -265,7 +307,11 @@
 type Held = (bool, usize, (u64, u64));
 
 fn version(http2: bool) -> &'static str {
-    if http2 { "HTTP/2, 100 a connection" } else { "HTTP/1.1" }
+    if http2 {
+        "HTTP/2, 100 a connection"
+    } else {
+        "HTTP/1.1"
+    }
 }
 
 fn each((_, queries, (before, with)): &Held) -> f64 {
--- a/crates/ploverport/src/check.rs
+++ b/crates/ploverport/src/check.rs
@@ -20,7 +20,9 @@
         Ok(text) => (read(&name, &text).err(), None),
         Err(error) => (None, Some(error)),
     };
-    let count = faults.as_ref().map_or(usize::from(text.is_some()), |f| f.0.len());
+    let count = faults
+        .as_ref()
+        .map_or(usize::from(text.is_some()), |f| f.0.len());
     if arguments.json {
         say(&(report(file, faults.as_ref(), text.as_deref()).to_string() + "\n"));
     } else if let Some(error) = text {
@@ -30,7 +32,11 @@
     } else {
         say(&format!("{name}: it can be used\n"));
     }
-    if count == 0 { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if count == 0 {
+        ExitCode::SUCCESS
+    } else {
+        ExitCode::FAILURE
+    }
 }
 
 /// Standard output may be a pipe whose reader has gone: that is no fault of the file.
@@ -44,15 +50,20 @@
 
 fn report(file: &Path, faults: Option<&Faults>, error: Option<&str>) -> Value {
     let one = |f: &plover_operator_file::Fault| json!({"line": f.line, "column": f.column, "what": f.what, "expected": f.expected});
-    let mut list: Vec<Value> = faults.map(|f| f.0.iter().map(one).collect()).unwrap_or_default();
+    let mut list: Vec<Value> = faults
+        .map(|f| f.0.iter().map(one).collect())
+        .unwrap_or_default();
     list.extend(error.map(|e| json!({"what": e})));
     json!({"file": file.display().to_string(), "usable": list.is_empty(), "faults": list})
 }
 
 /// Every fault with its line and the word underlined.
 fn pictures(faults: &Faults) -> String {
-    let theme =
-        if std::io::stderr().is_terminal() { GraphicalTheme::unicode() } else { GraphicalTheme::none() };
+    let theme = if std::io::stderr().is_terminal() {
+        GraphicalTheme::unicode()
+    } else {
+        GraphicalTheme::none()
+    };
     let handler = GraphicalReportHandler::new_themed(theme);
     let mut text = String::new();
     for fault in &faults.0 {
@@ -62,7 +73,11 @@
     }
     text + &format!(
         "{} to mend\n",
-        if faults.0.len() == 1 { "one fault".into() } else { format!("{} faults", faults.0.len()) }
+        if faults.0.len() == 1 {
+            "one fault".into()
+        } else {
+            format!("{} faults", faults.0.len())
+        }
     )
 }
 
--- a/crates/ploverport/src/cli.rs
+++ b/crates/ploverport/src/cli.rs
@@ -84,6 +84,9 @@
 }
 
 fn seconds(text: &str) -> Result<f64, String> {
-    let number = text.parse().ok().filter(|s: &f64| (0.5..=600.0).contains(s));
+    let number = text
+        .parse()
+        .ok()
+        .filter(|s: &f64| (0.5..=600.0).contains(s));
     number.ok_or_else(|| "expected seconds, 0.5 to 600".to_owned())
 }
--- a/crates/ploverport/src/demo.rs
+++ b/crates/ploverport/src/demo.rs
@@ -12,13 +12,21 @@
 pub(crate) fn run(arguments: &DemoArguments) -> ExitCode {
     // Before the stand-ins: what keeps them from starting is told too.
     plover_telemetry::init(plover_telemetry::Format::Logfmt, tracing::Level::INFO);
-    let fleet = match Fleet::start(Plan { servers: arguments.servers.into(), ..Plan::default() }) {
+    let fleet = match Fleet::start(Plan {
+        servers: arguments.servers.into(),
+        ..Plan::default()
+    }) {
         Ok(fleet) => fleet,
         Err(error) => return cannot_start(&error),
     };
     let configuration = Deployment::default().configuration(&fleet, &arguments.listen.to_string());
     let text = format!("listen-http2 {}\ngather-time 5ms\n", arguments.http2);
-    let read = || Ok((plover_config::check(&configuration, |_| None)?, Operator::of_text("demo", &text)?));
+    let read = || {
+        Ok((
+            plover_config::check(&configuration, |_| None)?,
+            Operator::of_text("demo", &text)?,
+        ))
+    };
     let servers = fleet.servers().len();
     run_with(read, |http1, http2| welcome(servers, http1, http2))
 }
@@ -35,7 +43,10 @@
         curl("", http1)
     );
     if let Some(http2) = http2 {
-        text += &format!("\nHTTP/2 on {http2}:\n\n  {}", curl("--http2-prior-knowledge ", http2));
+        text += &format!(
+            "\nHTTP/2 on {http2}:\n\n  {}",
+            curl("--http2-prior-knowledge ", http2)
+        );
     }
     text += "\nCtrl-C ends it.\n\n";
     let _ = std::io::stdout().write_all(text.as_bytes());
--- a/crates/ploverport/src/main.rs
+++ b/crates/ploverport/src/main.rs
@@ -18,7 +18,12 @@
         Some(Command::Demo(arguments)) => demo::run(&arguments),
         Some(Command::Bench(arguments)) => bench::run(&arguments),
         Some(Command::Completions { shell }) => {
-            clap_complete::generate(shell, &mut Cli::command(), "ploverport", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Cli::command(),
+                "ploverport",
+                &mut std::io::stdout(),
+            );
             ExitCode::SUCCESS
         }
     }
--- a/crates/ploverport/tests/http2/any_frames.rs
+++ b/crates/ploverport/tests/http2/any_frames.rs
@@ -12,13 +12,33 @@
 
 fn frames() -> impl Strategy<Value = Vec<Vec<u8>>> {
     let stream = prop::sample::select(vec![0u32, 1, 3, 5, 7, 2, 0x7fff_ffff]);
-    let any_frame = (0u8..12, any::<u8>(), stream.clone(), prop::collection::vec(any::<u8>(), 0..60))
+    let any_frame = (
+        0u8..12,
+        any::<u8>(),
+        stream.clone(),
+        prop::collection::vec(any::<u8>(), 0..60),
+    )
         .prop_map(|(kind, flags, stream, rest)| frame(kind, flags, stream, &rest));
-    let headers = (stream.clone(), prop::sample::select(vec![4u8, 5, 0, 1]), 0u32..1000)
-        .prop_map(|(stream, flags, n)| frame(1, flags, stream, &query_fields(&format!("f{n}"), &[])));
-    let data = (stream.clone(), prop::sample::select(vec![0u8, 1, 8]), 0..BODY.len())
+    let headers = (
+        stream.clone(),
+        prop::sample::select(vec![4u8, 5, 0, 1]),
+        0u32..1000,
+    )
+        .prop_map(|(stream, flags, n)| {
+            frame(1, flags, stream, &query_fields(&format!("f{n}"), &[]))
+        });
+    let data = (
+        stream.clone(),
+        prop::sample::select(vec![0u8, 1, 8]),
+        0..BODY.len(),
+    )
         .prop_map(|(stream, flags, cut)| frame(0, flags, stream, &BODY[cut..]));
-    let control = (prop::sample::select(vec![2u8, 3, 4, 6, 7, 8]), any::<bool>(), stream, any::<u64>())
+    let control = (
+        prop::sample::select(vec![2u8, 3, 4, 6, 7, 8]),
+        any::<bool>(),
+        stream,
+        any::<u64>(),
+    )
         .prop_map(|(kind, ack, stream, n)| {
             let rest = n.to_be_bytes();
             let length = match kind {
@@ -40,13 +60,20 @@
     let serves = |n: usize| {
         rig.run(async {
             let http2 = rig.connect().await;
-            assert_eq!(http2.ask(&lookup(&format!("serves{n}"), &[n % 8])).await, whole(&[n % 8]));
+            assert_eq!(
+                http2.ask(&lookup(&format!("serves{n}"), &[n % 8])).await,
+                whole(&[n % 8])
+            );
         });
     };
     (0..50).for_each(serves);
     let before = rig.program.memory().unwrap();
     let found = FileFailurePersistence::Direct("tests/http2/any_frames.regressions");
-    let config = Config { cases: 150, failure_persistence: Some(Box::new(found)), ..Config::default() };
+    let config = Config {
+        cases: 150,
+        failure_persistence: Some(Box::new(found)),
+        ..Config::default()
+    };
     let n = std::cell::Cell::new(50);
     TestRunner::new(config)
         .run(&(frames(), 1usize..400), |(frames, cut)| {
@@ -67,5 +94,8 @@
         })
         .unwrap();
     let after = rig.program.memory().unwrap();
-    assert!(after < before + LEFT, "{before} bytes before, {after} after");
+    assert!(
+        after < before + LEFT,
+        "{before} bytes before, {after} after"
+    );
 }
--- a/crates/ploverport/tests/http2/chaos.rs
+++ b/crates/ploverport/tests/http2/chaos.rs
@@ -22,7 +22,9 @@
 
 fn ask(random: &mut Pcg64Mcg, id: String) -> Ask {
     let from = random.random_range(0..6);
-    let shards: Vec<usize> = (from..from + random.random_range(1..=3)).map(|s| s % 8).collect();
+    let shards: Vec<usize> = (from..from + random.random_range(1..=3))
+        .map(|s| s % 8)
+        .collect();
     match random.random_range(0..4) {
         0 => {
             let key = format!("key-{id}");
@@ -51,10 +53,17 @@
             }
             Ok(stream) => match stream.response().await.map(|r| Answer::of(&r)) {
                 Ok(Answer::Served(full, values)) => {
-                    let right =
-                        values.iter().all(|(s, v)| ask.shards.contains(s) && *v == value(*s, "c41e77d0"));
-                    let all = ask.shards.iter().all(|s| values.iter().any(|(v, _)| v == s));
-                    assert!(right && full == all, "{id}: an answer that is not honest: {values:?}");
+                    let right = values
+                        .iter()
+                        .all(|(s, v)| ask.shards.contains(s) && *v == value(*s, "c41e77d0"));
+                    let all = ask
+                        .shards
+                        .iter()
+                        .all(|s| values.iter().any(|(v, _)| v == s));
+                    assert!(
+                        right && full == all,
+                        "{id}: an answer that is not honest: {values:?}"
+                    );
                     "served"
                 }
                 Ok(Answer::Refused(_)) => "refused",
@@ -87,18 +96,34 @@
             3 => rig.fleet.drain(0),
             4 => rig.fleet.kill(1),
             6 => rig.fleet.revive(1),
-            _ if one != 1 => rig.fleet.servers()[one].set_fault(faults[random.random_range(0..faults.len())]),
+            _ if one != 1 => {
+                rig.fleet.servers()[one].set_fault(faults[random.random_range(0..faults.len())])
+            }
             _ => {}
         }
     }
-    rig.fleet.servers().iter().skip(2).for_each(|s| s.set_fault(Fault::None));
+    rig.fleet
+        .servers()
+        .iter()
+        .skip(2)
+        .for_each(|s| s.set_fault(Fault::None));
 }
 
 fn run(seed: u64) {
-    let plan = Plan { servers: 6, work: Duration::from_millis(10), ..Plan::default() };
-    let deployment = Deployment { max_open: 2000, ..Deployment::default() };
-    let mut rig =
-        rig_with(plan, deployment, "listen-http2 127.0.0.1:0\nhttp2-streams 100\nlog-level debug\n");
+    let plan = Plan {
+        servers: 6,
+        work: Duration::from_millis(10),
+        ..Plan::default()
+    };
+    let deployment = Deployment {
+        max_open: 2000,
+        ..Deployment::default()
+    };
+    let mut rig = rig_with(
+        plan,
+        deployment,
+        "listen-http2 127.0.0.1:0\nhttp2-streams 100\nlog-level debug\n",
+    );
     let ends: Ends = Rc::default();
     rig.run(async {
         let mut clients = Vec::new();
@@ -107,7 +132,10 @@
             for s in 0..STREAMS {
                 let name = format!("x{seed}c{c}s{s}");
                 let seed = seed * 1_000_003 + (c * STREAMS + s) as u64;
-                clients.push(rig.executor.spawn(client(http2.clone(), ends.clone(), name, seed)));
+                clients.push(
+                    rig.executor
+                        .spawn(client(http2.clone(), ends.clone(), name, seed)),
+                );
             }
         }
         trouble(&rig, seed).await;
@@ -119,15 +147,29 @@
     assert!(rig.program.exit().unwrap().success());
     let ends = ends.take();
     assert_eq!(ends.len(), CONNECTIONS * STREAMS * ROUNDS);
-    assert!(ends.values().all(|e| e.len() == 1), "a query ended twice for its client");
+    assert!(
+        ends.values().all(|e| e.len() == 1),
+        "a query ended twice for its client"
+    );
     let count = |what| ends.values().filter(|e| e[0] == what).count();
     let counts = ["served", "reset", "refused", "failed", "not opened"].map(|w| (w, count(w)));
     assert!(count("served") > ends.len() / 3, "{counts:?}");
-    assert!(count("reset") > 100 && count("not opened") == 0, "{counts:?} {:?}", rig.program.seen());
+    assert!(
+        count("reset") > 100 && count("not opened") == 0,
+        "{counts:?} {:?}",
+        rig.program.seen()
+    );
     rig.check_books();
     // On the broker's books each query that it took ended once too: nothing was in hand when it left, and it left by
     // itself. Anything else would have kept it, or its log would tell.
-    assert!(!rig.program.seen().iter().any(|l| l.contains("event=overdue")), "{:?}", rig.program.seen());
+    assert!(
+        !rig.program
+            .seen()
+            .iter()
+            .any(|l| l.contains("event=overdue")),
+        "{:?}",
+        rig.program.seen()
+    );
 }
 
 #[test]
--- a/crates/ploverport/tests/http2/drain.rs
+++ b/crates/ploverport/tests/http2/drain.rs
@@ -2,7 +2,9 @@
 
 use crate::rig::{lookup, rig, whole};
 use futures_util::future::join_all;
-use plover_load::raw::{DATA, END_STREAM, GOAWAY, HEADERS, PING, RST_STREAM, Raw, frame, query, status};
+use plover_load::raw::{
+    DATA, END_STREAM, GOAWAY, HEADERS, PING, RST_STREAM, Raw, frame, query, status,
+};
 use std::time::Duration;
 
 const ACK: u8 = 1;
@@ -54,7 +56,8 @@
     assert_eq!(status(&raw.expect(HEADERS)), 200);
     raw.until_end(Duration::from_secs(20));
     assert!(rig.program.exit().unwrap().success());
-    rig.fleet.books(|b| assert!(b.attempts().iter().all(|a| a.id.starts_with("a."))));
+    rig.fleet
+        .books(|b| assert!(b.attempts().iter().all(|a| a.id.starts_with("a."))));
 }
 
 /// Idle clients, and ones that never said a word, do not keep the process either.
@@ -93,10 +96,15 @@
         .replace_operator_file("listen-http2 127.0.0.1:0\nhttp2-streams 7\nlog-level debug\n")
         .unwrap();
     rig.program.signal("HUP").unwrap();
-    rig.program.logged("event=operator_file changed=log-level,http2-streams").unwrap();
+    rig.program
+        .logged("event=operator_file changed=log-level,http2-streams")
+        .unwrap();
     assert_eq!(streams(&rig), 7);
     for (text, words) in [
-        ("listen-http2 127.0.0.1:0\nhttp2-streams 9\nlog-levle info\n", "event=reload_failed"),
+        (
+            "listen-http2 127.0.0.1:0\nhttp2-streams 9\nlog-levle info\n",
+            "event=reload_failed",
+        ),
         (
             "listen-http2 127.0.0.1:0\nhttp2-streams 60000\nhttp2-connection-window 64MiB\n",
             "lower http2-streams",
--- a/crates/ploverport/tests/http2/floods.rs
+++ b/crates/ploverport/tests/http2/floods.rs
@@ -2,8 +2,8 @@
 
 use crate::rig::{Rig, lookup, rig, whole};
 use plover_load::raw::{
-    BODY, CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, RST_STREAM, Raw, SETTINGS, WINDOW_UPDATE,
-    fields, frame, query, query_fields,
+    BODY, CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, RST_STREAM, Raw, SETTINGS,
+    WINDOW_UPDATE, fields, frame, query, query_fields,
 };
 use std::time::{Duration, Instant};
 
@@ -32,7 +32,10 @@
         assert_eq!(goaway.code(), ENHANCE_YOUR_CALM, "{what}");
     }
     let after = rig.run(async {
-        rig.connect().await.ask(&lookup(&format!("after {what}").replace(' ', "-"), &[1])).await
+        rig.connect()
+            .await
+            .ask(&lookup(&format!("after {what}").replace(' ', "-"), &[1]))
+            .await
     });
     assert_eq!(after, whole(&[1]), "{what}");
 }
@@ -44,7 +47,10 @@
         ("PING", frame(PING, 0, 0, &[0; 8])),
         ("SETTINGS", frame(SETTINGS, 0, 0, &[])),
         ("PRIORITY", frame(2, 0, 1, &[0, 0, 0, 3, 1])),
-        ("WINDOW_UPDATE", frame(WINDOW_UPDATE, 0, 0, &1u32.to_be_bytes())),
+        (
+            "WINDOW_UPDATE",
+            frame(WINDOW_UPDATE, 0, 0, &1u32.to_be_bytes()),
+        ),
         ("unknown frames", frame(77, 0, 0, b"x")),
     ] {
         // An event has one line a second.
@@ -62,7 +68,11 @@
     let mut rig = rig(Duration::ZERO);
     flood(&mut rig, "resets", |n| {
         let stream = 1 + 2 * n;
-        [query(stream, &format!("r{n}")), frame(RST_STREAM, 0, stream, &8u32.to_be_bytes())].concat()
+        [
+            query(stream, &format!("r{n}")),
+            frame(RST_STREAM, 0, stream, &8u32.to_be_bytes()),
+        ]
+        .concat()
     });
     rig.program.logged("event=http2_flood").unwrap();
     rig.check_books();
@@ -72,7 +82,11 @@
 fn empty_data_is_ended() {
     let mut rig = rig(Duration::ZERO);
     flood(&mut rig, "empty DATA", |n| {
-        let open = if n == 0 { frame(HEADERS, END_HEADERS, 1, &query_fields("e", &[])) } else { Vec::new() };
+        let open = if n == 0 {
+            frame(HEADERS, END_HEADERS, 1, &query_fields("e", &[]))
+        } else {
+            Vec::new()
+        };
         [open, frame(DATA, 0, 1, &[])].concat()
     });
 }
@@ -114,7 +128,11 @@
             break;
         }
     }
-    assert!(rig.fleet.books(|b| !b.attempts().iter().any(|a| a.id.starts_with("bomb"))), "it was served");
+    assert!(
+        rig.fleet
+            .books(|b| !b.attempts().iter().any(|a| a.id.starts_with("bomb"))),
+        "it was served"
+    );
     let after = rig.run(async { rig.connect().await.ask(&lookup("after", &[1])).await });
     assert_eq!(after, whole(&[1]));
 }
@@ -153,7 +171,10 @@
 #[test]
 fn silent_connections_do_not_hold_the_seats() {
     let rig = crate::rig::rig_with(
-        plover_standins::Plan { work: Duration::ZERO, ..Default::default() },
+        plover_standins::Plan {
+            work: Duration::ZERO,
+            ..Default::default()
+        },
         plover_standins::Deployment::default(),
         "listen-http2 127.0.0.1:0\nhttp2-connections 4\n",
     );
@@ -161,7 +182,13 @@
     let silent: Vec<Raw> = (0..12).map(|_| Raw::connect(to)).collect();
     rig.run(async {
         for n in 0..8 {
-            assert_eq!(rig.connect().await.ask(&lookup(&format!("q{n}"), &[n])).await, whole(&[n]));
+            assert_eq!(
+                rig.connect()
+                    .await
+                    .ask(&lookup(&format!("q{n}"), &[n]))
+                    .await,
+                whole(&[n])
+            );
         }
     });
     drop(silent);
--- a/crates/ploverport/tests/http2/keys.rs
+++ b/crates/ploverport/tests/http2/keys.rs
@@ -13,18 +13,30 @@
 #[test]
 fn a_repeat_waits_while_the_first_attempt_may_run() {
     let rig = rig(Duration::ZERO);
-    rig.fleet.servers().iter().for_each(|s| s.set_fault(Fault::Hang));
+    rig.fleet
+        .servers()
+        .iter()
+        .for_each(|s| s.set_fault(Fault::Hang));
     rig.run(async {
         let http2 = rig.connect().await;
-        let first =
-            http2.open(&save("a", "k1").patience(Duration::from_millis(1500)).request()).await.unwrap();
+        let first = http2
+            .open(
+                &save("a", "k1")
+                    .patience(Duration::from_millis(1500))
+                    .request(),
+            )
+            .await
+            .unwrap();
         rig.attempts(1).await;
         first.reset();
         let Answer::Refused(Some(after)) = http2.ask(&save("b", "k1")).await else {
             panic!("it was not put off")
         };
         assert!(after > 0.0 && after <= 1.5, "{after}");
-        rig.fleet.servers().iter().for_each(|s| s.set_fault(Fault::None));
+        rig.fleet
+            .servers()
+            .iter()
+            .for_each(|s| s.set_fault(Fault::None));
         // Another key is none of its business.
         assert_eq!(http2.ask(&save("c", "k2")).await, whole(&[0]));
         let mut n = 0;
@@ -45,15 +57,27 @@
 #[test]
 fn a_repeat_beyond_the_window_has_failed() {
     let rig = rig(Duration::ZERO);
-    rig.fleet.servers().iter().for_each(|s| s.set_fault(Fault::Hang));
+    rig.fleet
+        .servers()
+        .iter()
+        .for_each(|s| s.set_fault(Fault::Hang));
     rig.run(async {
         let http2 = rig.connect().await;
-        let first =
-            http2.open(&save("a", "k1").patience(Duration::from_millis(800)).request()).await.unwrap();
+        let first = http2
+            .open(
+                &save("a", "k1")
+                    .patience(Duration::from_millis(800))
+                    .request(),
+            )
+            .await
+            .unwrap();
         rig.attempts(1).await;
         first.reset();
         let sent = rig.fleet.books(|b| b.attempts().len());
-        rig.fleet.servers().iter().for_each(|s| s.set_fault(Fault::None));
+        rig.fleet
+            .servers()
+            .iter()
+            .for_each(|s| s.set_fault(Fault::None));
         async_io::Timer::after(Duration::from_millis(5100)).await;
         assert_eq!(http2.ask(&save("b", "k1")).await, Answer::Failed(502));
         assert_eq!(rig.fleet.books(|b| b.attempts().len()), sent);
--- a/crates/ploverport/tests/http2/requests.rs
+++ b/crates/ploverport/tests/http2/requests.rs
@@ -3,8 +3,8 @@
 use crate::rig::{lookup, rig, whole};
 use plover_load::Answer;
 use plover_load::raw::{
-    BODY, CONTINUATION, DATA, END_HEADERS, END_STREAM, GOAWAY, HEADERS, RST_STREAM, Raw, SETTINGS, frame,
-    query, query_fields, status,
+    BODY, CONTINUATION, DATA, END_HEADERS, END_STREAM, GOAWAY, HEADERS, RST_STREAM, Raw, SETTINGS,
+    frame, query, query_fields, status,
 };
 use std::time::Duration;
 
@@ -18,7 +18,10 @@
         let http2 = rig.connect().await;
         let mut http1 = rig.connect_http1().await;
         assert_eq!(http2.ask(&lookup("a", &[0, 3, 5])).await, whole(&[0, 3, 5]));
-        let response = http1.send(&lookup("b", &[0, 3, 5]).request()).await.unwrap();
+        let response = http1
+            .send(&lookup("b", &[0, 3, 5]).request())
+            .await
+            .unwrap();
         assert_eq!(Answer::of(&response), whole(&[0, 3, 5]));
         for (method, path, expected) in [
             ("GET", "/-/ready", 200),
@@ -29,9 +32,13 @@
             ("POST", "/nothing", 404),
             ("OPTIONS", "/lookup", 405),
         ] {
-            let request = http::Request::builder().method(method).uri(format!("http://broker.svc{path}"));
+            let request = http::Request::builder()
+                .method(method)
+                .uri(format!("http://broker.svc{path}"));
             let mut request = request.body(Vec::new()).unwrap();
-            request.headers_mut().insert("content-length", "0".parse().unwrap());
+            request
+                .headers_mut()
+                .insert("content-length", "0".parse().unwrap());
             let two = http2.send(&request).await.unwrap();
             let one = http1.send(&request).await;
             assert_eq!(two.status().as_u16(), expected, "{method} {path}");
@@ -73,26 +80,41 @@
         ("no path", &[(":path", "")]),
         ("a pseudo-header behind the others", &[(":protocol", "x")]),
         ("a name that no pseudo-header has", &[(":odd", "x")]),
-        ("two methods", &[(":method", "POST"), ("a", "b"), (":status", "200")]),
+        (
+            "two methods",
+            &[(":method", "POST"), ("a", "b"), (":status", "200")],
+        ),
         ("connection", &[("connection", "close")]),
         ("keep-alive", &[("keep-alive", "1")]),
         ("transfer-encoding", &[("transfer-encoding", "chunked")]),
         ("upgrade", &[("upgrade", "h2c")]),
         ("te", &[("te", "gzip")]),
         ("capitals in a name", &[("X-Odd", "1")]),
-        ("a length that is more than DATA", &[("content-length", "1000")]),
-        ("a length that is less than DATA", &[("content-length", "3")]),
+        (
+            "a length that is more than DATA",
+            &[("content-length", "1000")],
+        ),
+        (
+            "a length that is less than DATA",
+            &[("content-length", "3")],
+        ),
         ("a length that is none", &[("content-length", "x")]),
     ];
     for (n, (what, changes)) in rows.iter().enumerate() {
         let stream = 1 + 4 * n as u32;
-        raw.send(&frame(HEADERS, END_HEADERS, stream, &query_fields(&format!("bad{n}"), changes)));
+        raw.send(&frame(
+            HEADERS,
+            END_HEADERS,
+            stream,
+            &query_fields(&format!("bad{n}"), changes),
+        ));
         raw.send(&frame(DATA, END_STREAM, stream, BODY));
         raw.send(&query(stream + 2, &format!("good{n}")));
         let mut refused = false;
         loop {
-            let next =
-                raw.next(Duration::from_secs(30)).unwrap_or_else(|| panic!("{what}: the connection ended"));
+            let next = raw
+                .next(Duration::from_secs(30))
+                .unwrap_or_else(|| panic!("{what}: the connection ended"));
             match next.kind {
                 GOAWAY => {
                     assert!(
@@ -118,20 +140,31 @@
         }
         // The reset may come behind the other stream's answer.
         while !refused {
-            let next =
-                raw.next(Duration::from_secs(30)).unwrap_or_else(|| panic!("{what}: nothing came of it"));
+            let next = raw
+                .next(Duration::from_secs(30))
+                .unwrap_or_else(|| panic!("{what}: nothing came of it"));
             refused = next.stream == stream && [RST_STREAM, HEADERS].contains(&next.kind);
         }
     }
     let odd = |id: &String| id.starts_with("bad");
-    rig.fleet.books(|b| assert!(!b.attempts().iter().any(|a| odd(&a.id)), "a malformed request was served"));
+    rig.fleet.books(|b| {
+        assert!(
+            !b.attempts().iter().any(|a| odd(&a.id)),
+            "a malformed request was served"
+        )
+    });
 }
 
 #[test]
 fn a_host_that_is_not_the_authority_is_refused_and_trailers_are_taken() {
     let rig = rig(Duration::ZERO);
     let mut raw = Raw::settled(rig.program.http2.unwrap());
-    raw.send(&frame(HEADERS, END_HEADERS, 1, &query_fields("a", &[("host", "other.svc")])));
+    raw.send(&frame(
+        HEADERS,
+        END_HEADERS,
+        1,
+        &query_fields("a", &[("host", "other.svc")]),
+    ));
     raw.send(&frame(DATA, END_STREAM, 1, BODY));
     assert_eq!(status(&raw.expect(HEADERS)), 400);
     // Fields in a CONTINUATION, and trailers behind the body.
@@ -139,7 +172,12 @@
     raw.send(&frame(HEADERS, 0, 3, &block[..20]));
     raw.send(&frame(CONTINUATION, END_HEADERS, 3, &block[20..]));
     raw.send(&frame(DATA, 0, 3, BODY));
-    raw.send(&frame(HEADERS, END_HEADERS | END_STREAM, 3, &plover_load::raw::fields(&[("checksum", "1")])));
+    raw.send(&frame(
+        HEADERS,
+        END_HEADERS | END_STREAM,
+        3,
+        &plover_load::raw::fields(&[("checksum", "1")]),
+    ));
     assert_eq!(status(&raw.expect(HEADERS)), 200);
 }
 
@@ -151,7 +189,12 @@
     // The windows that SETTINGS give hold once they are acknowledged.
     raw.expect(SETTINGS);
     raw.send(&frame(SETTINGS, 1, 0, &[]));
-    raw.send(&frame(HEADERS, END_HEADERS, 1, &query_fields("a", &[("content-length", "60000000")])));
+    raw.send(&frame(
+        HEADERS,
+        END_HEADERS,
+        1,
+        &query_fields("a", &[("content-length", "60000000")]),
+    ));
     assert_eq!(status(&raw.expect(HEADERS)), 413);
     raw.send(&frame(HEADERS, END_HEADERS, 3, &query_fields("b", &[])));
     let slice = vec![b' '; 16_384];
@@ -183,7 +226,10 @@
     let mut old = Raw::connect(rig.program.http2.unwrap());
     old.send(b"POST /lookup HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\n{}");
     let text = old.text_until_end();
-    assert!(text.starts_with("HTTP/1.1 400 ") && text.contains("HTTP/2 by prior knowledge"), "{text}");
+    assert!(
+        text.starts_with("HTTP/1.1 400 ") && text.contains("HTTP/2 by prior knowledge"),
+        "{text}"
+    );
     let mut new = Raw::connect(rig.program.http1);
     new.send(&[plover_load::raw::PREFACE, &frame(4, 0, 0, &[])].concat());
     let text = new.text_until_end();
--- a/crates/ploverport/tests/http2/rig.rs
+++ b/crates/ploverport/tests/http2/rig.rs
@@ -21,14 +21,25 @@
 
 /// With everything as it comes, but that parts take so long.
 pub(crate) fn rig(work: Duration) -> Rig {
-    rig_with(Plan { work, ..Plan::default() }, Deployment::default(), OPERATOR)
+    rig_with(
+        Plan {
+            work,
+            ..Plan::default()
+        },
+        Deployment::default(),
+        OPERATOR,
+    )
 }
 
 pub(crate) fn rig_with(plan: Plan, deployment: Deployment, operator: &str) -> Rig {
     let fleet = Fleet::start(plan).unwrap();
     let exe = Path::new(env!("CARGO_BIN_EXE_ploverport"));
     let program = Program::start(exe, deployment, &fleet, operator).unwrap();
-    Rig { program, fleet, executor: Rc::new(LocalExecutor::new()) }
+    Rig {
+        program,
+        fleet,
+        executor: Rc::new(LocalExecutor::new()),
+    }
 }
 
 impl Rig {
@@ -42,11 +53,15 @@
     }
 
     pub(crate) async fn connect(&self) -> Http2 {
-        Http2::connect(self.program.http2.unwrap(), &self.executor).await.unwrap()
+        Http2::connect(self.program.http2.unwrap(), &self.executor)
+            .await
+            .unwrap()
     }
 
     pub(crate) async fn connect_with(&self, builder: &Builder) -> Http2 {
-        Http2::connect_with(self.program.http2.unwrap(), &self.executor, builder).await.unwrap()
+        Http2::connect_with(self.program.http2.unwrap(), &self.executor, builder)
+            .await
+            .unwrap()
     }
 
     pub(crate) async fn connect_http1(&self) -> Http1 {
@@ -69,7 +84,10 @@
 
 /// The whole answer of a query for these shards.
 pub(crate) fn whole(shards: &[usize]) -> Answer {
-    Answer::Served(true, shards.iter().map(|s| (*s, value(*s, "c41e77d0"))).collect())
+    Answer::Served(
+        true,
+        shards.iter().map(|s| (*s, value(*s, "c41e77d0"))).collect(),
+    )
 }
 
 pub(crate) fn lookup(id: &str, shards: &[usize]) -> Ask {
