--- a/crates/ploverport/tests/http2/streams.rs
+++ b/crates/ploverport/tests/http2/streams.rs
@@ -15,7 +15,9 @@
     let rig = rig(Duration::from_millis(20));
     rig.run(async {
         let http2 = rig.connect().await;
-        let asks: Vec<_> = (0..300).map(|n| lookup(&format!("q{n}"), &[n % 8])).collect();
+        let asks: Vec<_> = (0..300)
+            .map(|n| lookup(&format!("q{n}"), &[n % 8]))
+            .collect();
         let answers = join_all(asks.iter().map(|ask| http2.ask(ask))).await;
         for (n, answer) in answers.iter().enumerate() {
             assert_eq!(*answer, whole(&[n % 8]), "query {n}");
@@ -30,7 +32,13 @@
     let rig = rig(Duration::ZERO);
     let mut raw = Raw::connect(rig.program.http2.unwrap());
     // Windows of streams are 10 bytes: SETTINGS_INITIAL_WINDOW_SIZE is setting 4.
-    raw.send(&[plover_load::raw::PREFACE, &frame(SETTINGS, 0, 0, &[0, 4, 0, 0, 0, 10])].concat());
+    raw.send(
+        &[
+            plover_load::raw::PREFACE,
+            &frame(SETTINGS, 0, 0, &[0, 4, 0, 0, 0, 10]),
+        ]
+        .concat(),
+    );
     raw.send(&query(1, "slow"));
     let slow = raw.expect(HEADERS);
     assert_eq!((slow.stream, status(&slow)), (1, 200));
@@ -48,7 +56,11 @@
     }
     assert!(length > 10);
     let reset = raw.expect(RST_STREAM);
-    assert_eq!((reset.stream, reset.code()), (1, 8), "CANCEL at the deadline");
+    assert_eq!(
+        (reset.stream, reset.code()),
+        (1, 8),
+        "CANCEL at the deadline"
+    );
     raw.send(&query(5, "after"));
     assert_eq!(status(&raw.expect(HEADERS)), 200);
 }
@@ -56,10 +68,19 @@
 /// The client's reset ends the query: attempts out are given up, and the room comes back.
 #[test]
 fn a_reset_gives_up_what_is_out_and_gives_its_room_back() {
-    let plan = Plan { servers: 2, ..Plan::default() };
-    let deployment = Deployment { max_open: 20, ..Deployment::default() };
+    let plan = Plan {
+        servers: 2,
+        ..Plan::default()
+    };
+    let deployment = Deployment {
+        max_open: 20,
+        ..Deployment::default()
+    };
     let rig = rig_with(plan, deployment, OPERATOR);
-    rig.fleet.servers().iter().for_each(|s| s.set_fault(Fault::Hang));
+    rig.fleet
+        .servers()
+        .iter()
+        .for_each(|s| s.set_fault(Fault::Hang));
     rig.run(async {
         let http2 = rig.connect().await;
         for round in 0..20 {
@@ -72,7 +93,10 @@
             // Were the room of earlier rounds not back, these would be refused and never come.
             rig.attempts(before + 8).await;
             streams.into_iter().for_each(plover_load::Stream::reset);
-            while rig.fleet.books(|b| b.attempts().iter().any(|a| a.ended.is_none())) {
+            while rig
+                .fleet
+                .books(|b| b.attempts().iter().any(|a| a.ended.is_none()))
+            {
                 async_io::Timer::after(Duration::from_millis(1)).await;
             }
         }
@@ -83,9 +107,15 @@
 /// One connection with hundreds of streams leaves room for the others, and is told when to come back.
 #[test]
 fn one_connection_does_not_take_all_the_room() {
-    let deployment = Deployment { max_open: 90, ..Deployment::default() };
+    let deployment = Deployment {
+        max_open: 90,
+        ..Deployment::default()
+    };
     let rig = rig_with(Plan::default(), deployment, OPERATOR);
-    rig.fleet.servers().iter().for_each(|s| s.set_work(Duration::from_millis(700)));
+    rig.fleet
+        .servers()
+        .iter()
+        .for_each(|s| s.set_work(Duration::from_millis(700)));
     rig.run(async {
         let greedy = rig.connect().await;
         let mut others = Vec::new();
@@ -93,7 +123,9 @@
             others.push(rig.connect().await);
         }
         let mut old = rig.connect_http1().await;
-        let asks: Vec<_> = (0..100).map(|n| lookup(&format!("g{n}"), &[n % 8])).collect();
+        let asks: Vec<_> = (0..100)
+            .map(|n| lookup(&format!("g{n}"), &[n % 8]))
+            .collect();
         let taken = join_all(asks.iter().map(|ask| greedy.ask(ask)));
         let rest = async {
             rig.attempts(10).await;
@@ -107,17 +139,34 @@
             assert_eq!(*answer, whole(&[n]), "another connection was shut out");
         }
         assert_eq!(over_http1, whole(&[6]));
-        let served = taken.iter().filter(|a| matches!(a, Answer::Served(true, _))).count();
-        let told = taken.iter().filter(|a| matches!(a, Answer::Refused(Some(after)) if *after > 0.0)).count();
-        assert_eq!((served, told), (30, 70), "two thirds of 90, two for each query");
+        let served = taken
+            .iter()
+            .filter(|a| matches!(a, Answer::Served(true, _)))
+            .count();
+        let told = taken
+            .iter()
+            .filter(|a| matches!(a, Answer::Refused(Some(after)) if *after > 0.0))
+            .count();
+        assert_eq!(
+            (served, told),
+            (30, 70),
+            "two thirds of 90, two for each query"
+        );
     });
 }
 
 /// Streams beyond the limit are refused, which is harmless to repeat.
 #[test]
 fn streams_beyond_the_limit_are_refused() {
-    let rig = rig_with(Plan::default(), Deployment::default(), "listen-http2 127.0.0.1:0\nhttp2-streams 2\n");
-    rig.fleet.servers().iter().for_each(|s| s.set_work(Duration::from_millis(300)));
+    let rig = rig_with(
+        Plan::default(),
+        Deployment::default(),
+        "listen-http2 127.0.0.1:0\nhttp2-streams 2\n",
+    );
+    rig.fleet
+        .servers()
+        .iter()
+        .for_each(|s| s.set_work(Duration::from_millis(300)));
     let mut raw = Raw::settled(rig.program.http2.unwrap());
     for n in 0..3 {
         raw.send(&query(1 + 2 * n, &format!("q{n}")));
@@ -130,6 +179,9 @@
         let http2 = rig.connect_with(&Builder::new()).await;
         let asks: Vec<_> = (0..6).map(|n| lookup(&format!("k{n}"), &[n])).collect();
         let answers = join_all(asks.iter().map(|ask| http2.ask(ask))).await;
-        assert!(answers.iter().all(|a| matches!(a, Answer::Served(true, _))), "{answers:?}");
+        assert!(
+            answers.iter().all(|a| matches!(a, Answer::Served(true, _))),
+            "{answers:?}"
+        );
     });
 }
--- a/crates/ploverport/tests/scenarios.rs
+++ b/crates/ploverport/tests/scenarios.rs
@@ -69,7 +69,10 @@
 impl Peer {
     fn new(stream: TcpStream) -> Self {
         stream.set_read_timeout(Some(BOUND)).unwrap();
-        Peer { stream, input: Vec::new() }
+        Peer {
+            stream,
+            input: Vec::new(),
+        }
     }
     fn send(&mut self, bytes: &[u8]) {
         self.stream.write_all(bytes).unwrap();
@@ -88,14 +91,20 @@
     }
     fn closed(&mut self) {
         while self.read() {}
-        assert!(self.input.is_empty(), "more came: {:?}", String::from_utf8_lossy(&self.input));
+        assert!(
+            self.input.is_empty(),
+            "more came: {:?}",
+            String::from_utf8_lossy(&self.input)
+        );
     }
     /// An HTTP message: its head, and its body if it has a length.
     fn http(&mut self) -> String {
         loop {
             let text = String::from_utf8_lossy(&self.input).into_owned();
             if let Some((head, body)) = text.split_once("\r\n\r\n") {
-                let length = head.lines().find_map(|l| l.strip_prefix("Content-Length: "));
+                let length = head
+                    .lines()
+                    .find_map(|l| l.strip_prefix("Content-Length: "));
                 let length = length.map_or(0, |l| l.parse::<usize>().unwrap());
                 if body.len() >= length {
                     self.input.drain(..head.len() + 4 + length);
@@ -155,10 +164,14 @@
 impl Stage {
     fn step(&mut self, words: &[&str], line: &str) {
         match words {
-            ["servers", n] => (0..n.parse().unwrap()).for_each(|n: usize| self.listen(&format!("s{n}"))),
+            ["servers", n] => {
+                (0..n.parse().unwrap()).for_each(|n: usize| self.listen(&format!("s{n}")))
+            }
             ["dead", server] => self.dead.push((*server).to_owned()),
             ["sockets", n] => self.sockets = Some(n.parse().unwrap()),
-            ["set", pointer, value] => self.set.push(((*pointer).to_owned(), value.parse().unwrap())),
+            ["set", pointer, value] => self
+                .set
+                .push(((*pointer).to_owned(), value.parse().unwrap())),
             ["max-open", n] => self.max_open = Some(n.parse().unwrap()),
             _ => {
                 if self.program.is_none() {
@@ -198,16 +211,25 @@
                         peer.send(b"\r\n");
                     }
                     ["expect", "refused"] => {
-                        let (until, listen) = (Instant::now() + BOUND, self.program.as_ref().unwrap().listen);
+                        let (until, listen) = (
+                            Instant::now() + BOUND,
+                            self.program.as_ref().unwrap().listen,
+                        );
                         while TcpStream::connect(listen).is_ok() {
                             assert!(Instant::now() < until, "it still listens");
                         }
                     }
                     ["expect", who, rev] if is_discovery(who) => {
                         let call = self.peer(who).http();
-                        let query =
-                            if *rev == "whole" { String::new() } else { format!("?index={rev}&wait=") };
-                        assert!(call.starts_with(&format!("GET /api/targets{query}")), "{call}");
+                        let query = if *rev == "whole" {
+                            String::new()
+                        } else {
+                            format!("?index={rev}&wait=")
+                        };
+                        assert!(
+                            call.starts_with(&format!("GET /api/targets{query}")),
+                            "{call}"
+                        );
                         assert_eq!(call.contains('?'), *rev != "whole", "{call}");
                     }
                     ["expect", who, "call", ids @ ..] => {
@@ -238,8 +260,13 @@
                     }
                     ["expect", who, status, words @ ..] => {
                         let answer = self.peer(who).http();
-                        assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{answer}");
-                        words.iter().for_each(|w| assert!(answer.contains(w), "no {w} in {answer}"));
+                        assert!(
+                            answer.starts_with(&format!("HTTP/1.1 {status} ")),
+                            "{answer}"
+                        );
+                        words
+                            .iter()
+                            .for_each(|w| assert!(answer.contains(w), "no {w} in {answer}"));
                     }
                     ["open", n] => {
                         for n in 0..n.parse::<usize>().unwrap() {
@@ -257,7 +284,8 @@
                     ["close", who] => drop(self.peers.remove(*who)),
                     ["reset", who] => {
                         let peer = self.peers.remove(*who).unwrap();
-                        rustix::net::sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO)).unwrap();
+                        rustix::net::sockopt::set_socket_linger(&peer.stream, Some(Duration::ZERO))
+                            .unwrap();
                     }
                     ["wait", ms] => std::thread::sleep(Duration::from_millis(ms.parse().unwrap())),
                     ["signal", name] => {
@@ -275,7 +303,8 @@
     }
 
     fn listen(&mut self, name: &str) {
-        self.listeners.insert(name.to_owned(), TcpListener::bind("127.0.0.1:0").unwrap());
+        self.listeners
+            .insert(name.to_owned(), TcpListener::bind("127.0.0.1:0").unwrap());
     }
 
     /// Fills the queue of a listener: the system then leaves further dials without an answer.
@@ -288,14 +317,23 @@
 
     /// Waits until somebody dials one of the listeners in vain (state 02 of the system's table is SYN_SENT).
     fn dialled(&self, names: &[&str]) {
-        let port = |name: &&str| format!(":{:04X}", self.listeners[*name].local_addr().unwrap().port());
+        let port = |name: &&str| {
+            format!(
+                ":{:04X}",
+                self.listeners[*name].local_addr().unwrap().port()
+            )
+        };
         let ports: Vec<String> = names.iter().map(port).collect();
         let until = Instant::now() + BOUND;
         let dials = |line: &str| {
             let words: Vec<&str> = line.split_whitespace().collect();
             words.len() > 3 && words[3] == "02" && ports.iter().any(|port| words[2].ends_with(port))
         };
-        while !std::fs::read_to_string("/proc/net/tcp").unwrap().lines().any(dials) {
+        while !std::fs::read_to_string("/proc/net/tcp")
+            .unwrap()
+            .lines()
+            .any(dials)
+        {
             assert!(Instant::now() < until, "nobody dials");
             std::thread::sleep(Duration::from_millis(1));
         }
@@ -312,10 +350,15 @@
             self.listen("s0");
         }
         let names: Vec<String> = self.listeners.keys().cloned().collect();
-        let targets: Vec<Value> = names.iter().map(|name| self.entry(name, "active")).collect();
+        let targets: Vec<Value> = names
+            .iter()
+            .map(|name| self.entry(name, "active"))
+            .collect();
         self.listen("d");
         self.listen("e");
-        self.dead.iter().for_each(|name| drop(self.listeners.remove(name)));
+        self.dead
+            .iter()
+            .for_each(|name| drop(self.listeners.remove(name)));
         let mut settings: Value =
             serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
         if let Some(n) = self.max_open {
@@ -328,7 +371,11 @@
         let config = json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
             "seed": "8c1f30d27a5be964", "limits": {"sockets": self.sockets.unwrap_or(1024)}, "settings": settings,
             "known": {"rev": 1, "all": true, "targets": targets}});
-        let file = std::env::temp_dir().join(format!("ploverport-{}-{}.json", std::process::id(), discovery));
+        let file = std::env::temp_dir().join(format!(
+            "ploverport-{}-{}.json",
+            std::process::id(),
+            discovery
+        ));
         std::fs::write(&file, config.to_string()).unwrap();
         self.config = config;
         let mut child = Command::new(env!("CARGO_BIN_EXE_ploverport"))
@@ -341,12 +388,25 @@
             .unwrap();
         let (lines, log) = channel();
         let stderr = BufReader::new(child.stderr.take().unwrap());
-        std::thread::spawn(move || stderr.lines().map_while(Result::ok).try_for_each(|l| lines.send(l)));
+        std::thread::spawn(move || {
+            stderr
+                .lines()
+                .map_while(Result::ok)
+                .try_for_each(|l| lines.send(l))
+        });
         let listen = "127.0.0.1:0".parse().unwrap();
-        self.program = Some(Program { child, log, listen, file });
+        self.program = Some(Program {
+            child,
+            log,
+            listen,
+            file,
+        });
         self.logged(&["event=started"]);
         let started = self.seen.pop_back().unwrap();
-        let listen = started.split(' ').find_map(|pair| pair.strip_prefix("listen=")).unwrap();
+        let listen = started
+            .split(' ')
+            .find_map(|pair| pair.strip_prefix("listen="))
+            .unwrap();
         self.program.as_mut().unwrap().listen = listen.parse().unwrap();
     }
 
@@ -380,7 +440,11 @@
     /// The data server that is called next, to be known by this name from then on.
     fn called(&mut self, name: &str) {
         if !self.peers.contains_key(name) {
-            let servers = self.listeners.iter().filter(|(name, _)| name.starts_with('s')).map(|(_, l)| l);
+            let servers = self
+                .listeners
+                .iter()
+                .filter(|(name, _)| name.starts_with('s'))
+                .map(|(_, l)| l);
             let stream = accept(&servers.collect::<Vec<_>>()).1;
             self.peers.insert(name.to_owned(), Peer::new(stream));
         }
@@ -388,10 +452,15 @@
 
     fn tell(&mut self, who: &str, rev: &str, scope: &str, entries: &[&str]) {
         let entries = entries.iter().map(|e| e.split_once('=').unwrap());
-        let targets: Vec<Value> = entries.map(|(name, state)| self.entry(name, state)).collect();
+        let targets: Vec<Value> = entries
+            .map(|(name, state)| self.entry(name, state))
+            .collect();
         let rev: u64 = rev.parse().unwrap();
         let body = json!({"rev": rev, "all": scope == "all", "targets": targets}).to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+        let answer = format!(
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+            body.len()
+        );
         self.peer(who).send(answer.as_bytes());
     }
 
@@ -400,7 +469,8 @@
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let line = self.program.as_ref().unwrap().log.recv_timeout(left);
-            let line = line.unwrap_or_else(|_| panic!("no line with {words:?}; seen: {:?}", self.seen));
+            let line =
+                line.unwrap_or_else(|_| panic!("no line with {words:?}; seen: {:?}", self.seen));
             self.seen.push_back(line.clone());
             if words.iter().all(|w| line.contains(w)) {
                 return;
@@ -472,8 +542,14 @@
 }
 
 fn unescape(text: &str) -> Vec<u8> {
-    let (text, times) = text.rsplit_once('*').map_or((text, 1), |(t, n)| (t, n.trim().parse().unwrap()));
-    let text = text.replace("\\r", "\r").replace("\\n", "\n").replace("\\0", "\0").replace("\\x09", "\t");
+    let (text, times) = text
+        .rsplit_once('*')
+        .map_or((text, 1), |(t, n)| (t, n.trim().parse().unwrap()));
+    let text = text
+        .replace("\\r", "\r")
+        .replace("\\n", "\n")
+        .replace("\\0", "\0")
+        .replace("\\x09", "\t");
     let last = text.chars().last().unwrap().to_string();
     (text + &last.repeat(times - 1)).into_bytes()
 }
--- a/crates/query/src/answer.rs
+++ b/crates/query/src/answer.rs
@@ -33,16 +33,23 @@
 
 fn response(status: u16, body: Vec<u8>) -> Response {
     let mut response = http::Response::new(body);
-    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    *response.status_mut() =
+        StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     response
 }
 
 /// An error, with the methods that are allowed instead, if any.
 pub(crate) fn error(status: u16, allow: &'static str, why: &str) -> Response {
-    let body = if why.is_empty() { Vec::new() } else { format!("{why}\n").into_bytes() };
+    let body = if why.is_empty() {
+        Vec::new()
+    } else {
+        format!("{why}\n").into_bytes()
+    };
     let mut response = response(status, body);
     if !allow.is_empty() {
-        response.headers_mut().insert(ALLOW, HeaderValue::from_static(allow));
+        response
+            .headers_mut()
+            .insert(ALLOW, HeaderValue::from_static(allow));
     }
     response
 }
@@ -68,10 +75,22 @@
 pub fn final_answer(reply: &Reply) -> Response {
     match reply {
         Reply::Answer { whole, values } => {
-            let answers = values.iter().map(|(range, blob)| ValueBody { range: *range, blob }).collect();
-            let body = serde_json::to_vec(&AnswerBody { total: *whole, answers }).unwrap_or_default();
+            let answers = values
+                .iter()
+                .map(|(range, blob)| ValueBody {
+                    range: *range,
+                    blob,
+                })
+                .collect();
+            let body = serde_json::to_vec(&AnswerBody {
+                total: *whole,
+                answers,
+            })
+            .unwrap_or_default();
             let mut response = response(200, body);
-            response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+            response
+                .headers_mut()
+                .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
             response
         }
         Reply::Refused { retry_after } => {
@@ -86,7 +105,9 @@
 
 /// What a client is told whose connection finds no slot.
 pub fn refuse_connection(settings: &Settings) -> Response {
-    let retry_after = settings.max_retry_after.map(|most| millis(most).min(RETURN));
+    let retry_after = settings
+        .max_retry_after
+        .map(|most| millis(most).min(RETURN));
     final_answer(&Reply::Refused { retry_after })
 }
 
@@ -96,16 +117,24 @@
 
     #[test]
     fn refusals_tell_when_to_come_back() {
-        let response = final_answer(&Reply::Refused { retry_after: Some(1_250_400) });
+        let response = final_answer(&Reply::Refused {
+            retry_after: Some(1_250_400),
+        });
         assert_eq!(
-            (response.status().as_u16(), &response.headers()["retry-after"]),
+            (
+                response.status().as_u16(),
+                &response.headers()["retry-after"]
+            ),
             (503, &"1.250".parse().unwrap())
         );
     }
 
     #[test]
     fn a_method_that_is_not_allowed_is_told_which_is() {
-        let response = final_answer(&Reply::Bad { status: 405, why: "a query is a POST".into() });
+        let response = final_answer(&Reply::Bad {
+            status: 405,
+            why: "a query is a POST".into(),
+        });
         assert_eq!(response.headers()["allow"], "POST");
     }
 
--- a/crates/query/src/ask.rs
+++ b/crates/query/src/ask.rs
@@ -28,27 +28,55 @@
 }
 
 fn bad<T>(status: u16, why: impl Into<String>) -> Result<T, Reply> {
-    Err(Reply::Bad { status, why: why.into() })
+    Err(Reply::Bad {
+        status,
+        why: why.into(),
+    })
 }
 
 /// Decodes a request for a class. The error is the answer that it is owed.
-pub fn decode(request: &Request<Vec<u8>>, names: &Names, settings: &Settings) -> Result<Ask, Reply> {
+pub fn decode(
+    request: &Request<Vec<u8>>,
+    names: &Names,
+    settings: &Settings,
+) -> Result<Ask, Reply> {
     let m = request.headers();
-    let first = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
+    let first = request
+        .uri()
+        .path()
+        .trim_start_matches('/')
+        .split('/')
+        .next()
+        .unwrap_or_default();
     let Some(class) = names.classes.iter().position(|c| c == first) else {
         return bad(404, "the path names no class");
     };
     if request.method() != Method::POST {
-        return bad(if is_standard(request.method()) { 405 } else { 501 }, "a query is a POST");
+        return bad(
+            if is_standard(request.method()) {
+                405
+            } else {
+                501
+            },
+            "a query is a POST",
+        );
     }
-    if m.get("x-class").is_some_and(|c| c.as_bytes() != names.classes[class].as_bytes()) {
+    if m.get("x-class")
+        .is_some_and(|c| c.as_bytes() != names.classes[class].as_bytes())
+    {
         return bad(400, "X-Class is not the path's class");
     }
     let id = token(m, "x-request-id")?;
-    let Some(id) = id else { return bad(400, "X-Request-Id is missing") };
+    let Some(id) = id else {
+        return bad(400, "X-Request-Id is missing");
+    };
     let tenant = match m.get("x-tenant") {
         _ if names.tenants.is_empty() => 0,
-        Some(name) => match names.tenants.iter().position(|t| t.as_bytes() == name.as_bytes()) {
+        Some(name) => match names
+            .tenants
+            .iter()
+            .position(|t| t.as_bytes() == name.as_bytes())
+        {
             Some(tenant) => tenant,
             None => return bad(400, "X-Tenant names no tenant"),
         },
@@ -103,7 +131,11 @@
             return bad(400, "a price is out of bounds");
         }
         let hint = r.price.map(|p| p as Micros).filter(|p| *p > 0);
-        parts.push(PartSpec { shard: r.range, weight: r.portion, hint });
+        parts.push(PartSpec {
+            shard: r.range,
+            weight: r.portion,
+            hint,
+        });
     }
     // What is whole, and what may be answered in part, is judged by these: a query that asks for more or less
     // than itself has no right answer.
@@ -116,11 +148,16 @@
 /// A header whose value goes into frames: there a space, a comma or a line's end would forge another field.
 fn token(m: &HeaderMap, name: &str) -> Result<Option<Rc<str>>, Reply> {
     let mut values = m.get_all(name).iter();
-    let Some(value) = values.next() else { return Ok(None) };
+    let Some(value) = values.next() else {
+        return Ok(None);
+    };
     // Two ids are none: whoever stands in front may have gone by the other one.
     let value = value.to_str().ok().filter(|_| values.next().is_none());
     let plain = |v: &&str| v.bytes().all(|b| b.is_ascii_graphic() && b != b',');
-    match value.filter(plain).filter(|v| !v.is_empty() && v.len() <= TOKEN_CAP) {
+    match value
+        .filter(plain)
+        .filter(|v| !v.is_empty() && v.len() <= TOKEN_CAP)
+    {
         Some(value) => Ok(Some(value.into())),
         None => bad(400, format!("{name} is malformed")),
     }
@@ -167,9 +204,19 @@
         assert_eq!(deadline("1.5m"), Some(1500));
         assert_eq!(deadline("480u"), Some(480));
         assert_eq!(deadline("3600000m"), Some(LONGEST));
-        for text in
-            ["", "m", "480", "480s", "-1m", "+1m", "1e3m", "NaNm", "infm", "4\u{e9}", "9999999999999m"]
-        {
+        for text in [
+            "",
+            "m",
+            "480",
+            "480s",
+            "-1m",
+            "+1m",
+            "1e3m",
+            "NaNm",
+            "infm",
+            "4\u{e9}",
+            "9999999999999m",
+        ] {
             assert_eq!(deadline(text), None, "{text}");
         }
     }
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -34,7 +34,12 @@
 }
 
 /// Says what a whole request wants; `ready` is whether the broker takes queries.
-pub fn route(request: &Request<Vec<u8>>, ready: bool, names: &Names, settings: &Settings) -> Routed {
+pub fn route(
+    request: &Request<Vec<u8>>,
+    ready: bool,
+    names: &Names,
+    settings: &Settings,
+) -> Routed {
     let answered = |response, usable| Routed::Answered { response, usable };
     if request.uri() == "*" {
         return answered(answer::options(), true);
@@ -42,7 +47,9 @@
     if request.uri().path() == READY_PATH {
         return match *request.method() {
             Method::GET | Method::HEAD => answered(answer::ready(ready), true),
-            ref other if ask::is_standard(other) => answered(answer::error(405, "GET, HEAD", ""), false),
+            ref other if ask::is_standard(other) => {
+                answered(answer::error(405, "GET, HEAD", ""), false)
+            }
             _ => answered(answer::error(501, "", ""), false),
         };
     }
--- a/crates/repeats/src/lib.rs
+++ b/crates/repeats/src/lib.rs
@@ -78,7 +78,14 @@
     /// that at the latest, and so many keys are held at the most.
     pub fn new(window: Micros, keep: Micros, most: usize) -> Self {
         let (entries, order, spare) = Default::default();
-        Repeats { window, keep, most, entries, order, spare }
+        Repeats {
+            window,
+            keep,
+            most,
+            entries,
+            order,
+            spare,
+        }
     }
 
     /// Takes up a query of this key with these shards, whose client waits until `give_up_at`. Unless it may be
@@ -107,7 +114,11 @@
                 return Verdict::Busy(until);
             }
         } else if self.entries.len() >= self.most {
-            match self.spare.pop_first().or_else(|| self.order.first().cloned()) {
+            match self
+                .spare
+                .pop_first()
+                .or_else(|| self.order.first().cloned())
+            {
                 Some((at, old)) if self.entries.get(&old).is_some_and(|e| e.answered) => {
                     self.forget(at, &old)
                 }
@@ -142,7 +153,9 @@
 
     /// An attempt at a part goes out, and is waited for until `until`.
     pub fn sent(&mut self, now: Micros, key: &str, shard: usize, until: Micros) {
-        let Some(entry) = self.entries.get_mut(key) else { return };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return;
+        };
         let part = entry.parts.entry(shard).or_default();
         part.first.get_or_insert(now);
         part.out += 1;
@@ -151,8 +164,12 @@
 
     /// An attempt has ended.
     pub fn ended(&mut self, now: Micros, key: &str, shard: usize, proof: Proof) {
-        let Some(entry) = self.entries.get_mut(key) else { return };
-        let Some(part) = entry.parts.get_mut(&shard) else { return };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return;
+        };
+        let Some(part) = entry.parts.get_mut(&shard) else {
+            return;
+        };
         part.out = part.out.saturating_sub(1);
         match proof {
             Proof::NeverRan if part.out == 0 && part.ran == 0 => {
@@ -169,10 +186,17 @@
 
     /// The query of this key has ended; true: with an answer, which its client takes for an end.
     pub fn close(&mut self, now: Micros, key: &Rc<str>, answered: bool) {
-        let Some(entry) = self.entries.get_mut(key) else { return };
+        let Some(entry) = self.entries.get_mut(key) else {
+            return;
+        };
         entry.open = None;
         entry.answered = answered;
-        let last = entry.parts.values().map(|p| p.first.unwrap_or(now).max(p.until)).max().unwrap_or(now);
+        let last = entry
+            .parts
+            .values()
+            .map(|p| p.first.unwrap_or(now).max(p.until))
+            .max()
+            .unwrap_or(now);
         entry.forget_at = last + self.window + self.keep;
         if entry.parts.is_empty() {
             self.entries.remove(key);
@@ -197,7 +221,11 @@
 
     /// An attempt that is out for longer than anybody waits should not be there; it must not be forgotten all the same.
     fn forget_unless_out(&mut self, now: Micros, at: Micros, key: &Rc<str>) {
-        let Some(entry) = self.entries.get_mut(key).filter(|e| e.parts.values().any(|p| p.out > 0)) else {
+        let Some(entry) = self
+            .entries
+            .get_mut(key)
+            .filter(|e| e.parts.values().any(|p| p.out > 0))
+        else {
             return self.forget(at, key);
         };
         entry.forget_at = now + self.window;
@@ -255,7 +283,10 @@
         assert_eq!(open(&mut r, SECOND, 1), Verdict::Busy(2 * SECOND));
         assert_eq!(open(&mut r, 2 * SECOND, 1), Verdict::Serve);
         assert!(r.may_send(WINDOW - 1, "k1", 0) && !r.may_send(WINDOW, "k1", 0));
-        assert!(r.may_send(WINDOW, "k1", 1), "a part that was never sent is no repeat");
+        assert!(
+            r.may_send(WINDOW, "k1", 1),
+            "a part that was never sent is no repeat"
+        );
     }
 
     #[test]
@@ -272,9 +303,11 @@
 
     #[test]
     fn after_the_window_only_what_never_ran_is_sent_again() {
-        for (proof, verdict) in
-            [(Proof::Ran, Verdict::Over), (Proof::MayRun, Verdict::Over), (Proof::NeverRan, Verdict::Serve)]
-        {
+        for (proof, verdict) in [
+            (Proof::Ran, Verdict::Over),
+            (Proof::MayRun, Verdict::Over),
+            (Proof::NeverRan, Verdict::Serve),
+        ] {
             let mut r = register();
             open(&mut r, 0, 1);
             r.sent(0, "k1", 0, SECOND);
@@ -295,9 +328,15 @@
             r.close(10, &key(n), n == 1);
         }
         assert_eq!(open(&mut r, 20, 2), Verdict::Serve);
-        assert_eq!(open(&mut r, 20, 3), Verdict::Busy(SECOND.max(10) - SECOND + 10 + 2 * WINDOW));
+        assert_eq!(
+            open(&mut r, 20, 3),
+            Verdict::Busy(SECOND.max(10) - SECOND + 10 + 2 * WINDOW)
+        );
         assert_eq!(open(&mut r, WINDOW, 0), Verdict::Over);
-        assert_eq!((r.held(), open(&mut r, 20 + 2 * WINDOW, 3)), (2, Verdict::Serve));
+        assert_eq!(
+            (r.held(), open(&mut r, 20 + 2 * WINDOW, 3)),
+            (2, Verdict::Serve)
+        );
     }
 
     #[derive(Clone, Debug)]
--- a/crates/standins/src/books.rs
+++ b/crates/standins/src/books.rs
@@ -105,7 +105,10 @@
     pub fn violations(&self, rules: Rules) -> Vec<String> {
         let mut found = Vec::new();
         if self.parts as usize > self.attempts.len() {
-            found.push(format!("only {KEPT} of {} attempts were kept to be checked", self.parts));
+            found.push(format!(
+                "only {KEPT} of {} attempts were kept to be checked",
+                self.parts
+            ));
         }
         let mut by_part: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
         let mut by_key: BTreeMap<(&str, usize), Vec<&Attempt>> = BTreeMap::new();
@@ -118,21 +121,31 @@
                 && a.came > told + rules.drain_grace + rules.slack
             {
                 let late = (a.came - told).as_millis();
-                found.push(format!("{} came to {} {late} ms after its drain was told", a.id, a.server));
+                found.push(format!(
+                    "{} came to {} {late} ms after its drain was told",
+                    a.id, a.server
+                ));
             }
         }
         for (id, attempts) in &by_part {
             if attempts.len() > rules.attempts {
                 found.push(format!("{id} was attempted {} times", attempts.len()));
             }
-            found.extend(overlaps(attempts, rules).map(|at| format!("{id} had two attempts out, on {at}")));
+            found.extend(
+                overlaps(attempts, rules).map(|at| format!("{id} had two attempts out, on {at}")),
+            );
         }
         for ((key, shard), attempts) in &by_key {
             let what = format!("shard {shard} under key {key}");
-            found.extend(overlaps(attempts, rules).map(|at| format!("{what} had two attempts out, on {at}")));
+            found.extend(
+                overlaps(attempts, rules).map(|at| format!("{what} had two attempts out, on {at}")),
+            );
             if let Some(first) = attempts.iter().find(|a| a.ran) {
                 let late = |a: &&&Attempt| a.came > first.came + rules.window + rules.slack;
-                let late = attempts.iter().filter(late).map(|a| (a.came - first.came).as_millis());
+                let late = attempts
+                    .iter()
+                    .filter(late)
+                    .map(|a| (a.came - first.came).as_millis());
                 found.extend(late.map(|ms| format!("{what} was sent again after {ms} ms")));
             }
         }
@@ -143,7 +156,9 @@
 /// The servers of attempts that came while the one before was out.
 fn overlaps<'a>(attempts: &'a [&Attempt], rules: Rules) -> impl Iterator<Item = String> + 'a {
     attempts.windows(2).filter_map(move |pair| {
-        let out = pair[0].ended.is_none_or(|(_, at)| at > pair[1].came + rules.slack);
+        let out = pair[0]
+            .ended
+            .is_none_or(|(_, at)| at > pair[1].came + rules.slack);
         // The giving up of the first and the call of the second travel on two connections.
         out.then(|| format!("{} and {}", pair[0].server, pair[1].server))
     })
@@ -182,17 +197,24 @@
     #[test]
     fn each_broken_rule_is_found() {
         assert_eq!(
-            books(&[("a", 0, Some(10), None), ("a", 20, Some(30), None), ("b", 40, None, None)]),
+            books(&[
+                ("a", 0, Some(10), None),
+                ("a", 20, Some(30), None),
+                ("b", 40, None, None)
+            ]),
             [""; 0]
         );
         assert!(
-            books(&[("a", 0, Some(500), None), ("a", 20, None, None)])[0].contains("a had two attempts out")
+            books(&[("a", 0, Some(500), None), ("a", 20, None, None)])[0]
+                .contains("a had two attempts out")
         );
         assert!(
             books(&[("a", 0, Some(500), None), ("b", 20, None, None)])[0]
                 .contains("key k had two attempts out")
         );
-        let five: Vec<_> = (0..5).map(|n| ("a", 100 * n, Some(100 * n), None)).collect();
+        let five: Vec<_> = (0..5)
+            .map(|n| ("a", 100 * n, Some(100 * n), None))
+            .collect();
         assert!(books(&five)[0].contains("5 times"));
         assert!(
             books(&[("a", 0, Some(10), None), ("b", 5100, None, None)])[0]
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -13,7 +13,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const LIMITS: Limits = Limits { head: 16 * 1024, body: 64 * 1024 };
+const LIMITS: Limits = Limits {
+    head: 16 * 1024,
+    body: 64 * 1024,
+};
 /// The longest watch that is granted.
 const LONGEST_WAIT: u64 = 60_000;
 
@@ -34,9 +37,15 @@
 
 impl Discovery {
     pub(crate) fn new() -> Rc<Self> {
-        let state =
-            State { rev: 1, entries: BTreeMap::new(), silent: false, changed: async_channel::bounded(1) };
-        Rc::new(Discovery { state: RefCell::new(state) })
+        let state = State {
+            rev: 1,
+            entries: BTreeMap::new(),
+            silent: false,
+            changed: async_channel::bounded(1),
+        };
+        Rc::new(Discovery {
+            state: RefCell::new(state),
+        })
     }
 
     /// Changes an entry, and tells those who watch.
@@ -60,9 +69,15 @@
     pub(crate) fn list(&self, since: Option<u64>) -> Value {
         let state = self.state.borrow();
         let since = since.filter(|rev| *rev <= state.rev);
-        let changed = state.entries.values().filter(|(rev, _)| since.is_none_or(|since| *rev > since));
+        let changed = state
+            .entries
+            .values()
+            .filter(|(rev, _)| since.is_none_or(|since| *rev > since));
         let gone = |entry: &Value| since.is_none() && entry["state"] == "left";
-        let targets: Vec<Value> = changed.map(|(_, entry)| entry.clone()).filter(|e| !gone(e)).collect();
+        let targets: Vec<Value> = changed
+            .map(|(_, entry)| entry.clone())
+            .filter(|e| !gone(e))
+            .collect();
         json!({"rev": state.rev, "all": since.is_none(), "targets": targets})
     }
 
@@ -84,9 +99,14 @@
                 }
             };
             let response = self.answer(&message.value).await;
-            let reader =
-                Reader { version: Version::HTTP_11, head_only: false, keep_alive: message.keep_alive };
-            stream.write_all(&encode_response(&response, reader)).await?;
+            let reader = Reader {
+                version: Version::HTTP_11,
+                head_only: false,
+                keep_alive: message.keep_alive,
+            };
+            stream
+                .write_all(&encode_response(&response, reader))
+                .await?;
             if !message.keep_alive {
                 return Ok(());
             }
@@ -100,16 +120,28 @@
             return response;
         }
         let number = |name: &str| {
-            let pairs =
-                request.uri().query().unwrap_or_default().split('&').filter_map(|p| p.split_once('='));
-            pairs.into_iter().find(|(key, _)| *key == name).and_then(|(_, n)| n.parse::<u64>().ok())
+            let pairs = request
+                .uri()
+                .query()
+                .unwrap_or_default()
+                .split('&')
+                .filter_map(|p| p.split_once('='));
+            pairs
+                .into_iter()
+                .find(|(key, _)| *key == name)
+                .and_then(|(_, n)| n.parse::<u64>().ok())
         };
         let index = number("index");
-        let until = Instant::now() + Duration::from_millis(number("wait").unwrap_or(0).min(LONGEST_WAIT));
+        let until =
+            Instant::now() + Duration::from_millis(number("wait").unwrap_or(0).min(LONGEST_WAIT));
         loop {
             let (news, silent, changed) = {
                 let state = self.state.borrow();
-                (index.is_none_or(|i| i != state.rev), state.silent, state.changed.1.clone())
+                (
+                    index.is_none_or(|i| i != state.rev),
+                    state.silent,
+                    state.changed.1.clone(),
+                )
             };
             if !silent && (news || Instant::now() >= until) {
                 return Response::new(self.list(index).to_string().into_bytes());
--- a/crates/standins/src/fleet.rs
+++ b/crates/standins/src/fleet.rs
@@ -31,7 +31,12 @@
 
 impl Default for Plan {
     fn default() -> Self {
-        Plan { servers: 4, cells: 1, work: Duration::from_millis(2), warm_after: Duration::from_secs(10) }
+        Plan {
+            servers: 4,
+            cells: 1,
+            work: Duration::from_millis(2),
+            warm_after: Duration::from_secs(10),
+        }
     }
 }
 
@@ -73,7 +78,9 @@
 }
 
 fn unix_ms() -> u128 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis())
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |d| d.as_millis())
 }
 
 impl Running {
@@ -90,46 +97,69 @@
         let books = Arc::new(Mutex::new(Books::default()));
         let discovery_listener = loopback()?;
         let discovery = discovery_listener.local_addr()?;
-        let listeners: Vec<TcpListener> = (0..plan.servers).map(|_| loopback()).collect::<io::Result<_>>()?;
+        let listeners: Vec<TcpListener> = (0..plan.servers)
+            .map(|_| loopback())
+            .collect::<io::Result<_>>()?;
         let mut servers = Vec::new();
         for (n, listener) in listeners.iter().enumerate() {
-            let switch = Arc::new(Mutex::new(Switch { work: plan.work, ..Switch::default() }));
-            servers.push(ServerHandle { name: format!("s{n}"), address: listener.local_addr()?, switch });
+            let switch = Arc::new(Mutex::new(Switch {
+                work: plan.work,
+                ..Switch::default()
+            }));
+            servers.push(ServerHandle {
+                name: format!("s{n}"),
+                address: listener.local_addr()?,
+                switch,
+            });
         }
         let (words, heard) = async_channel::unbounded();
         let (ready, started) = std::sync::mpsc::channel();
         let (handles, shared_books) = (servers.clone(), books.clone());
-        let thread = std::thread::Builder::new().name("stand-ins".to_owned()).spawn(move || {
-            let executor = Rc::new(LocalExecutor::new());
-            let list = Discovery::new();
-            let mut running: BTreeMap<usize, Running> = BTreeMap::new();
-            for (n, (handle, listener)) in handles.into_iter().zip(listeners).enumerate() {
-                let server = Rc::new(Server {
-                    name: handle.name,
-                    switch: handle.switch,
-                    books: shared_books.clone(),
-                    held: Cell::new(0),
-                    count: Cell::new(0),
-                    alive: RefCell::new(async_channel::bounded(1)),
-                });
-                let task = executor.spawn(accept(server.clone(), listener, executor.clone()));
-                let cell = n % plan.cells.max(1);
-                let one =
-                    Running { server, cell, address: handle.address, listening: Some(task), boot_ms: 0 };
-                list.set(one.entry("active"));
-                running.insert(n, one);
-            }
-            let _ = ready.send(list.list(None));
-            let serve = serve_discovery(list.clone(), discovery_listener, executor.clone());
-            let _discovery = executor.spawn(serve);
-            async_io::block_on(executor.run(async {
-                while let Ok(word) = heard.recv().await {
-                    obey(word, &mut running, &list, &executor, plan).await;
+        let thread = std::thread::Builder::new()
+            .name("stand-ins".to_owned())
+            .spawn(move || {
+                let executor = Rc::new(LocalExecutor::new());
+                let list = Discovery::new();
+                let mut running: BTreeMap<usize, Running> = BTreeMap::new();
+                for (n, (handle, listener)) in handles.into_iter().zip(listeners).enumerate() {
+                    let server = Rc::new(Server {
+                        name: handle.name,
+                        switch: handle.switch,
+                        books: shared_books.clone(),
+                        held: Cell::new(0),
+                        count: Cell::new(0),
+                        alive: RefCell::new(async_channel::bounded(1)),
+                    });
+                    let task = executor.spawn(accept(server.clone(), listener, executor.clone()));
+                    let cell = n % plan.cells.max(1);
+                    let one = Running {
+                        server,
+                        cell,
+                        address: handle.address,
+                        listening: Some(task),
+                        boot_ms: 0,
+                    };
+                    list.set(one.entry("active"));
+                    running.insert(n, one);
                 }
-            }));
-        })?;
+                let _ = ready.send(list.list(None));
+                let serve = serve_discovery(list.clone(), discovery_listener, executor.clone());
+                let _discovery = executor.spawn(serve);
+                async_io::block_on(executor.run(async {
+                    while let Ok(word) = heard.recv().await {
+                        obey(word, &mut running, &list, &executor, plan).await;
+                    }
+                }));
+            })?;
         let known = started.recv().map_err(io::Error::other)?;
-        Ok(Fleet { discovery, servers, books, words, known, thread: Some(thread) })
+        Ok(Fleet {
+            discovery,
+            servers,
+            books,
+            words,
+            known,
+            thread: Some(thread),
+        })
     }
 
     /// The data servers.
@@ -145,7 +175,10 @@
     /// What came to the data servers.
     pub fn books<T>(&self, read: impl FnOnce(&Books) -> T) -> T {
         // A thread that broke while it held them has said so itself.
-        let books = self.books.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+        let books = self
+            .books
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner);
         read(&books)
     }
 
@@ -231,26 +264,37 @@
             }
         }
         Word::Revive(n) => {
-            let Some(one) = running.get_mut(&n) else { return };
+            let Some(one) = running.get_mut(&n) else {
+                return;
+            };
             if one.listening.is_some() {
                 return;
             }
             // The address is its own: what still holds it is its connections of before, on their way out.
-            let Ok(listener) = TcpListener::bind(one.address) else { return };
+            let Ok(listener) = TcpListener::bind(one.address) else {
+                return;
+            };
             one.boot_ms = unix_ms();
             if let Ok(mut switch) = one.server.switch.lock() {
                 switch.fault = Fault::None;
                 switch.cold = Some((Instant::now(), plan.warm_after));
                 switch.drained = None;
             }
-            one.listening = Some(executor.spawn(accept(one.server.clone(), listener, executor.clone())));
+            one.listening =
+                Some(executor.spawn(accept(one.server.clone(), listener, executor.clone())));
             list.set(one.entry("active"));
         }
     }
 }
 
-async fn serve_discovery(list: Rc<Discovery>, listener: TcpListener, executor: Rc<LocalExecutor<'static>>) {
-    let Ok(listener) = Async::new(listener) else { return };
+async fn serve_discovery(
+    list: Rc<Discovery>,
+    listener: TcpListener,
+    executor: Rc<LocalExecutor<'static>>,
+) {
+    let Ok(listener) = Async::new(listener) else {
+        return;
+    };
     while let Ok((stream, _)) = listener.accept().await {
         executor.spawn(list.clone().connection(stream)).detach();
     }
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -27,10 +27,16 @@
 
 impl Program {
     /// Starts a broker from its executable, with an operator's file of this text, and waits until it listens.
-    pub fn start(exe: &Path, deployment: Deployment, fleet: &Fleet, operator: &str) -> io::Result<Program> {
+    pub fn start(
+        exe: &Path,
+        deployment: Deployment,
+        fleet: &Fleet,
+        operator: &str,
+    ) -> io::Result<Program> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let files = std::env::temp_dir().join(format!("ploverport-{}-{number}", std::process::id()));
+        let files =
+            std::env::temp_dir().join(format!("ploverport-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&files)?;
         std::fs::write(
             files.join("config.json"),
@@ -57,7 +63,14 @@
             });
         }
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let mut program = Program { child, log, seen: VecDeque::new(), files, http1: nowhere, http2: None };
+        let mut program = Program {
+            child,
+            log,
+            seen: VecDeque::new(),
+            files,
+            http1: nowhere,
+            http2: None,
+        };
         program.http1 = program.address("event=started ")?;
         if operator.contains("listen-http2") {
             program.http2 = Some(program.address("event=started_http2 ")?);
@@ -68,7 +81,8 @@
     fn address(&mut self, event: &str) -> io::Result<SocketAddr> {
         let line = self.logged(event)?;
         let word = line.split(' ').find_map(|w| w.strip_prefix("listen="));
-        word.and_then(|w| w.parse().ok()).ok_or_else(|| io::Error::other(format!("no address in {line}")))
+        word.and_then(|w| w.parse().ok())
+            .ok_or_else(|| io::Error::other(format!("no address in {line}")))
     }
 
     /// Waits for a line of the log that holds these words; those before it are kept for [`Program::seen`].
@@ -77,7 +91,10 @@
         loop {
             let left = until.saturating_duration_since(Instant::now());
             let Ok(line) = self.log.recv_timeout(left) else {
-                return Err(io::Error::other(format!("no line with {words:?}; seen: {:?}", self.seen)));
+                return Err(io::Error::other(format!(
+                    "no line with {words:?}; seen: {:?}",
+                    self.seen
+                )));
             };
             self.seen.push_back(line.clone());
             if line.contains(words) {
@@ -94,9 +111,14 @@
 
     /// Sends a signal by its name.
     pub fn signal(&self, name: &str) -> io::Result<()> {
-        let status =
-            Command::new("sh").args(["-c", &format!("kill -s {name} {}", self.child.id())]).status()?;
-        if status.success() { Ok(()) } else { Err(io::Error::other(format!("kill ended with {status}"))) }
+        let status = Command::new("sh")
+            .args(["-c", &format!("kill -s {name} {}", self.child.id())])
+            .status()?;
+        if status.success() {
+            Ok(())
+        } else {
+            Err(io::Error::other(format!("kill ended with {status}")))
+        }
     }
 
     /// Replaces the operator's file, as an editor does: the new one is moved over it.
@@ -125,17 +147,32 @@
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         // After the name, which ends with the last parenthesis: state is the third field, utime and stime the 14th
         // and 15th (proc(5)).
-        let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = |n: usize| fields.get(n - 3).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
+        let fields: Vec<&str> = stat
+            .rsplit(')')
+            .next()
+            .unwrap_or_default()
+            .split_whitespace()
+            .collect();
+        let ticks = |n: usize| {
+            fields
+                .get(n - 3)
+                .and_then(|f| f.parse::<u64>().ok())
+                .unwrap_or(0)
+        };
         Ok(Duration::from_millis(10 * (ticks(14) + ticks(15))))
     }
 
     /// Its resident memory, in bytes.
     pub fn memory(&self) -> io::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
-        let kib = status
-            .lines()
-            .find_map(|l| l.strip_prefix("VmRSS:")?.trim().strip_suffix("kB")?.trim().parse().ok());
+        let kib = status.lines().find_map(|l| {
+            l.strip_prefix("VmRSS:")?
+                .trim()
+                .strip_suffix("kB")?
+                .trim()
+                .parse()
+                .ok()
+        });
         Ok(1024 * kib.unwrap_or(0u64))
     }
 }
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -54,10 +54,14 @@
 impl Switch {
     /// How long a part takes now.
     fn takes(&self, now: Instant) -> Duration {
-        let slow = if let Fault::Slow(more) = self.fault { more } else { Duration::ZERO };
+        let slow = if let Fault::Slow(more) = self.fault {
+            more
+        } else {
+            Duration::ZERO
+        };
         let share = self.cold.map_or(1.0, |(since, warm_after)| {
-            let grown =
-                now.saturating_duration_since(since).as_secs_f64() / warm_after.as_secs_f64().max(1e-3);
+            let grown = now.saturating_duration_since(since).as_secs_f64()
+                / warm_after.as_secs_f64().max(1e-3);
             COLD_FROM + (1.0 - COLD_FROM) * grown.min(1.0)
         });
         (self.work + slow).div_f64(share)
@@ -111,7 +115,9 @@
     }
 
     fn book<T: Default>(&self, entry: impl FnOnce(&mut Books) -> T) -> T {
-        self.books.lock().map_or_else(|_| T::default(), |mut books| entry(&mut books))
+        self.books
+            .lock()
+            .map_or_else(|_| T::default(), |mut books| entry(&mut books))
     }
 
     async fn serve(
@@ -163,7 +169,9 @@
                 let mut bytes = Vec::new();
                 while let Some(((_, place), part)) = {
                     let mut work = work.borrow_mut();
-                    let due = work.first_key_value().is_some_and(|((at, _), _)| *at <= Instant::now());
+                    let due = work
+                        .first_key_value()
+                        .is_some_and(|((at, _), _)| *at <= Instant::now());
                     if due { work.pop_first() } else { None }
                 } {
                     if out.borrow_mut().remove(&part.id).is_none() {
@@ -195,7 +203,9 @@
                 self.book(Books::called);
                 for part in parts {
                     let (fault, takes, drained) = {
-                        let Ok(switch) = self.switch.lock() else { return Ok(()) };
+                        let Ok(switch) = self.switch.lock() else {
+                            return Ok(());
+                        };
                         (switch.fault, switch.takes(now), switch.drained)
                     };
                     let place = self.book(|b| {
@@ -235,12 +245,18 @@
         let hits = |every: u32| every > 0 && count.is_multiple_of(every);
         let end = match self.fault() {
             Fault::Resets(every) if hits(every) => return Out::Reset,
-            Fault::Garbles(every) if hits(every) => return Out::Bytes(b"\xff\xff\xff\xff noise".to_vec()),
+            Fault::Garbles(every) if hits(every) => {
+                return Out::Bytes(b"\xff\xff\xff\xff noise".to_vec());
+            }
             Fault::Errors(every) if hits(every) => End::Bad,
             Fault::TurnsAway => End::Later,
             _ => End::Good,
         };
-        let value = if end == End::Good { value(part.shard, &part.text) } else { String::new() };
+        let value = if end == End::Good {
+            value(part.shard, &part.text)
+        } else {
+            String::new()
+        };
         Out::Bytes(answer(&part.id, end, self.held.get(), &value))
     }
 }
@@ -258,7 +274,9 @@
     listener: TcpListener,
     executor: Rc<async_executor::LocalExecutor<'static>>,
 ) {
-    let Ok(listener) = Async::new(listener) else { return };
+    let Ok(listener) = Async::new(listener) else {
+        return;
+    };
     loop {
         match listener.accept().await {
             Ok((stream, _)) => executor.spawn(server.clone().connection(stream)).detach(),
--- a/crates/steering/src/assign.rs
+++ b/crates/steering/src/assign.rs
@@ -71,25 +71,38 @@
 
 /// Whether a server of this view is cold at this moment.
 pub fn is_cold(view: &View, now: Micros, rule: &Rule) -> bool {
-    view.cold_since.is_some_and(|since| !rule.is_warm(now.saturating_sub(since)))
+    view.cold_since
+        .is_some_and(|since| !rule.is_warm(now.saturating_sub(since)))
 }
 
 fn weight(pace: f64) -> u32 {
-    let usable = if pace.is_finite() && pace > 0.0 { pace } else { 1.0 };
-    let steps = (-2.0 * usable.log2()).round().clamp(-(USUAL as f64), (WEIGHTS.len() - 1 - USUAL) as f64);
+    let usable = if pace.is_finite() && pace > 0.0 {
+        pace
+    } else {
+        1.0
+    };
+    let steps = (-2.0 * usable.log2())
+        .round()
+        .clamp(-(USUAL as f64), (WEIGHTS.len() - 1 - USUAL) as f64);
     WEIGHTS[(USUAL as f64 + steps) as usize]
 }
 
 /// The cells as all proxies are told of them, at this moment; `out`: servers that a quorum of proxies took out, and until
 /// when. A cell of which every server that serves is passed over is told as if none were: some of them may be up, and a
 /// proxy that is told of no healthy endpoint at all sends nowhere.
-pub fn cells(now: Micros, views: &[View], out: &BTreeMap<NodeId, Micros>, rule: &Rule) -> Vec<Cell> {
+pub fn cells(
+    now: Micros,
+    views: &[View],
+    out: &BTreeMap<NodeId, Micros>,
+    rule: &Rule,
+) -> Vec<Cell> {
     let mut by_cell: BTreeMap<usize, Vec<&View>> = BTreeMap::new();
     for view in views.iter().filter(|v| v.state != NodeState::Gone) {
         by_cell.entry(view.cell).or_default().push(view);
     }
     let passed_over = |v: &View| {
-        v.ejected_until.is_some_and(|until| until > now) || out.get(&v.name).is_some_and(|until| *until > now)
+        v.ejected_until.is_some_and(|until| until > now)
+            || out.get(&v.name).is_some_and(|until| *until > now)
     };
     let cell = |(cell, mut views): (usize, Vec<&View>)| {
         views.sort_by(|a, b| a.name.cmp(&b.name));
@@ -111,7 +124,10 @@
             .into_iter()
             .enumerate()
             .filter(|(_, v)| v.state != NodeState::Serving || !is_cold(v, now, rule));
-        Cell { cell, endpoints: rows.map(endpoint).collect() }
+        Cell {
+            cell,
+            endpoints: rows.map(endpoint).collect(),
+        }
     };
     by_cell.into_iter().map(cell).collect()
 }
@@ -137,19 +153,36 @@
     instance: Instance,
 ) -> BTreeMap<Proxy, Vec<Cold>> {
     let mut dealt: BTreeMap<Proxy, Vec<Cold>> = BTreeMap::new();
-    for view in views.iter().filter(|v| v.state == NodeState::Serving && is_cold(v, now, rule)) {
+    for view in views
+        .iter()
+        .filter(|v| v.state == NodeState::Serving && is_cold(v, now, rule))
+    {
         let age = now.saturating_sub(view.cold_since.unwrap_or(now));
-        let most = part_of(rule.most_out(age), instance.number, instance.of, &view.name.0);
+        let most = part_of(
+            rule.most_out(age),
+            instance.number,
+            instance.of,
+            &view.name.0,
+        );
         let wanted = fair_units(rule, age, proxies.len());
-        let turn = view.name.0.bytes().fold(0usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()));
-        let turns = (0..proxies.len()).map(|n| &proxies[(n + turn % proxies.len().max(1)) % proxies.len()]);
+        let turn = view
+            .name
+            .0
+            .bytes()
+            .fold(0usize, |h, b| h.wrapping_mul(31).wrapping_add(b.into()));
+        let turns =
+            (0..proxies.len()).map(|n| &proxies[(n + turn % proxies.len().max(1)) % proxies.len()]);
         let (holders, others): (Vec<&Proxy>, Vec<&Proxy>) =
             turns.partition(|p| leases.held(&view.name, p) > 0);
         for proxy in holders.into_iter().chain(others) {
             let most_out = leases.grant(now, &view.name, proxy, wanted, most);
             if most_out > 0 {
-                let cold =
-                    Cold { name: view.name.clone(), cell: view.cell, address: view.endpoint, most_out };
+                let cold = Cold {
+                    name: view.name.clone(),
+                    cell: view.cell,
+                    address: view.endpoint,
+                    most_out,
+                };
                 dealt.entry(proxy.clone()).or_default().push(cold);
             }
         }
@@ -165,8 +198,11 @@
     use plover_model::time::SECOND;
     use proptest::prelude::*;
 
-    const TIMES: Times =
-        Times { time_to_live: 2 * SECOND, longest_request: 4 * SECOND, longest_pause: 10 * SECOND };
+    const TIMES: Times = Times {
+        time_to_live: 2 * SECOND,
+        longest_request: 4 * SECOND,
+        longest_pause: 10 * SECOND,
+    };
 
     fn view(n: usize) -> View {
         View {
@@ -182,7 +218,11 @@
     }
 
     fn health(cells: &[Cell], cell: usize) -> Vec<(usize, Health)> {
-        cells[cell].endpoints.iter().map(|e| (e.row, e.health)).collect()
+        cells[cell]
+            .endpoints
+            .iter()
+            .map(|e| (e.row, e.health))
+            .collect()
     }
 
     #[test]
@@ -191,10 +231,23 @@
         views[2].state = NodeState::Draining;
         views[4].ejected_until = Some(10);
         let told = cells(5, &views, &BTreeMap::new(), &RULE);
-        assert_eq!(health(&told, 0), [(0, Health::Healthy), (1, Health::Draining), (2, Health::Unhealthy)]);
-        assert_eq!(health(&cells(10, &views, &BTreeMap::new(), &RULE), 0)[2].1, Health::Healthy);
+        assert_eq!(
+            health(&told, 0),
+            [
+                (0, Health::Healthy),
+                (1, Health::Draining),
+                (2, Health::Unhealthy)
+            ]
+        );
+        assert_eq!(
+            health(&cells(10, &views, &BTreeMap::new(), &RULE), 0)[2].1,
+            Health::Healthy
+        );
         let out = BTreeMap::from([(views[1].name.clone(), 20)]);
-        assert_eq!(health(&cells(10, &views, &out, &RULE), 1)[0].1, Health::Unhealthy);
+        assert_eq!(
+            health(&cells(10, &views, &out, &RULE), 1)[0].1,
+            Health::Unhealthy
+        );
     }
 
     #[test]
@@ -203,8 +256,14 @@
         (0..4).for_each(|n| views[n].ejected_until = Some(10));
         views[3].ejected_until = None;
         let told = cells(5, &views, &BTreeMap::new(), &RULE);
-        assert_eq!(health(&told, 0), [(0, Health::Healthy), (1, Health::Healthy)]);
-        assert_eq!(health(&told, 1), [(0, Health::Unhealthy), (1, Health::Healthy)]);
+        assert_eq!(
+            health(&told, 0),
+            [(0, Health::Healthy), (1, Health::Healthy)]
+        );
+        assert_eq!(
+            health(&told, 1),
+            [(0, Health::Unhealthy), (1, Health::Healthy)]
+        );
     }
 
     #[test]
@@ -222,14 +281,26 @@
         let proxies: Vec<Proxy> = (0..10).map(|n| format!("p{n}").into()).collect();
         let mut leases = Leases::new(TIMES);
         let one = Instance { number: 0, of: 1 };
-        assert_eq!(health(&cells(0, &views, &BTreeMap::new(), &RULE), 0), [(1, Health::Healthy)]);
+        assert_eq!(
+            health(&cells(0, &views, &BTreeMap::new(), &RULE), 0),
+            [(1, Health::Healthy)]
+        );
         let dealt = deal(0, &views, &proxies, &RULE, &mut leases, one);
-        assert_eq!(dealt.values().flatten().map(|c| c.most_out).sum::<u32>(), RULE.most_out(0));
+        assert_eq!(
+            dealt.values().flatten().map(|c| c.most_out).sum::<u32>(),
+            RULE.most_out(0)
+        );
         let later = deal(SECOND, &views, &proxies, &RULE, &mut leases, one);
-        assert!(dealt.keys().all(|p| later.contains_key(p)), "holders keep their leases");
+        assert!(
+            dealt.keys().all(|p| later.contains_key(p)),
+            "holders keep their leases"
+        );
         let warm = 16 * SECOND;
         assert!(deal(warm, &views, &proxies, &RULE, &mut leases, one).is_empty());
-        assert_eq!(health(&cells(warm, &views, &BTreeMap::new(), &RULE), 0).len(), 2);
+        assert_eq!(
+            health(&cells(warm, &views, &BTreeMap::new(), &RULE), 0).len(),
+            2
+        );
     }
 
     proptest! {
--- a/crates/steering/src/cold.rs
+++ b/crates/steering/src/cold.rs
@@ -108,7 +108,9 @@
             now += STEP;
         }
         for (at, _) in &sends {
-            let window = sends.iter().filter(|(t, _)| t >= at && *t < at + RULE.window);
+            let window = sends
+                .iter()
+                .filter(|(t, _)| t >= at && *t < at + RULE.window);
             let sent: f64 = window.map(|(_, w)| w).sum();
             let most = RULE.multiple * RULE.capacity * RULE.share(*at) * RULE.window as f64 / 1e6;
             assert!(sent <= most, "{sent} of {most} from {at}");
--- a/crates/steering/src/leases.rs
+++ b/crates/steering/src/leases.rs
@@ -54,19 +54,32 @@
 impl Leases {
     /// None yet.
     pub fn new(times: Times) -> Self {
-        Leases { times, by_server: BTreeMap::new() }
+        Leases {
+            times,
+            by_server: BTreeMap::new(),
+        }
     }
 
     /// Hands a proxy as many units at a server as are free, up to `wanted`, or prolongs the lease that it has; the number
     /// is what it may have out from now on, 0: nothing. Word of it has to go out, and [`Leases::acknowledged`] or
     /// [`Leases::stream_ended`] to follow. `most` is this instance's part of what the server may have out.
-    pub fn grant(&mut self, now: Micros, server: &NodeId, proxy: &Proxy, wanted: u32, most: u32) -> u32 {
+    pub fn grant(
+        &mut self,
+        now: Micros,
+        server: &NodeId,
+        proxy: &Proxy,
+        wanted: u32,
+        most: u32,
+    ) -> u32 {
         self.expire(now);
         let free = most.saturating_sub(self.counted(server));
         let leases = self.by_server.entry(server.clone()).or_default();
         match leases.get_mut(proxy) {
             // One that ends is counted until it has.
-            Some(Lease { stage: Stage::Ending(_), .. }) => 0,
+            Some(Lease {
+                stage: Stage::Ending(_),
+                ..
+            }) => 0,
             Some(lease) => {
                 // A lease grows and never shrinks: a proxy that has not heard would keep to the larger one.
                 lease.units += free.min(wanted.saturating_sub(lease.units));
@@ -76,7 +89,13 @@
             None => {
                 let units = free.min(wanted);
                 if units > 0 {
-                    leases.insert(proxy.clone(), Lease { units, stage: Stage::Handed });
+                    leases.insert(
+                        proxy.clone(),
+                        Lease {
+                            units,
+                            stage: Stage::Handed,
+                        },
+                    );
                 }
                 units
             }
@@ -84,7 +103,11 @@
     }
 
     fn change(&mut self, proxy: &Proxy, change: impl Fn(Stage) -> Stage) {
-        for lease in self.by_server.values_mut().filter_map(|leases| leases.get_mut(proxy)) {
+        for lease in self
+            .by_server
+            .values_mut()
+            .filter_map(|leases| leases.get_mut(proxy))
+        {
             lease.stage = change(lease.stage);
         }
     }
@@ -92,19 +115,34 @@
     /// The proxy acknowledged the last word of its leases.
     pub fn acknowledged(&mut self, now: Micros, proxy: &Proxy) {
         let until = now + self.times.time_to_live;
-        self.change(proxy, |stage| if stage == Stage::Handed { Stage::Held(until) } else { stage });
+        self.change(proxy, |stage| {
+            if stage == Stage::Handed {
+                Stage::Held(until)
+            } else {
+                stage
+            }
+        });
     }
 
     /// The proxy's stream has ended. What was not acknowledged may still be read.
     pub fn stream_ended(&mut self, now: Micros, proxy: &Proxy) {
         let until = now + self.times.longest_pause + self.times.time_to_live;
-        self.change(proxy, |stage| if stage == Stage::Handed { Stage::Held(until) } else { stage });
+        self.change(proxy, |stage| {
+            if stage == Stage::Handed {
+                Stage::Held(until)
+            } else {
+                stage
+            }
+        });
     }
 
     /// The proxy acknowledged a state in which it has no lease at this server.
     pub fn released(&mut self, now: Micros, server: &NodeId, proxy: &Proxy) {
         let end = now + self.times.longest_request;
-        if let Some(lease) = self.by_server.get_mut(server).and_then(|leases| leases.get_mut(proxy))
+        if let Some(lease) = self
+            .by_server
+            .get_mut(server)
+            .and_then(|leases| leases.get_mut(proxy))
             && !matches!(lease.stage, Stage::Ending(_))
         {
             lease.stage = Stage::Ending(end);
@@ -118,13 +156,20 @@
 
     /// What this proxy may have out at the server.
     pub fn held(&self, server: &NodeId, proxy: &Proxy) -> u32 {
-        let lease = self.by_server.get(server).and_then(|leases| leases.get(proxy));
-        lease.filter(|l| !matches!(l.stage, Stage::Ending(_))).map_or(0, |l| l.units)
+        let lease = self
+            .by_server
+            .get(server)
+            .and_then(|leases| leases.get(proxy));
+        lease
+            .filter(|l| !matches!(l.stage, Stage::Ending(_)))
+            .map_or(0, |l| l.units)
     }
 
     /// Units that count at this server.
     pub fn counted(&self, server: &NodeId) -> u32 {
-        self.by_server.get(server).map_or(0, |leases| leases.values().map(|l| l.units).sum())
+        self.by_server
+            .get(server)
+            .map_or(0, |leases| leases.values().map(|l| l.units).sum())
     }
 
     /// Ends what has run out by now.
@@ -154,8 +199,11 @@
     use super::*;
     use plover_model::time::SECOND;
 
-    const TIMES: Times =
-        Times { time_to_live: 2 * SECOND, longest_request: 4 * SECOND, longest_pause: 10 * SECOND };
+    const TIMES: Times = Times {
+        time_to_live: 2 * SECOND,
+        longest_request: 4 * SECOND,
+        longest_pause: 10 * SECOND,
+    };
 
     fn server() -> NodeId {
         NodeId("s".into())
@@ -168,9 +216,18 @@
     #[test]
     fn no_more_is_handed_out_than_there_is() {
         let mut leases = Leases::new(TIMES);
-        let granted: Vec<u32> = (0..5).map(|n| leases.grant(0, &server(), &proxy(n), 2, 5)).collect();
-        assert_eq!((granted, leases.counted(&server())), (vec![2, 2, 1, 0, 0], 5));
-        assert_eq!(leases.grant(0, &server(), &proxy(2), 2, 6), 2, "it grows with the server");
+        let granted: Vec<u32> = (0..5)
+            .map(|n| leases.grant(0, &server(), &proxy(n), 2, 5))
+            .collect();
+        assert_eq!(
+            (granted, leases.counted(&server())),
+            (vec![2, 2, 1, 0, 0], 5)
+        );
+        assert_eq!(
+            leases.grant(0, &server(), &proxy(2), 2, 6),
+            2,
+            "it grows with the server"
+        );
     }
 
     /// A proxy that is cut off acts on its lease until the time to live is over, and its last request is out for longer.
@@ -203,7 +260,10 @@
         leases.grant(0, &server(), &proxy(0), 3, 3);
         assert_eq!(leases.grant(1000 * SECOND, &server(), &proxy(1), 3, 3), 0);
         leases.stream_ended(1000 * SECOND, &proxy(0));
-        assert_eq!(leases.grant(1016 * SECOND - 1, &server(), &proxy(1), 3, 3), 0);
+        assert_eq!(
+            leases.grant(1016 * SECOND - 1, &server(), &proxy(1), 3, 3),
+            0
+        );
         assert_eq!(leases.grant(1016 * SECOND, &server(), &proxy(1), 3, 3), 3);
     }
 
--- a/crates/steering/src/quorum.rs
+++ b/crates/steering/src/quorum.rs
@@ -89,7 +89,10 @@
 impl Quorum {
     /// Nothing reported yet.
     pub fn new(rule: Rule) -> Self {
-        Quorum { rule, records: BTreeMap::new() }
+        Quorum {
+            rule,
+            records: BTreeMap::new(),
+        }
     }
 
     /// Takes a proxy's report of a server, in place of its last one.
@@ -105,26 +108,43 @@
         let fresh = self.rule.fresh;
         let forgiven = self.rule.forgiven;
         for record in self.records.values_mut() {
-            record.reports.retain(|_, (at, _)| now.saturating_sub(*at) < fresh);
-            record.last = record.last.filter(|(_, ended)| now < ended.saturating_add(forgiven));
+            record
+                .reports
+                .retain(|_, (at, _)| now.saturating_sub(*at) < fresh);
+            record.last = record
+                .last
+                .filter(|(_, ended)| now < ended.saturating_add(forgiven));
         }
-        self.records.retain(|_, r| !r.reports.is_empty() || r.out_until.is_some() || r.last.is_some());
+        self.records
+            .retain(|_, r| !r.reports.is_empty() || r.out_until.is_some() || r.last.is_some());
     }
 
     /// Whether what was reported speaks against a server, with a quorum; and whether only silence does.
     fn evidence(&self, record: &Record, connected: usize) -> Option<bool> {
-        let against: Vec<&Report> =
-            record.reports.values().map(|(_, r)| r).filter(|r| r.speaks_against(&self.rule)).collect();
-        let needed = (self.rule.share * record.reports.len() as f64).ceil().max(1.0) as usize;
+        let against: Vec<&Report> = record
+            .reports
+            .values()
+            .map(|(_, r)| r)
+            .filter(|r| r.speaks_against(&self.rule))
+            .collect();
+        let needed = (self.rule.share * record.reports.len() as f64)
+            .ceil()
+            .max(1.0) as usize;
         // One proxy alone proves nothing where others exist, also if none of them sends there; where it is the only one,
         // its view is all that there is.
         let needed = needed.max(self.rule.proxies.min(connected));
-        (against.len() >= needed && !against.is_empty()).then(|| against.iter().all(|r| r.is_unheard()))
+        (against.len() >= needed && !against.is_empty())
+            .then(|| against.iter().all(|r| r.is_unheard()))
     }
 
     /// Judges all servers of the list, with so many proxies connected to all control instances, and says until when each
     /// that is out stays out.
-    pub fn judge(&mut self, now: Micros, places: &[Place], connected: usize) -> BTreeMap<NodeId, Micros> {
+    pub fn judge(
+        &mut self,
+        now: Micros,
+        places: &[Place],
+        connected: usize,
+    ) -> BTreeMap<NodeId, Micros> {
         self.forget_old(now);
         for record in self.records.values_mut() {
             if let Some(until) = record.out_until.filter(|until| *until <= now) {
@@ -146,19 +166,27 @@
             if self.is_out(&place.server) {
                 continue;
             }
-            let Some(record) = self.records.get(&place.server) else { continue };
-            let Some(silent) = self.evidence(record, connected) else { continue };
+            let Some(record) = self.records.get(&place.server) else {
+                continue;
+            };
+            let Some(silent) = self.evidence(record, connected) else {
+                continue;
+            };
             if silent && place.zone.is_some_and(|z| cut_off.contains(&z)) {
                 continue;
             }
-            let Some((all, out)) = cells.get_mut(&place.cell) else { continue };
+            let Some((all, out)) = cells.get_mut(&place.cell) else {
+                continue;
+            };
             if (*out + 1) as f64 > self.rule.most_out * *all as f64 {
                 continue;
             }
             *out += 1;
             let (first, longest) = (self.rule.first, self.rule.longest);
             if let Some(record) = self.records.get_mut(&place.server) {
-                let length = record.last.map_or(first, |(length, _)| (2 * length).min(longest));
+                let length = record
+                    .last
+                    .map_or(first, |(length, _)| (2 * length).min(longest));
                 record.last = Some((length, now + length));
                 record.out_until = Some(now + length);
             }
@@ -168,7 +196,9 @@
     }
 
     fn is_out(&self, server: &NodeId) -> bool {
-        self.records.get(server).is_some_and(|r| r.out_until.is_some())
+        self.records
+            .get(server)
+            .is_some_and(|r| r.out_until.is_some())
     }
 
     /// The zones in which so many servers are unheard that the zone itself must be.
@@ -176,7 +206,9 @@
         let mut zones: BTreeMap<usize, (usize, usize)> = BTreeMap::new();
         for place in places {
             let Some(zone) = place.zone else { continue };
-            let Some(record) = self.records.get(&place.server) else { continue };
+            let Some(record) = self.records.get(&place.server) else {
+                continue;
+            };
             if record.reports.is_empty() {
                 continue;
             }
@@ -209,9 +241,21 @@
         most_out: 0.5,
         cut_off: 0.8,
     };
-    const ERRORS: Report = Report { served: 1, errors: 9, silent: 0 };
-    const SILENT: Report = Report { served: 0, errors: 0, silent: 9 };
-    const SOUND: Report = Report { served: 9, errors: 0, silent: 0 };
+    const ERRORS: Report = Report {
+        served: 1,
+        errors: 9,
+        silent: 0,
+    };
+    const SILENT: Report = Report {
+        served: 0,
+        errors: 0,
+        silent: 9,
+    };
+    const SOUND: Report = Report {
+        served: 9,
+        errors: 0,
+        silent: 0,
+    };
 
     fn server(n: usize) -> NodeId {
         NodeId(format!("s{n}").into())
@@ -223,7 +267,13 @@
 
     /// Four servers of one cell, two in each zone.
     fn places() -> Vec<Place> {
-        (0..4).map(|n| Place { server: server(n), cell: 0, zone: Some(n / 2) }).collect()
+        (0..4)
+            .map(|n| Place {
+                server: server(n),
+                cell: 0,
+                zone: Some(n / 2),
+            })
+            .collect()
     }
 
     fn out(quorum: &mut Quorum, now: Micros) -> Vec<NodeId> {
@@ -240,7 +290,11 @@
         assert_eq!(out(&mut quorum, 3), [server(0)]);
         let mut unseen = Quorum::new(RULE);
         unseen.report(0, &proxy(0), &server(0), ERRORS);
-        assert_eq!(out(&mut unseen, 1), [], "others are connected, though they send nothing there");
+        assert_eq!(
+            out(&mut unseen, 1),
+            [],
+            "others are connected, though they send nothing there"
+        );
         assert_eq!(unseen.judge(2, &places(), 1).len(), 1, "it is the only one");
     }
 
--- a/crates/steering/tests/lease_model.rs
+++ b/crates/steering/tests/lease_model.rs
@@ -7,7 +7,11 @@
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
-const TIMES: Times = Times { time_to_live: 1, longest_request: 1, longest_pause: 1 };
+const TIMES: Times = Times {
+    time_to_live: 1,
+    longest_request: 1,
+    longest_pause: 1,
+};
 const PROXIES: usize = 2;
 const MOST: u32 = 2;
 const END: u64 = 6;
@@ -50,10 +54,13 @@
     }
 
     fn read(&mut self, now: u64) {
-        let Some(word) = self.words.pop_front() else { return };
+        let Some(word) = self.words.pop_front() else {
+            return;
+        };
         if self.limit > 0 {
             let stops = now.min(self.until);
-            self.earlier.push((self.limit, stops + TIMES.longest_request));
+            self.earlier
+                .push((self.limit, stops + TIMES.longest_request));
         }
         self.earlier.retain(|(_, until)| now < *until);
         // What matters alone is how much, and until when: states that differ in no more are one.
@@ -61,7 +68,11 @@
         self.earlier.dedup();
         self.limit = word;
         self.had |= word == MOST;
-        self.until = if word > 0 { now + TIMES.time_to_live } else { 0 };
+        self.until = if word > 0 {
+            now + TIMES.time_to_live
+        } else {
+            0
+        };
     }
 }
 
@@ -112,7 +123,11 @@
             handed: 0,
             had: false,
         };
-        vec![State { now: 0, leases: Leases::new(TIMES), sides: vec![side; PROXIES] }]
+        vec![State {
+            now: 0,
+            leases: Leases::new(TIMES),
+            sides: vec![side; PROXIES],
+        }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -126,13 +141,21 @@
                     actions.push(Action::Revoke(n));
                 }
             }
-            if !side.words.is_empty() && side.ended.is_none_or(|at| state.now <= at + TIMES.longest_pause) {
+            if !side.words.is_empty()
+                && side
+                    .ended
+                    .is_none_or(|at| state.now <= at + TIMES.longest_pause)
+            {
                 actions.push(Action::Read(n));
             }
             if side.acks > 0 && side.connected {
                 actions.push(Action::Ack(n));
             }
-            actions.push(if side.connected { Action::Cut(n) } else { Action::Connect(n) });
+            actions.push(if side.connected {
+                Action::Cut(n)
+            } else {
+                Action::Connect(n)
+            });
         }
     }
 
@@ -146,7 +169,8 @@
                 let now = state.now;
                 for side in &mut state.sides {
                     if side.limit > 0 && side.until <= now {
-                        side.earlier.push((side.limit, side.until + TIMES.longest_request));
+                        side.earlier
+                            .push((side.limit, side.until + TIMES.longest_request));
                         (side.limit, side.until) = (0, 0);
                     }
                     side.earlier.retain(|(_, until)| now < *until);
@@ -223,15 +247,31 @@
 
 #[test]
 fn whatever_the_order_no_more_is_out_than_may_be() {
-    let checker = Case { forgets_unacknowledged: false }.checker().threads(2).spawn_bfs().join();
+    let checker = Case {
+        forgets_unacknowledged: false,
+    }
+    .checker()
+    .threads(2)
+    .spawn_bfs()
+    .join();
     checker.assert_properties();
     eprintln!("{} states", checker.unique_state_count());
-    assert!(checker.unique_state_count() > 10_000, "{} states", checker.unique_state_count());
+    assert!(
+        checker.unique_state_count() > 10_000,
+        "{} states",
+        checker.unique_state_count()
+    );
 }
 
 /// The check sees the fault that it is there for: a time to live counted from when word was sent.
 #[test]
 fn a_time_to_live_counted_from_the_sending_is_found_out() {
-    let checker = Case { forgets_unacknowledged: true }.checker().threads(2).spawn_bfs().join();
+    let checker = Case {
+        forgets_unacknowledged: true,
+    }
+    .checker()
+    .threads(2)
+    .spawn_bfs()
+    .join();
     assert!(checker.discovery("no more is out than may be").is_some());
 }
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -38,16 +38,28 @@
     level: AtomicU8,
 }
 
-const LEVELS: [Level; 5] = [Level::ERROR, Level::WARN, Level::INFO, Level::DEBUG, Level::TRACE];
-
-static MODE: Mode = Mode { json: AtomicBool::new(false), level: AtomicU8::new(2) };
+const LEVELS: [Level; 5] = [
+    Level::ERROR,
+    Level::WARN,
+    Level::INFO,
+    Level::DEBUG,
+    Level::TRACE,
+];
+
+static MODE: Mode = Mode {
+    json: AtomicBool::new(false),
+    level: AtomicU8::new(2),
+};
 static INSTALLED: OnceLock<()> = OnceLock::new();
 
 /// Logs to standard error from now on, for the whole process. A second call changes the mode alone.
 pub fn init(format: Format, level: Level) {
     set(format, level);
     INSTALLED.get_or_init(|| {
-        let layer = Log { out: Mutex::new(std::io::stderr()), limiter: Limiter::default() };
+        let layer = Log {
+            out: Mutex::new(std::io::stderr()),
+            limiter: Limiter::default(),
+        };
         let _ = tracing::subscriber::set_global_default(tracing_subscriber::registry().with(layer));
     });
 }
@@ -81,7 +93,11 @@
     W: Write + Send + 'static,
 {
     fn register_callsite(&self, metadata: &'static Metadata<'static>) -> Interest {
-        if is_wanted(metadata) { Interest::always() } else { Interest::never() }
+        if is_wanted(metadata) {
+            Interest::always()
+        } else {
+            Interest::never()
+        }
     }
 
     fn enabled(&self, metadata: &Metadata<'_>, _: Context<'_, S>) -> bool {
@@ -110,7 +126,9 @@
 
     fn on_event(&self, event: &Event<'_>, context: Context<'_, S>) {
         let metadata = event.metadata();
-        let Some(left_out) = self.limiter.admit(metadata.name(), Instant::now()) else { return };
+        let Some(left_out) = self.limiter.admit(metadata.name(), Instant::now()) else {
+            return;
+        };
         let mut pairs = Pairs::default();
         event.record(&mut pairs);
         for span in context.event_scope(event).into_iter().flatten() {
@@ -118,8 +136,17 @@
                 pairs.extend(outer);
             }
         }
-        let line = Line { level: metadata.level(), event: metadata.name(), pairs: &pairs, left_out };
-        let text = if MODE.json.load(Ordering::Relaxed) { line.json() } else { line.logfmt() };
+        let line = Line {
+            level: metadata.level(),
+            event: metadata.name(),
+            pairs: &pairs,
+            left_out,
+        };
+        let text = if MODE.json.load(Ordering::Relaxed) {
+            line.json()
+        } else {
+            line.logfmt()
+        };
         // A reader of the log that has gone must not bring the program down, as a panicking print would.
         if let Ok(mut out) = self.out.lock() {
             let _ = out.write_all(text.as_bytes());
--- a/crates/telemetry/src/limiter.rs
+++ b/crates/telemetry/src/limiter.rs
@@ -21,7 +21,10 @@
                 *left_out += 1;
                 None
             }
-            _ => Some(seen.insert(event, (now, 0)).map_or(0, |(_, left_out)| left_out)),
+            _ => Some(
+                seen.insert(event, (now, 0))
+                    .map_or(0, |(_, left_out)| left_out),
+            ),
         }
     }
 }
--- a/crates/telemetry/src/line.rs
+++ b/crates/telemetry/src/line.rs
@@ -88,7 +88,11 @@
             // Words from outside are quoted, so that they cannot forge a pair or a line.
             let plain = |b: u8| b.is_ascii_graphic() && b != b'"' && b != b'=' && b != b'\\';
             let plain = !text.is_empty() && text.bytes().all(plain);
-            let _ = if plain { write!(line, " {key}={text}") } else { write!(line, " {key}={text:?}") };
+            let _ = if plain {
+                write!(line, " {key}={text}")
+            } else {
+                write!(line, " {key}={text:?}")
+            };
         }
         if self.left_out > 0 {
             let _ = write!(line, " left_out={}", self.left_out);
--- a/crates/telemetry/tests/lines.rs
+++ b/crates/telemetry/tests/lines.rs
@@ -7,8 +7,14 @@
 /// Not a test by itself: what the child of the tests below logs.
 #[test]
 fn child() {
-    let Ok(format) = std::env::var("PLOVER_TEST_LOG") else { return };
-    let format = if format == "json" { Format::Json } else { Format::Logfmt };
+    let Ok(format) = std::env::var("PLOVER_TEST_LOG") else {
+        return;
+    };
+    let format = if format == "json" {
+        Format::Json
+    } else {
+        Format::Logfmt
+    };
     init(format, Level::INFO);
     info!(name: "plain", target: "plover::test", count = 3, words = "two", server = %"s1");
     warn!(name: "forged", target: "plover::test", words = "x\nlevel=error event=fire a=\"b\"");
@@ -29,7 +35,11 @@
         .stderr(Stdio::piped())
         .output()
         .unwrap();
-    String::from_utf8(out.stderr).unwrap().lines().map(str::to_owned).collect()
+    String::from_utf8(out.stderr)
+        .unwrap()
+        .lines()
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
@@ -42,16 +52,24 @@
         "level=debug event=sent conn=9 part=1 query=7",
     ];
     assert_eq!(lines[..4], expected);
-    assert!(lines[4].starts_with("level=info event=long words=\"") && lines[4].chars().count() < 300);
+    assert!(
+        lines[4].starts_with("level=info event=long words=\"") && lines[4].chars().count() < 300
+    );
     assert_eq!(lines.len(), 5);
 }
 
 #[test]
 fn json_lines_hold_the_same() {
     let lines = logged("json");
-    let values: Vec<serde_json::Value> = lines.iter().map(|l| serde_json::from_str(l).unwrap()).collect();
+    let values: Vec<serde_json::Value> = lines
+        .iter()
+        .map(|l| serde_json::from_str(l).unwrap())
+        .collect();
     assert_eq!(values[0]["count"], 3);
     assert_eq!(values[1]["words"], "x\nlevel=error event=fire a=\"b\"");
-    assert_eq!((&values[3]["query"], &values[3]["conn"]), (&7.into(), &9.into()));
+    assert_eq!(
+        (&values[3]["query"], &values[3]["conn"]),
+        (&7.into(), &9.into())
+    );
     assert_eq!(values.len(), 5);
 }
