--- a/crates/brookbend/src/bin/brookbend-adapter.rs
+++ b/crates/brookbend/src/bin/simulator-adapter.rs
@@ -244,7 +244,7 @@
     match serve(io::stdin().lock(), BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("brookbend-adapter: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/brookbend/tests/adapter.rs
+++ b/crates/brookbend/tests/adapter.rs
@@ -13,7 +13,7 @@
 {"Node":"10.0.0.2:80","Position":1,"Mode":"in_service","StartTime":0}]}"#;
 
 fn run(lines: &[&str]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_brookbend-adapter"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
