--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -16,7 +16,7 @@
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
-use brookbend::api::Settings;
+use fanout_policy::api::Settings;
 use http::header::{DATE, HeaderValue};
 use plover_admission::{Connection, budget};
 use plover_model::query::Names;
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 use crate::clock::limited;
 use crate::net::read_some;
-use brookbend::settings::{Message, decode};
+use fanout_policy::settings::{Message, decode};
 use futures_lite::future::yield_now;
 use std::io::{Read, Write};
 use std::net::TcpStream;
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -2,7 +2,7 @@
 
 use crate::upstream::{Ended, Send};
 use async_channel::Sender;
-use brookbend::api::{Semantics, Settings};
+use fanout_policy::api::{Semantics, Settings};
 use plover_admission::{Connection, Shares};
 use plover_core::{Dispatch, Query};
 use plover_model::query::{Ask, AttemptId, QueryId, Reply};
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,7 +1,7 @@
 //! The one place where the environment and the configuration file are read, checked and given defaults.
 
-use brookbend::api::Settings;
-use brookbend::settings::{self, Message};
+use fanout_policy::api::Settings;
+use fanout_policy::settings::{self, Message};
 use plover_admission::budget::Given;
 use plover_model::limits::PoolLimits;
 use plover_model::query::Names;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,12 +4,12 @@
 //! same decisions and rules. It alone sees the module's events and actions, and it alone counts what is open:
 //! a query enters in [`Core::pick`] and leaves with its one [`Final`] or in [`Core::leave`].
 
-use brookbend::Aggregator;
-use brookbend::api::{
+use fanout_policy::Aggregator;
+use fanout_policy::api::{
     Action, ClassIndex, Event, ListKind, Member, NodeState, Part, RequestId, Settings, TenantIndex,
 };
-use brookbend::room::no_room_advice;
-use brookbend::view::ClassView;
+use fanout_policy::room::no_room_advice;
+use fanout_policy::view::ClassView;
 use plover_model::query::{AttemptId, PartSpec, QueryId};
 use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo};
 use plover_model::time::{MILLI, Micros, millis};
@@ -225,7 +225,7 @@
                     give_up_at: q.give_up_at,
                 },
             );
-            self.staged.push(Event::Query(brookbend::api::Query {
+            self.staged.push(Event::Query(fanout_policy::api::Query {
                 id: query_name(q.id),
                 group: q.id,
                 class: ClassIndex(q.class),
@@ -414,7 +414,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use brookbend::settings::{Message, decode};
+    use fanout_policy::settings::{Message, decode};
     use serde_json::Value;
 
     fn core(max_open: usize) -> Core {
--- a/crates/brookbend/src/bin/simulator-adapter.rs
+++ b/crates/fanout-policy/src/bin/simulator-adapter.rs
@@ -1,9 +1,9 @@
 //! Carries the bench's wire (one JSON value a line) to the module's interface and back. It decides nothing.
 #![forbid(unsafe_code)]
 
-use brookbend::Aggregator;
-use brookbend::api::*;
-use brookbend::settings::{self, Message};
+use fanout_policy::Aggregator;
+use fanout_policy::api::*;
+use fanout_policy::settings::{self, Message};
 use serde_json::{Value, json};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufWriter, Write};
--- a/crates/brookbend/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -1,4 +1,4 @@
-//! brookbend makes the decisions of an aggregator that serves one query from many shards.
+//! fanout_policy makes the decisions of an aggregator that serves one query from many shards.
 //!
 //! For each query it picks how many whole replica rows to touch, spreads the query's parts over those rows
 //! by turns and bundles what goes to one server into one call. It watches its own attempts to tell sick
@@ -7,8 +7,8 @@
 //! It does no input or output of its own: hand it events, carry out the actions.
 //!
 //! ```
-//! use brookbend::api::*;
-//! use brookbend::Aggregator;
+//! use fanout_policy::api::*;
+//! use fanout_policy::Aggregator;
 //!
 //! let class = Class {
 //!     aim: 1000.0, give_up: 4000.0, worth: 1.0, late_worth: 0.0, semantics: Semantics::Safe,
--- a/crates/brookbend/tests/common/mod.rs
+++ b/crates/fanout-policy/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! A small bench-free stand for the module: settings, servers, and short names for events.
 #![allow(dead_code)]
 
-use brookbend::Aggregator;
-use brookbend::api::*;
+use fanout_policy::Aggregator;
+use fanout_policy::api::*;
 
 pub fn class() -> Class {
     Class {
--- a/crates/brookbend/tests/module.rs
+++ b/crates/fanout-policy/tests/module.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use brookbend::Aggregator;
-use brookbend::api::*;
 use common::*;
+use fanout_policy::Aggregator;
+use fanout_policy::api::*;
 use std::collections::BTreeSet;
 
 fn refused(name: &str) -> Action {
--- a/crates/frames/src/lib.rs
+++ b/crates/frames/src/lib.rs
@@ -2,7 +2,7 @@
 
 pub mod from_broker;
 
-use brookbend::api::Outcome;
+use fanout_policy::api::Outcome;
 use std::fmt::Write;
 
 /// Longest frame taken from a data server: a value as long as the longest body, and its line.
--- a/crates/model/src/server.rs
+++ b/crates/model/src/server.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-pub use brookbend::api::{NodeId, NodeState, Outcome};
+pub use fanout_policy::api::{NodeId, NodeState, Outcome};
 
 /// A server as the list shows it.
 #[derive(Clone, Debug)]
--- a/crates/query/src/answer.rs
+++ b/crates/query/src/answer.rs
@@ -1,6 +1,6 @@
 //! From the end of a query to an HTTP response.
 
-use brookbend::api::Settings;
+use fanout_policy::api::Settings;
 use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, StatusCode};
 use plover_model::query::Reply;
--- a/crates/query/src/ask.rs
+++ b/crates/query/src/ask.rs
@@ -1,6 +1,6 @@
 //! From an HTTP request to what it asks.
 
-use brookbend::api::{Semantics, Settings};
+use fanout_policy::api::{Semantics, Settings};
 use http::{HeaderMap, Method, Request};
 use plover_model::query::{Ask, Names, PartSpec, Reply};
 use plover_model::time::{MILLI, Micros, millis};
--- a/crates/query/src/lib.rs
+++ b/crates/query/src/lib.rs
@@ -8,7 +8,7 @@
 pub use answer::{Response, date, final_answer, refuse_connection};
 pub use ask::decode;
 
-use brookbend::api::Settings;
+use fanout_policy::api::Settings;
 use http::{Method, Request};
 use plover_model::query::{Ask, Names};
 
