--- a/crates/ploverport/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! `ploverport bench`: what both fronts cost, side by side in one run, against stand-ins on loopback.
+//! `query-broker bench`: what both fronts cost, side by side in one run, against stand-ins on loopback.
 
 mod floods;
 mod memory;
--- a/crates/ploverport/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -1,4 +1,4 @@
-//! `ploverport check`.
+//! `query-broker check`.
 
 use crate::cli::CheckArguments;
 use miette::{GraphicalReportHandler, GraphicalTheme};
--- a/crates/ploverport/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -11,7 +11,7 @@
 /// RELAY_CONFIG; RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY go before that file. SIGHUP reads it again, SIGTERM and
 /// Ctrl-C end the program in order.
 #[derive(Debug, Parser)]
-#[command(name = "ploverport", version, max_term_width = 100)]
+#[command(name = "query-broker", version, max_term_width = 100)]
 pub(crate) struct Cli {
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
--- a/crates/ploverport/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -1,4 +1,4 @@
-//! `ploverport demo`: the main job on a new machine, without set-up.
+//! `query-broker demo`: the main job on a new machine, without set-up.
 
 use crate::cli::DemoArguments;
 use crate::serve::{cannot_start, run_with};
--- a/crates/ploverport/src/main.rs
+++ b/crates/query-broker/src/main.rs
@@ -21,7 +21,7 @@
             clap_complete::generate(
                 shell,
                 &mut Cli::command(),
-                "ploverport",
+                "query-broker",
                 &mut std::io::stdout(),
             );
             ExitCode::SUCCESS
--- a/crates/ploverport/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -1,4 +1,4 @@
-//! `ploverport` and `ploverport serve`.
+//! `query-broker` and `query-broker serve`.
 
 use plover_broker::operator::Operator;
 use plover_broker::turns;
--- a/crates/ploverport/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -11,7 +11,7 @@
 const ENDED: Duration = Duration::from_secs(20);
 
 /// Sends the same again and again until the connection ends. What is measured is the broker's time, so that the bound
-/// on a slow machine is far beyond the three seconds that the page states; `ploverport bench` shows the figure.
+/// on a slow machine is far beyond the three seconds that the page states; `query-broker bench` shows the figure.
 fn flood(rig: &mut Rig, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
     let mut raw = Raw::settled(rig.program.http2.unwrap());
     let begun = Instant::now();
--- a/crates/ploverport/tests/http2/rig.rs
+++ b/crates/query-broker/tests/http2/rig.rs
@@ -33,7 +33,7 @@
 
 pub(crate) fn rig_with(plan: Plan, deployment: Deployment, operator: &str) -> Rig {
     let fleet = Fleet::start(plan).unwrap();
-    let exe = Path::new(env!("CARGO_BIN_EXE_ploverport"));
+    let exe = Path::new(env!("CARGO_BIN_EXE_query-broker"));
     let program = Program::start(exe, deployment, &fleet, operator).unwrap();
     Rig {
         program,
--- a/crates/ploverport/tests/scenarios.rs
+++ b/crates/query-broker/tests/scenarios.rs
@@ -372,13 +372,13 @@
             "seed": "8c1f30d27a5be964", "limits": {"sockets": self.sockets.unwrap_or(1024)}, "settings": settings,
             "known": {"rev": 1, "all": true, "targets": targets}});
         let file = std::env::temp_dir().join(format!(
-            "ploverport-{}-{}.json",
+            "query-broker-{}-{}.json",
             std::process::id(),
             discovery
         ));
         std::fs::write(&file, config.to_string()).unwrap();
         self.config = config;
-        let mut child = Command::new(env!("CARGO_BIN_EXE_ploverport"))
+        let mut child = Command::new(env!("CARGO_BIN_EXE_query-broker"))
             .env("RELAY_CONFIG", &file)
             .env_remove("RELAY_NAME")
             .env_remove("RELAY_LISTEN")
--- a/crates/standins/src/program.rs
+++ b/crates/standins/src/program.rs
@@ -36,16 +36,16 @@
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let files =
-            std::env::temp_dir().join(format!("ploverport-{}-{number}", std::process::id()));
+            std::env::temp_dir().join(format!("query-broker-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&files)?;
         std::fs::write(
             files.join("config.json"),
             deployment.configuration(fleet, "127.0.0.1:0").to_string(),
         )?;
-        std::fs::write(files.join("ploverport.conf"), operator)?;
+        std::fs::write(files.join("query-broker.conf"), operator)?;
         let mut child = Command::new(exe)
             .args(["serve", "--config"])
-            .arg(files.join("ploverport.conf"))
+            .arg(files.join("query-broker.conf"))
             .env("RELAY_CONFIG", files.join("config.json"))
             .env_remove("RELAY_LISTEN")
             .env_remove("RELAY_DISCOVERY")
@@ -125,7 +125,7 @@
     pub fn replace_operator_file(&self, text: &str) -> io::Result<()> {
         let new = self.files.join("new");
         std::fs::write(&new, text)?;
-        std::fs::rename(new, self.files.join("ploverport.conf"))
+        std::fs::rename(new, self.files.join("query-broker.conf"))
     }
 
     /// Waits for its end.
