--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -2,9 +2,9 @@
 
 use async_channel::{Receiver, Sender};
 use plover_admission::Connection;
-use plover_frames::{BadFrame, FromServer};
 use plover_model::query::{Ask, QueryId, Reply};
 use plover_model::server::Targets;
+use server_protocol::{BadFrame, FromServer};
 use std::cell::{Cell, RefCell};
 use std::io;
 
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -137,7 +137,7 @@
 fn a_spoilt_answer_fails_one_attempt_and_closes_its_connection() {
     for event in [
         answer("q7.0"),
-        ConnEvent::Bad(plover_frames::BadFrame("noise")),
+        ConnEvent::Bad(server_protocol::BadFrame("noise")),
     ] {
         let outcomes = outcomes_of_spoilt(event, 3);
         assert_eq!(
@@ -156,7 +156,7 @@
     for surplus in [
         answer("q1.0"),
         ConnEvent::Begun,
-        ConnEvent::Bad(plover_frames::BadFrame("noise")),
+        ConnEvent::Bad(server_protocol::BadFrame("noise")),
     ] {
         let (mut pool, _listener) = pool(limits());
         pool.dispatch(0, sends(1, 1));
--- a/crates/load/src/direct.rs
+++ b/crates/load/src/direct.rs
@@ -3,7 +3,7 @@
 use crate::ask::{Answer, Ask, TEXT};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use plover_frames::{FromServer, PartLine, call, decode};
+use server_protocol::{FromServer, PartLine, call, decode};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
--- a/crates/standins/src/server.rs
+++ b/crates/standins/src/server.rs
@@ -5,7 +5,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use plover_frames::from_broker::{End, FromBroker, Part, answer, decode, probe_answer, rejected};
+use server_protocol::from_broker::{End, FromBroker, Part, answer, decode, probe_answer, rejected};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
