--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -8,7 +8,7 @@
 use fastrand::Rng;
 use futures_lite::AsyncWriteExt;
 use http::Response;
-use plover_http1::{Limits, Message, ResponseDecoder, Step};
+use http1_codec::{Limits, Message, ResponseDecoder, Step};
 use plover_model::server::Targets;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/http1/src/lib.rs
+++ b/crates/http1-codec/src/lib.rs
@@ -5,7 +5,7 @@
 //! server refuse, it refuses. Discarded on purpose: chunk extensions and trailer fields.
 //!
 //! ```
-//! use plover_http1::{Limits, RequestDecoder, Step};
+//! use http1_codec::{Limits, RequestDecoder, Step};
 //!
 //! let mut input = b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n".to_vec();
 //! let mut decoder = RequestDecoder::new(Limits { head: 16 * 1024, body: 64 * 1024 });
--- a/crates/http1/tests/any_bytes.rs
+++ b/crates/http1-codec/tests/any_bytes.rs
@@ -1,6 +1,6 @@
 //! Whatever comes, and however it is cut: no panic, bounded memory, and the same end.
 
-use plover_http1::{Fault, Limits, RequestDecoder, ResponseDecoder, Step};
+use http1_codec::{Fault, Limits, RequestDecoder, ResponseDecoder, Step};
 use proptest::prelude::*;
 
 const LIMITS: Limits = Limits {
--- a/crates/http1/tests/rfc9112.rs
+++ b/crates/http1-codec/tests/rfc9112.rs
@@ -1,7 +1,7 @@
 //! The requirements of RFC 9112 on a server, case by case: each row names its section.
 
 use http::{Method, Version};
-use plover_http1::{
+use http1_codec::{
     Fault, Limits, Message, Reader, RequestDecoder, ResponseDecoder, Step, encode_response,
 };
 
--- a/crates/load/src/http1.rs
+++ b/crates/load/src/http1.rs
@@ -3,7 +3,7 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use http::{Request, Response};
-use plover_http1::{Limits, ResponseDecoder, Step};
+use http1_codec::{Limits, ResponseDecoder, Step};
 use std::fmt::Write;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
--- a/crates/standins/src/discovery.rs
+++ b/crates/standins/src/discovery.rs
@@ -4,7 +4,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use http::{Request, Response, Version};
-use plover_http1::{Limits, Reader, RequestDecoder, Step, encode_response};
+use http1_codec::{Limits, Reader, RequestDecoder, Step, encode_response};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
