--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -13,7 +13,7 @@
 use plover_admission::Connection;
 use plover_model::query::Reply;
 use plover_model::time::Micros;
-use plover_query::{BODY_CAP, HEAD_CAP, Response, Routed, final_answer, refuse_connection};
+use query_api::{BODY_CAP, HEAD_CAP, Response, Routed, final_answer, refuse_connection};
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -24,7 +24,7 @@
 use plover_h2_guard::{Budget, Guard, PREFACE, Violation};
 use plover_model::query::Reply;
 use plover_model::time::{Micros, SECOND};
-use plover_query::{BODY_CAP, final_answer};
+use query_api::{BODY_CAP, final_answer};
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
 use std::net::TcpStream;
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -11,7 +11,7 @@
 use http::{Method, Request, Response};
 use plover_admission::Connection;
 use plover_model::query::Reply;
-use plover_query::{BODY_CAP, Routed, final_answer};
+use query_api::{BODY_CAP, Routed, final_answer};
 use std::future::poll_fn;
 use std::io;
 use std::rc::Rc;
@@ -118,7 +118,7 @@
     }
 }
 
-fn bad(status: u16, why: &str) -> plover_query::Response {
+fn bad(status: u16, why: &str) -> query_api::Response {
     final_answer(&Reply::Bad {
         status,
         why: why.to_owned(),
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -1,6 +1,6 @@
 //! The fronts: clients' connections, in every version of HTTP that is spoken here.
 //!
-//! What a request means is known by `plover_query`; a front reads requests, hands what they ask to the [`Inbox`],
+//! What a request means is known by `query_api`; a front reads requests, hands what they ask to the [`Inbox`],
 //! and writes the one final answer. All fronts share a [`Shared`].
 
 mod accept;
@@ -20,7 +20,7 @@
 use http::header::{DATE, HeaderValue};
 use plover_admission::{Connection, budget};
 use plover_model::query::Names;
-use plover_query::{Response, Routed, date, refuse_connection, route};
+use query_api::{Response, Routed, date, refuse_connection, route};
 use std::cell::{Cell, RefCell};
 use std::net::TcpListener;
 use std::rc::Rc;
