--- a/crates/broker/src/front/http2/io.rs
+++ b/crates/broker/src/front/http2/io.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use async_io::Async;
 use futures_lite::{AsyncRead as _, AsyncWrite as _};
-use plover_h2_guard::{Guard, Violation};
+use http2_flood_guard::{Guard, Violation};
 use std::cell::RefCell;
 use std::io;
 use std::net::TcpStream;
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -1,6 +1,6 @@
 //! HTTP/2 connections (RFC 9113) without TLS, by prior knowledge: one task each drives the connection and all of its
 //! requests, so that they end with it. What they may cost in all is decided by `plover_admission` and
-//! `plover_h2_guard`; framing, flow control and header compression are the `h2` library's.
+//! `http2_flood_guard`; framing, flow control and header compression are the `h2` library's.
 
 mod io;
 mod stream;
@@ -18,10 +18,10 @@
 use h2::{Reason, RecvStream};
 use http::{Request, Version};
 use http1_codec::{Reader, encode_response};
+use http2_flood_guard::{Budget, Guard, PREFACE, Violation};
 use io::{SharedWatch, Watch, Watched};
 use plover_admission::Connection;
 use plover_admission::budget;
-use plover_h2_guard::{Budget, Guard, PREFACE, Violation};
 use plover_model::query::Reply;
 use plover_model::time::{Micros, SECOND};
 use query_api::{BODY_CAP, final_answer};
--- a/crates/h2-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -1,6 +1,6 @@
 //! What the guard lets pass and what it ends, by hand-written frames.
 
-use plover_h2_guard::{Budget, Guard, Kind, PREFACE, Violation};
+use http2_flood_guard::{Budget, Guard, Kind, PREFACE, Violation};
 use proptest::prelude::*;
 
 const BUDGET: Budget = Budget {
