--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -3,12 +3,12 @@
 use crate::upstream::{Ended, Send};
 use async_channel::Sender;
 use fanout_policy::api::{Semantics, Settings};
+use idempotency::{Proof, Repeats, Verdict};
 use plover_admission::{Connection, Shares};
 use plover_core::{Dispatch, Query};
 use plover_model::query::{Ask, AttemptId, QueryId, Reply};
 use plover_model::server::{NodeId, Outcome};
 use plover_model::time::{MILLI, Micros, millis};
-use plover_repeats::{Proof, Repeats, Verdict};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tracing::{Span, debug, debug_span, info};
