--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -1,9 +1,9 @@
 //! The operator's own file, as the running program holds it.
 
 use batch_window::Pacing;
+use operator_config::{LONGEST, LogFormat, LogLevel, Settings, read};
 use plover_admission::budget::Asked;
 use plover_model::time::Micros;
-use plover_operator_file::{LONGEST, LogFormat, LogLevel, Settings, read};
 use plover_telemetry::Format;
 use std::io::Read;
 use std::path::{Path, PathBuf};
--- a/crates/operator-file/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -7,9 +7,9 @@
 //!
 //! ```
 //! let text = "listen-http2 127.0.0.1:8443\nhttp2-streams 100 # a connection\n";
-//! let settings = plover_operator_file::read("query-broker.conf", text).unwrap();
+//! let settings = operator_config::read("query-broker.conf", text).unwrap();
 //! assert_eq!(settings.http2.unwrap().streams, Some(100));
-//! let faults = plover_operator_file::read("query-broker.conf", "http2-stream 100").unwrap_err();
+//! let faults = operator_config::read("query-broker.conf", "http2-stream 100").unwrap_err();
 //! assert!(faults.to_string().contains("query-broker.conf:1:1: unknown keyword http2-stream"));
 //! ```
 
--- a/crates/operator-file/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,6 +1,6 @@
 //! Whole files: what they set, and what they are refused for.
 
-use plover_operator_file::{Effect, KEYWORDS, LogFormat, LogLevel, Settings, read};
+use operator_config::{Effect, KEYWORDS, LogFormat, LogLevel, Settings, read};
 use proptest::prelude::*;
 
 const FULL: &str = "\
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -2,8 +2,8 @@
 
 use crate::cli::CheckArguments;
 use miette::{GraphicalReportHandler, GraphicalTheme};
+use operator_config::{Effect, Faults, KEYWORDS, read};
 use plover_broker::operator::read_text;
-use plover_operator_file::{Effect, Faults, KEYWORDS, read};
 use serde_json::{Value, json};
 use std::io::{IsTerminal, Write};
 use std::path::Path;
@@ -49,7 +49,7 @@
 }
 
 fn report(file: &Path, faults: Option<&Faults>, error: Option<&str>) -> Value {
-    let one = |f: &plover_operator_file::Fault| json!({"line": f.line, "column": f.column, "what": f.what, "expected": f.expected});
+    let one = |f: &operator_config::Fault| json!({"line": f.line, "column": f.column, "what": f.what, "expected": f.expected});
     let mut list: Vec<Value> = faults
         .map(|f| f.0.iter().map(one).collect())
         .unwrap_or_default();
