--- a/crates/query-broker/src/bench/floods.rs
+++ b/crates/query-broker/src/bench/floods.rs
@@ -4,12 +4,12 @@
 use hdrhistogram::Histogram;
 use plover_load::raw::{PING, RST_STREAM, Raw, SETTINGS, frame, query};
 use plover_load::{Load, Target, open_loop};
-use plover_standins::Plan;
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
+use test_fleet::Plan;
 
 /// Usual clients ask so many queries a second.
 const RATE: f64 = 500.0;
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -3,9 +3,9 @@
 use super::Build;
 use async_executor::LocalExecutor;
 use plover_load::{Ask, Http1, Http2};
-use plover_standins::Plan;
 use std::io;
 use std::time::Duration;
+use test_fleet::Plan;
 
 /// Streams of a connection.
 const STREAMS: usize = 100;
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -7,13 +7,13 @@
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
 use plover_load::{Load, Outcome, Target, open_loop};
-use plover_standins::{Deployment, Fleet, Plan, Program};
 use serde_json::{Value, json};
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
+use test_fleet::{Deployment, Fleet, Plan, Program};
 
 /// The system counts processor time in hundredths of a second: less than this says little.
 const LEAST_CPU: Duration = Duration::from_millis(200);
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -3,10 +3,10 @@
 use crate::cli::DemoArguments;
 use crate::serve::{cannot_start, run_with};
 use plover_broker::operator::Operator;
-use plover_standins::{Deployment, Fleet, Plan};
 use std::io::Write;
 use std::net::SocketAddr;
 use std::process::ExitCode;
+use test_fleet::{Deployment, Fleet, Plan};
 
 /// Serves with stand-ins until Ctrl-C.
 pub(crate) fn run(arguments: &DemoArguments) -> ExitCode {
--- a/crates/query-broker/tests/http2/chaos.rs
+++ b/crates/query-broker/tests/http2/chaos.rs
@@ -5,13 +5,13 @@
 use async_io::Timer;
 use h2::Reason;
 use plover_load::{Answer, Ask, Http2};
-use plover_standins::{Deployment, Fault, Plan, value};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
+use test_fleet::{Deployment, Fault, Plan, value};
 
 const CONNECTIONS: usize = 3;
 const STREAMS: usize = 100;
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -171,11 +171,11 @@
 #[test]
 fn silent_connections_do_not_hold_the_seats() {
     let rig = crate::rig::rig_with(
-        plover_standins::Plan {
+        test_fleet::Plan {
             work: Duration::ZERO,
             ..Default::default()
         },
-        plover_standins::Deployment::default(),
+        test_fleet::Deployment::default(),
         "listen-http2 127.0.0.1:0\nhttp2-connections 4\n",
     );
     let to = rig.program.http2.unwrap();
--- a/crates/query-broker/tests/http2/keys.rs
+++ b/crates/query-broker/tests/http2/keys.rs
@@ -2,8 +2,8 @@
 
 use crate::rig::{rig, whole};
 use plover_load::{Answer, Ask};
-use plover_standins::Fault;
 use std::time::Duration;
+use test_fleet::Fault;
 
 fn save(id: &str, key: &str) -> Ask {
     Ask::new(id, "watchlist-save", &[0]).under(key)
--- a/crates/query-broker/tests/http2/rig.rs
+++ b/crates/query-broker/tests/http2/rig.rs
@@ -4,11 +4,11 @@
 use futures_lite::FutureExt;
 use h2::client::Builder;
 use plover_load::{Answer, Ask, Http1, Http2};
-use plover_standins::books::Rules;
-use plover_standins::{Deployment, Fleet, Plan, Program, value};
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
+use test_fleet::books::Rules;
+use test_fleet::{Deployment, Fleet, Plan, Program, value};
 
 pub(crate) const BOUND: Duration = Duration::from_secs(30);
 pub(crate) const OPERATOR: &str = "listen-http2 127.0.0.1:0\n";
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -7,8 +7,8 @@
 use plover_load::raw::{
     DATA, END_STREAM, HEADERS, RST_STREAM, Raw, SETTINGS, WINDOW_UPDATE, frame, query, status,
 };
-use plover_standins::{Deployment, Fault, Plan};
 use std::time::Duration;
+use test_fleet::{Deployment, Fault, Plan};
 
 #[test]
 fn a_few_hundred_streams_share_a_connection() {
