--- a/crates/query-broker/src/bench/floods.rs
+++ b/crates/query-broker/src/bench/floods.rs
@@ -2,8 +2,8 @@
 
 use super::{Build, http2};
 use hdrhistogram::Histogram;
-use plover_load::raw::{PING, RST_STREAM, Raw, SETTINGS, frame, query};
-use plover_load::{Load, Target, open_loop};
+use load_generator::raw::{PING, RST_STREAM, Raw, SETTINGS, frame, query};
+use load_generator::{Load, Target, open_loop};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -2,7 +2,7 @@
 
 use super::Build;
 use async_executor::LocalExecutor;
-use plover_load::{Ask, Http1, Http2};
+use load_generator::{Ask, Http1, Http2};
 use std::io;
 use std::time::Duration;
 use test_fleet::Plan;
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -6,7 +6,7 @@
 use crate::cli::BenchArguments;
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
-use plover_load::{Load, Outcome, Target, open_loop};
+use load_generator::{Load, Outcome, Target, open_loop};
 use serde_json::{Value, json};
 use std::io::{self, Write};
 use std::net::SocketAddr;
--- a/crates/query-broker/tests/http2/any_frames.rs
+++ b/crates/query-broker/tests/http2/any_frames.rs
@@ -2,7 +2,7 @@
 //! it stays behind.
 
 use crate::rig::{lookup, rig, whole};
-use plover_load::raw::{BODY, Raw, frame, query, query_fields};
+use load_generator::raw::{BODY, Raw, frame, query, query_fields};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, FileFailurePersistence, TestRunner};
 use std::time::Duration;
--- a/crates/query-broker/tests/http2/chaos.rs
+++ b/crates/query-broker/tests/http2/chaos.rs
@@ -4,7 +4,7 @@
 use crate::rig::{Rig, rig_with};
 use async_io::Timer;
 use h2::Reason;
-use plover_load::{Answer, Ask, Http2};
+use load_generator::{Answer, Ask, Http2};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
--- a/crates/query-broker/tests/http2/drain.rs
+++ b/crates/query-broker/tests/http2/drain.rs
@@ -2,7 +2,7 @@
 
 use crate::rig::{lookup, rig, whole};
 use futures_util::future::join_all;
-use plover_load::raw::{
+use load_generator::raw::{
     DATA, END_STREAM, GOAWAY, HEADERS, PING, RST_STREAM, Raw, frame, query, status,
 };
 use std::time::Duration;
@@ -86,7 +86,7 @@
     let mut rig = rig(Duration::ZERO);
     let streams = |rig: &crate::rig::Rig| {
         let mut raw = Raw::settled(rig.program.http2.unwrap());
-        let settings = raw.expect(plover_load::raw::SETTINGS);
+        let settings = raw.expect(load_generator::raw::SETTINGS);
         // Each setting has two bytes of name and four of value; 3 is SETTINGS_MAX_CONCURRENT_STREAMS.
         let setting = settings.rest.chunks(6).find(|c| c[..2] == [0, 3]).unwrap();
         u32::from_be_bytes(setting[2..].try_into().unwrap())
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -1,7 +1,7 @@
 //! Floods: each is bounded, ended within three seconds, logged, and costs other clients nothing but time.
 
 use crate::rig::{Rig, lookup, rig, whole};
-use plover_load::raw::{
+use load_generator::raw::{
     BODY, CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, RST_STREAM, Raw, SETTINGS,
     WINDOW_UPDATE, fields, frame, query, query_fields,
 };
@@ -144,7 +144,7 @@
     let to = rig.program.http2.unwrap();
     let half_frame = &frame(HEADERS, END_HEADERS, 1, &query_fields("a", &[]))[..20];
     let open_block = frame(HEADERS, 0, 1, &query_fields("b", &[]));
-    let preface = plover_load::raw::PREFACE;
+    let preface = load_generator::raw::PREFACE;
     let settled = [preface, &frame(SETTINGS, 0, 0, &[])].concat();
     let mut raws: Vec<Raw> = [
         Vec::new(),
--- a/crates/query-broker/tests/http2/keys.rs
+++ b/crates/query-broker/tests/http2/keys.rs
@@ -1,7 +1,7 @@
 //! Idempotency keys of clients that give up and ask again.
 
 use crate::rig::{rig, whole};
-use plover_load::{Answer, Ask};
+use load_generator::{Answer, Ask};
 use std::time::Duration;
 use test_fleet::Fault;
 
--- a/crates/query-broker/tests/http2/requests.rs
+++ b/crates/query-broker/tests/http2/requests.rs
@@ -1,8 +1,8 @@
 //! Single requests: what is served, and what each malformed one is owed (RFC 9113, section 8).
 
 use crate::rig::{lookup, rig, whole};
-use plover_load::Answer;
-use plover_load::raw::{
+use load_generator::Answer;
+use load_generator::raw::{
     BODY, CONTINUATION, DATA, END_HEADERS, END_STREAM, GOAWAY, HEADERS, RST_STREAM, Raw, SETTINGS,
     frame, query, query_fields, status,
 };
@@ -176,7 +176,7 @@
         HEADERS,
         END_HEADERS | END_STREAM,
         3,
-        &plover_load::raw::fields(&[("checksum", "1")]),
+        &load_generator::raw::fields(&[("checksum", "1")]),
     ));
     assert_eq!(status(&raw.expect(HEADERS)), 200);
 }
@@ -231,7 +231,7 @@
         "{text}"
     );
     let mut new = Raw::connect(rig.program.http1);
-    new.send(&[plover_load::raw::PREFACE, &frame(4, 0, 0, &[])].concat());
+    new.send(&[load_generator::raw::PREFACE, &frame(4, 0, 0, &[])].concat());
     let text = new.text_until_end();
     assert!(text.starts_with("HTTP/1.1 505 "), "{text}");
     let mut noise = Raw::connect(rig.program.http2.unwrap());
--- a/crates/query-broker/tests/http2/rig.rs
+++ b/crates/query-broker/tests/http2/rig.rs
@@ -3,7 +3,7 @@
 use async_executor::LocalExecutor;
 use futures_lite::FutureExt;
 use h2::client::Builder;
-use plover_load::{Answer, Ask, Http1, Http2};
+use load_generator::{Answer, Ask, Http1, Http2};
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -3,8 +3,8 @@
 use crate::rig::{OPERATOR, lookup, rig, rig_with, whole};
 use futures_util::future::join_all;
 use h2::client::Builder;
-use plover_load::Answer;
-use plover_load::raw::{
+use load_generator::Answer;
+use load_generator::raw::{
     DATA, END_STREAM, HEADERS, RST_STREAM, Raw, SETTINGS, WINDOW_UPDATE, frame, query, status,
 };
 use std::time::Duration;
@@ -34,7 +34,7 @@
     // Windows of streams are 10 bytes: SETTINGS_INITIAL_WINDOW_SIZE is setting 4.
     raw.send(
         &[
-            plover_load::raw::PREFACE,
+            load_generator::raw::PREFACE,
             &frame(SETTINGS, 0, 0, &[0, 4, 0, 0, 0, 10]),
         ]
         .concat(),
@@ -92,7 +92,7 @@
             }
             // Were the room of earlier rounds not back, these would be refused and never come.
             rig.attempts(before + 8).await;
-            streams.into_iter().for_each(plover_load::Stream::reset);
+            streams.into_iter().for_each(load_generator::Stream::reset);
             while rig
                 .fleet
                 .books(|b| b.attempts().iter().any(|a| a.ended.is_none()))
