--- a/crates/steering/tests/lease_model.rs
+++ b/crates/endpoint-control/tests/lease_model.rs
@@ -1,9 +1,9 @@
 //! All orders of a small case: two proxies, one cold server, words that are late, proxies that are cut off and come back.
 //! What the proxies together may have out never passes what the server may have out.
 
+use endpoint_control::Proxy;
+use endpoint_control::leases::{Leases, Times};
 use plover_model::server::NodeId;
-use plover_steering::Proxy;
-use plover_steering::leases::{Leases, Times};
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
