--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -1,5 +1,5 @@
 //! HTTP/2 connections (RFC 9113) without TLS, by prior knowledge: one task each drives the connection and all of its
-//! requests, so that they end with it. What they may cost in all is decided by `plover_admission` and
+//! requests, so that they end with it. What they may cost in all is decided by `admission` and
 //! `http2_flood_guard`; framing, flow control and header compression are the `h2` library's.
 
 mod io;
@@ -10,6 +10,8 @@
 use super::{Shared, Stage};
 use crate::clock::{Clock, limited, span};
 use crate::net::{LINGER, linger, read_some};
+use admission::Connection;
+use admission::budget;
 use async_io::{Async, Timer};
 use bytes::Bytes;
 use futures_lite::{AsyncWriteExt, FutureExt};
@@ -20,8 +22,6 @@
 use http1_codec::{Reader, encode_response};
 use http2_flood_guard::{Budget, Guard, PREFACE, Violation};
 use io::{SharedWatch, Watch, Watched};
-use plover_admission::Connection;
-use plover_admission::budget;
 use plover_model::query::Reply;
 use plover_model::time::{Micros, SECOND};
 use query_api::{BODY_CAP, final_answer};
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -2,6 +2,7 @@
 
 use crate::clock::{limited, span};
 use crate::front::Shared;
+use admission::Connection;
 use async_io::Timer;
 use bytes::Bytes;
 use futures_lite::FutureExt;
@@ -9,7 +10,6 @@
 use h2::{Reason, RecvStream, SendStream};
 use http::header::{CONTENT_LENGTH, HOST, HeaderValue};
 use http::{Method, Request, Response};
-use plover_admission::Connection;
 use plover_model::query::Reply;
 use query_api::{BODY_CAP, Routed, final_answer};
 use std::future::poll_fn;
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -13,12 +13,12 @@
 
 use crate::clock::Clock;
 use crate::inbox::Inbox;
+use admission::{Connection, budget};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
 use fanout_policy::api::Settings;
 use http::header::{DATE, HeaderValue};
-use plover_admission::{Connection, budget};
 use plover_model::query::Names;
 use query_api::{Response, Routed, date, refuse_connection, route};
 use std::cell::{Cell, RefCell};
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -1,7 +1,7 @@
 //! What the turn loop has yet to see. Tasks on sockets put it in; the loop takes all of it once a turn.
 
+use admission::Connection;
 use async_channel::{Receiver, Sender};
-use plover_admission::Connection;
 use plover_model::query::{Ask, QueryId, Reply};
 use plover_model::server::Targets;
 use server_protocol::{BadFrame, FromServer};
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -1,8 +1,8 @@
 //! The operator's own file, as the running program holds it.
 
+use admission::budget::Asked;
 use batch_window::Pacing;
 use operator_config::{LONGEST, LogFormat, LogLevel, Settings, read};
-use plover_admission::budget::Asked;
 use plover_model::time::Micros;
 use plover_telemetry::Format;
 use std::io::Read;
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,10 +1,10 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
 use crate::upstream::{Ended, Send};
+use admission::{Connection, Shares};
 use async_channel::Sender;
 use fanout_policy::api::{Semantics, Settings};
 use idempotency::{Proof, Repeats, Verdict};
-use plover_admission::{Connection, Shares};
 use plover_core::{Dispatch, Query};
 use plover_model::query::{Ask, AttemptId, QueryId, Reply};
 use plover_model::server::{NodeId, Outcome};
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The one place where the environment and the configuration file are read, checked and given defaults.
 
+use admission::budget::Given;
 use fanout_policy::api::Settings;
 use fanout_policy::settings::{self, Message};
-use plover_admission::budget::Given;
 use plover_model::limits::PoolLimits;
 use plover_model::query::Names;
 use plover_model::server::Targets;
@@ -176,7 +176,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use plover_admission::budget::divide;
+    use admission::budget::divide;
     use serde_json::json;
 
     fn config() -> Value {
