--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -14,7 +14,7 @@
 use batch_window::Pacing;
 use futures_lite::future::yield_now;
 use futures_lite::{FutureExt, StreamExt};
-use plover_config::{self as config, Config};
+use platform_config::{self as config, Config};
 use plover_core::{Core, Decisions, Dispatch, Final, Report, Verdict};
 use plover_model::query::{AttemptId, QueryId, Reply};
 use plover_model::server::{ListScope, NodeId, NodeState, Outcome, Targets};
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -23,7 +23,7 @@
     let text = format!("listen-http2 {}\ngather-time 5ms\n", arguments.http2);
     let read = || {
         Ok((
-            plover_config::check(&configuration, |_| None)?,
+            platform_config::check(&configuration, |_| None)?,
             Operator::of_text("demo", &text)?,
         ))
     };
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -1,8 +1,8 @@
 //! `query-broker` and `query-broker serve`.
 
+use platform_config::Config;
 use plover_broker::operator::Operator;
 use plover_broker::turns;
-use plover_config::Config;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -13,7 +13,10 @@
     let read = || {
         let operator = Operator::load(file)?;
         operator.set_log();
-        Ok((plover_config::read(plover_config::environment)?, operator))
+        Ok((
+            platform_config::read(platform_config::environment)?,
+            operator,
+        ))
     };
     run_with(read, |_, _| ())
 }
