--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -1,5 +1,5 @@
 //! The broker on sockets: clients in front, data servers behind. What to send where, when to try again, answer or
-//! refuse is decided by `fanout_policy`, behind the facade `plover_core`.
+//! refuse is decided by `fanout_policy`, behind the facade `policy_engine`.
 //!
 //! [`turns`] runs the turns; [`front`] serves the clients, [`upstream`] the connections to data servers, and
 //! [`discovery`] watches the list of these. They tell the turns what happened through the [`inbox`].
