--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -1,9 +1,9 @@
 //! `query-broker check`.
 
 use crate::cli::CheckArguments;
+use broker::operator::read_text;
 use miette::{GraphicalReportHandler, GraphicalTheme};
 use operator_config::{Effect, Faults, KEYWORDS, read};
-use plover_broker::operator::read_text;
 use serde_json::{Value, json};
 use std::io::{IsTerminal, Write};
 use std::path::Path;
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::DemoArguments;
 use crate::serve::{cannot_start, run_with};
-use plover_broker::operator::Operator;
+use broker::operator::Operator;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::process::ExitCode;
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -1,8 +1,8 @@
 //! `query-broker` and `query-broker serve`.
 
+use broker::operator::Operator;
+use broker::turns;
 use platform_config::Config;
-use plover_broker::operator::Operator;
-use plover_broker::turns;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
