--- a/crates/batch-window/src/lib.rs
+++ b/crates/batch-window/src/lib.rs
@@ -8,7 +8,7 @@
 //! It does not go by the rate of arrivals: a client that asks one query after another raises that rate as soon as it
 //! is served at once, and the wait that follows lowers it again, so that such a rule swings to and fro.
 
-use plover_model::time::Micros;
+use broker_types::time::Micros;
 
 /// So many queries in hand beside the first make the wait the longest.
 const CROWD: u64 = 8;
--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -1,8 +1,8 @@
 //! The program's clock: whole microseconds on the monotonic clock, counted from the start of the program.
 
 use async_io::Timer;
+use broker_types::time::{MILLI, Micros};
 use futures_lite::FutureExt;
-use plover_model::time::{MILLI, Micros};
 use std::io;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -9,7 +9,7 @@
 
 fn shared() -> Rc<Shared> {
     let settings: serde_json::Value =
-        serde_json::from_str(include_str!("../../../model/tests/settings.json")).unwrap();
+        serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
     let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
     let names = Names {
         classes: vec!["a".into()],
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -2,8 +2,8 @@
 
 use admission::Connection;
 use async_channel::{Receiver, Sender};
-use plover_model::query::{Ask, QueryId, Reply};
-use plover_model::server::Targets;
+use broker_types::query::{Ask, QueryId, Reply};
+use broker_types::server::Targets;
 use server_protocol::{BadFrame, FromServer};
 use std::cell::{Cell, RefCell};
 use std::io;
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -2,8 +2,8 @@
 
 use admission::budget::Asked;
 use batch_window::Pacing;
+use broker_types::time::Micros;
 use operator_config::{LONGEST, LogFormat, LogLevel, Settings, read};
-use plover_model::time::Micros;
 use plover_telemetry::Format;
 use std::io::Read;
 use std::path::{Path, PathBuf};
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -3,11 +3,11 @@
 use crate::upstream::{Ended, Send};
 use admission::{Connection, Shares};
 use async_channel::Sender;
+use broker_types::query::{Ask, AttemptId, QueryId, Reply};
+use broker_types::server::{NodeId, Outcome};
+use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{Semantics, Settings};
 use idempotency::{Proof, Repeats, Verdict};
-use plover_model::query::{Ask, AttemptId, QueryId, Reply};
-use plover_model::server::{NodeId, Outcome};
-use plover_model::time::{MILLI, Micros, millis};
 use policy_engine::{Dispatch, Query};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
--- a/crates/endpoint-control/src/assign.rs
+++ b/crates/endpoint-control/src/assign.rs
@@ -9,8 +9,8 @@
 use crate::cold::{Rule, part_of};
 use crate::leases::{Leases, fair_units};
 use crate::{Proxy, View};
-use plover_model::server::{NodeId, NodeState};
-use plover_model::time::Micros;
+use broker_types::server::{NodeId, NodeState};
+use broker_types::time::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -195,7 +195,7 @@
     use super::*;
     use crate::cold::tests::RULE;
     use crate::leases::Times;
-    use plover_model::time::SECOND;
+    use broker_types::time::SECOND;
     use proptest::prelude::*;
 
     const TIMES: Times = Times {
--- a/crates/endpoint-control/src/cold.rs
+++ b/crates/endpoint-control/src/cold.rs
@@ -14,7 +14,7 @@
 //! that turns requests away, or fails them at once, frees their places without work: it must not be full with `K` out
 //! (its waiting room is larger), and one that fails is ejected, see [`crate::quorum`].
 
-use plover_model::time::Micros;
+use broker_types::time::Micros;
 
 /// Of what the rule allows, so much is used: requests differ in work.
 const SAFE: f64 = 0.75;
@@ -69,7 +69,7 @@
 #[cfg(test)]
 pub(crate) mod tests {
     use super::*;
-    use plover_model::time::SECOND;
+    use broker_types::time::SECOND;
     use proptest::prelude::*;
 
     /// The deployment's figures: two cores, parts of 90 ms and calls of 36 ms, and the rule's own.
--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -12,8 +12,8 @@
 
 use crate::Proxy;
 use crate::cold::Rule;
-use plover_model::server::NodeId;
-use plover_model::time::Micros;
+use broker_types::server::NodeId;
+use broker_types::time::Micros;
 use std::collections::BTreeMap;
 
 /// Time limits of leases.
@@ -197,7 +197,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use plover_model::time::SECOND;
+    use broker_types::time::SECOND;
 
     const TIMES: Times = Times {
         time_to_live: 2 * SECOND,
--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -13,8 +13,8 @@
 pub mod leases;
 pub mod quorum;
 
-use plover_model::server::{NodeId, NodeState};
-use plover_model::time::Micros;
+use broker_types::server::{NodeId, NodeState};
+use broker_types::time::Micros;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
--- a/crates/endpoint-control/src/quorum.rs
+++ b/crates/endpoint-control/src/quorum.rs
@@ -6,8 +6,8 @@
 //! many are out that the rest would be overloaded, and one that goes out and comes back again and again stays out longer.
 
 use crate::Proxy;
-use plover_model::server::NodeId;
-use plover_model::time::Micros;
+use broker_types::server::NodeId;
+use broker_types::time::Micros;
 use std::collections::BTreeMap;
 
 /// Figures of the rule.
@@ -226,7 +226,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use plover_model::time::SECOND;
+    use broker_types::time::SECOND;
     use proptest::prelude::*;
 
     const RULE: Rule = Rule {
--- a/crates/endpoint-control/tests/lease_model.rs
+++ b/crates/endpoint-control/tests/lease_model.rs
@@ -1,9 +1,9 @@
 //! All orders of a small case: two proxies, one cold server, words that are late, proxies that are cut off and come back.
 //! What the proxies together may have out never passes what the server may have out.
 
+use broker_types::server::NodeId;
 use endpoint_control::Proxy;
 use endpoint_control::leases::{Leases, Times};
-use plover_model::server::NodeId;
 use stateright::{Checker, Model, Property};
 use std::collections::VecDeque;
 
--- a/crates/http2-flood-guard/src/bucket.rs
+++ b/crates/http2-flood-guard/src/bucket.rs
@@ -1,6 +1,6 @@
 //! A token bucket with injected time.
 
-use plover_model::time::{Micros, SECOND};
+use broker_types::time::{Micros, SECOND};
 
 /// Tokens that refill evenly up to a most.
 #[derive(Clone, Copy, Debug)]
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -14,8 +14,8 @@
 pub use bucket::Bucket;
 pub use frames::{Kind, PREFACE};
 
+use broker_types::time::Micros;
 use frames::{Frame, Scanner};
-use plover_model::time::Micros;
 use std::fmt;
 
 /// What a connection may spend on frames that carry nothing.
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -10,7 +10,7 @@
 //! query has ended. The register holds a bounded number of keys; when it is full, keys that were answered go first,
 //! and if there are none, a new key is put off rather than an old one forgotten.
 
-use plover_model::time::Micros;
+use broker_types::time::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -4,7 +4,7 @@
 use crate::grammar::{Line, Word, lines};
 use crate::keywords::{self, Effect, KEYWORDS};
 use crate::{LONGEST, values};
-use plover_model::time::{MILLI, Micros};
+use broker_types::time::{MILLI, Micros};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
--- a/crates/operator-config/src/values.rs
+++ b/crates/operator-config/src/values.rs
@@ -1,6 +1,6 @@
 //! Arguments as typed values. An error is what would be right.
 
-use plover_model::time::{MILLI, Micros, SECOND};
+use broker_types::time::{MILLI, Micros, SECOND};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
 
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -1,12 +1,12 @@
 //! The one place where the environment and the configuration file are read, checked and given defaults.
 
 use admission::budget::Given;
+use broker_types::limits::PoolLimits;
+use broker_types::query::Names;
+use broker_types::server::Targets;
+use broker_types::time::millis;
 use fanout_policy::api::Settings;
 use fanout_policy::settings::{self, Message};
-use plover_model::limits::PoolLimits;
-use plover_model::query::Names;
-use plover_model::server::Targets;
-use plover_model::time::millis;
 use serde_json::Value;
 use std::net::SocketAddr;
 
@@ -181,7 +181,7 @@
 
     fn config() -> Value {
         let settings: Value =
-            serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
+            serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
         json!({"name": "n3", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "8c1f30d27a5be964",
             "limits": {"sockets": 4096, "memory_mb": 2048}, "known": {"rev": 1, "all": true, "targets": []}, "settings": settings})
     }
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -4,15 +4,15 @@
 //! same decisions and rules. It alone sees the module's events and actions, and it alone counts what is open:
 //! a query enters in [`Core::pick`] and leaves with its one [`Final`] or in [`Core::leave`].
 
+use broker_types::query::{AttemptId, PartSpec, QueryId};
+use broker_types::server::{ListScope, NodeId, Outcome, ServerInfo};
+use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::Aggregator;
 use fanout_policy::api::{
     Action, ClassIndex, Event, ListKind, Member, NodeState, Part, RequestId, Settings, TenantIndex,
 };
 use fanout_policy::room::no_room_advice;
 use fanout_policy::view::ClassView;
-use plover_model::query::{AttemptId, PartSpec, QueryId};
-use plover_model::server::{ListScope, NodeId, Outcome, ServerInfo};
-use plover_model::time::{MILLI, Micros, millis};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A query that wants answers from its shards.
@@ -419,7 +419,7 @@
 
     fn core(max_open: usize) -> Core {
         let settings: Value =
-            serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
+            serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
         let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
         let mut core = Core::new(site.settings, max_open, 7);
         let server = |n: usize| ServerInfo {
--- a/crates/query-api/src/answer.rs
+++ b/crates/query-api/src/answer.rs
@@ -1,10 +1,10 @@
 //! From the end of a query to an HTTP response.
 
+use broker_types::query::Reply;
+use broker_types::time::{Micros, millis};
 use fanout_policy::api::Settings;
 use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, StatusCode};
-use plover_model::query::Reply;
-use plover_model::time::{Micros, millis};
 use serde::Serialize;
 use std::time::SystemTime;
 
--- a/crates/query-api/src/ask.rs
+++ b/crates/query-api/src/ask.rs
@@ -1,9 +1,9 @@
 //! From an HTTP request to what it asks.
 
+use broker_types::query::{Ask, Names, PartSpec, Reply};
+use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{Semantics, Settings};
 use http::{HeaderMap, Method, Request};
-use plover_model::query::{Ask, Names, PartSpec, Reply};
-use plover_model::time::{MILLI, Micros, millis};
 use serde::Deserialize;
 use std::rc::Rc;
 
--- a/crates/query-api/src/lib.rs
+++ b/crates/query-api/src/lib.rs
@@ -8,9 +8,9 @@
 pub use answer::{Response, date, final_answer, refuse_connection};
 pub use ask::decode;
 
+use broker_types::query::{Ask, Names};
 use fanout_policy::api::Settings;
 use http::{Method, Request};
-use plover_model::query::{Ask, Names};
 
 /// Longest body of a request, in bytes.
 pub const BODY_CAP: usize = 64 * 1024;
--- a/crates/query-broker/tests/scenarios.rs
+++ b/crates/query-broker/tests/scenarios.rs
@@ -360,7 +360,7 @@
             .iter()
             .for_each(|name| drop(self.listeners.remove(name)));
         let mut settings: Value =
-            serde_json::from_str(include_str!("../../model/tests/settings.json")).unwrap();
+            serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
         if let Some(n) = self.max_open {
             settings["Allowed"]["MaxOpen"] = json!(n);
         }
