--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -3,8 +3,8 @@
 use admission::budget::Asked;
 use batch_window::Pacing;
 use broker_types::time::Micros;
+use logging::Format;
 use operator_config::{LONGEST, LogFormat, LogLevel, Settings, read};
-use plover_telemetry::Format;
 use std::io::Read;
 use std::path::{Path, PathBuf};
 use tracing::{Level, info, warn};
@@ -94,7 +94,7 @@
             LogLevel::Debug => Level::DEBUG,
             LogLevel::Trace => Level::TRACE,
         };
-        plover_telemetry::set(format, level);
+        logging::set(format, level);
     }
 
     /// How turns are spaced, where the settings' tick is given.
--- a/crates/telemetry/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -52,6 +52,16 @@
 };
 static INSTALLED: OnceLock<()> = OnceLock::new();
 
+/// Packages whose events are logged: libraries write events of their own, which are left out.
+const PROJECT_PACKAGES: [&str; 6] = [
+    "admission",
+    "broker",
+    "idempotency",
+    "platform_config",
+    "policy_engine",
+    "query_broker",
+];
+
 /// Logs to standard error from now on, for the whole process. A second call changes the mode alone.
 pub fn init(format: Format, level: Level) {
     set(format, level);
@@ -78,7 +88,8 @@
 
 /// Whether an event or span is the project's own, and of a level that is logged.
 fn is_wanted(metadata: &Metadata<'_>) -> bool {
-    *metadata.level() <= level() && metadata.target().starts_with("plover")
+    let package = metadata.target().split("::").next().unwrap_or_default();
+    *metadata.level() <= level() && PROJECT_PACKAGES.contains(&package)
 }
 
 /// Writes lines.
--- a/crates/telemetry/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -1,6 +1,6 @@
 //! The lines as they leave the process: this test runs itself with the log on and reads what it wrote.
 
-use plover_telemetry::{Format, init, set};
+use logging::{Format, init, set};
 use std::process::{Command, Stdio};
 use tracing::{Level, debug, debug_span, error, info, warn};
 
@@ -16,15 +16,15 @@
         Format::Logfmt
     };
     init(format, Level::INFO);
-    info!(name: "plain", target: "plover::test", count = 3, words = "two", server = %"s1");
-    warn!(name: "forged", target: "plover::test", words = "x\nlevel=error event=fire a=\"b\"");
-    debug!(name: "below", target: "plover::test", n = 1);
-    (0..3).for_each(|n| error!(name: "often", target: "plover::test", n));
+    info!(name: "plain", target: "broker::test", count = 3, words = "two", server = %"s1");
+    warn!(name: "forged", target: "broker::test", words = "x\nlevel=error event=fire a=\"b\"");
+    debug!(name: "below", target: "broker::test", n = 1);
+    (0..3).for_each(|n| error!(name: "often", target: "broker::test", n));
     set(format, Level::DEBUG);
-    let span = debug_span!(target: "plover::test", "query", query = 7, conn = 2);
-    span.in_scope(|| debug!(name: "sent", target: "plover::test", conn = 9, part = 1));
+    let span = debug_span!(target: "broker::test", "query", query = 7, conn = 2);
+    span.in_scope(|| debug!(name: "sent", target: "broker::test", conn = 9, part = 1));
     warn!(name: "foreign", target: "h2::proto", n = 1);
-    info!(name: "long", target: "plover::test", words = "\u{e9}".repeat(600));
+    info!(name: "long", target: "broker::test", words = "\u{e9}".repeat(600));
 }
 
 fn logged(format: &str) -> Vec<String> {
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -11,7 +11,7 @@
 /// Serves with stand-ins until Ctrl-C.
 pub(crate) fn run(arguments: &DemoArguments) -> ExitCode {
     // Before the stand-ins: what keeps them from starting is told too.
-    plover_telemetry::init(plover_telemetry::Format::Logfmt, tracing::Level::INFO);
+    logging::init(logging::Format::Logfmt, tracing::Level::INFO);
     let fleet = match Fleet::start(Plan {
         servers: arguments.servers.into(),
         ..Plan::default()
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -26,7 +26,7 @@
     read: impl FnOnce() -> Result<(Config, Operator), String>,
     started: impl FnOnce(SocketAddr, Option<SocketAddr>),
 ) -> ExitCode {
-    plover_telemetry::init(plover_telemetry::Format::Logfmt, Level::INFO);
+    logging::init(logging::Format::Logfmt, Level::INFO);
     let signals = match turns::signals() {
         Ok(signals) => signals,
         Err(error) => return cannot_start(&error),
