--- a/crates/admission/src/budget.rs
+++ b/crates/admission/src/budget.rs
@@ -55,6 +55,7 @@
 
 impl Http2 {
     /// The most that a connection holds, in bytes.
+    #[must_use]
     pub fn connection_holds(&self) -> u64 {
         u64::from(self.connection_window)
             + u64::from(self.streams) * (u64::from(self.header_list) + STREAM_HOLDS)
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/shares.rs
@@ -21,6 +21,7 @@
 
 impl Shares {
     /// So much room, in queries and parts together.
+    #[must_use]
     pub fn new(room: usize) -> Self {
         Shares {
             room,
@@ -64,11 +65,13 @@
     }
 
     /// Queries and parts that are held.
+    #[must_use]
     pub fn held(&self) -> usize {
         self.held
     }
 
     /// Connections that hold something.
+    #[must_use]
     pub fn connections(&self) -> usize {
         self.by_connection.len()
     }
--- a/crates/batch-window/src/lib.rs
+++ b/crates/batch-window/src/lib.rs
@@ -25,6 +25,7 @@
 impl Pacing {
     /// The least time between the beginnings of two turns, with so many queries in hand (those that wait to be taken
     /// up included).
+    #[must_use]
     pub fn gap(self, in_hand: usize) -> Micros {
         match self {
             Pacing::Fixed(gap) => gap,
@@ -36,6 +37,7 @@
     }
 
     /// The longest that a turn is put off.
+    #[must_use]
     pub fn most(self) -> Micros {
         match self {
             Pacing::Fixed(most) | Pacing::Gather(most) => most,
@@ -43,6 +45,7 @@
     }
 
     /// When the next turn begins at the earliest, after one that began at `last`.
+    #[must_use]
     pub fn earliest(self, last: Micros, in_hand: usize) -> Micros {
         last.saturating_add(self.gap(in_hand))
     }
--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -76,6 +76,7 @@
 
 impl Targets {
     /// What the list is to the decisions.
+    #[must_use]
     pub fn scope(&self) -> ListScope {
         if self.all {
             ListScope::Whole
--- a/crates/broker-types/src/time.rs
+++ b/crates/broker-types/src/time.rs
@@ -10,6 +10,7 @@
 pub const SECOND: Micros = 1_000_000;
 
 /// A span given in milliseconds; what is below 0 counts as none.
+#[must_use]
 pub fn millis(ms: f64) -> Micros {
     (ms.max(0.0) * MILLI as f64).round() as Micros
 }
--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -16,6 +16,7 @@
 
 impl Clock {
     /// A clock that starts at zero now.
+    #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -26,14 +27,17 @@
         }
     }
     /// The time now.
+    #[must_use]
     pub fn now(&self) -> Micros {
         self.origin.elapsed().as_micros() as Micros
     }
     /// The instant of a moment, for timers.
+    #[must_use]
     pub fn instant(&self, at: Micros) -> Instant {
         self.origin + Duration::from_micros(at)
     }
     /// A Unix time in milliseconds on this clock: negative if before the start.
+    #[must_use]
     pub fn of_unix_ms(&self, unix_ms: i64) -> i64 {
         unix_ms
             .saturating_sub(self.unix_origin)
@@ -42,6 +46,7 @@
 }
 
 /// A span as the system's timers count it.
+#[must_use]
 pub fn span(time: Micros) -> Duration {
     Duration::from_micros(time)
 }
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -99,6 +99,7 @@
     }
 
     /// Open connections.
+    #[must_use]
     pub fn open(&self) -> usize {
         self.slots.open()
     }
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -237,7 +237,7 @@
             let event = self.event().await;
             match event {
                 Event::Request(mut request) if self.refuses() => {
-                    request.1.send_reset(Reason::REFUSED_STREAM)
+                    request.1.send_reset(Reason::REFUSED_STREAM);
                 }
                 Event::Request(request) => {
                     let (request, respond) = *request;
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -218,11 +218,13 @@
     }
 
     /// Whether new connections are no longer taken.
+    #[must_use]
     pub fn is_closing(&self) -> bool {
         self.http1.accepting.is_none()
     }
 
     /// Open connections.
+    #[must_use]
     pub fn open(&self) -> usize {
         self.http1.front.open() + self.http2.as_ref().map_or(0, |h| h.front.open())
     }
--- a/crates/broker/src/net.rs
+++ b/crates/broker/src/net.rs
@@ -41,6 +41,7 @@
 }
 
 /// Whether the peer has closed its side, also where bytes that it sent before wait unread.
+#[must_use]
 pub fn has_hung_up(stream: &Async<TcpStream>) -> bool {
     let mut polled = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
     let at_once = Timespec {
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -76,6 +76,7 @@
     }
 
     /// What holds now.
+    #[must_use]
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
@@ -105,6 +106,7 @@
     }
 
     /// What the HTTP/2 front is asked to hold, if there is to be one.
+    #[must_use]
     pub fn http2(&self) -> Option<Asked> {
         let http2 = self.settings.http2?;
         Some(Asked {
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -163,6 +163,7 @@
     }
 
     /// The names of all servers that take something new.
+    #[must_use]
     pub fn serving(&self) -> Vec<NodeId> {
         let serving = self.servers.iter().filter(|(_, s)| s.endpoint.is_some());
         serving.map(|(name, _)| name.clone()).collect()
@@ -311,8 +312,9 @@
             .range(first..=last)
             .map(|(attempt, _)| *attempt)
             .collect();
-        out.into_iter()
-            .for_each(|attempt| self.withdraw(now, attempt));
+        for attempt in out {
+            self.withdraw(now, attempt);
+        }
     }
 
     /// Ends an attempt of which nothing has left yet.
@@ -515,7 +517,9 @@
             .filter(|(_, c)| done(c))
             .map(|(id, _)| *id)
             .collect();
-        done.into_iter().for_each(|id| self.close(id));
+        for id in done {
+            self.close(id);
+        }
         let stall = self.limits.dial_timeout;
         let stalled = |c: &Conn| c.begun.is_some_and(|at| now.saturating_sub(at) >= stall);
         let stalled: Vec<u64> = self
@@ -524,9 +528,9 @@
             .filter(|(_, c)| stalled(c))
             .map(|(id, _)| *id)
             .collect();
-        stalled
-            .into_iter()
-            .for_each(|id| self.spoil(now, id, "its end does not come"));
+        for id in stalled {
+            self.spoil(now, id, "its end does not come");
+        }
     }
 
     /// Takes the attempts that have ended, those included whose time is over by now. A turn begins with this:
@@ -558,11 +562,13 @@
     }
 
     /// Whether some have ended that were not taken.
+    #[must_use]
     pub fn has_ended(&self) -> bool {
         !self.ended.is_empty()
     }
 
     /// When the next attempt's time is over, or the next frame is late that has begun.
+    #[must_use]
     pub fn due(&self) -> Micros {
         let deadline = self
             .deadlines
@@ -577,6 +583,7 @@
     }
 
     /// Open connections.
+    #[must_use]
     pub fn open(&self) -> usize {
         self.conns.len()
     }
--- a/crates/endpoint-control/src/assign.rs
+++ b/crates/endpoint-control/src/assign.rs
@@ -70,6 +70,7 @@
 }
 
 /// Whether a server of this view is cold at this moment.
+#[must_use]
 pub fn is_cold(view: &View, now: Micros, rule: &Rule) -> bool {
     view.cold_since
         .is_some_and(|since| !rule.is_warm(now.saturating_sub(since)))
@@ -90,6 +91,7 @@
 /// The cells as all proxies are told of them, at this moment; `out`: servers that a quorum of proxies took out, and until
 /// when. A cell of which every server that serves is passed over is told as if none were: some of them may be up, and a
 /// proxy that is told of no healthy endpoint at all sends nowhere.
+#[must_use]
 pub fn cells(
     now: Micros,
     views: &[View],
--- a/crates/endpoint-control/src/cold.rs
+++ b/crates/endpoint-control/src/cold.rs
@@ -39,17 +39,20 @@
 impl Rule {
     /// The share of its capacity that a server has at least, so long after its start. It never shrinks with time, so
     /// that whoever acts on an old figure sends less.
+    #[must_use]
     pub fn share(&self, age: Micros) -> f64 {
         let grown = age as f64 / (self.warm_after as f64).max(1.0);
         (self.from + (1.0 - self.from) * grown).clamp(0.0, 1.0)
     }
 
     /// Whether a server is warm for sure.
+    #[must_use]
     pub fn is_warm(&self, age: Micros) -> bool {
         age >= self.warm_after
     }
 
     /// The most requests that may be out at a server of this age, from everybody together.
+    #[must_use]
     pub fn most_out(&self, age: Micros) -> u32 {
         let work_a_window = self.capacity * self.share(age) * self.window as f64 / 1e6;
         (SAFE * (self.multiple - 1.0) * work_a_window / self.work.max(1.0)).clamp(0.0, 1e6) as u32
@@ -58,6 +61,7 @@
 
 /// This control instance's part of a whole number that all share without talking: the parts of all instances add up
 /// to the whole, and which of them get the odd ones differs from server to server, so that none goes without always.
+#[must_use]
 pub fn part_of(whole: u32, instance: u32, instances: u32, server: &str) -> u32 {
     let instances = instances.max(1);
     let mix = |h: u32, b: u8| (h ^ u32::from(b)).wrapping_mul(0x0100_0193);
--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -53,6 +53,7 @@
 
 impl Leases {
     /// None yet.
+    #[must_use]
     pub fn new(times: Times) -> Self {
         Leases {
             times,
@@ -155,6 +156,7 @@
     }
 
     /// What this proxy may have out at the server.
+    #[must_use]
     pub fn held(&self, server: &NodeId, proxy: &Proxy) -> u32 {
         let lease = self
             .by_server
@@ -166,6 +168,7 @@
     }
 
     /// Units that count at this server.
+    #[must_use]
     pub fn counted(&self, server: &NodeId) -> u32 {
         self.by_server
             .get(server)
@@ -190,6 +193,7 @@
 }
 
 /// How many units each of so many proxies is to want: as few as give the server its due, at least one.
+#[must_use]
 pub fn fair_units(rule: &Rule, age: Micros, proxies: usize) -> u32 {
     rule.most_out(age).div_ceil(proxies.max(1) as u32).max(1)
 }
--- a/crates/endpoint-control/src/quorum.rs
+++ b/crates/endpoint-control/src/quorum.rs
@@ -88,6 +88,7 @@
 
 impl Quorum {
     /// Nothing reported yet.
+    #[must_use]
     pub fn new(rule: Rule) -> Self {
         Quorum {
             rule,
--- a/crates/http1-codec/src/decode.rs
+++ b/crates/http1-codec/src/decode.rs
@@ -51,6 +51,7 @@
 
 impl RequestDecoder {
     /// A decoder at the beginning of a connection.
+    #[must_use]
     pub fn new(limits: Limits) -> Self {
         RequestDecoder {
             limits,
@@ -85,6 +86,7 @@
 
 impl ResponseDecoder {
     /// A decoder at the beginning of a connection.
+    #[must_use]
     pub fn new(limits: Limits) -> Self {
         ResponseDecoder {
             limits,
--- a/crates/http1-codec/src/encode.rs
+++ b/crates/http1-codec/src/encode.rs
@@ -15,6 +15,7 @@
 }
 
 /// Encodes a response whose body is whole. Framing fields are added here and must not be among its own.
+#[must_use]
 pub fn encode_response(response: &Response<Vec<u8>>, reader: Reader) -> Vec<u8> {
     let status = response.status();
     let body = response.body();
--- a/crates/http1-codec/src/fault.rs
+++ b/crates/http1-codec/src/fault.rs
@@ -37,6 +37,7 @@
 
 impl Fault {
     /// The status that tells a client.
+    #[must_use]
     pub fn status(self) -> u16 {
         match self {
             Fault::LengthRequired => 411,
@@ -50,6 +51,7 @@
     }
 
     /// What is wrong, in words for the client.
+    #[must_use]
     pub fn why(self) -> &'static str {
         match self {
             Fault::Head => "the head is malformed",
--- a/crates/http2-flood-guard/src/bucket.rs
+++ b/crates/http2-flood-guard/src/bucket.rs
@@ -14,6 +14,7 @@
 
 impl Bucket {
     /// A full bucket.
+    #[must_use]
     pub fn new(now: Micros, most: u32, per_second: u32) -> Self {
         let most = u64::from(most) * SECOND;
         Bucket {
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -34,6 +34,7 @@
 impl Budget {
     /// For connections with so many streams and so long a header list: a client may give up all its requests at once,
     /// twice, before it counts as a flood.
+    #[must_use]
     pub fn new(streams: u32, header_list: u32) -> Self {
         Budget {
             burst: 2 * streams + 200,
@@ -86,6 +87,7 @@
 
 impl Guard {
     /// A guard at the beginning of a connection.
+    #[must_use]
     pub fn new(now: Micros, budget: Budget) -> Self {
         Guard {
             budget,
@@ -151,11 +153,13 @@
     }
 
     /// Since when the preface, a frame or a header block is half-sent.
+    #[must_use]
     pub fn half_since(&self) -> Option<Micros> {
         self.begun
     }
 
     /// Whether the client has said all that a connection begins with.
+    #[must_use]
     pub fn is_settled(&self) -> bool {
         self.settled
     }
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -76,6 +76,7 @@
 impl Repeats {
     /// A register where repeats are dropped for `window` after the first attempt, clients come back for `keep` after
     /// that at the latest, and so many keys are held at the most.
+    #[must_use]
     pub fn new(window: Micros, keep: Micros, most: usize) -> Self {
         let (entries, order, spare) = Default::default();
         Repeats {
@@ -120,7 +121,7 @@
                 .or_else(|| self.order.first().cloned())
             {
                 Some((at, old)) if self.entries.get(&old).is_some_and(|e| e.answered) => {
-                    self.forget(at, &old)
+                    self.forget(at, &old);
                 }
                 Some((at, _)) => return Verdict::Busy(at),
                 None => return Verdict::Busy(give_up_at),
@@ -140,12 +141,14 @@
     }
 
     /// Whether the part may be sent at this moment: not once the window of an attempt that may have run is over.
+    #[must_use]
     pub fn may_send(&self, now: Micros, key: &str, shard: usize) -> bool {
         let part = self.entries.get(key).and_then(|e| e.parts.get(&shard));
         part.is_none_or(|p| p.out == 0 && p.first.is_none_or(|first| now < first + self.window))
     }
 
     /// When the window of a part is over of which an attempt may have run: from then on it may not be sent.
+    #[must_use]
     pub fn over_at(&self, key: &str, shard: usize) -> Option<Micros> {
         let part = self.entries.get(key).and_then(|e| e.parts.get(&shard))?;
         part.first.map(|first| first + self.window)
@@ -209,6 +212,7 @@
     }
 
     /// Keys that are held.
+    #[must_use]
     pub fn held(&self) -> usize {
         self.entries.len()
     }
--- a/crates/load-generator/src/ask.rs
+++ b/crates/load-generator/src/ask.rs
@@ -36,18 +36,21 @@
     }
 
     /// Under an idempotency key.
+    #[must_use]
     pub fn under(mut self, key: &str) -> Self {
         self.key = Some(key.to_owned());
         self
     }
 
     /// With a client that waits so long.
+    #[must_use]
     pub fn patience(mut self, patience: Duration) -> Self {
         self.patience = patience;
         self
     }
 
     /// Its request, whose target is a whole URI.
+    #[must_use]
     pub fn request(&self) -> Request<Vec<u8>> {
         let portion = 1.0 / self.shards.len() as f64;
         let ranges: Vec<Value> = self
@@ -86,6 +89,7 @@
 
 impl Answer {
     /// Reads a response.
+    #[must_use]
     pub fn of(response: &Response<Vec<u8>>) -> Self {
         match response.status().as_u16() {
             200 => {
--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -154,7 +154,7 @@
         match load.rate {
             // Exponential gaps: arrivals that know nothing of each other.
             Some(rate) => {
-                due += Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / rate)
+                due += Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / rate);
             }
             None => due = Instant::now(),
         }
--- a/crates/load-generator/src/raw.rs
+++ b/crates/load-generator/src/raw.rs
@@ -44,17 +44,20 @@
 
 impl Frame {
     /// The error code of RST_STREAM or GOAWAY.
+    #[must_use]
     pub fn code(&self) -> u32 {
         let at = if self.kind == GOAWAY { 4 } else { 0 };
         u32::from_be_bytes(self.rest[at..at + 4].try_into().unwrap())
     }
     /// The last stream that GOAWAY names.
+    #[must_use]
     pub fn last(&self) -> u32 {
         u32::from_be_bytes(self.rest[..4].try_into().unwrap())
     }
 }
 
 /// A frame.
+#[must_use]
 pub fn frame(kind: u8, flags: u8, stream: u32, rest: &[u8]) -> Vec<u8> {
     let mut bytes = (rest.len() as u32).to_be_bytes()[1..].to_vec();
     bytes.extend([kind, flags]);
@@ -64,6 +67,7 @@
 }
 
 /// Fields as HPACK literals without indexing (RFC 7541, section 6.2.2), none longer than 126 bytes a word.
+#[must_use]
 pub fn fields(pairs: &[(&str, &str)]) -> Vec<u8> {
     let mut block = Vec::new();
     for (name, value) in pairs {
@@ -78,6 +82,7 @@
 }
 
 /// The usual fields of a query, with some replaced or left out (an empty value) and some added behind.
+#[must_use]
 pub fn query_fields(id: &str, changes: &[(&str, &str)]) -> Vec<u8> {
     let usual = [
         (":method", "POST"),
@@ -105,6 +110,7 @@
 pub const BODY: &[u8] = br#"{"ranges":[{"range":0,"portion":1}],"predicate":"c41e77d0"}"#;
 
 /// A query on a stream, whole.
+#[must_use]
 pub fn query(stream: u32, id: &str) -> Vec<u8> {
     [
         frame(HEADERS, END_HEADERS, stream, &query_fields(id, &[])),
@@ -121,6 +127,7 @@
 
 impl Raw {
     /// Connects and says nothing.
+    #[must_use]
     pub fn connect(to: SocketAddr) -> Raw {
         let stream = TcpStream::connect(to).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -134,6 +141,7 @@
     }
 
     /// With the preface and settings that keep the other side from indexing fields (SETTINGS_HEADER_TABLE_SIZE is 1).
+    #[must_use]
     pub fn settled(to: SocketAddr) -> Raw {
         let mut raw = Raw::connect(to);
         raw.send(&[PREFACE, &frame(SETTINGS, 0, 0, &[0, 1, 0, 0, 0, 0])].concat());
@@ -229,6 +237,7 @@
 }
 
 /// The status of a response's HEADERS, where it stands in the static table (RFC 7541, appendix A) or as digits.
+#[must_use]
 pub fn status(frame: &Frame) -> u16 {
     // A new size of the dynamic table may stand before (section 6.3).
     let updates = frame.rest.iter().take_while(|b| **b & 0xe0 == 0x20).count();
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -78,6 +78,7 @@
 
 impl Settings {
     /// What changes from this file to a new one.
+    #[must_use]
     pub fn changes(&self, new: &Settings) -> Changes {
         let mut changes = Changes::default();
         for k in KEYWORDS
@@ -93,6 +94,7 @@
     }
 
     /// The settings that hold after `new` was read by a running program: what waits for a restart stays.
+    #[must_use]
     pub fn adopt(&self, new: &Settings) -> Settings {
         let http2 = match (self.http2, new.http2) {
             (Some(old), Some(new)) => Some(Http2 {
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -52,6 +52,7 @@
 }
 
 /// A variable of the program's environment; an empty one counts as unset.
+#[must_use]
 pub fn environment(key: &str) -> Option<String> {
     std::env::var(key).ok().filter(|v| !v.is_empty())
 }
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -144,6 +144,7 @@
 
 impl Core {
     /// A core that may hold so many queries and parts.
+    #[must_use]
     pub fn new(settings: Settings, max_open: usize, seed: u64) -> Self {
         Core {
             aggregator: Aggregator::new(settings.clone(), seed),
@@ -272,6 +273,7 @@
     }
 
     /// When [`Core::tick`] is due.
+    #[must_use]
     pub fn due(&self) -> Micros {
         let margin = millis(self.settings.tick);
         let end = self.ends.first().map(|(at, _)| at.saturating_sub(margin));
@@ -288,6 +290,7 @@
     }
 
     /// What the decisions go by, as one line of a log can tell it.
+    #[must_use]
     pub fn summary(&self, now: Micros) -> Summary {
         let views = self.aggregator.views(to_ms(now));
         let classes = self.aggregator.class_views();
@@ -314,6 +317,7 @@
     }
 
     /// Queries and parts in hand.
+    #[must_use]
     pub fn held(&self) -> usize {
         self.held
     }
--- a/crates/query-api/src/answer.rs
+++ b/crates/query-api/src/answer.rs
@@ -27,6 +27,7 @@
 }
 
 /// The value of a `Date` field for this time (RFC 9110, section 5.6.7).
+#[must_use]
 pub fn date(now: SystemTime) -> HeaderValue {
     HeaderValue::try_from(httpdate::fmt_http_date(now)).unwrap_or(HeaderValue::from_static(""))
 }
@@ -104,6 +105,7 @@
 }
 
 /// What a client is told whose connection finds no slot.
+#[must_use]
 pub fn refuse_connection(settings: &Settings) -> Response {
     let retry_after = settings
         .max_retry_after
--- a/crates/query-broker/tests/http2/chaos.rs
+++ b/crates/query-broker/tests/http2/chaos.rs
@@ -97,7 +97,7 @@
             4 => rig.fleet.kill(1),
             6 => rig.fleet.revive(1),
             _ if one != 1 => {
-                rig.fleet.servers()[one].set_fault(faults[random.random_range(0..faults.len())])
+                rig.fleet.servers()[one].set_fault(faults[random.random_range(0..faults.len())]);
             }
             _ => {}
         }
--- a/crates/query-broker/tests/http2/requests.rs
+++ b/crates/query-broker/tests/http2/requests.rs
@@ -151,7 +151,7 @@
         assert!(
             !b.attempts().iter().any(|a| odd(&a.id)),
             "a malformed request was served"
-        )
+        );
     });
 }
 
--- a/crates/query-broker/tests/scenarios.rs
+++ b/crates/query-broker/tests/scenarios.rs
@@ -165,7 +165,7 @@
     fn step(&mut self, words: &[&str], line: &str) {
         match words {
             ["servers", n] => {
-                (0..n.parse().unwrap()).for_each(|n: usize| self.listen(&format!("s{n}")))
+                (0..n.parse().unwrap()).for_each(|n: usize| self.listen(&format!("s{n}")));
             }
             ["dead", server] => self.dead.push((*server).to_owned()),
             ["sockets", n] => self.sockets = Some(n.parse().unwrap()),
@@ -264,9 +264,9 @@
                             answer.starts_with(&format!("HTTP/1.1 {status} ")),
                             "{answer}"
                         );
-                        words
-                            .iter()
-                            .for_each(|w| assert!(answer.contains(w), "no {w} in {answer}"));
+                        for word in words {
+                            assert!(answer.contains(word), "no {word} in {answer}");
+                        }
                     }
                     ["open", n] => {
                         for n in 0..n.parse::<usize>().unwrap() {
--- a/crates/server-protocol/src/from_broker.rs
+++ b/crates/server-protocol/src/from_broker.rs
@@ -54,6 +54,7 @@
 }
 
 /// Encodes a part's answer; `held` is how many requests the server holds.
+#[must_use]
 pub fn answer(id: &str, end: End, held: usize, value: &str) -> Vec<u8> {
     let mut rest = String::with_capacity(id.len() + value.len() + 32);
     let _ = writeln!(rest, "{id} {} 1 inflight={held}", end.word());
@@ -62,6 +63,7 @@
 }
 
 /// Encodes the answer to a probe.
+#[must_use]
 pub fn probe_answer(load: bool, held: usize) -> Vec<u8> {
     if load {
         frame(b'p', format!("inflight={held}").as_bytes())
@@ -71,6 +73,7 @@
 }
 
 /// Encodes the word that the frame before could not be used.
+#[must_use]
 pub fn rejected(words: &str) -> Vec<u8> {
     frame(b'r', words.as_bytes())
 }
--- a/crates/server-protocol/src/lib.rs
+++ b/crates/server-protocol/src/lib.rs
@@ -64,6 +64,7 @@
 }
 
 /// Encodes the giving up of a part.
+#[must_use]
 pub fn give_up(id: &str) -> Vec<u8> {
     frame(b'n', id.as_bytes())
 }
--- a/crates/test-fleet/src/books.rs
+++ b/crates/test-fleet/src/books.rs
@@ -85,6 +85,7 @@
     }
 
     /// Parts and calls that came.
+    #[must_use]
     pub fn counts(&self) -> (u64, u64) {
         (self.parts, self.calls)
     }
@@ -97,11 +98,13 @@
     }
 
     /// All attempts, in the order in which they came.
+    #[must_use]
     pub fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
 
     /// What breaks the rules, in words.
+    #[must_use]
     pub fn violations(&self, rules: Rules) -> Vec<String> {
         let mut found = Vec::new();
         if self.parts as usize > self.attempts.len() {
--- a/crates/test-fleet/src/deployment.rs
+++ b/crates/test-fleet/src/deployment.rs
@@ -38,6 +38,7 @@
 
 impl Deployment {
     /// What the decisions are told.
+    #[must_use]
     pub fn settings(&self) -> Value {
         let class = |name: &str, gain: f64, semantics: &str| {
             json!({"Name": name, "Aim": 1500.0, "GiveUp": 4000.0, "Gain": gain, "LateWorth": 0.3,
@@ -61,6 +62,7 @@
     }
 
     /// The whole configuration of a broker that listens there.
+    #[must_use]
     pub fn configuration(&self, fleet: &Fleet, listen: &str) -> Value {
         json!({"name": "stand-in", "listen": listen, "discovery": fleet.discovery.to_string(),
             "seed": "8c1f30d27a5be964", "limits": {"sockets": self.sockets, "memory_mb": self.memory_mb},
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -163,11 +163,13 @@
     }
 
     /// The data servers.
+    #[must_use]
     pub fn servers(&self) -> &[ServerHandle] {
         &self.servers
     }
 
     /// The list as it was at the start, in discovery's form.
+    #[must_use]
     pub fn known(&self) -> &Value {
         &self.known
     }
--- a/crates/test-fleet/src/lib.rs
+++ b/crates/test-fleet/src/lib.rs
@@ -17,6 +17,7 @@
 pub use server::Fault;
 
 /// The value that data servers give for a part: whoever holds the shard, the same.
+#[must_use]
 pub fn value(shard: usize, text: &str) -> String {
     // FNV-1a over the shard and the text.
     let mut hash = 0xcbf2_9ce4_8422_2325_u64 ^ shard as u64;
