--- a/crates/broker-types/src/query.rs
+++ b/crates/broker-types/src/query.rs
@@ -30,7 +30,7 @@
 
 /// What a client asks.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ask {
+pub struct QueryRequest {
     /// The request's id, on the wire to data servers too.
     pub id: Rc<str>,
     /// Index of the class.
@@ -38,9 +38,9 @@
     /// Index of the tenant.
     pub tenant: usize,
     /// How long the client will wait.
-    pub patience: Micros,
+    pub client_timeout: Micros,
     /// Whether the client marked it as a repeat.
-    pub again: bool,
+    pub is_retry: bool,
     /// The idempotency key, in a keyed class.
     pub key: Option<Rc<str>>,
     /// The parts.
@@ -51,23 +51,23 @@
 
 /// The final answer to a client.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Reply {
+pub enum FinalResponse {
     /// Served.
-    Answer {
+    Answered {
         /// Whether it is whole.
         whole: bool,
         /// Shard and value of each part that is in.
         values: Vec<(usize, String)>,
     },
     /// Not served; trying again is harmless.
-    Refused {
+    Rejected {
         /// When to come back.
         retry_after: Option<Micros>,
     },
     /// Not served, promising nothing.
     Failed,
     /// The request itself cannot be used.
-    Bad {
+    Invalid {
         /// Status of the answer.
         status: u16,
         /// What is wrong.
--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -24,81 +24,88 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// The whole list as last known, perhaps old.
-    Known,
+    Cached,
     /// The whole list.
-    Whole,
+    Snapshot,
     /// Changed entries.
-    Changes,
+    Delta,
 }
 
 /// A list, or changes of it, as discovery sends it.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Targets {
+pub struct EndpointList {
     /// The list's version.
-    pub rev: u64,
+    #[serde(rename = "rev")]
+    pub revision: u64,
     /// Whether it is the whole list.
-    pub all: bool,
+    #[serde(rename = "all")]
+    pub is_snapshot: bool,
     /// The entries.
-    pub targets: Vec<Target>,
+    #[serde(rename = "targets")]
+    pub endpoints: Vec<Endpoint>,
 }
 
 /// One data server.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Target {
+pub struct Endpoint {
     /// Its name.
-    pub uid: String,
+    #[serde(rename = "uid")]
+    pub name: String,
     /// Where it listens, as this broker sees it. One that has left may have none.
-    pub endpoint: Option<SocketAddr>,
+    #[serde(rename = "endpoint")]
+    pub address: Option<SocketAddr>,
     /// Its zone.
-    #[serde(default)]
-    pub az: String,
+    #[serde(default, rename = "az")]
+    pub zone: String,
     /// Its cell.
-    #[serde(default)]
-    pub pod_group: usize,
+    #[serde(default, rename = "pod_group")]
+    pub cell: usize,
     /// Its state.
-    pub state: TargetState,
+    pub state: EndpointState,
     /// When it last started, in Unix milliseconds; 0: long ago.
-    #[serde(default)]
-    pub boot_ms: f64,
+    #[serde(default, rename = "boot_ms")]
+    pub started_unix_ms: f64,
 }
 
 /// State of a data server.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum TargetState {
+pub enum EndpointState {
     /// It serves.
     Active,
     /// It finishes what it has.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
     /// It has been removed.
-    Left,
+    #[serde(rename = "left")]
+    Removed,
 }
 
-impl Targets {
+impl EndpointList {
     /// What the list is to the decisions.
     #[must_use]
     pub fn scope(&self) -> ListScope {
-        if self.all {
-            ListScope::Whole
+        if self.is_snapshot {
+            ListScope::Snapshot
         } else {
-            ListScope::Changes
+            ListScope::Delta
         }
     }
 
     /// The entries as the decisions see them; `of_unix_ms` puts a Unix time in milliseconds on the program's clock.
     pub fn servers(&self, zones: &[String], of_unix_ms: impl Fn(i64) -> i64) -> Vec<ServerInfo> {
-        let server = |t: &Target| ServerInfo {
-            name: NodeId(t.uid.as_str().into()),
-            cell: t.pod_group,
+        let server = |t: &Endpoint| ServerInfo {
+            name: NodeId(t.name.as_str().into()),
+            cell: t.cell,
             state: match t.state {
-                TargetState::Active => NodeState::Serving,
-                TargetState::Leaving => NodeState::Draining,
-                TargetState::Left => NodeState::Gone,
+                EndpointState::Active => NodeState::Serving,
+                EndpointState::Draining => NodeState::Draining,
+                EndpointState::Removed => NodeState::Gone,
             },
-            zone: zones.iter().position(|z| *z == t.az),
-            started: (t.boot_ms > 0.0).then(|| of_unix_ms(t.boot_ms as i64)),
+            zone: zones.iter().position(|z| *z == t.zone),
+            started: (t.started_unix_ms > 0.0).then(|| of_unix_ms(t.started_unix_ms as i64)),
         };
-        self.targets.iter().map(server).collect()
+        self.endpoints.iter().map(server).collect()
     }
 }
 
@@ -112,7 +119,7 @@
             {"uid":"a","endpoint":"127.0.0.1:80","az":"y","model":"m","pod_group":3,"state":"leaving","boot_ms":0},
             {"uid":"b","endpoint":"127.0.0.1:81","az":"?","pod_group":1,"state":"active","boot_ms":1796125500000},
             {"uid":"c","state":"left"}]}"#;
-        let targets: Targets = serde_json::from_str(text).unwrap();
+        let targets: EndpointList = serde_json::from_str(text).unwrap();
         let servers = targets.servers(&["x".to_owned(), "y".to_owned()], |unix_ms| unix_ms - 1);
         let seen: Vec<_> = servers
             .iter()
@@ -121,8 +128,8 @@
         let leaving = (3, NodeState::Draining, Some(1), None);
         let active = (1, NodeState::Serving, None, Some(1_796_125_499_999));
         assert_eq!(seen, [leaving, active, (0, NodeState::Gone, None, None)]);
-        assert_eq!(targets.scope(), ListScope::Changes);
+        assert_eq!(targets.scope(), ListScope::Delta);
         let unknown = r#"{"rev":1,"all":true,"targets":[{"uid":"a","state":"new"}]}"#;
-        assert!(serde_json::from_str::<Targets>(unknown).is_err());
+        assert!(serde_json::from_str::<EndpointList>(unknown).is_err());
     }
 }
--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -5,7 +5,7 @@
 use crate::net::read_some;
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
-use broker_types::server::Targets;
+use broker_types::server::EndpointList;
 use fastrand::Rng;
 use futures_lite::AsyncWriteExt;
 use http::Response;
@@ -115,17 +115,17 @@
                 message.value.status()
             )));
         }
-        let targets: Targets =
+        let targets: EndpointList =
             serde_json::from_slice(message.value.body()).map_err(io::Error::other)?;
         if let Some(why) = misfit(&targets, *rev) {
             // It answers something else, as one that lost its data or lags behind: the whole list tells.
             *rev = None;
             return Err(io::Error::other(why));
         }
-        let news = rev.replace(targets.rev) != Some(targets.rev);
+        let news = rev.replace(targets.revision) != Some(targets.revision);
         *back_off = BACK_OFF.0;
-        if targets.all || !targets.targets.is_empty() {
-            inbox.put(Input::Targets(targets));
+        if targets.is_snapshot || !targets.endpoints.is_empty() {
+            inbox.put(Input::EndpointList(targets));
         }
         if !news && called.elapsed() < WAIT / 2 {
             // Nothing new before its time: asked again at once, such a server would cost the whole core.
@@ -138,10 +138,10 @@
 }
 
 /// Why these targets are no answer to a watch from this version on, or to a call for the whole list.
-fn misfit(targets: &Targets, rev: Option<u64>) -> Option<&'static str> {
+fn misfit(targets: &EndpointList, rev: Option<u64>) -> Option<&'static str> {
     match rev {
-        Some(rev) if targets.rev < rev => Some("a list older than the one in force"),
-        None if !targets.all => Some("changes in place of the whole list"),
+        Some(rev) if targets.revision < rev => Some("a list older than the one in force"),
+        None if !targets.is_snapshot => Some("changes in place of the whole list"),
         _ => None,
     }
 }
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -7,7 +7,7 @@
 use crate::net::{LINGER, LINGER_IDLE, has_hung_up, linger, read_some};
 use admission::Connection;
 use async_io::{Async, Timer};
-use broker_types::query::Reply;
+use broker_types::query::FinalResponse;
 use broker_types::time::Micros;
 use futures_lite::future::yield_now;
 use futures_lite::{AsyncWriteExt, FutureExt};
@@ -228,13 +228,16 @@
             Routed::Answered { response, usable } => return Ok((response, usable)),
         };
         // One that waited behind another has less time left than it says.
-        ask.patience = ask
-            .patience
+        ask.client_timeout = ask
+            .client_timeout
             .saturating_sub(input.grown.elapsed().as_micros() as Micros);
         let ticket = self.shared.inbox.ask(number, ask);
         let reply = async {
             let reply = ticket.reply().await;
-            Ok((final_answer(&reply), !matches!(reply, Reply::Bad { .. })))
+            Ok((
+                final_answer(&reply),
+                !matches!(reply, FinalResponse::Invalid { .. }),
+            ))
         };
         let gone = async {
             // Clients send one request at a time; one that sends ahead is read on only so far.
@@ -258,7 +261,7 @@
         status: u16,
         why: &str,
     ) -> io::Result<Duration> {
-        let response = final_answer(&Reply::Bad {
+        let response = final_answer(&FinalResponse::Invalid {
             status,
             why: why.to_owned(),
         });
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -13,7 +13,7 @@
 use admission::Connection;
 use admission::budget;
 use async_io::{Async, Timer};
-use broker_types::query::Reply;
+use broker_types::query::FinalResponse;
 use broker_types::time::{Micros, SECOND};
 use bytes::Bytes;
 use futures_lite::{AsyncWriteExt, FutureExt};
@@ -142,7 +142,7 @@
                 "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)".to_owned();
             let reply = self
                 .shared
-                .dated(final_answer(&Reply::Bad { status: 400, why }));
+                .dated(final_answer(&FinalResponse::Invalid { status: 400, why }));
             let reader = Reader {
                 version: Version::HTTP_11,
                 head_only: false,
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -4,7 +4,7 @@
 use crate::front::Shared;
 use admission::Connection;
 use async_io::Timer;
-use broker_types::query::Reply;
+use broker_types::query::FinalResponse;
 use bytes::Bytes;
 use futures_lite::FutureExt;
 use h2::server::SendResponse;
@@ -58,7 +58,7 @@
                         (response, usable, begun + MESSAGE_TIME)
                     }
                     Routed::Query(ask) => {
-                        let until = begun + span(ask.patience);
+                        let until = begun + span(ask.client_timeout);
                         let ticket = shared.inbox.ask(connection, ask);
                         // The client's reset drops the ticket, and so tells the turn loop in time for its next turn.
                         let reply = async { Some(ticket.reply().await) };
@@ -71,7 +71,7 @@
                         };
                         (
                             final_answer(&reply),
-                            !matches!(reply, Reply::Bad { .. }),
+                            !matches!(reply, FinalResponse::Invalid { .. }),
                             until,
                         )
                     }
@@ -119,7 +119,7 @@
 }
 
 fn bad(status: u16, why: &str) -> query_api::Response {
-    final_answer(&Reply::Bad {
+    final_answer(&FinalResponse::Invalid {
         status,
         why: why.to_owned(),
     })
--- a/crates/broker/src/front/slots/tests.rs
+++ b/crates/broker/src/front/slots/tests.rs
@@ -30,7 +30,7 @@
         [true, true, true, true],
     ];
     assert_eq!(order, expected);
-    let again = slots.evictable(Rank::Served);
-    drop(again);
+    let is_retry = slots.evictable(Rank::Served);
+    drop(is_retry);
     assert!(slots.evictable.borrow().is_empty());
 }
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -2,8 +2,8 @@
 
 use admission::Connection;
 use async_channel::{Receiver, Sender};
-use broker_types::query::{Ask, QueryId, Reply};
-use broker_types::server::Targets;
+use broker_types::query::{FinalResponse, QueryId, QueryRequest};
+use broker_types::server::EndpointList;
 use server_protocol::{BadFrame, FromServer};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -11,13 +11,13 @@
 /// Something that happened since the last turn.
 pub enum Input {
     /// A client asks, on its connection.
-    Ask(QueryId, Connection, Ask, Sender<Reply>),
+    QueryRequest(QueryId, Connection, QueryRequest, Sender<FinalResponse>),
     /// The client of a query has gone.
     Gone(QueryId),
     /// A connection to a data server has news.
     Conn(u64, ConnEvent),
     /// Discovery has news.
-    Targets(Targets),
+    EndpointList(EndpointList),
     /// The configuration is to be read again.
     Reload,
     /// The program is to end.
@@ -65,12 +65,12 @@
         let _ = self.bell.0.try_send(());
     }
     /// Hands in a query; its reply comes once, unless the ticket is dropped before.
-    pub fn ask(&self, connection: Connection, ask: Ask) -> Ticket<'_> {
+    pub fn ask(&self, connection: Connection, ask: QueryRequest) -> Ticket<'_> {
         let id = self.next_query.get();
         self.next_query.set(id + 1);
         let (sender, reply) = async_channel::bounded(1);
         self.asks.set(self.asks.get() + 1);
-        self.put(Input::Ask(id, connection, ask, sender));
+        self.put(Input::QueryRequest(id, connection, ask, sender));
         Ticket {
             inbox: self,
             id,
@@ -99,13 +99,13 @@
 pub struct Ticket<'a> {
     inbox: &'a Inbox,
     id: QueryId,
-    reply: Receiver<Reply>,
+    reply: Receiver<FinalResponse>,
 }
 
 impl Ticket<'_> {
     /// The reply.
-    pub async fn reply(&self) -> Reply {
-        self.reply.recv().await.unwrap_or(Reply::Failed)
+    pub async fn reply(&self) -> FinalResponse {
+        self.reply.recv().await.unwrap_or(FinalResponse::Failed)
     }
 }
 
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -3,7 +3,7 @@
 use crate::upstream::{Ended, Send};
 use admission::{Connection, Shares};
 use async_channel::Sender;
-use broker_types::query::{Ask, AttemptId, QueryId, Reply};
+use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{Semantics, Settings};
@@ -21,8 +21,8 @@
 /// A query in hand. Dropping it drops the way to its client, so it is dropped with its one reply.
 struct Pending {
     connection: Connection,
-    ask: Ask,
-    reply: Sender<Reply>,
+    ask: QueryRequest,
+    reply: Sender<FinalResponse>,
     /// The value of each part that is in.
     values: Vec<Option<String>>,
     taken: Micros,
@@ -121,8 +121,8 @@
         now: Micros,
         id: QueryId,
         connection: Connection,
-        ask: Ask,
-        reply: Sender<Reply>,
+        ask: QueryRequest,
+        reply: Sender<FinalResponse>,
     ) -> Option<Query> {
         let answered = |reply_with| {
             let _ = reply.try_send(reply_with);
@@ -131,16 +131,16 @@
         // Parts go by the request's id on the wire: those of two requests could not be told apart.
         if self.ids.contains(&ask.id) {
             let why = "X-Request-Id is that of a request in hand".to_owned();
-            return answered(Reply::Bad { status: 400, why });
+            return answered(FinalResponse::Invalid { status: 400, why });
         }
         let units = 1 + ask.parts.len();
         if !self.shares.take(connection, units) {
             info!(name: "share_full", connection, held = self.shares.held());
-            return answered(Reply::Refused {
+            return answered(FinalResponse::Rejected {
                 retry_after: self.max_retry_after,
             });
         }
-        let give_up_at = now + ask.patience;
+        let give_up_at = now + ask.client_timeout;
         if let Some(key) = &ask.key {
             let shards = ask.parts.iter().map(|p| p.shard);
             let verdict = self.repeats.open(now, key, shards, give_up_at);
@@ -152,11 +152,11 @@
                 Verdict::Serve => {}
                 Verdict::Busy(until) => {
                     let wait = until.saturating_sub(now);
-                    return answered(Reply::Refused {
+                    return answered(FinalResponse::Rejected {
                         retry_after: self.max_retry_after.map(|most| most.min(wait)),
                     });
                 }
-                Verdict::Over => return answered(Reply::Failed),
+                Verdict::Over => return answered(FinalResponse::Failed),
             }
         }
         let query = Query {
@@ -164,7 +164,7 @@
             class: ask.class,
             tenant: ask.tenant,
             give_up_at,
-            again: ask.again,
+            is_retry: ask.is_retry,
             parts: ask.parts.clone(),
         };
         let span = debug_span!("query", query = id, connection, id = %ask.id);
@@ -198,7 +198,7 @@
         &mut self,
         now: Micros,
         query: QueryId,
-        reply: impl FnOnce(Values) -> Reply,
+        reply: impl FnOnce(Values) -> FinalResponse,
     ) {
         let Some(pending) = self.pending.get_mut(&query) else {
             return;
@@ -212,26 +212,27 @@
                 .filter_map(|(shard, v)| Some((shard, v?)))
                 .collect(),
         );
-        let Some(pending) = self.close(now, query, matches!(reply, Reply::Answer { .. })) else {
+        let Some(pending) = self.close(now, query, matches!(reply, FinalResponse::Answered { .. }))
+        else {
             return;
         };
         pending
             .span
             .in_scope(|| debug!(name: "query_ended", reply = ?std::mem::discriminant(&reply)));
-        if !matches!(reply, Reply::Answer { .. }) {
-            let refused = matches!(reply, Reply::Refused { .. });
+        if !matches!(reply, FinalResponse::Answered { .. }) {
+            let refused = matches!(reply, FinalResponse::Rejected { .. });
             let after_ms = now.saturating_sub(pending.taken) / MILLI;
-            let Ask {
+            let QueryRequest {
                 id,
                 class,
                 parts,
-                patience,
-                again,
+                client_timeout,
+                is_retry,
                 ..
             } = &pending.ask;
-            let (parts, patience_ms) = (parts.len(), patience / MILLI);
+            let (parts, patience_ms) = (parts.len(), client_timeout / MILLI);
             let (attempts, bad) = (pending.story.len(), told(pending.taken, &pending.story));
-            info!(name: "query_unserved", id = %id, class, again, refused, after_ms, patience_ms, parts, parts_in, attempts, bad);
+            info!(name: "query_unserved", id = %id, class, is_retry, refused, after_ms, patience_ms, parts, parts_in, attempts, bad);
         }
         // A client that has just gone needs none.
         let _ = pending.reply.try_send(reply);
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -12,8 +12,8 @@
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use batch_window::Pacing;
-use broker_types::query::{AttemptId, QueryId, Reply};
-use broker_types::server::{ListScope, NodeId, NodeState, Outcome, Targets};
+use broker_types::query::{AttemptId, FinalResponse, QueryId};
+use broker_types::server::{EndpointList, ListScope, NodeId, NodeState, Outcome};
 use broker_types::time::{Micros, millis};
 use futures_lite::future::yield_now;
 use futures_lite::{FutureExt, StreamExt};
@@ -113,7 +113,7 @@
         http2,
         limits,
     };
-    let rev = config.known.rev;
+    let rev = config.known.revision;
     let tick = millis(config.settings.tick);
     let mut broker = Broker {
         clock,
@@ -141,8 +141,8 @@
         reload_at: None,
         tell_at: 0,
     };
-    broker.learn(clock.now(), ListScope::Known, &config.known);
-    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.known.targets.len());
+    broker.learn(clock.now(), ListScope::Cached, &config.known);
+    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.known.endpoints.len());
     if let (Some(listen), Some(held)) = (listen_http2, limits.http2) {
         let (connections, streams) = (held.connections, held.streams);
         info!(name: "started_http2", listen = %listen, connections, streams);
@@ -206,7 +206,9 @@
         let mut asks = Vec::new();
         for input in self.inbox.take() {
             match input {
-                Input::Ask(id, connection, ask, reply) => asks.push((id, connection, ask, reply)),
+                Input::QueryRequest(id, connection, ask, reply) => {
+                    asks.push((id, connection, ask, reply))
+                }
                 Input::Gone(id) => {
                     asks.retain(|(ask, ..)| *ask != id);
                     self.core.leave(id);
@@ -214,7 +216,7 @@
                     self.over.push((id, None));
                 }
                 Input::Conn(id, event) => self.upstream.hear(now, id, event),
-                Input::Targets(targets) => self.learn(now, targets.scope(), &targets),
+                Input::EndpointList(targets) => self.learn(now, targets.scope(), &targets),
                 Input::Reload => self.reload_at = Some(now),
                 Input::Terminate => self.terminate(now),
             }
@@ -260,9 +262,9 @@
     }
 
     /// Takes news of the list: the decisions and the pools learn of it in the same turn.
-    fn learn(&mut self, now: Micros, scope: ListScope, targets: &Targets) {
+    fn learn(&mut self, now: Micros, scope: ListScope, targets: &EndpointList) {
         let servers = targets.servers(&self.zones, |ms| self.clock.of_unix_ms(ms));
-        if scope != ListScope::Changes {
+        if scope != ListScope::Delta {
             let named: BTreeSet<&NodeId> = servers.iter().map(|s| &s.name).collect();
             for name in self
                 .upstream
@@ -273,9 +275,9 @@
                 self.upstream.learn(now, name.clone(), None);
             }
         }
-        for (server, target) in servers.iter().zip(&targets.targets) {
+        for (server, target) in servers.iter().zip(&targets.endpoints) {
             let endpoint = target
-                .endpoint
+                .address
                 .filter(|_| server.state == NodeState::Serving);
             self.upstream.learn(now, server.name.clone(), endpoint);
         }
@@ -360,9 +362,9 @@
     fn finish(&mut self, now: Micros, query: QueryId, verdict: Verdict) {
         self.over.push((query, None));
         self.queries.finish(now, query, |values| match verdict {
-            Verdict::Refuse { retry_after } => Reply::Refused { retry_after },
-            Verdict::Fail => Reply::Failed,
-            Verdict::Answer { whole } => Reply::Answer { whole, values },
+            Verdict::Refuse { retry_after } => FinalResponse::Rejected { retry_after },
+            Verdict::Fail => FinalResponse::Failed,
+            Verdict::Answer { whole } => FinalResponse::Answered { whole, values },
         });
     }
 
@@ -375,7 +377,8 @@
             Err(Held::Repeat) => {
                 // An earlier query of its key may have run this part: this one can be neither served nor refused.
                 self.core.leave(attempt.query);
-                self.queries.finish(now, attempt.query, |_| Reply::Failed);
+                self.queries
+                    .finish(now, attempt.query, |_| FinalResponse::Failed);
             }
         }
         self.ended.push(never_sent(attempt));
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -3,7 +3,7 @@
 use admission::budget::Given;
 use broker_types::limits::PoolLimits;
 use broker_types::query::Names;
-use broker_types::server::Targets;
+use broker_types::server::EndpointList;
 use broker_types::time::millis;
 use fanout_policy::api::Settings;
 use fanout_policy::settings::{self, Message};
@@ -42,7 +42,7 @@
     /// Names in requests.
     pub names: Names,
     /// The list of data servers as last known.
-    pub known: Targets,
+    pub known: EndpointList,
     /// Most queries and parts in hand.
     pub max_open: usize,
     /// What client connections may take.
@@ -144,7 +144,7 @@
     let known = m
         .get("known")
         .ok_or("RELAY_CONFIG: field known is missing")?;
-    let known: Targets = serde_json::from_value(known.clone())
+    let known: EndpointList = serde_json::from_value(known.clone())
         .map_err(|e| format!("RELAY_CONFIG: field known: {e}"))?;
     Ok(Config {
         name: text("RELAY_NAME", "name")?,
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -27,7 +27,7 @@
     /// When its client gives up.
     pub give_up_at: Micros,
     /// Whether its client marked it as a repeat.
-    pub again: bool,
+    pub is_retry: bool,
     /// Its parts.
     pub parts: Vec<PartSpec>,
 }
@@ -161,9 +161,9 @@
     /// Takes news of the list of servers. It counts from the next call on.
     pub fn learn(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
         let kind = match scope {
-            ListScope::Known => ListKind::Disk,
-            ListScope::Whole => ListKind::Complete,
-            ListScope::Changes => ListKind::Changes,
+            ListScope::Cached => ListKind::Disk,
+            ListScope::Snapshot => ListKind::Complete,
+            ListScope::Delta => ListKind::Changes,
         };
         let member = |s: ServerInfo| Member {
             node: s.name,
@@ -232,7 +232,7 @@
                 class: ClassIndex(q.class),
                 tenant: TenantIndex(q.tenant),
                 give_up_at: to_ms(q.give_up_at),
-                again: q.again,
+                again: q.is_retry,
             }));
             self.staged.extend(q.parts.iter().enumerate().map(|(i, p)| {
                 Event::Part(Part {
@@ -433,7 +433,7 @@
             zone: None,
             started: None,
         };
-        core.learn(ListScope::Known, (0..2).map(server).collect());
+        core.learn(ListScope::Cached, (0..2).map(server).collect());
         core
     }
 
@@ -452,7 +452,7 @@
             class: 0,
             tenant: 0,
             give_up_at: 1_000_000,
-            again: false,
+            is_retry: false,
             parts,
         }
     }
@@ -481,13 +481,13 @@
         );
         let attempts = first.iter().map(|d| d.attempt);
         let outcomes = [Outcome::Served, Outcome::Full];
-        let again = core.report(
+        let is_retry = core.report(
             30_000,
             attempts.zip(outcomes).map(|(a, o)| ended(a, o)).collect(),
         );
-        assert_eq!(again.finals, []);
+        assert_eq!(is_retry.finals, []);
         assert_eq!(
-            again.dispatches[0].attempt,
+            is_retry.dispatches[0].attempt,
             AttemptId {
                 query: 1,
                 part: 1,
@@ -496,7 +496,7 @@
         );
         let last = core.report(
             60_000,
-            vec![ended(again.dispatches[0].attempt, Outcome::Served)],
+            vec![ended(is_retry.dispatches[0].attempt, Outcome::Served)],
         );
         assert_eq!(
             last.finals,
@@ -562,7 +562,7 @@
             .clone();
         let state = NodeState::Draining;
         core.learn(
-            ListScope::Changes,
+            ListScope::Delta,
             vec![ServerInfo {
                 name: name.clone(),
                 cell: 0,
--- a/crates/query-api/src/answer.rs
+++ b/crates/query-api/src/answer.rs
@@ -1,6 +1,6 @@
 //! From the end of a query to an HTTP response.
 
-use broker_types::query::Reply;
+use broker_types::query::FinalResponse;
 use broker_types::time::{Micros, millis};
 use fanout_policy::api::Settings;
 use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
@@ -73,9 +73,9 @@
 }
 
 /// Encodes the final answer of a query.
-pub fn final_answer(reply: &Reply) -> Response {
+pub fn final_answer(reply: &FinalResponse) -> Response {
     match reply {
-        Reply::Answer { whole, values } => {
+        FinalResponse::Answered { whole, values } => {
             let answers = values
                 .iter()
                 .map(|(range, blob)| ValueBody {
@@ -94,13 +94,15 @@
                 .insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
             response
         }
-        Reply::Refused { retry_after } => {
+        FinalResponse::Rejected { retry_after } => {
             let mut response = error(503, "", "refused: trying again is harmless");
             advise(response.headers_mut(), *retry_after);
             response
         }
-        Reply::Failed => error(502, "", "failed"),
-        Reply::Bad { status, why } => error(*status, if *status == 405 { "POST" } else { "" }, why),
+        FinalResponse::Failed => error(502, "", "failed"),
+        FinalResponse::Invalid { status, why } => {
+            error(*status, if *status == 405 { "POST" } else { "" }, why)
+        }
     }
 }
 
@@ -110,7 +112,7 @@
     let retry_after = settings
         .max_retry_after
         .map(|most| millis(most).min(RETURN));
-    final_answer(&Reply::Refused { retry_after })
+    final_answer(&FinalResponse::Rejected { retry_after })
 }
 
 #[cfg(test)]
@@ -119,7 +121,7 @@
 
     #[test]
     fn refusals_tell_when_to_come_back() {
-        let response = final_answer(&Reply::Refused {
+        let response = final_answer(&FinalResponse::Rejected {
             retry_after: Some(1_250_400),
         });
         assert_eq!(
@@ -133,7 +135,7 @@
 
     #[test]
     fn a_method_that_is_not_allowed_is_told_which_is() {
-        let response = final_answer(&Reply::Bad {
+        let response = final_answer(&FinalResponse::Invalid {
             status: 405,
             why: "a query is a POST".into(),
         });
--- a/crates/query-api/src/ask.rs
+++ b/crates/query-api/src/ask.rs
@@ -1,6 +1,6 @@
 //! From an HTTP request to what it asks.
 
-use broker_types::query::{Ask, Names, PartSpec, Reply};
+use broker_types::query::{FinalResponse, Names, PartSpec, QueryRequest};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{Semantics, Settings};
 use http::{HeaderMap, Method, Request};
@@ -27,8 +27,8 @@
     price: Option<f64>,
 }
 
-fn bad<T>(status: u16, why: impl Into<String>) -> Result<T, Reply> {
-    Err(Reply::Bad {
+fn bad<T>(status: u16, why: impl Into<String>) -> Result<T, FinalResponse> {
+    Err(FinalResponse::Invalid {
         status,
         why: why.into(),
     })
@@ -39,7 +39,7 @@
     request: &Request<Vec<u8>>,
     names: &Names,
     settings: &Settings,
-) -> Result<Ask, Reply> {
+) -> Result<QueryRequest, FinalResponse> {
     let m = request.headers();
     let first = request
         .uri()
@@ -88,10 +88,10 @@
         return bad(400, "Idempotency-Key is missing");
     }
     let usual = millis(settings.classes[class].give_up);
-    let patience = match m.get("x-deadline") {
+    let client_timeout = match m.get("x-deadline") {
         None => usual,
         Some(text) => match text.to_str().ok().and_then(deadline) {
-            Some(patience) => patience.min(usual),
+            Some(client_timeout) => client_timeout.min(usual),
             None => return bad(400, "X-Deadline is not a number with the unit m or u"),
         },
     };
@@ -99,19 +99,19 @@
         Ok(body) => body,
         Err(e) => return bad(400, format!("the body is malformed: {e}")),
     };
-    Ok(Ask {
+    Ok(QueryRequest {
         id,
         class,
         tenant,
-        patience,
-        again: m.get("x-retry").is_some_and(|v| v == "1"),
+        client_timeout,
+        is_retry: m.get("x-retry").is_some_and(|v| v == "1"),
         key,
         parts: parts(body.ranges, settings.shards)?,
         text: body.predicate.into(),
     })
 }
 
-fn parts(ranges: Vec<RangeBody>, shards: usize) -> Result<Vec<PartSpec>, Reply> {
+fn parts(ranges: Vec<RangeBody>, shards: usize) -> Result<Vec<PartSpec>, FinalResponse> {
     if ranges.is_empty() {
         return bad(400, "ranges is empty");
     }
@@ -146,7 +146,7 @@
 }
 
 /// A header whose value goes into frames: there a space, a comma or a line's end would forge another field.
-fn token(m: &HeaderMap, name: &str) -> Result<Option<Rc<str>>, Reply> {
+fn token(m: &HeaderMap, name: &str) -> Result<Option<Rc<str>>, FinalResponse> {
     let mut values = m.get_all(name).iter();
     let Some(value) = values.next() else {
         return Ok(None);
--- a/crates/query-api/src/lib.rs
+++ b/crates/query-api/src/lib.rs
@@ -8,7 +8,7 @@
 pub use answer::{Response, date, final_answer, refuse_connection};
 pub use ask::decode;
 
-use broker_types::query::{Ask, Names};
+use broker_types::query::{Names, QueryRequest};
 use fanout_policy::api::Settings;
 use http::{Method, Request};
 
@@ -23,7 +23,7 @@
 #[derive(Debug)]
 pub enum Routed {
     /// A query, to be handed in.
-    Query(Ask),
+    Query(QueryRequest),
     /// It is answered already.
     Answered {
         /// The answer.
