--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -3,7 +3,7 @@
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-pub use fanout_policy::api::{NodeId, NodeState, Outcome};
+pub use fanout_policy::api::{NodeId, Outcome, ServingState};
 
 /// A server as the list shows it.
 #[derive(Clone, Debug)]
@@ -13,7 +13,7 @@
     /// Its cell.
     pub cell: usize,
     /// Its state.
-    pub state: NodeState,
+    pub state: ServingState,
     /// Index of its zone.
     pub zone: Option<usize>,
     /// When its process last started on the program's clock, perhaps before its origin; `None`: long ago.
@@ -98,9 +98,9 @@
             name: NodeId(t.name.as_str().into()),
             cell: t.cell,
             state: match t.state {
-                EndpointState::Active => NodeState::Serving,
-                EndpointState::Draining => NodeState::Draining,
-                EndpointState::Removed => NodeState::Gone,
+                EndpointState::Active => ServingState::Serving,
+                EndpointState::Draining => ServingState::Draining,
+                EndpointState::Removed => ServingState::Removed,
             },
             zone: zones.iter().position(|z| *z == t.zone),
             started: (t.started_unix_ms > 0.0).then(|| of_unix_ms(t.started_unix_ms as i64)),
@@ -125,9 +125,12 @@
             .iter()
             .map(|s| (s.cell, s.state, s.zone, s.started))
             .collect();
-        let leaving = (3, NodeState::Draining, Some(1), None);
-        let active = (1, NodeState::Serving, None, Some(1_796_125_499_999));
-        assert_eq!(seen, [leaving, active, (0, NodeState::Gone, None, None)]);
+        let leaving = (3, ServingState::Draining, Some(1), None);
+        let active = (1, ServingState::Serving, None, Some(1_796_125_499_999));
+        assert_eq!(
+            seen,
+            [leaving, active, (0, ServingState::Removed, None, None)]
+        );
         assert_eq!(targets.scope(), ListScope::Delta);
         let unknown = r#"{"rev":1,"all":true,"targets":[{"uid":"a","state":"new"}]}"#;
         assert!(serde_json::from_str::<EndpointList>(unknown).is_err());
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -6,7 +6,7 @@
 use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
-use fanout_policy::api::{Semantics, Settings};
+use fanout_policy::api::{RetrySafety, Settings};
 use idempotency::{Proof, Repeats, Verdict};
 use policy_engine::{Dispatch, Query};
 use std::collections::{BTreeMap, BTreeSet};
@@ -90,11 +90,18 @@
 impl Queries {
     /// With room for so many queries and parts.
     pub(crate) fn new(settings: &Settings, room: usize) -> Self {
-        let window = settings.classes.iter().filter_map(|c| match c.semantics {
-            Semantics::Keyed { window } => Some(millis(window)),
-            _ => None,
-        });
-        let keep = settings.classes.iter().map(|c| millis(c.give_up)).max();
+        let window = settings
+            .classes
+            .iter()
+            .filter_map(|c| match c.retry_safety {
+                RetrySafety::IdempotencyKey { window } => Some(millis(window)),
+                _ => None,
+            });
+        let keep = settings
+            .classes
+            .iter()
+            .map(|c| millis(c.client_timeout))
+            .max();
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
@@ -289,7 +296,7 @@
         if let Some((key, shard)) = self.keyed.remove(&ended.attempt) {
             let proof = match ended.outcome {
                 Outcome::Served | Outcome::Error => Proof::Ran,
-                Outcome::Full | Outcome::NoConnection | Outcome::NotSent => Proof::NeverRan,
+                Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent => Proof::NeverRan,
                 Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => Proof::MayRun,
             };
             self.repeats.ended(now, &key, shard, proof);
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -13,7 +13,7 @@
 use async_signal::{Signal, Signals};
 use batch_window::Pacing;
 use broker_types::query::{AttemptId, FinalResponse, QueryId};
-use broker_types::server::{EndpointList, ListScope, NodeId, NodeState, Outcome};
+use broker_types::server::{EndpointList, ListScope, NodeId, Outcome, ServingState};
 use broker_types::time::{Micros, millis};
 use futures_lite::future::yield_now;
 use futures_lite::{FutureExt, StreamExt};
@@ -278,7 +278,7 @@
         for (server, target) in servers.iter().zip(&targets.endpoints) {
             let endpoint = target
                 .address
-                .filter(|_| server.state == NodeState::Serving);
+                .filter(|_| server.state == ServingState::Serving);
             self.upstream.learn(now, server.name.clone(), endpoint);
         }
         self.core.learn(scope, servers);
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -187,7 +187,7 @@
         let Some(id) = self.conn_for(now, server, sends.len()) else {
             let never = |s: Send| Ended {
                 attempt: s.attempt,
-                outcome: Outcome::NoConnection,
+                outcome: Outcome::Unreachable,
                 elapsed: 0,
                 load: None,
                 value: None,
@@ -356,7 +356,7 @@
             // Still on this side when its time ended: never ran. Unless there was none, the wait was for a connection
             // that did not come up or takes nothing.
             true if up && !stuck => Outcome::NotSent,
-            true => Outcome::NoConnection,
+            true => Outcome::Unreachable,
             false => outcome,
         };
         self.end(now, attempt, outcome, None, None);
@@ -474,7 +474,7 @@
         for (wire, attempt) in conn.out.clone() {
             let outcome = match unwritten.contains(&wire) {
                 true if was_up => Outcome::NotSent,
-                true => Outcome::NoConnection,
+                true => Outcome::Unreachable,
                 false => Outcome::ConnectionLost,
             };
             self.end(now, attempt, outcome, None, None);
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -265,7 +265,7 @@
             .collect()
     };
     pool.dispatch(0, to_other(2));
-    assert_eq!(outcomes(&mut pool, 30), [Outcome::NoConnection]);
+    assert_eq!(outcomes(&mut pool, 30), [Outcome::Unreachable]);
     pool.hear(10, 0, answer("q1.0"));
     pool.dispatch(20, to_other(3));
     assert_eq!(
@@ -294,7 +294,7 @@
     pool.learn(10, server(), None);
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NotSent; 2]);
     pool.dispatch(20, sends(2, 1));
-    assert_eq!(outcomes(&mut pool, 30), [Outcome::NoConnection]);
+    assert_eq!(outcomes(&mut pool, 30), [Outcome::Unreachable]);
     pool.sweep(20);
     assert_eq!((pool.open(), pool.servers.len()), (0, 0));
 }
@@ -304,12 +304,12 @@
 fn the_end_of_an_attempt_tells_whether_it_may_have_run() {
     let (mut pool, _listener) = pool(limits());
     pool.dispatch(0, sends(1, 1));
-    assert_eq!(outcomes(&mut pool, SECOND), [Outcome::NoConnection]);
+    assert_eq!(outcomes(&mut pool, SECOND), [Outcome::Unreachable]);
     pool.dispatch(0, sends(2, 2));
     let queue = pool.conns[&0].queue.clone();
     queue.begin(0);
     pool.hear(20, 0, broken());
-    assert_eq!(outcomes(&mut pool, 30), [Outcome::NoConnection; 2]);
+    assert_eq!(outcomes(&mut pool, 30), [Outcome::Unreachable; 2]);
     pool.dispatch(30, sends(3, 1));
     let (executor, inbox) = (pool.executor.clone(), pool.inbox.clone());
     let queue = pool.conns[&1].queue.clone();
@@ -363,7 +363,7 @@
     );
     assert_eq!(
         outcomes(&mut pool, SECOND / 2),
-        [Outcome::Cancelled, Outcome::NoConnection]
+        [Outcome::Cancelled, Outcome::Unreachable]
     );
     assert_eq!(pool.open(), 0);
 }
@@ -436,7 +436,7 @@
     poll_write(&ours, &queue);
     assert_eq!(
         (outcomes(&mut pool, 3600 * SECOND), pool.open()),
-        (vec![Outcome::NoConnection], 0)
+        (vec![Outcome::Unreachable], 0)
     );
 }
 
--- a/crates/endpoint-control/src/assign.rs
+++ b/crates/endpoint-control/src/assign.rs
@@ -9,7 +9,7 @@
 use crate::cold::{Rule, part_of};
 use crate::leases::{Leases, fair_units};
 use crate::{Proxy, View};
-use broker_types::server::{NodeId, NodeState};
+use broker_types::server::{NodeId, ServingState};
 use broker_types::time::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -99,7 +99,7 @@
     rule: &Rule,
 ) -> Vec<Cell> {
     let mut by_cell: BTreeMap<usize, Vec<&View>> = BTreeMap::new();
-    for view in views.iter().filter(|v| v.state != NodeState::Gone) {
+    for view in views.iter().filter(|v| v.state != ServingState::Removed) {
         by_cell.entry(view.cell).or_default().push(view);
     }
     let passed_over = |v: &View| {
@@ -108,7 +108,7 @@
     };
     let cell = |(cell, mut views): (usize, Vec<&View>)| {
         views.sort_by(|a, b| a.name.cmp(&b.name));
-        let warm = |v: &&View| v.state == NodeState::Serving && !is_cold(v, now, rule);
+        let warm = |v: &&View| v.state == ServingState::Serving && !is_cold(v, now, rule);
         let spared = views.iter().filter(|v| warm(v)).all(|v| passed_over(v));
         let endpoint = |(row, v): (usize, &View)| Endpoint {
             name: v.name.clone(),
@@ -116,8 +116,8 @@
             zone: v.zone,
             row,
             health: match v.state {
-                NodeState::Serving if !spared && passed_over(v) => Health::Unhealthy,
-                NodeState::Serving => Health::Healthy,
+                ServingState::Serving if !spared && passed_over(v) => Health::Unhealthy,
+                ServingState::Serving => Health::Healthy,
                 _ => Health::Draining,
             },
             weight: weight(v.pace),
@@ -125,7 +125,7 @@
         let rows = views
             .into_iter()
             .enumerate()
-            .filter(|(_, v)| v.state != NodeState::Serving || !is_cold(v, now, rule));
+            .filter(|(_, v)| v.state != ServingState::Serving || !is_cold(v, now, rule));
         Cell {
             cell,
             endpoints: rows.map(endpoint).collect(),
@@ -157,7 +157,7 @@
     let mut dealt: BTreeMap<Proxy, Vec<Cold>> = BTreeMap::new();
     for view in views
         .iter()
-        .filter(|v| v.state == NodeState::Serving && is_cold(v, now, rule))
+        .filter(|v| v.state == ServingState::Serving && is_cold(v, now, rule))
     {
         let age = now.saturating_sub(view.cold_since.unwrap_or(now));
         let most = part_of(
@@ -212,7 +212,7 @@
             endpoint: SocketAddr::from(([127, 0, 0, 1], 9000 + n as u16)),
             cell: n % 2,
             zone: Some(n % 3),
-            state: NodeState::Serving,
+            state: ServingState::Serving,
             ejected_until: None,
             cold_since: None,
             pace: 1.0,
@@ -230,7 +230,7 @@
     #[test]
     fn cells_become_clusters_and_rows_stay_where_they_are() {
         let mut views: Vec<View> = (0..6).map(view).collect();
-        views[2].state = NodeState::Draining;
+        views[2].state = ServingState::Draining;
         views[4].ejected_until = Some(10);
         let told = cells(5, &views, &BTreeMap::new(), &RULE);
         assert_eq!(
--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod leases;
 pub mod quorum;
 
-use broker_types::server::{NodeId, NodeState};
+use broker_types::server::{NodeId, ServingState};
 use broker_types::time::Micros;
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
     /// Index of its zone.
     pub zone: Option<usize>,
     /// Its state in the list.
-    pub state: NodeState,
+    pub state: ServingState,
     /// Until when it is passed over for its failures.
     pub ejected_until: Option<Micros>,
     /// When its process started, if it may still be cold.
--- a/crates/fanout-policy/src/api.rs
+++ b/crates/fanout-policy/src/api.rs
@@ -1,338 +1,342 @@
-//! The interface of the decision module: what it is told at start, what it hears, what it asks for.
+//! Public interface of the policy: the settings it starts with, the events it takes and the actions it returns.
 //!
-//! Nothing here decides anything. Times are milliseconds of the caller's own clock.
+//! The types here carry no decisions. All times are milliseconds on the caller's clock.
 
 use std::sync::Arc;
 
-/// A moment on the caller's clock, or a span of it, in milliseconds.
+/// A point in time on the caller's clock, or a duration, in milliseconds.
 pub type Ms = f64;
 
-/// Name of a server; the same at every aggregator, and kept over restarts of its process.
+/// Name of a data server. It is the same at every aggregator and survives restarts of the server's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub Arc<str>);
 
-/// Name of a query or of one of its parts. Never used twice.
+/// Identifier of a query, never used twice. Queries that wait at the same time are processed in its order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct RequestId(pub Arc<str>);
+pub struct QueryId(pub Arc<str>);
 
-/// Index of a class of query in [`Settings::classes`].
+/// Identifier of one part of a query, never used twice.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PartId(pub Arc<str>);
+
+/// Index of a query class in [`Settings::classes`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`]; any index where a deployment has none.
+/// Index of a tenant in [`Settings::tenants`]. Any index is accepted where a deployment has no tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantIndex(pub usize);
 
-/// What repeating a part may do.
+/// Whether a part may safely be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Semantics {
-    /// Repeats are harmless.
-    Safe,
-    /// Repeats are dropped by the servers for so long after the first attempt.
-    Keyed {
-        /// Time, from the first attempt that may have run, in which repeats are dropped.
+pub enum RetrySafety {
+    /// Repeated execution has no further effect.
+    Idempotent,
+    /// Servers deduplicate repeats by an idempotency key.
+    IdempotencyKey {
+        /// Time after the first attempt that may have run during which repeats are deduplicated.
         window: Ms,
     },
-    /// A repeat would take effect again.
-    Unsafe,
+    /// Every execution takes effect.
+    NotIdempotent,
 }
 
-/// One class of query.
+/// One class of queries.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns full worth.
-    pub aim: Ms,
-    /// The client's whole patience, over all its tries.
-    pub give_up: Ms,
-    /// Worth of a whole answer in time.
-    pub worth: f64,
-    /// Share of the worth that an answer after the aim still earns.
-    pub late_worth: f64,
-    /// What a repeat may do.
-    pub semantics: Semantics,
-    /// Share of the parts' weight that makes a whole answer.
-    pub need: f64,
-    /// Least share of the parts' weight that an answer may be given from.
-    pub floor: f64,
-    /// An answer that is not whole earns this times its share over the need.
-    pub partial_earns: f64,
-    /// Whether a first answer brings a second step with further parts.
-    pub second_step: bool,
+    /// An answer within this time earns the full weight.
+    pub latency_objective: Ms,
+    /// Time after which a client gives up, over all its attempts together.
+    pub client_timeout: Ms,
+    /// Weight that a complete answer in time earns.
+    pub priority_weight: f64,
+    /// Fraction of the weight that an answer after the latency objective still earns.
+    pub late_weight: f64,
+    /// Whether its parts may be executed more than once.
+    pub retry_safety: RetrySafety,
+    /// Share of the total part weight that makes an answer complete.
+    pub required_share: f64,
+    /// Smallest share of the total part weight from which an answer may be given.
+    pub minimum_share: f64,
+    /// A partial answer earns this fraction times its share divided by the required share.
+    pub partial_weight: f64,
+    /// Whether the first answer leads to a second step with further parts.
+    pub has_second_step: bool,
 }
 
 /// One tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Queries a second, over all aggregators, that count as within its share.
+    /// Queries per second, over all aggregators together, that are within its quota.
     pub quota_per_s: f64,
 }
 
-/// How the list of servers comes.
+/// How the endpoint list reaches the aggregator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListSource {
-    /// Changes come unasked.
+pub enum EndpointListSource {
+    /// Updates arrive without a request.
     Pushed,
-    /// Changes come only once asked for.
-    OnRequest,
+    /// Updates arrive only after the aggregator has polled for them.
+    Polled,
 }
 
-/// The rule on attempts beyond each part's first.
+/// Limit on attempts beyond the first of each part.
 #[derive(Clone, Copy, Debug)]
-pub struct AttemptBudget {
-    /// So many are free in any window.
-    pub spare: f64,
-    /// And so many for each query and part taken in the window.
+pub struct RetryBudget {
+    /// Attempts that are free in any window.
+    pub free_attempts: f64,
+    /// Further attempts per query or part accepted in the window.
     pub per_request: f64,
-    /// Length of the window.
-    pub span: Ms,
+    /// Length of the sliding window.
+    pub window: Ms,
 }
 
-/// The figures for servers that have just started.
+/// Behaviour of servers that have just started.
 #[derive(Clone, Copy, Debug)]
-pub struct ColdRule {
-    /// A server starts with at least this share of its capacity.
-    pub from: f64,
-    /// It is warm after this time at the latest.
-    pub warm_after: Ms,
-    /// It falls over when sent more than this multiple of what it can do at the moment ...
-    pub fall_multiple: f64,
+pub struct WarmUp {
+    /// Least share of its full capacity that a server has when it starts.
+    pub initial_capacity: f64,
+    /// Time after its start by which a server has warmed up.
+    pub duration: Ms,
+    /// A server fails when it receives more than this multiple of its current capacity ...
+    pub overload_factor: f64,
     /// ... for this long.
-    pub fall_after: Ms,
+    pub overload_window: Ms,
 }
 
-/// All that an aggregator is told at its start.
+/// Settings of one aggregator, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Classes of query.
+    /// Query classes.
     pub classes: Vec<Class>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// How many aggregators serve beside and including this one.
+    /// Number of aggregators, including this one.
     pub aggregators: usize,
-    /// This one's zone, where the deployment has zones; servers name theirs in [`Member::zone`].
+    /// Zone of this aggregator, where the deployment has zones. Servers name theirs in [`Endpoint::zone`].
     pub zone: Option<usize>,
-    /// Share of its worth that a query beyond its tenant's share keeps.
-    pub over_share_worth: f64,
-    /// Whether a query's worth grows with the work in it.
-    pub worth_by_work: bool,
-    /// Whether clients mark their repeats, see [`Query::again`].
-    pub marks_again: bool,
-    /// Number of cells. Shard `s` is held by the servers of cells `s + j` modulo this, `j` below `reach`.
+    /// Fraction of its priority weight that a query over its tenant's quota keeps.
+    pub over_quota_weight: f64,
+    /// Whether the priority weight of a query is proportional to its cost.
+    pub weight_by_work: bool,
+    /// Whether clients mark their retries, see [`Query::is_retry`].
+    pub marks_retries: bool,
+    /// Number of cells. Shard `s` is held by the cells `(s + j) % cells` for `j < replica_cells`.
     pub cells: usize,
-    /// Cells in a row that hold a shard: 1 where servers form sets.
-    pub reach: usize,
+    /// Number of adjacent cells that hold a shard; 1 where the servers form sets.
+    pub replica_cells: usize,
     /// Number of shards.
     pub shards: usize,
-    /// Most parts in one call.
-    pub batch: usize,
-    /// Work that a call costs its server beside that of its parts.
-    pub call_work: Ms,
-    /// Most attempts for one part.
+    /// Largest number of parts in one call to a server.
+    pub max_parts_per_call: usize,
+    /// Cost of a call to its server in addition to the cost of its parts.
+    pub call_cost: Ms,
+    /// Largest number of attempts for one part.
     pub max_attempts: u32,
-    /// Whether a part may have two attempts out at once.
-    pub second_copies: bool,
-    /// Whether attempts may be called off.
-    pub cancel: bool,
-    /// Longest retry advice that clients heed; `None` where advice does not reach them.
+    /// Whether a part may have two attempts in flight at once (request hedging).
+    pub hedging: bool,
+    /// Whether attempts may be cancelled.
+    pub cancellation: bool,
+    /// Largest retry-after value that clients respect; `None` where it does not reach them.
     pub max_retry_after: Option<Ms>,
-    /// Whether aggregators may send each other short messages.
-    pub messages: bool,
-    /// Time between two batches at the least.
+    /// Whether aggregators may exchange gossip messages.
+    pub gossip: bool,
+    /// Least time between two batches.
     pub tick: Ms,
-    /// How the list of servers comes.
-    pub list: ListSource,
-    /// Without a subscription, an aggregator counts as told after this time.
-    pub ask_within: Ms,
-    /// The rule on further attempts, where there is one.
-    pub budget: Option<AttemptBudget>,
-    /// The rule on cold servers.
-    pub cold: ColdRule,
+    /// How the endpoint list arrives.
+    pub list_source: EndpointListSource,
+    /// Time after which an aggregator that polls counts as informed of a change.
+    pub list_poll_deadline: Ms,
+    /// Limit on further attempts, where one is prescribed.
+    pub retry_budget: Option<RetryBudget>,
+    /// Behaviour of servers that have just started.
+    pub warm_up: WarmUp,
 }
 
-/// Whether a server may be sent anything.
+/// Whether a server accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NodeState {
-    /// It serves.
+pub enum ServingState {
+    /// It accepts requests.
     Serving,
-    /// It finishes what it has.
+    /// It finishes the requests it has and accepts no others.
     Draining,
     /// It has been removed.
-    Gone,
+    Removed,
 }
 
-/// One server as the list shows it.
+/// One server in the endpoint list.
 #[derive(Clone, Debug)]
-pub struct Member {
+pub struct Endpoint {
     /// The server.
     pub node: NodeId,
     /// Its cell.
     pub cell: usize,
     /// Its state.
-    pub state: NodeState,
-    /// Index of its zone, where the list shows it.
+    pub state: ServingState,
+    /// Index of its zone, where the list names zones.
     pub zone: Option<usize>,
-    /// When its process last started; `None`: long ago.
+    /// When its process last started; `None` if long ago.
     pub started: Option<Ms>,
 }
 
-/// What a list event brings.
+/// Kind of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListKind {
+pub enum ListUpdate {
     /// Changed entries only.
-    Changes,
-    /// The whole list.
-    Complete,
-    /// The whole list as last written to disk, perhaps old.
-    Disk,
-    /// A request for the list failed, or the subscription broke. No entries.
-    Error,
+    Delta,
+    /// The complete current list.
+    Snapshot,
+    /// The complete list as last written to disk, possibly out of date.
+    Cached,
+    /// A poll failed or the subscription broke; there are no entries.
+    Failed,
 }
 
-/// A query as it arrives. Its parts follow in the same batch.
+/// A query on arrival. Its parts follow in the same batch.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Its name.
-    pub id: RequestId,
-    /// Number that its parts share.
+    /// Its identifier.
+    pub id: QueryId,
+    /// Group number that it shares with its parts.
     pub group: u64,
     /// Its class.
     pub class: ClassIndex,
     /// Its tenant.
     pub tenant: TenantIndex,
-    /// When the client gives up this try.
-    pub give_up_at: Ms,
-    /// Whether the client marks it as a repeat.
-    pub again: bool,
+    /// When the client gives up on this attempt.
+    pub client_deadline: Ms,
+    /// Whether the client marks it as a retry.
+    pub is_retry: bool,
 }
 
 /// A part of a query.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// Its name.
-    pub id: RequestId,
-    /// Number of its query.
+    /// Its identifier.
+    pub id: PartId,
+    /// Group number of its query.
     pub group: u64,
     /// Its shard.
     pub shard: usize,
     /// Its weight in the answer.
     pub weight: f64,
-    /// Roughly the work in it, where the deployment gives hints.
-    pub work_hint: Option<Ms>,
+    /// Approximate cost, where the deployment provides hints.
+    pub cost_hint: Option<Ms>,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// Answered.
+    /// The server answered.
     Served,
-    /// The server returned an error; it may have run.
+    /// The server returned an error; the part may have run.
     Error,
-    /// Turned away unseen: it never ran.
-    Full,
-    /// No answer in time; it may have run or still run.
+    /// The server rejected the part for lack of capacity; the part never ran.
+    Overloaded,
+    /// There was no answer in time; the part may have run or may still run.
     TimedOut,
-    /// No connection: it never ran.
-    NoConnection,
-    /// The connection broke; it may have run.
+    /// No connection could be made; the part never ran.
+    Unreachable,
+    /// The connection broke; the part may have run.
     ConnectionLost,
-    /// Called off by the aggregator; it may have run.
+    /// The aggregator cancelled the attempt; the part may have run.
     Cancelled,
-    /// Never sent.
+    /// The attempt was never sent.
     NotSent,
 }
 
-/// Longest message between aggregators.
-pub const MESSAGE_BYTES: usize = 256;
+/// Largest size of a gossip message in bytes.
+pub const MAX_GOSSIP_BYTES: usize = 256;
 
-/// What an aggregator hears.
+/// An input of the policy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// News of the list of servers.
-    List {
+    /// The endpoint list was updated.
+    EndpointList {
         /// What the entries are.
-        kind: ListKind,
+        update: ListUpdate,
         /// The entries.
-        members: Vec<Member>,
+        endpoints: Vec<Endpoint>,
     },
-    /// A query has come.
+    /// A query has arrived.
     Query(Query),
-    /// A part of a query has come.
+    /// A part of a query has arrived.
     Part(Part),
     /// An attempt has ended.
-    Ended {
+    AttemptEnded {
         /// The part.
-        part: RequestId,
-        /// Which of the part's attempts, from 0.
+        part: PartId,
+        /// Index of the attempt among those of its part, from 0.
         attempt: u32,
         /// How it ended.
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: Ms,
-        /// Requests that the server said it holds, waiting or in work, where its answers tell: a hint that may be
-        /// late or untrue.
+        /// Number of requests that the server reported as waiting or in execution, if it did. The report may be
+        /// late or wrong.
         load: Option<f64>,
     },
-    /// The client has left; nothing more is owed.
-    Gone(RequestId),
-    /// Another aggregator has sent a message.
-    Message {
-        /// Which aggregator, from 0.
+    /// The client has disconnected; the query needs no answer.
+    ClientDisconnected(QueryId),
+    /// Another aggregator has sent a gossip message.
+    Gossip {
+        /// Index of the sender, from 0.
         from: usize,
-        /// What it sent.
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// The time asked for by [`Action::Wake`] has come.
-    Woken,
+    /// The timer set by [`Action::SetTimer`] has fired.
+    TimerFired,
 }
 
-/// What an aggregator asks its caller to do, in this order.
+/// An output of the policy. The caller carries out actions in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt for a part. Those to one server in one batch share calls.
-    Send {
+    /// Send an attempt for a part. Attempts for one server in one batch share calls.
+    SendAttempt {
         /// The part.
-        part: RequestId,
-        /// Where to.
+        part: PartId,
+        /// The server.
         node: NodeId,
-        /// Wait this long at the most; `None`: until the client gives up.
-        within: Option<Ms>,
+        /// Longest wait for an answer; `None` waits until the client's deadline.
+        timeout: Option<Ms>,
     },
-    /// End the wait for an attempt.
-    Cancel {
+    /// Stop waiting for an attempt.
+    CancelAttempt {
         /// The part.
-        part: RequestId,
-        /// Which of its attempts.
+        part: PartId,
+        /// Index of the attempt among those of its part.
         attempt: u32,
     },
-    /// Answer the query from the parts that are in.
+    /// Answer the query from the parts that have been served.
     Answer {
         /// The query.
-        query: RequestId,
-        /// Whether the answer is whole.
-        whole: bool,
+        query: QueryId,
+        /// Whether the answer is complete.
+        complete: bool,
     },
-    /// End the query unanswered, telling that a repeat is harmless.
-    Refuse {
+    /// End the query without an answer and state that a retry is safe.
+    Reject {
         /// The query.
-        query: RequestId,
-        /// When the client should come back.
+        query: QueryId,
+        /// When the client should retry.
         retry_after: Option<Ms>,
     },
-    /// End the query unanswered, promising nothing.
+    /// End the query without an answer and without a statement on retries.
     Fail {
         /// The query.
-        query: RequestId,
+        query: QueryId,
     },
-    /// Send all other aggregators this message, of [`MESSAGE_BYTES`] at most.
-    Tell {
-        /// What to send.
+    /// Send a gossip message of at most [`MAX_GOSSIP_BYTES`] bytes to all other aggregators.
+    PublishLoad {
+        /// The message.
         bytes: Vec<u8>,
     },
-    /// Ask for the changes of the list from now on.
-    Watch,
-    /// Send [`Event::Woken`] after this time.
-    Wake {
-        /// How long from now.
+    /// Poll for changes of the endpoint list from now on.
+    PollEndpointList,
+    /// Send [`Event::TimerFired`] after this time.
+    SetTimer {
+        /// Delay from now.
         after: Ms,
     },
 }
--- a/crates/fanout-policy/src/bin/simulator-adapter.rs
+++ b/crates/fanout-policy/src/bin/simulator-adapter.rs
@@ -9,20 +9,24 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-fn request(m: &Message) -> Result<RequestId, String> {
-    Ok(RequestId(m.text("OpId")?.into()))
+fn query_id(m: &Message) -> Result<QueryId, String> {
+    Ok(QueryId(m.text("OpId")?.into()))
 }
 
-fn members(m: &Message) -> Result<Vec<Member>, String> {
+fn part_id(m: &Message) -> Result<PartId, String> {
+    Ok(PartId(m.text("OpId")?.into()))
+}
+
+fn members(m: &Message) -> Result<Vec<Endpoint>, String> {
     let mut members = Vec::new();
     for e in m.objects("MembersList")? {
         let state = match e.text("Mode")? {
-            "in_service" => NodeState::Serving,
-            "terminating" => NodeState::Draining,
-            "terminated" => NodeState::Gone,
+            "in_service" => ServingState::Serving,
+            "terminating" => ServingState::Draining,
+            "terminated" => ServingState::Removed,
             _ => return e.bad("Mode", "is unknown"),
         };
-        members.push(Member {
+        members.push(Endpoint {
             node: NodeId(e.text("Node")?.into()),
             cell: e.opt_whole("Position")?.unwrap_or(0) as usize,
             state,
@@ -42,20 +46,20 @@
     let group = m.whole("GroupNo")?;
     if shard < 0.0 {
         return Ok(Event::Query(Query {
-            id: request(m)?,
+            id: query_id(m)?,
             group,
             class: ClassIndex(class),
             tenant: TenantIndex(m.opt_whole("Team")?.unwrap_or(0) as usize),
-            give_up_at: m.number("GiveUpAt")?,
-            again: m.flag("AgainByClient")?,
+            client_deadline: m.number("GiveUpAt")?,
+            is_retry: m.flag("AgainByClient")?,
         }));
     }
     Ok(Event::Part(Part {
-        id: request(m)?,
+        id: part_id(m)?,
         group,
         shard: m.whole("Slice")? as usize,
         weight: m.number("Measure")?,
-        work_hint: m.opt_number("Effort")?,
+        cost_hint: m.opt_number("Effort")?,
     }))
 }
 
@@ -76,9 +80,9 @@
     Ok(match m.text("Rc")? {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
-        "turned_away" => Outcome::Full,
+        "turned_away" => Outcome::Overloaded,
         "no_answer" => Outcome::TimedOut,
-        "no_connection" => Outcome::NoConnection,
+        "no_connection" => Outcome::Unreachable,
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
@@ -88,26 +92,26 @@
 
 fn action_line(instance: u64, action: &Action) -> Value {
     match action {
-        Action::Send { part, node, within } => {
-            json!({"t": "Issue", "I": instance, "OpId": &*part.0, "Within": within.unwrap_or(0.0), "Node": &*node.0})
+        Action::SendAttempt { part, node, timeout } => {
+            json!({"t": "Issue", "I": instance, "OpId": &*part.0, "Within": timeout.unwrap_or(0.0), "Node": &*node.0})
         }
-        Action::Cancel { part, attempt } => {
+        Action::CancelAttempt { part, attempt } => {
             json!({"t": "AbortAttempt", "I": instance, "OpId": &*part.0, "Hop": attempt})
         }
-        Action::Answer { query, whole } => {
-            json!({"t": "Answer", "I": instance, "OpId": &*query.0, "Full": whole})
+        Action::Answer { query, complete } => {
+            json!({"t": "Answer", "I": instance, "OpId": &*query.0, "Full": complete})
         }
-        Action::Refuse { query, retry_after } => {
+        Action::Reject { query, retry_after } => {
             let back = retry_after.unwrap_or(0.0);
             json!({"t": "NotNow", "I": instance, "OpId": &*query.0, "ComeBack": back})
         }
         Action::Fail { query } => json!({"t": "FinishError", "I": instance, "OpId": &*query.0}),
-        Action::Tell { bytes } => {
+        Action::PublishLoad { bytes } => {
             let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
             json!({"t": "WritePeer", "I": instance, "Dst": "all", "Contents": hex})
         }
-        Action::Watch => json!({"t": "KeepInformed", "I": instance, "Full": true}),
-        Action::Wake { after } => json!({"t": "After", "I": instance, "Span": after, "Ref": 0}),
+        Action::PollEndpointList => json!({"t": "KeepInformed", "I": instance, "Full": true}),
+        Action::SetTimer { after } => json!({"t": "After", "I": instance, "Span": after, "Ref": 0}),
     }
 }
 
@@ -121,7 +125,7 @@
 #[derive(Default)]
 struct Adapter {
     instances: BTreeMap<u64, Instance>,
-    lists: BTreeMap<u64, Vec<Member>>,
+    lists: BTreeMap<u64, Vec<Endpoint>>,
     inbox: BTreeMap<u64, Vec<Event>>,
 }
 
@@ -151,34 +155,34 @@
             }
             "PeersKnown" => {
                 let kind = match m.text("Mode")? {
-                    "diff" => ListKind::Changes,
-                    "snapshot" => ListKind::Complete,
-                    "disk" => ListKind::Disk,
-                    "error" => ListKind::Error,
+                    "diff" => ListUpdate::Delta,
+                    "snapshot" => ListUpdate::Snapshot,
+                    "disk" => ListUpdate::Cached,
+                    "error" => ListUpdate::Failed,
                     _ => return m.bad("Mode", "is unknown"),
                 };
                 let members = match kind {
-                    ListKind::Error => Vec::new(),
+                    ListUpdate::Failed => Vec::new(),
                     _ => match self.lists.get(&m.whole("Slot")?) {
                         Some(members) => members.clone(),
                         None => return m.bad("Slot", "names a list that was never declared"),
                     },
                 };
-                Some(Event::List { kind, members })
+                Some(Event::EndpointList { update: kind, endpoints: members })
             }
             "Order" => Some(order(m, instance.classes)?),
-            "ReportBack" => Some(Event::Ended {
-                part: request(m)?,
+            "ReportBack" => Some(Event::AttemptEnded {
+                part: part_id(m)?,
                 attempt: m.whole("Hop")? as u32,
                 outcome: outcome(m)?,
                 elapsed: m.number("Rtt")?,
                 load: held(m),
             }),
-            "Dropped" => Some(Event::Gone(request(m)?)),
+            "Dropped" => Some(Event::ClientDisconnected(query_id(m)?)),
             "Memo" => bytes(m.text("Contents")?)
-                .map(|bytes| m.whole("Who").map(|from| Event::Message { from: from as usize, bytes }))
+                .map(|bytes| m.whole("Who").map(|from| Event::Gossip { from: from as usize, bytes }))
                 .transpose()?,
-            "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::Woken))?,
+            "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::TimerFired))?,
             // Not asked for, but part of the wire.
             "Begun" | "Probed" => None,
             _ => return Err(format!("{}: the message is unknown", m.name())),
--- a/crates/fanout-policy/src/choice.rs
+++ b/crates/fanout-policy/src/choice.rs
@@ -3,6 +3,7 @@
 //! Read from the top: what happens in a batch, then lists, arrivals, rows and turns, the choice of a server,
 //! further attempts, replies, refusals, health, cold servers, and the width loop.
 
+use crate::aggregator::Aggregator;
 use crate::api::*;
 use crate::state::{
     Desk, Dice, Fleet, Flight, Held, Learned, Patience, Piece, Server, Told, Try, Width, never_ran, short,
@@ -136,30 +137,11 @@
 /// With nothing in hand, look around this often, in ticks.
 const IDLE_TICKS: f64 = 50.0;
 
-/// The decisions of one aggregator.
-pub struct Aggregator {
-    pub(crate) set: Settings,
-    dice: Dice,
-    pub(crate) now: Ms,
-    out: Vec<Action>,
-    pub(crate) fleet: Fleet,
-    desk: Desk,
-    pub(crate) learned: Vec<Learned>,
-    pub(crate) fleet_pace: f64,
-    next_second: Ms,
-    tenant_taken: Vec<VecDeque<Ms>>,
-    ask_at: Option<Ms>,
-    ask_wait: Ms,
-    /// When the next batch is due.
-    wake_at: Ms,
-    told_at: Ms,
-}
-
 impl Aggregator {
     /// An aggregator that knows only its settings. The same seed and events give the same actions.
     pub fn new(set: Settings, seed: u64) -> Self {
-        let width = Width { rows: set.reach.max(1) as f64, ..Default::default() };
-        let unit = set.call_work.max(1.0) * FIRST_UNIT;
+        let width = Width { rows: set.replica_cells.max(1) as f64, ..Default::default() };
+        let unit = set.call_cost.max(1.0) * FIRST_UNIT;
         let first = Learned { width, unit, second: unit, ..Default::default() };
         Aggregator {
             dice: Dice::new(seed),
@@ -171,8 +153,8 @@
             fleet_pace: FIRST_PACE,
             next_second: f64::NEG_INFINITY,
             tenant_taken: vec![VecDeque::new(); set.tenants.len()],
-            ask_at: (set.list == ListSource::OnRequest).then_some(f64::NEG_INFINITY),
-            ask_wait: set.ask_within.min(set.cold.warm_after) * ASK.0,
+            ask_at: (set.list_source == EndpointListSource::Polled).then_some(f64::NEG_INFINITY),
+            ask_wait: set.list_poll_deadline.min(set.warm_up.duration) * ASK.0,
             wake_at: f64::INFINITY,
             told_at: f64::NEG_INFINITY,
             set,
@@ -186,22 +168,24 @@
         self.fleet.servers.iter_mut().for_each(|s| s.bundled = 0);
         for event in events {
             match event {
-                Event::List { kind, members } => self.hear_list(kind, members),
+                Event::EndpointList { update: kind, endpoints: members } => self.hear_list(kind, members),
                 Event::Query(query) => self.take_query(query),
                 Event::Part(part) => self.take_part(part),
-                Event::Ended { part, attempt, outcome, elapsed, load } => {
+                Event::AttemptEnded { part, attempt, outcome, elapsed, load } => {
                     self.ended(part, attempt, outcome, elapsed, load)
                 }
-                Event::Gone(id) => self.desk.queries.remove(&id).iter().for_each(|q| self.forget(q)),
-                Event::Message { from, bytes } => self.hear_others(from, &bytes),
-                Event::Woken => self.wake_at = f64::INFINITY,
+                Event::ClientDisconnected(id) => {
+                    self.desk.queries.remove(&id).iter().for_each(|q| self.forget(q))
+                }
+                Event::Gossip { from, bytes } => self.hear_others(from, &bytes),
+                Event::TimerFired => self.wake_at = f64::INFINITY,
             }
         }
         if self.ask_at.take_if(|at| now >= *at).is_some() {
-            self.out.push(Action::Watch);
+            self.out.push(Action::PollEndpointList);
         }
         self.each_second();
-        let ids: Vec<RequestId> = self.desk.queries.keys().cloned().collect();
+        let ids: Vec<QueryId> = self.desk.queries.keys().cloned().collect();
         for id in ids {
             if let Some(mut query) = self.desk.queries.remove(&id)
                 && !self.run_query(&id, &mut query)
@@ -218,40 +202,40 @@
         if self.wake_at == f64::INFINITY {
             let ticks = if self.desk.queries.is_empty() { IDLE_TICKS } else { 1.0 };
             let after = ticks * self.set.tick.max(1.0);
-            self.out.push(Action::Wake { after });
+            self.out.push(Action::SetTimer { after });
             self.wake_at = self.now + after;
         }
     }
 
     // ---- the list of servers
 
-    fn hear_list(&mut self, kind: ListKind, members: Vec<Member>) {
-        if kind == ListKind::Error {
+    fn hear_list(&mut self, kind: ListUpdate, members: Vec<Endpoint>) {
+        if kind == ListUpdate::Failed {
             // A list service that fails is often asked too much: wait longer each time, spread out.
             let wait = self.ask_wait * (0.5 + self.dice.random());
-            self.ask_at = (self.set.list == ListSource::OnRequest).then_some(self.now + wait);
-            self.ask_wait = (self.ask_wait * 2.0).min(self.set.ask_within * ASK.1);
+            self.ask_at = (self.set.list_source == EndpointListSource::Polled).then_some(self.now + wait);
+            self.ask_wait = (self.ask_wait * 2.0).min(self.set.list_poll_deadline * ASK.1);
             return;
         }
-        if kind != ListKind::Disk {
-            self.ask_wait = self.set.ask_within.min(self.set.cold.warm_after) * ASK.0;
+        if kind != ListUpdate::Cached {
+            self.ask_wait = self.set.list_poll_deadline.min(self.set.warm_up.duration) * ASK.0;
         }
-        if kind != ListKind::Changes {
-            self.fleet.servers.iter_mut().for_each(|s| s.state = NodeState::Gone);
+        if kind != ListUpdate::Delta {
+            self.fleet.servers.iter_mut().for_each(|s| s.state = ServingState::Removed);
         }
         for m in members {
             self.hear_member(m);
         }
-        self.fleet.make_rows(self.set.cells, self.set.reach);
+        self.fleet.make_rows(self.set.cells, self.set.replica_cells);
     }
 
-    fn hear_member(&mut self, m: Member) {
+    fn hear_member(&mut self, m: Endpoint) {
         let s = self.fleet.member(m.node, self.fleet_pace);
         s.cell = m.cell;
         s.state = m.state;
         s.zone = m.zone;
         if let Some(start) = m.started
-            && start + self.set.cold.warm_after > self.now
+            && start + self.set.warm_up.duration > self.now
             && s.cold_since.is_none_or(|c| c < start)
         {
             s.cold_since = Some(start);
@@ -276,7 +260,7 @@
             tenant: q.tenant.0,
             group: q.group,
             arrived: self.now,
-            give_up_at: q.give_up_at,
+            client_deadline: q.client_deadline,
             ..Default::default()
         };
         self.desk.queries.insert(q.id, held);
@@ -286,44 +270,26 @@
     /// is a repeat that ends with it. Else a retry storm fills the fleet with answers past their aim.
     /// Unmarked, it is believed only where a usual patience shows; hurts where patience differs by client.
     fn first_asked(&mut self, class: usize, q: &Query) -> Ms {
-        let left = q.give_up_at - self.now;
+        let left = q.client_deadline - self.now;
         let p = &mut self.learned[class].patience;
         let same = (left - p.usual).abs() <= (1.0 - PATIENCE_SAME) * p.usual;
         p.votes = (p.votes + if same { 1.0 } else { -PATIENCE_SHARE }).min(PATIENCE_VOTES * 2.0);
         if p.votes < 0.0 {
             *p = Patience { usual: left, votes: 1.0 };
         }
-        let usual = q.again || (!self.set.marks_again && p.votes >= PATIENCE_VOTES);
+        let usual = q.is_retry || (!self.set.marks_retries && p.votes >= PATIENCE_VOTES);
         let shortened = left < p.usual * PATIENCE_SAME;
         if usual && shortened {
-            (q.give_up_at - self.set.classes[class].give_up).min(self.now)
+            (q.client_deadline - self.set.classes[class].client_timeout).min(self.now)
         } else {
             self.now
         }
     }
 
-    fn take_part(&mut self, p: Part) {
-        self.desk.taken.push_back(self.now);
-        let Some(id) = self.desk.groups.get(&p.group) else { return };
-        let Some(query) = self.desk.queries.get_mut(id) else { return };
-        self.desk.part_of.insert(p.id.clone(), (id.clone(), query.pieces.len()));
-        query.planned = false;
-        query.pieces.push(Piece {
-            id: p.id,
-            shard: p.shard,
-            weight: if p.weight.is_finite() { p.weight.max(0.0) } else { 0.0 },
-            hint: p.work_hint.filter(|w| w.is_finite() && *w > 0.0),
-            row_holder: None,
-            tries: Vec::new(),
-            served: false,
-            reserve: false,
-        });
-    }
-
     // ---- one query, once a batch
 
     /// Moves a query on. True once its final answer is given.
-    fn run_query(&mut self, id: &RequestId, q: &mut Held) -> bool {
+    fn run_query(&mut self, id: &QueryId, q: &mut Held) -> bool {
         if self.reply(id, q) {
             return true;
         }
@@ -378,7 +344,7 @@
     /// Left out are the parts whose servers are furthest behind.
     fn plan_reserve(&mut self, q: &mut Held) {
         let class = &self.set.classes[q.class];
-        let mut spare = if q.step_from == 0 { 1.0 - class.need } else { 0.0 };
+        let mut spare = if q.step_from == 0 { 1.0 - class.required_share } else { 0.0 };
         if spare <= ROUNDING {
             return;
         }
@@ -415,9 +381,9 @@
     }
 
     /// Work of the call that a further part would open at this server; parts sent in this batch share theirs.
-    fn call_work(&self, server: usize) -> Ms {
-        let opens = self.fleet.servers[server].bundled.is_multiple_of(self.set.batch.max(1));
-        if opens { self.set.call_work } else { 0.0 }
+    fn call_cost(&self, server: usize) -> Ms {
+        let opens = self.fleet.servers[server].bundled.is_multiple_of(self.set.max_parts_per_call.max(1));
+        if opens { self.set.call_cost } else { 0.0 }
     }
 
     /// Whether a server may be picked at all: not ejected, not full, and within its allowance if cold.
@@ -442,17 +408,17 @@
         let holders = self.fleet.rows.of(piece.shard);
         let fresh = holders.iter().any(|s| !used(s));
         let open = |s: &usize| !(fresh && used(s));
-        let cross = CROSS_AIM * self.set.classes[q.class].aim;
+        let cross = CROSS_AIM * self.set.classes[q.class].latency_objective;
         let score = |s: usize| {
             let crossing = if self.crosses(s) { cross } else { 0.0 };
-            self.forecast(s, q.class, work + self.call_work(s)) + crossing
+            self.forecast(s, q.class, work + self.call_cost(s)) + crossing
         };
         let best = |of: &mut dyn Iterator<Item = usize>| of.min_by(|a, b| score(*a).total_cmp(&score(*b)));
         let Some(best_fit) = best(&mut holders.iter().copied().filter(|s| open(s) && self.fit(*s, work)))
         else {
             return best(&mut holders.iter().copied().filter(|s| open(s) && self.cold_room(*s, work)));
         };
-        let margin = BEHIND_AIM * self.set.classes[q.class].aim;
+        let margin = BEHIND_AIM * self.set.classes[q.class].latency_objective;
         let keeps = |s: &usize| open(s) && self.fit(*s, work) && score(*s) <= score(best_fit) + margin;
         piece.row_holder.filter(|s| holders.contains(s) && keeps(s)).or(Some(best_fit))
     }
@@ -486,7 +452,7 @@
         // All holders are full: at once, the attempts that are left would be turned away within a moment.
         let wait = FULL_HOLD * self.shortest_aim() * q.pieces[i].tries.len() as f64;
         let held = !out && age < wait && self.fleet.servers[s].full_until > self.now;
-        let forecast = self.forecast(s, q.class, self.work(q, i) + self.call_work(s));
+        let forecast = self.forecast(s, q.class, self.work(q, i) + self.call_cost(s));
         // A copy must come in time to count, and the overdue one be late by more than a copy takes.
         let piece = &q.pieces[i];
         let same = piece.tries.iter().any(|t| t.server == s && t.outcome.is_none());
@@ -495,15 +461,15 @@
         if held || out && vain {
             return;
         }
-        if out && !self.set.second_copies {
+        if out && !self.set.hedging {
             // What is merely slow has most of its work behind it, which would be lost.
-            let aim = self.set.classes[q.class].aim;
+            let aim = self.set.classes[q.class].latency_objective;
             if age <= (OVERDUE * expected).min(CALL_OFF_LATE * aim) || forecast > CALL_OFF_AIM * aim {
                 return;
             }
             // One attempt at most may be out: this one is called off, and once that is reported another goes.
             let attempt = piece.tries.len() as u32 - 1;
-            return self.out.push(Action::Cancel { part: piece.id.clone(), attempt });
+            return self.out.push(Action::CancelAttempt { part: piece.id.clone(), attempt });
         }
         self.desk.extras.push_back(self.now);
         self.send(q, i, s);
@@ -533,13 +499,13 @@
     fn may_repeat(&self, q: &Held, p: &Piece) -> bool {
         let mut live = p.tries.iter().filter(|t| !t.outcome.is_some_and(never_ran)).peekable();
         let out = p.tries.iter().filter(|t| t.outcome.is_none()).count();
-        if out > usize::from(self.set.second_copies || self.set.cancel) {
+        if out > usize::from(self.set.hedging || self.set.cancellation) {
             return false;
         }
-        match self.set.classes[q.class].semantics {
-            Semantics::Safe => true,
-            Semantics::Unsafe => live.peek().is_none(),
-            Semantics::Keyed { window } => live.peek().is_none_or(|t| self.now < t.sent + window),
+        match self.set.classes[q.class].retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::NotIdempotent => live.peek().is_none(),
+            RetrySafety::IdempotencyKey { window } => live.peek().is_none_or(|t| self.now < t.sent + window),
         }
     }
 
@@ -549,20 +515,25 @@
         let span = OWN_SPAN_AIMS * self.shortest_aim();
         let seen = if copy { self.seen() } else { 1.0 };
         let per_request = if copy { (OWN_SHARE * seen).max(COPY_SHARE) } else { OWN_SHARE };
-        let rule = self.set.budget.unwrap_or(AttemptBudget { spare: OWN_SPARE * seen, per_request, span });
-        let from = self.now - rule.span;
+        let rule = self.set.retry_budget.unwrap_or(RetryBudget {
+            free_attempts: OWN_SPARE * seen,
+            per_request,
+            window: span,
+        });
+        let from = self.now - rule.window;
         // The window's ends are taken so that neither reading of them allows more than the rule.
         trim(&mut self.desk.taken, from + self.set.tick);
         trim(&mut self.desk.extras, from - self.set.tick);
-        (self.desk.extras.len() + 1) as f64 <= rule.spare + rule.per_request * self.desk.taken.len() as f64
+        (self.desk.extras.len() + 1) as f64
+            <= rule.free_attempts + rule.per_request * self.desk.taken.len() as f64
     }
 
     fn send(&mut self, q: &mut Held, i: usize, server: usize) {
-        let work = self.work(q, i) + self.call_work(server);
+        let work = self.work(q, i) + self.call_cost(server);
         let expected = self.forecast(server, q.class, work);
         let others = self.others(&self.fleet.servers[server]);
-        let end = self.useful_end(q).min(q.give_up_at);
-        let within = (end < q.give_up_at).then_some((end - self.now).max(self.set.tick));
+        let end = self.useful_end(q).min(q.client_deadline);
+        let within = (end < q.client_deadline).then_some((end - self.now).max(self.set.tick));
         let s = &mut self.fleet.servers[server];
         s.work_out += work;
         self.desk.untold.insert(server);
@@ -578,37 +549,37 @@
         self.desk.flights.insert((piece.id.clone(), piece.tries.len() as u32), flight);
         piece.tries.push(Try { server, sent: self.now, expected, outcome: None });
         let node = self.fleet.servers[server].node.clone();
-        self.out.push(Action::Send { part: piece.id.clone(), node, within });
+        self.out.push(Action::SendAttempt { part: piece.id.clone(), node, timeout: within });
     }
 
     /// Until when an answer still earns something.
     fn useful_end(&self, q: &Held) -> Ms {
         let class = &self.set.classes[q.class];
         let slack = REPLY_TICKS * self.set.tick;
-        let end = if class.late_worth > LATE_WORTH * (1.0 - self.seen()) {
-            q.give_up_at
+        let end = if class.late_weight > LATE_WORTH * (1.0 - self.seen()) {
+            q.client_deadline
         } else {
-            q.asked + class.aim
+            q.asked + class.latency_objective
         };
-        end.min(q.give_up_at) - slack
+        end.min(q.client_deadline) - slack
     }
 
     /// Time that the second step takes of late; nothing for a class of one step, or once it runs.
     fn second(&self, q: &Held) -> Ms {
-        let ahead = self.set.classes[q.class].second_step && q.first_whole.is_none();
+        let ahead = self.set.classes[q.class].has_second_step && q.first_whole.is_none();
         if ahead { self.learned[q.class].second } else { 0.0 }
     }
 
     /// The time of the aim that falls to the step at hand.
     fn step_time(&self, q: &Held) -> Ms {
         let start = if q.first_whole.is_some() { q.stepped - q.asked } else { 0.0 };
-        (self.set.classes[q.class].aim - start - self.second(q)).max(self.set.tick)
+        (self.set.classes[q.class].latency_objective - start - self.second(q)).max(self.set.tick)
     }
 
     // ---- replies
 
     /// Gives the final answer where its moment has come. True if the query has ended.
-    fn reply(&mut self, id: &RequestId, q: &mut Held) -> bool {
+    fn reply(&mut self, id: &QueryId, q: &mut Held) -> bool {
         let class = &self.set.classes[q.class];
         let slack = REPLY_TICKS * self.set.tick;
         // A first answer, where a second step follows, goes early enough for that to be in time.
@@ -621,25 +592,27 @@
         let spoiled = self.spoiled(q);
         let possible = sum(&|p| p.served || self.alive(q, p, spoiled));
         let second = q.first_whole.is_some();
-        let whole = if second { step.iter().all(|p| p.served) } else { have + ROUNDING >= class.need };
+        let whole =
+            if second { step.iter().all(|p| p.served) } else { have + ROUNDING >= class.required_share };
         if !step.is_empty() && whole {
             return self.answer(id, q, q.first_whole.unwrap_or(true));
         }
-        let floor = have > 0.0 && have + ROUNDING >= class.floor;
-        let aim_over = second_at >= q.asked + class.aim;
-        let over = self.now >= q.give_up_at - slack;
+        let floor = have > 0.0 && have + ROUNDING >= class.minimum_share;
+        let aim_over = second_at >= q.asked + class.latency_objective;
+        let over = self.now >= q.client_deadline - slack;
         // After a first answer that was not whole both ways earn its share, so that only the rest counts.
-        let earns = if q.first_whole == Some(false) { 1.0 } else { class.partial_earns };
-        let partial_worth = earns * have / class.need.max(ROUNDING);
-        let can_be_whole = possible + ROUNDING >= if second { 1.0 } else { class.need };
+        let earns = if q.first_whole == Some(false) { 1.0 } else { class.partial_weight };
+        let partial_worth = earns * have / class.required_share.max(ROUNDING);
+        let can_be_whole = possible + ROUNDING >= if second { 1.0 } else { class.required_share };
         // Once the aim is reached, waiting is worth less where the rest cannot come or earns less by then;
         // before, each part that may still come adds to its share.
-        let enough = aim_over && (!can_be_whole || partial_worth >= class.late_worth);
-        if floor && (second_at >= q.give_up_at || enough || possible <= have + ROUNDING) {
+        let enough = aim_over && (!can_be_whole || partial_worth >= class.late_weight);
+        if floor && (second_at >= q.client_deadline || enough || possible <= have + ROUNDING) {
             return self.answer(id, q, false);
         }
         // Between a first answer and the parts of the second step there is nothing to give up yet.
-        let hopeless = !(second && step.is_empty()) && possible + ROUNDING < class.floor.min(class.need);
+        let hopeless = !(second && step.is_empty())
+            && possible + ROUNDING < class.minimum_share.min(class.required_share);
         let poison = spoiled && have == 0.0;
         if over || hopeless || poison || self.now >= self.useful_end(q) {
             return self.end_unserved(id, q);
@@ -654,9 +627,9 @@
         p.tries.iter().any(|t| t.outcome.is_none()) || (left && !self.fleet.rows.of(p.shard).is_empty())
     }
 
-    fn answer(&mut self, id: &RequestId, q: &mut Held, whole: bool) -> bool {
-        self.out.push(Action::Answer { query: id.clone(), whole });
-        if self.set.classes[q.class].second_step && q.first_whole.is_none() {
+    fn answer(&mut self, id: &QueryId, q: &mut Held, whole: bool) -> bool {
+        self.out.push(Action::Answer { query: id.clone(), complete: whole });
+        if self.set.classes[q.class].has_second_step && q.first_whole.is_none() {
             self.cancel_rest(q);
             q.first_whole = Some(whole);
             q.stepped = self.now;
@@ -669,22 +642,22 @@
 
     /// Ends a query unserved, at once and with advice: a refusal where a repeat is harmless, else a failure.
     /// A keyed part that may have run is harmless to repeat until its window ends; clients come rather late.
-    fn end_unserved(&mut self, id: &RequestId, q: &mut Held) -> bool {
+    fn end_unserved(&mut self, id: &QueryId, q: &mut Held) -> bool {
         let class = &self.set.classes[q.class];
-        let left = q.asked + class.aim - self.now;
-        let in_time = left > RETURN_LEAST * class.aim && !self.spoiled(q);
+        let left = q.asked + class.latency_objective - self.now;
+        let in_time = left > RETURN_LEAST * class.latency_objective && !self.spoiled(q);
         let useful = if in_time { RETURN_AIM * left } else { f64::INFINITY };
         let retry_after = self.set.max_retry_after.map(|most| most.min(useful));
         let back = self.now + 2.0 * retry_after.unwrap_or(f64::INFINITY);
         let ran = |t: &&Try| !t.outcome.is_some_and(never_ran);
-        let harmless = |t: &Try| match class.semantics {
-            Semantics::Safe => true,
-            Semantics::Keyed { window } => back < t.sent + window,
-            Semantics::Unsafe => false,
+        let harmless = |t: &Try| match class.retry_safety {
+            RetrySafety::Idempotent => true,
+            RetrySafety::IdempotencyKey { window } => back < t.sent + window,
+            RetrySafety::NotIdempotent => false,
         };
         let all = q.pieces.iter().flat_map(|p| &p.tries).filter(ran).all(harmless);
         let query = id.clone();
-        self.out.push(if all { Action::Refuse { query, retry_after } } else { Action::Fail { query } });
+        self.out.push(if all { Action::Reject { query, retry_after } } else { Action::Fail { query } });
         self.forget(q);
         true
     }
@@ -695,11 +668,11 @@
         let first_end = if q.first_whole.is_some() { q.stepped } else { self.now };
         if q.forecast > 0.0 && first_end > q.arrived {
             let lag = first_end - q.arrived - q.forecast;
-            let most = LAG_AIM * self.set.classes[q.class].aim;
+            let most = LAG_AIM * self.set.classes[q.class].latency_objective;
             learned.lag += LAG_NEWS * (lag.clamp(0.0, most) - learned.lag);
         }
         if q.first_whole.is_some() {
-            let most = self.set.classes[q.class].aim * SECOND_AIM;
+            let most = self.set.classes[q.class].latency_objective * SECOND_AIM;
             learned.second += NEWS * ((self.now - q.stepped).min(most) - learned.second);
         }
         self.desk.groups.remove(&q.group);
@@ -707,12 +680,12 @@
     }
 
     fn cancel_rest(&mut self, q: &Held) {
-        if !self.set.cancel {
+        if !self.set.cancellation {
             return;
         }
         for p in &q.pieces[q.step_from..] {
             for (n, _) in p.tries.iter().enumerate().filter(|(_, t)| t.outcome.is_none()) {
-                self.out.push(Action::Cancel { part: p.id.clone(), attempt: n as u32 });
+                self.out.push(Action::CancelAttempt { part: p.id.clone(), attempt: n as u32 });
             }
         }
     }
@@ -736,29 +709,29 @@
                 slowest = slowest.max(best);
             }
         }
-        let mut density = class.worth / if self.set.worth_by_work { 1.0 } else { total.max(1.0) };
+        let mut density = class.priority_weight / if self.set.weight_by_work { 1.0 } else { total.max(1.0) };
         self.desk.best_density = self.desk.best_density.max(density);
         if over_share {
-            density *= self.set.over_share_worth;
+            density *= self.set.over_quota_weight;
         }
         let limit = ADMIT.0 + (ADMIT.1 - ADMIT.0) * density / self.desk.best_density.max(f64::MIN_POSITIVE);
-        let slow = if class.need < 1.0 { SLOWEST } else { 1.0 - (1.0 - SLOWEST) * self.seen() };
+        let slow = if class.required_share < 1.0 { SLOWEST } else { 1.0 - (1.0 - SLOWEST) * self.seen() };
         let finish = mean + slow * (slowest - mean);
         q.forecast = finish;
         // One that may still earn by a partial answer is worth more of a risk; a late one as to the lag only.
         // Nothing, where the client leaves before the aim: its repeats would fill the fleet with lost work.
-        let stays = f64::from(q.give_up_at > q.asked + class.aim);
-        let may = if class.floor < class.need { stays } else { 0.0 };
-        let partial = may * class.partial_earns * class.floor / class.need.max(ROUNDING);
-        let fallback = partial.max(stays * class.late_worth);
-        let left = (q.asked + class.aim).min(q.give_up_at) - self.now - self.second(q);
+        let stays = f64::from(q.client_deadline > q.asked + class.latency_objective);
+        let may = if class.minimum_share < class.required_share { stays } else { 0.0 };
+        let partial = may * class.partial_weight * class.minimum_share / class.required_share.max(ROUNDING);
+        let fallback = partial.max(stays * class.late_weight);
+        let left = (q.asked + class.latency_objective).min(q.client_deadline) - self.now - self.second(q);
         let limit = limit + (1.0 - limit) * partial;
         finish + self.learned[q.class].lag * (1.0 - fallback) <= limit * left
     }
 
     fn over_share(&mut self, tenant: usize) -> bool {
         let Some(times) = self.tenant_taken.get_mut(tenant) else { return false };
-        let span = self.set.cold.warm_after;
+        let span = self.set.warm_up.duration;
         trim(times, self.now - span);
         let even = self.set.tenants[tenant].quota_per_s / self.set.aggregators.max(1) as f64;
         times.len() as f64 > QUOTA_SLACK * even * span / SECOND
@@ -766,7 +739,7 @@
 
     // ---- health, from own outcomes
 
-    fn ended(&mut self, part: RequestId, attempt: u32, outcome: Outcome, elapsed: Ms, load: Option<f64>) {
+    fn ended(&mut self, part: PartId, attempt: u32, outcome: Outcome, elapsed: Ms, load: Option<f64>) {
         if let Some(flight) = self.desk.flights.remove(&(part.clone(), attempt)) {
             self.landed(&flight, outcome, elapsed);
             self.hear_load(&flight, load);
@@ -815,7 +788,7 @@
         let overdue = !self.desk.stood && elapsed > (OVERDUE * f.expected).max(OVERDUE_AIM * aim);
         let silent = overdue && f.sent > s.last_served_sent;
         let quiet = outcome == Outcome::Cancelled && silent
-            || matches!(outcome, Outcome::TimedOut | Outcome::NoConnection | Outcome::ConnectionLost);
+            || matches!(outcome, Outcome::TimedOut | Outcome::Unreachable | Outcome::ConnectionLost);
         if let Some(zone) = s.zone.filter(|_| !self.desk.stood && (quiet || outcome == Outcome::Served)) {
             let share = self.fleet.silence.entry(zone).or_default();
             *share += ZONE_NEWS * (f64::from(u8::from(quiet)) - *share);
@@ -856,7 +829,7 @@
                 *unit *= 1.0 + UNIT_STEP * if elapsed > *unit { UNIT_QUANTILE } else { UNIT_QUANTILE - 1.0 };
                 return;
             }
-            Outcome::Full => {
+            Outcome::Overloaded => {
                 width.ended += 1;
                 width.bad += 1;
                 // Each time longer while nothing is answered: a server that hangs is full for as long.
@@ -878,14 +851,14 @@
                 s.heard = self.now;
             }
             // Quick errors tell of the server, not of the load: the width loop leaves them to this.
-            Outcome::Error | Outcome::Cancelled | Outcome::NoConnection | Outcome::ConnectionLost => {}
+            Outcome::Error | Outcome::Cancelled | Outcome::Unreachable | Outcome::ConnectionLost => {}
         }
         s.errors += NEWS * (1.0 - s.errors);
         s.failures += 1;
         // Nothing runs there or nothing gets there, whatever the load: passed over at once. One that has
         // answered what was sent later, or just before, has lost a connection and is up.
         let alive = s.last_served_sent + ALIVE_AIM * aim > f.sent && outcome == Outcome::ConnectionLost;
-        let gone = matches!(outcome, Outcome::NoConnection | Outcome::ConnectionLost if !alive);
+        let gone = matches!(outcome, Outcome::Unreachable | Outcome::ConnectionLost if !alive);
         s.went_silent |= gone || outcome == Outcome::TimedOut;
         let failing = s.failures >= EJECT_RUN && s.errors > EJECT_SHARE;
         if (gone || failing) && self.now >= s.shun_until {
@@ -911,7 +884,7 @@
     }
 
     fn shortest_aim(&self) -> Ms {
-        self.set.classes.iter().map(|c| c.aim).fold(f64::INFINITY, f64::min).min(1e9)
+        self.set.classes.iter().map(|c| c.latency_objective).fold(f64::INFINITY, f64::min).min(1e9)
     }
 
     // ---- cold servers
@@ -923,21 +896,21 @@
     fn cold_room(&self, server: usize, work: Ms) -> bool {
         let s = &self.fleet.servers[server];
         let Some(since) = s.cold_since else { return true };
-        let rule = &self.set.cold;
-        let age = (self.now - since).max(0.0) / rule.warm_after.max(1.0);
+        let rule = &self.set.warm_up;
+        let age = (self.now - since).max(0.0) / rule.duration.max(1.0);
         if age >= 1.0 {
             return true;
         }
-        let capacity = rule.from + (1.0 - rule.from) * age;
-        let most = COLD_SAFE * rule.fall_multiple * capacity * rule.fall_after;
+        let capacity = rule.initial_capacity + (1.0 - rule.initial_capacity) * age;
+        let most = COLD_SAFE * rule.overload_factor * capacity * rule.overload_window;
         let even = most * (1.0 / self.set.aggregators.max(1) as f64).max(self.desk.served_rate);
-        let from = self.now - rule.fall_after;
+        let from = self.now - rule.overload_window;
         let sent: Ms = s.cold_sends.iter().filter(|(t, _)| *t >= from).map(|(_, w)| w).sum();
         // An even part of less than one part's work is a turn: by chance, drawn anew each second, or where
         // messages show that what is out there already leaves room, beside what it can do in the window.
-        let spare = (rule.fall_multiple - 1.0) * capacity * rule.fall_after;
+        let spare = (rule.overload_factor - 1.0) * capacity * rule.overload_window;
         let told = self.told_at > self.now - SECOND && s.others + work <= spare;
-        sent + work <= even || (sent == 0.0 && (told || s.lot < even / work * SECOND / rule.fall_after))
+        sent + work <= even || (sent == 0.0 && (told || s.lot < even / work * SECOND / rule.overload_window))
     }
 
     // ---- what the other aggregators have out, where messages are allowed
@@ -945,7 +918,7 @@
     /// Tells the others this one's work out at each server where it changed: a server that others have filled
     /// looks idle. Sums, not changes: the next message makes up for a lost one.
     fn tell_others(&mut self) {
-        if !self.set.messages || self.desk.untold.is_empty() || self.now < self.desk.tell_at {
+        if !self.set.gossip || self.desk.untold.is_empty() || self.now < self.desk.tell_at {
             return;
         }
         self.desk.tell_at = self.now + TELL_AIM * self.shortest_aim();
@@ -957,8 +930,8 @@
             let failing = s.went_silent && self.now < s.shun_until;
             bytes.push(if failing { FAILING } else { (s.work_out / step).round().min(254.0) as u8 });
         }
-        for part in bytes.chunks(MESSAGE_BYTES / 3 * 3) {
-            self.out.push(Action::Tell { bytes: part.to_vec() });
+        for part in bytes.chunks(MAX_GOSSIP_BYTES / 3 * 3) {
+            self.out.push(Action::PublishLoad { bytes: part.to_vec() });
         }
     }
 
@@ -981,7 +954,7 @@
             } else if before.failing && !failing {
                 // It answered again: with all holding off till now, all would come back to it at once.
                 s.shun_until = s.shun_until.min(self.now);
-                s.pace = s.pace.max(self.fleet_pace / self.set.cold.from.max(NEWS));
+                s.pace = s.pace.max(self.fleet_pace / self.set.warm_up.initial_capacity.max(NEWS));
             }
         }
     }
@@ -1014,11 +987,11 @@
             s.lot = self.dice.random();
             s.told_by.retain(|_, t| t.at > heard);
             s.others = s.told_by.values().map(|t| t.work).sum();
-            let window = self.now - self.set.cold.fall_after;
+            let window = self.now - self.set.warm_up.overload_window;
             s.cold_sends.retain(|(t, _)| *t >= window);
-            s.cold_since = s.cold_since.filter(|c| c + self.set.cold.warm_after > self.now);
+            s.cold_since = s.cold_since.filter(|c| c + self.set.warm_up.duration > self.now);
         }
-        let warm = |s: &&Server| s.state == NodeState::Serving && s.cold_since.is_none();
+        let warm = |s: &&Server| s.state == ServingState::Serving && s.cold_since.is_none();
         let warm = self.fleet.servers.iter().filter(warm).count().max(1) as f64;
         let served = std::mem::take(&mut self.desk.served) / SECOND / warm;
         self.desk.served_rate += NEWS * (served - self.desk.served_rate);
@@ -1035,16 +1008,11 @@
         let flying = self.desk.flights.values().map(|f| f.server);
         let in_use: BTreeSet<usize> =
             tried.chain(pieces().filter_map(|p| p.row_holder)).chain(flying).collect();
-        self.fleet.forget_gone(self.now - self.set.cold.warm_after, |i| in_use.contains(&i));
+        self.fleet.forget_gone(self.now - self.set.warm_up.duration, |i| in_use.contains(&i));
         let names = &self.fleet.by_name;
         self.desk.untold.retain(|i| names.values().any(|known| known == i));
     }
 
-    /// How many servers it holds records of.
-    pub fn servers_known(&self) -> usize {
-        self.fleet.servers.len()
-    }
-
     /// One PD step on the share of calls that ended full or timed out; an empty second changes nothing.
     fn steer_width(&mut self, class: usize) {
         let rows = self.fleet.rows.most().max(1);
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -1,53 +1,90 @@
-//! fanout_policy makes the decisions of an aggregator that serves one query from many shards.
+//! Decisions of an aggregator that answers each query from many shards.
 //!
-//! For each query it picks how many whole replica rows to touch, spreads the query's parts over those rows
-//! by turns and bundles what goes to one server into one call. It watches its own attempts to tell sick
-//! servers from well ones, tries again within budgets, answers, and refuses what cannot be in time.
+//! For each query the policy selects how many complete replica rows to contact, distributes the parts of the query
+//! over those rows and batches the parts for one server into one call. From the outcomes of its own attempts it detects
+//! failing and slow servers, retries and hedges within a budget, answers, and rejects queries that cannot be answered
+//! in time.
 //!
-//! It does no input or output of its own: hand it events, carry out the actions.
+//! The crate performs no input or output: the caller passes events in and carries out the actions that come back.
 //!
 //! ```
-//! use fanout_policy::api::*;
 //! use fanout_policy::Aggregator;
+//! use fanout_policy::api::*;
 //!
 //! let class = Class {
-//!     aim: 1000.0, give_up: 4000.0, worth: 1.0, late_worth: 0.0, semantics: Semantics::Safe,
-//!     need: 1.0, floor: 1.0, partial_earns: 0.0, second_step: false,
+//!     latency_objective: 1000.0,
+//!     client_timeout: 4000.0,
+//!     priority_weight: 1.0,
+//!     late_weight: 0.0,
+//!     retry_safety: RetrySafety::Idempotent,
+//!     required_share: 1.0,
+//!     minimum_share: 1.0,
+//!     partial_weight: 0.0,
+//!     has_second_step: false,
+//! };
+//! let warm_up = WarmUp {
+//!     initial_capacity: 0.2,
+//!     duration: 10_000.0,
+//!     overload_factor: 2.0,
+//!     overload_window: 2000.0,
 //! };
 //! let settings = Settings {
-//!     classes: vec![class], tenants: vec![], aggregators: 2, zone: None, over_share_worth: 1.0, worth_by_work: false, marks_again: false,
-//!     cells: 3, reach: 2, shards: 3, batch: 8, call_work: 10.0, max_attempts: 3,
-//!     second_copies: true, cancel: true, max_retry_after: Some(500.0), messages: false, tick: 5.0,
-//!     list: ListSource::Pushed, ask_within: 10_000.0, budget: None,
-//!     cold: ColdRule { from: 0.2, warm_after: 10_000.0, fall_multiple: 2.0, fall_after: 2000.0 },
+//!     classes: vec![class],
+//!     tenants: vec![],
+//!     aggregators: 2,
+//!     zone: None,
+//!     over_quota_weight: 1.0,
+//!     weight_by_work: false,
+//!     marks_retries: false,
+//!     cells: 3,
+//!     replica_cells: 2,
+//!     shards: 3,
+//!     max_parts_per_call: 8,
+//!     call_cost: 10.0,
+//!     max_attempts: 3,
+//!     hedging: true,
+//!     cancellation: true,
+//!     max_retry_after: Some(500.0),
+//!     gossip: false,
+//!     tick: 5.0,
+//!     list_source: EndpointListSource::Pushed,
+//!     list_poll_deadline: 10_000.0,
+//!     retry_budget: None,
+//!     warm_up,
 //! };
 //! let mut aggregator = Aggregator::new(settings, 7);
-//! let members = (0..3)
-//!     .map(|cell| Member {
-//!         node: NodeId(format!("10.0.0.{cell}:80").into()), cell, state: NodeState::Serving, zone: None,
-//!         started: None,
-//!     })
-//!     .collect();
-//! aggregator.on_batch(0.0, vec![Event::List { kind: ListKind::Disk, members }]);
+//! let endpoint = |cell| Endpoint {
+//!     node: NodeId(format!("10.0.0.{cell}:80").into()),
+//!     cell,
+//!     state: ServingState::Serving,
+//!     zone: None,
+//!     started: None,
+//! };
+//! let endpoints = (0..3).map(endpoint).collect();
+//! aggregator.on_batch(0.0, vec![Event::EndpointList { update: ListUpdate::Cached, endpoints }]);
 //!
-//! let query = RequestId("q".into());
-//! let part = RequestId("p".into());
-//! let actions = aggregator.on_batch(5.0, vec![
-//!     Event::Query(Query {
-//!         id: query.clone(), group: 1, class: ClassIndex(0), tenant: TenantIndex(0),
-//!         give_up_at: 4005.0, again: false,
-//!     }),
-//!     Event::Part(Part { id: part.clone(), group: 1, shard: 0, weight: 1.0, work_hint: None }),
-//! ]);
-//! assert!(matches!(&actions[0], Action::Send { part: sent, .. } if *sent == part));
+//! let query = QueryId("q".into());
+//! let part = PartId("p".into());
+//! let arrival = Query {
+//!     id: query.clone(),
+//!     group: 1,
+//!     class: ClassIndex(0),
+//!     tenant: TenantIndex(0),
+//!     client_deadline: 4005.0,
+//!     is_retry: false,
+//! };
+//! let first_part = Part { id: part.clone(), group: 1, shard: 0, weight: 1.0, cost_hint: None };
+//! let actions = aggregator.on_batch(5.0, vec![Event::Query(arrival), Event::Part(first_part)]);
+//! assert!(matches!(&actions[0], Action::SendAttempt { part: sent, .. } if *sent == part));
 //!
-//! let outcome = Outcome::Served;
-//! let actions = aggregator.on_batch(60.0, vec![Event::Ended { part, attempt: 0, outcome, elapsed: 55.0, load: None }]);
-//! assert!(actions.contains(&Action::Answer { query, whole: true }));
+//! let ended = Event::AttemptEnded { part, attempt: 0, outcome: Outcome::Served, elapsed: 55.0, load: None };
+//! let actions = aggregator.on_batch(60.0, vec![ended]);
+//! assert!(actions.contains(&Action::Answer { query, complete: true }));
 //! ```
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod aggregator;
 pub mod api;
 pub mod choice;
 pub mod room;
@@ -55,4 +92,4 @@
 mod state;
 pub mod view;
 
-pub use choice::Aggregator;
+pub use aggregator::Aggregator;
--- a/crates/fanout-policy/src/settings.rs
+++ b/crates/fanout-policy/src/settings.rs
@@ -158,22 +158,22 @@
     let fetch = family.numbers("FetchParts")?;
     let mut classes = Vec::new();
     for (i, c) in env.objects("Services")?.iter().enumerate() {
-        let semantics = match c.text("Semantics")? {
-            "repeatable" => Semantics::Safe,
-            "by_key" => Semantics::Keyed { window: c.number("MemorySpan")? },
-            "once" => Semantics::Unsafe,
+        let retry_safety = match c.text("Semantics")? {
+            "repeatable" => RetrySafety::Idempotent,
+            "by_key" => RetrySafety::IdempotencyKey { window: c.number("MemorySpan")? },
+            "once" => RetrySafety::NotIdempotent,
             _ => return c.bad("Semantics", "is unknown"),
         };
         classes.push(Class {
-            aim: c.number("Aim")?,
-            give_up: c.number("GiveUp")?,
-            worth: c.number("Gain")?,
-            late_worth: c.number("LateWorth")?,
-            semantics,
-            need: nth(&need, i, family, "ClassNeed")?,
-            floor: nth(&floor, i, family, "MinShare")?,
-            partial_earns: nth(&earns, i, family, "PartialEarns")?,
-            second_step: nth(&fetch, i, family, "FetchParts")? > 0.0,
+            latency_objective: c.number("Aim")?,
+            client_timeout: c.number("GiveUp")?,
+            priority_weight: c.number("Gain")?,
+            late_weight: c.number("LateWorth")?,
+            retry_safety,
+            required_share: nth(&need, i, family, "ClassNeed")?,
+            minimum_share: nth(&floor, i, family, "MinShare")?,
+            partial_weight: nth(&earns, i, family, "PartialEarns")?,
+            has_second_step: nth(&fetch, i, family, "FetchParts")? > 0.0,
         });
     }
     Ok(classes)
@@ -190,20 +190,22 @@
             tenants.push(Tenant { quota_per_s: t.number("QuotaPerS")? });
         }
     }
-    let budget = match (
+    let retry_budget = match (
         rules.opt_number("SpareAttempts")?,
         rules.opt_number("ExtraRatio")?,
         rules.opt_number("RatioSpan")?,
     ) {
         (None, None, None) => None,
-        (spare, per_request, Some(span)) => {
-            Some(AttemptBudget { spare: spare.unwrap_or(0.0), per_request: per_request.unwrap_or(0.0), span })
-        }
+        (spare, per_request, Some(span)) => Some(RetryBudget {
+            free_attempts: spare.unwrap_or(0.0),
+            per_request: per_request.unwrap_or(0.0),
+            window: span,
+        }),
         _ => return rules.bad("RatioSpan", "is missing"),
     };
-    let list = match env.text("MembershipMode")? {
-        "pushed" => ListSource::Pushed,
-        "on_request" => ListSource::OnRequest,
+    let list_source = match env.text("MembershipMode")? {
+        "pushed" => EndpointListSource::Pushed,
+        "on_request" => EndpointListSource::Polled,
         _ => return env.bad("MembershipMode", "is unknown"),
     };
     let decided = Settings {
@@ -211,35 +213,35 @@
         tenants,
         aggregators: env.whole("PeersTotal")? as usize,
         zone: env.opt_whole("Locality")?.map(|z| z as usize),
-        over_share_worth: env.opt_number("OverShareWorth")?.unwrap_or(1.0),
-        worth_by_work: env.get("WorthBy").and_then(Value::as_str) == Some("work"),
-        marks_again: match env.get("Clients") {
+        over_quota_weight: env.opt_number("OverShareWorth")?.unwrap_or(1.0),
+        weight_by_work: env.get("WorthBy").and_then(Value::as_str) == Some("work"),
+        marks_retries: match env.get("Clients") {
             Some(_) => env.inner("Clients")?.flag("MarksRetry")?,
             None => false,
         },
         cells: family.whole("Positions")? as usize,
-        reach: family.whole("Width")? as usize,
+        replica_cells: family.whole("Width")? as usize,
         shards: family.whole("Shards")? as usize,
-        batch: family.whole("Batch")? as usize,
-        call_work: family.number("Call")?,
+        max_parts_per_call: family.whole("Batch")? as usize,
+        call_cost: family.number("Call")?,
         max_attempts: allowed.whole("SendCap")? as u32,
-        second_copies: allowed.flag("SecondCopies")?,
-        cancel: allowed.flag("Cancel")?,
+        hedging: allowed.flag("SecondCopies")?,
+        cancellation: allowed.flag("Cancel")?,
         max_retry_after: if allowed.flag("RetryAfter")? {
             allowed.opt_number("MaxRetryAfter")?
         } else {
             None
         },
-        messages: allowed.flag("Peers")?,
+        gossip: allowed.flag("Peers")?,
         tick: env.number("Tick")?,
-        list,
-        ask_within: rules.opt_number("AskWithin")?.unwrap_or(f64::INFINITY),
-        budget,
-        cold: ColdRule {
-            from: rules.number("ColdFrom")?,
-            warm_after: rules.number("Cold")?,
-            fall_multiple: rules.number("FallMultiple")?,
-            fall_after: rules.number("Fall")?,
+        list_source,
+        list_poll_deadline: rules.opt_number("AskWithin")?.unwrap_or(f64::INFINITY),
+        retry_budget,
+        warm_up: WarmUp {
+            initial_capacity: rules.number("ColdFrom")?,
+            duration: rules.number("Cold")?,
+            overload_factor: rules.number("FallMultiple")?,
+            overload_window: rules.number("Fall")?,
         },
     };
     Ok(Site {
--- a/crates/fanout-policy/src/state.rs
+++ b/crates/fanout-policy/src/state.rs
@@ -8,7 +8,7 @@
 pub(crate) struct Server {
     pub(crate) node: NodeId,
     pub(crate) cell: usize,
-    pub(crate) state: NodeState,
+    pub(crate) state: ServingState,
     pub(crate) zone: Option<usize>,
     /// Work sent and not yet ended, and when each such attempt was sent and expected.
     pub(crate) work_out: Ms,
@@ -68,7 +68,7 @@
 }
 
 pub(crate) struct Piece {
-    pub(crate) id: RequestId,
+    pub(crate) id: PartId,
     pub(crate) shard: usize,
     pub(crate) weight: f64,
     pub(crate) hint: Option<Ms>,
@@ -88,7 +88,7 @@
     pub(crate) arrived: Ms,
     /// When the client first asked, as far as it shows: the aim counts from here.
     pub(crate) asked: Ms,
-    pub(crate) give_up_at: Ms,
+    pub(crate) client_deadline: Ms,
     pub(crate) pieces: Vec<Piece>,
     /// First piece of the step that is running; its pieces alone count.
     pub(crate) step_from: usize,
@@ -112,11 +112,11 @@
 /// What an aggregator has in hand.
 #[derive(Default)]
 pub(crate) struct Desk {
-    pub(crate) queries: BTreeMap<RequestId, Held>,
-    pub(crate) groups: BTreeMap<u64, RequestId>,
+    pub(crate) queries: BTreeMap<QueryId, Held>,
+    pub(crate) groups: BTreeMap<u64, QueryId>,
     /// Of each part: its query, and its place there.
-    pub(crate) part_of: BTreeMap<RequestId, (RequestId, usize)>,
-    pub(crate) flights: BTreeMap<(RequestId, u32), Flight>,
+    pub(crate) part_of: BTreeMap<PartId, (QueryId, usize)>,
+    pub(crate) flights: BTreeMap<(PartId, u32), Flight>,
     /// When queries and parts came, and when further attempts went.
     pub(crate) taken: VecDeque<Ms>,
     pub(crate) extras: VecDeque<Ms>,
@@ -173,7 +173,7 @@
         Server {
             node,
             cell: 0,
-            state: NodeState::Gone,
+            state: ServingState::Removed,
             zone: None,
             work_out: 0.0,
             flying: Vec::new(),
@@ -206,15 +206,20 @@
 
 impl Rows {
     /// From the servers that serve, by name, each with its cell.
-    pub(crate) fn new(cells: usize, reach: usize, serving: impl Iterator<Item = (usize, usize)>) -> Self {
+    pub(crate) fn new(
+        cells: usize,
+        replica_cells: usize,
+        serving: impl Iterator<Item = (usize, usize)>,
+    ) -> Self {
         let mut of_cell = vec![Vec::new(); cells];
         for (cell, server) in serving {
             if let Some(of) = of_cell.get_mut(cell) {
                 of.push(server);
             }
         }
-        let row =
-            |home: usize| (0..reach.min(cells)).flat_map(|j| of_cell[(home + j) % cells].clone()).collect();
+        let row = |home: usize| {
+            (0..replica_cells.min(cells)).flat_map(|j| of_cell[(home + j) % cells].clone()).collect()
+        };
         Rows((0..cells).map(row).collect())
     }
     pub(crate) fn of(&self, shard: usize) -> &[usize] {
@@ -267,17 +272,18 @@
     /// Forgets the servers that are gone, not heard since this time and without anything that refers to them.
     pub(crate) fn forget_gone(&mut self, unheard: Ms, in_use: impl Fn(usize) -> bool) {
         let servers = &self.servers;
-        let gone = |i: usize| servers[i].state == NodeState::Gone && servers[i].heard < unheard && !in_use(i);
+        let gone =
+            |i: usize| servers[i].state == ServingState::Removed && servers[i].heard < unheard && !in_use(i);
         let forgotten: Vec<usize> = self.by_name.values().copied().filter(|i| gone(*i)).collect();
         self.by_name.retain(|_, i| !forgotten.contains(i));
         self.by_short.retain(|_, i| !forgotten.contains(i));
         self.free.extend(forgotten);
     }
 
-    pub(crate) fn make_rows(&mut self, cells: usize, reach: usize) {
-        let serving = |i: &&usize| self.servers[**i].state == NodeState::Serving;
+    pub(crate) fn make_rows(&mut self, cells: usize, replica_cells: usize) {
+        let serving = |i: &&usize| self.servers[**i].state == ServingState::Serving;
         let of_cell = self.by_name.values().filter(serving).map(|i| (self.servers[*i].cell, *i));
-        self.rows = Rows::new(cells, reach, of_cell);
+        self.rows = Rows::new(cells, replica_cells, of_cell);
     }
 }
 
@@ -307,7 +313,7 @@
 
 /// Whether an outcome proves that the attempt never ran.
 pub(crate) fn never_ran(outcome: Outcome) -> bool {
-    matches!(outcome, Outcome::Full | Outcome::NoConnection | Outcome::NotSent)
+    matches!(outcome, Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent)
 }
 
 /// Forgets moments before `from`.
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -2,8 +2,8 @@
 //!
 //! Nothing here decides anything: reports go through the same records as the module's own attempts.
 
+use crate::aggregator::Aggregator;
 use crate::api::*;
-use crate::choice::Aggregator;
 use crate::state::{Flight, Learned, Server};
 
 /// Most attempts that one report stands for. Health is a matter of shares and of failures in a row: what a thousand
@@ -20,7 +20,7 @@
     /// Its zone.
     pub zone: Option<usize>,
     /// Its state in the list.
-    pub state: NodeState,
+    pub state: ServingState,
     /// Until when it is passed over for its failures, or since it is full.
     pub ejected_until: Option<Ms>,
     /// When it started, if it may still be cold.
@@ -78,12 +78,12 @@
             zone: s.zone,
             state: s.state,
             ejected_until: (s.shun_until > now).then_some(s.shun_until),
-            cold_since: s.cold_since.filter(|since| since + self.set.cold.warm_after > now),
+            cold_since: s.cold_since.filter(|since| since + self.set.warm_up.duration > now),
             pace: s.pace / self.fleet_pace.max(1e-9),
             errors: s.errors,
         };
         let servers = fleet.by_name.values().map(|i| &fleet.servers[*i]);
-        servers.filter(|s| s.state != NodeState::Gone).map(view).collect()
+        servers.filter(|s| s.state != ServingState::Removed).map(view).collect()
     }
 
     /// Takes what others saw since the last report, as a few attempts in the same proportion: failures first, so that the
@@ -118,42 +118,47 @@
 
     fn aggregator() -> Aggregator {
         let class = Class {
-            aim: 1000.0,
-            give_up: 4000.0,
-            worth: 1.0,
-            late_worth: 0.0,
-            semantics: Semantics::Safe,
-            need: 1.0,
-            floor: 1.0,
-            partial_earns: 0.0,
-            second_step: false,
+            latency_objective: 1000.0,
+            client_timeout: 4000.0,
+            priority_weight: 1.0,
+            late_weight: 0.0,
+            retry_safety: RetrySafety::Idempotent,
+            required_share: 1.0,
+            minimum_share: 1.0,
+            partial_weight: 0.0,
+            has_second_step: false,
         };
         let settings = Settings {
             classes: vec![class],
             tenants: vec![],
             aggregators: 1,
             zone: None,
-            over_share_worth: 1.0,
-            worth_by_work: false,
-            marks_again: false,
+            over_quota_weight: 1.0,
+            weight_by_work: false,
+            marks_retries: false,
             cells: 2,
-            reach: 1,
+            replica_cells: 1,
             shards: 2,
-            batch: 4,
-            call_work: 1.0,
+            max_parts_per_call: 4,
+            call_cost: 1.0,
             max_attempts: 4,
-            second_copies: false,
-            cancel: true,
+            hedging: false,
+            cancellation: true,
             max_retry_after: None,
-            messages: false,
+            gossip: false,
             tick: 5.0,
-            list: ListSource::Pushed,
-            ask_within: 10_000.0,
-            budget: None,
-            cold: ColdRule { from: 0.2, warm_after: 10_000.0, fall_multiple: 2.5, fall_after: 1000.0 },
+            list_source: EndpointListSource::Pushed,
+            list_poll_deadline: 10_000.0,
+            retry_budget: None,
+            warm_up: WarmUp {
+                initial_capacity: 0.2,
+                duration: 10_000.0,
+                overload_factor: 2.5,
+                overload_window: 1000.0,
+            },
         };
         let mut aggregator = Aggregator::new(settings, 7);
-        let member = |n: usize, state, started| Member {
+        let member = |n: usize, state, started| Endpoint {
             node: NodeId(format!("s{n}").into()),
             cell: n % 2,
             state,
@@ -161,12 +166,13 @@
             started,
         };
         let members = vec![
-            member(0, NodeState::Serving, None),
-            member(1, NodeState::Serving, Some(100.0)),
-            member(2, NodeState::Draining, None),
-            member(3, NodeState::Gone, None),
+            member(0, ServingState::Serving, None),
+            member(1, ServingState::Serving, Some(100.0)),
+            member(2, ServingState::Draining, None),
+            member(3, ServingState::Removed, None),
         ];
-        aggregator.on_batch(200.0, vec![Event::List { kind: ListKind::Complete, members }]);
+        aggregator
+            .on_batch(200.0, vec![Event::EndpointList { update: ListUpdate::Snapshot, endpoints: members }]);
         aggregator
     }
 
@@ -180,9 +186,9 @@
         let seen: Vec<_> =
             aggregator.views(200.0).into_iter().map(|v| (v.cell, v.state, v.cold_since)).collect();
         let expected = [
-            (0, NodeState::Serving, None),
-            (1, NodeState::Serving, Some(100.0)),
-            (0, NodeState::Draining, None),
+            (0, ServingState::Serving, None),
+            (1, ServingState::Serving, Some(100.0)),
+            (0, ServingState::Draining, None),
         ];
         assert_eq!(seen, expected);
         assert_eq!(aggregator.views(10_100.0)[1].cold_since, None, "it is warm by now");
--- a/crates/fanout-policy/tests/common/mod.rs
+++ b/crates/fanout-policy/tests/common/mod.rs
@@ -6,15 +6,15 @@
 
 pub fn class() -> Class {
     Class {
-        aim: 1000.0,
-        give_up: 4000.0,
-        worth: 1.0,
-        late_worth: 0.3,
-        semantics: Semantics::Safe,
-        need: 1.0,
-        floor: 1.0,
-        partial_earns: 0.9,
-        second_step: false,
+        latency_objective: 1000.0,
+        client_timeout: 4000.0,
+        priority_weight: 1.0,
+        late_weight: 0.3,
+        retry_safety: RetrySafety::Idempotent,
+        required_share: 1.0,
+        minimum_share: 1.0,
+        partial_weight: 0.9,
+        has_second_step: false,
     }
 }
 
@@ -25,42 +25,51 @@
         tenants: vec![],
         aggregators: 2,
         zone: None,
-        over_share_worth: 0.2,
-        worth_by_work: false,
-        marks_again: false,
+        over_quota_weight: 0.2,
+        weight_by_work: false,
+        marks_retries: false,
         cells: 6,
-        reach: 3,
+        replica_cells: 3,
         shards: 12,
-        batch: 8,
-        call_work: 20.0,
+        max_parts_per_call: 8,
+        call_cost: 20.0,
         max_attempts: 3,
-        second_copies: true,
-        cancel: true,
+        hedging: true,
+        cancellation: true,
         max_retry_after: Some(50.0),
-        messages: false,
+        gossip: false,
         tick: 5.0,
-        list: ListSource::Pushed,
-        ask_within: 10_000.0,
-        budget: None,
-        cold: ColdRule { from: 0.2, warm_after: 10_000.0, fall_multiple: 2.0, fall_after: 2000.0 },
+        list_source: EndpointListSource::Pushed,
+        list_poll_deadline: 10_000.0,
+        retry_budget: None,
+        warm_up: WarmUp {
+            initial_capacity: 0.2,
+            duration: 10_000.0,
+            overload_factor: 2.0,
+            overload_window: 2000.0,
+        },
     }
 }
 
 /// Two sets of three servers.
 pub fn sets() -> Settings {
-    Settings { cells: 2, reach: 1, shards: 6, ..ring() }
+    Settings { cells: 2, replica_cells: 1, shards: 6, ..ring() }
 }
 
 pub fn node(name: &str) -> NodeId {
     NodeId(name.into())
 }
 
-pub fn id(name: &str) -> RequestId {
-    RequestId(name.into())
+pub fn query_id(name: &str) -> QueryId {
+    QueryId(name.into())
 }
 
-pub fn member(name: &str, cell: usize) -> Member {
-    Member { node: node(name), cell, state: NodeState::Serving, zone: None, started: None }
+pub fn part_id(name: &str) -> PartId {
+    PartId(name.into())
+}
+
+pub fn member(name: &str, cell: usize) -> Endpoint {
+    Endpoint { node: node(name), cell, state: ServingState::Serving, zone: None, started: None }
 }
 
 pub struct Stand {
@@ -77,7 +86,7 @@
         let members = names.map(|(name, cell)| member(&name, cell)).collect();
         let a = Aggregator::new(settings, 11);
         let mut stand = Stand { a, now: 0.0, wake_at: f64::INFINITY, group: 0 };
-        stand.batch(0.0, vec![Event::List { kind: ListKind::Disk, members }]);
+        stand.batch(0.0, vec![Event::EndpointList { update: ListUpdate::Cached, endpoints: members }]);
         stand
     }
 
@@ -97,11 +106,11 @@
         self.now = now;
         if now >= self.wake_at {
             self.wake_at = f64::INFINITY;
-            events.push(Event::Woken);
+            events.push(Event::TimerFired);
         }
         let actions = self.a.on_batch(now, events);
         for a in &actions {
-            if let Action::Wake { after } = a {
+            if let Action::SetTimer { after } = a {
                 self.wake_at = now + after;
             }
         }
@@ -111,14 +120,15 @@
     /// Events of a query named `name` with a part `name.shard` for each shard, of even weight.
     pub fn query(&mut self, name: &str, class: usize, shards: &[usize], patience: Ms) -> Vec<Event> {
         self.group += 1;
-        let give_up_at = self.now + 5.0 + patience;
+        let client_deadline = self.now + 5.0 + patience;
         let (class, tenant) = (ClassIndex(class), TenantIndex(0));
-        let q = Query { id: id(name), group: self.group, class, tenant, give_up_at, again: false };
+        let q =
+            Query { id: query_id(name), group: self.group, class, tenant, client_deadline, is_retry: false };
         let mut events = vec![Event::Query(q)];
         let weight = 1.0 / shards.len() as f64;
         for &shard in shards {
-            let id = id(&format!("{name}.{shard}"));
-            events.push(Event::Part(Part { id, group: self.group, shard, weight, work_hint: None }));
+            let id = part_id(&format!("{name}.{shard}"));
+            events.push(Event::Part(Part { id, group: self.group, shard, weight, cost_hint: None }));
         }
         events
     }
@@ -154,13 +164,15 @@
 }
 
 pub fn ended(part: &str, attempt: u32, outcome: Outcome, elapsed: Ms) -> Event {
-    Event::Ended { part: id(part), attempt, outcome, elapsed, load: None }
+    Event::AttemptEnded { part: part_id(part), attempt, outcome, elapsed, load: None }
 }
 
 /// Part, server and time-out of each send.
 pub fn sends(actions: &[Action]) -> Vec<(String, String, Option<Ms>)> {
     let pick = |a: &Action| match a {
-        Action::Send { part, node, within } => Some((part.0.to_string(), node.0.to_string(), *within)),
+        Action::SendAttempt { part, node, timeout: within } => {
+            Some((part.0.to_string(), node.0.to_string(), *within))
+        }
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -168,6 +180,6 @@
 
 /// The final answers among the actions.
 pub fn finals(actions: &[Action]) -> Vec<Action> {
-    let is = |a: &&Action| matches!(a, Action::Answer { .. } | Action::Refuse { .. } | Action::Fail { .. });
+    let is = |a: &&Action| matches!(a, Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. });
     actions.iter().filter(is).cloned().collect()
 }
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -102,7 +102,7 @@
     if site.class_names.is_empty() || site.class_names.iter().any(String::is_empty) {
         return env.bad("Services", "is empty or holds a class without a name");
     }
-    if site.settings.classes.iter().any(|c| c.second_step) {
+    if site.settings.classes.iter().any(|c| c.has_second_step) {
         return env.bad(
             "FamilyInfo",
             "asks for a second step (FetchParts), which the protocol cannot carry",
@@ -111,7 +111,7 @@
     for (field, figure) in [
         ("Positions", site.settings.cells),
         ("Shards", site.settings.shards),
-        ("Batch", site.settings.batch),
+        ("Batch", site.settings.max_parts_per_call),
     ] {
         if !(1..=1_000_000).contains(&figure) {
             return env.inner("FamilyInfo")?.bad(field, "is out of bounds");
@@ -160,8 +160,9 @@
         },
         pool: PoolLimits {
             sockets: (shared / 3) as usize,
-            batch: site.settings.batch,
-            multiplex: (site.multiplex.unwrap_or(MULTIPLEX) as usize).max(site.settings.batch),
+            batch: site.settings.max_parts_per_call,
+            multiplex: (site.multiplex.unwrap_or(MULTIPLEX) as usize)
+                .max(site.settings.max_parts_per_call),
             dial_timeout: millis(site.dial_timeout.unwrap_or(DIAL_TIMEOUT_MS)),
             keepalive: millis(site.keepalive.unwrap_or(KEEPALIVE_MS)),
         },
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -9,7 +9,8 @@
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::Aggregator;
 use fanout_policy::api::{
-    Action, ClassIndex, Event, ListKind, Member, NodeState, Part, RequestId, Settings, TenantIndex,
+    Action, ClassIndex, Endpoint, Event, ListUpdate, Part, PartId, ServingState, Settings,
+    TenantIndex,
 };
 use fanout_policy::room::no_room_advice;
 use fanout_policy::view::ClassView;
@@ -161,27 +162,28 @@
     /// Takes news of the list of servers. It counts from the next call on.
     pub fn learn(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
         let kind = match scope {
-            ListScope::Cached => ListKind::Disk,
-            ListScope::Snapshot => ListKind::Complete,
-            ListScope::Delta => ListKind::Changes,
+            ListScope::Cached => ListUpdate::Cached,
+            ListScope::Snapshot => ListUpdate::Snapshot,
+            ListScope::Delta => ListUpdate::Delta,
         };
-        let member = |s: ServerInfo| Member {
+        let member = |s: ServerInfo| Endpoint {
             node: s.name,
             cell: s.cell,
             state: s.state,
             zone: s.zone,
             started: s.started.map(|at| at as f64 / MILLI as f64),
         };
-        self.staged.push(Event::List {
-            kind,
-            members: servers.into_iter().map(member).collect(),
+        self.staged.push(Event::EndpointList {
+            update: kind,
+            endpoints: servers.into_iter().map(member).collect(),
         });
     }
 
     /// The query's client has gone away: nothing more is owed.
     pub fn leave(&mut self, query: QueryId) {
         if self.close(query) {
-            self.staged.push(Event::Gone(query_name(query)));
+            self.staged
+                .push(Event::ClientDisconnected(query_name(query)));
         }
     }
 
@@ -191,7 +193,7 @@
             return Decisions::default();
         }
         self.staged
-            .extend(reports.into_iter().map(|r| Event::Ended {
+            .extend(reports.into_iter().map(|r| Event::AttemptEnded {
                 part: part_name(r.attempt.query, r.attempt.part),
                 attempt: r.attempt.attempt,
                 outcome: r.outcome,
@@ -231,8 +233,8 @@
                 group: q.id,
                 class: ClassIndex(q.class),
                 tenant: TenantIndex(q.tenant),
-                give_up_at: to_ms(q.give_up_at),
-                again: q.is_retry,
+                client_deadline: to_ms(q.give_up_at),
+                is_retry: q.is_retry,
             }));
             self.staged.extend(q.parts.iter().enumerate().map(|(i, p)| {
                 Event::Part(Part {
@@ -240,7 +242,7 @@
                     group: q.id,
                     shard: p.shard,
                     weight: p.weight,
-                    work_hint: p.hint.map(to_ms),
+                    cost_hint: p.hint.map(to_ms),
                 })
             }));
         }
@@ -254,7 +256,7 @@
     pub fn tick(&mut self, now: Micros) -> Decisions {
         let mut decisions = Decisions::default();
         if self.wake_at.take_if(|at| now >= *at).is_some() {
-            self.staged.push(Event::Woken);
+            self.staged.push(Event::TimerFired);
         }
         if !self.staged.is_empty() {
             decisions = self.run(now);
@@ -304,7 +306,7 @@
         Summary {
             serving: views
                 .iter()
-                .filter(|v| v.state == NodeState::Serving)
+                .filter(|v| v.state == ServingState::Serving)
                 .count(),
             passed_over: views.iter().filter(|v| v.ejected_until.is_some()).count(),
             cold: views.iter().filter(|v| v.cold_since.is_some()).count(),
@@ -337,7 +339,11 @@
         let events = std::mem::take(&mut self.staged);
         for action in self.aggregator.on_batch(to_ms(now), events) {
             match action {
-                Action::Send { part, node, within } => {
+                Action::SendAttempt {
+                    part,
+                    node,
+                    timeout,
+                } => {
                     let Some(attempt) = self.next_attempt(&part) else {
                         continue;
                     };
@@ -345,14 +351,14 @@
                         .open
                         .get(&attempt.query)
                         .map_or(now, |open| open.give_up_at);
-                    let until = within.map_or(give_up_at, |ms| give_up_at.min(now + millis(ms)));
+                    let until = timeout.map_or(give_up_at, |ms| give_up_at.min(now + millis(ms)));
                     decisions.dispatches.push(Dispatch {
                         attempt,
                         server: node,
                         until,
                     });
                 }
-                Action::Cancel { part, attempt } => {
+                Action::CancelAttempt { part, attempt } => {
                     if let Some((query, part)) = parse_part(&part) {
                         decisions.give_up.push(AttemptId {
                             query,
@@ -361,30 +367,38 @@
                         });
                     }
                 }
-                Action::Answer { query, whole } => {
+                Action::Answer {
+                    query,
+                    complete: whole,
+                } => {
                     self.finish(&mut decisions, &query, Verdict::Answer { whole });
                 }
-                Action::Refuse { query, retry_after } => {
+                Action::Reject { query, retry_after } => {
                     let retry_after = retry_after.map(millis);
                     self.finish(&mut decisions, &query, Verdict::Refuse { retry_after });
                 }
                 Action::Fail { query } => self.finish(&mut decisions, &query, Verdict::Fail),
-                Action::Wake { after } => self.wake_at = Some(now + millis(after)),
+                Action::SetTimer { after } => self.wake_at = Some(now + millis(after)),
                 // Brokers share only the network, and the list is always watched.
-                Action::Tell { .. } | Action::Watch => {}
+                Action::PublishLoad { .. } | Action::PollEndpointList => {}
             }
         }
         decisions
     }
 
-    fn finish(&mut self, decisions: &mut Decisions, query: &RequestId, verdict: Verdict) {
+    fn finish(
+        &mut self,
+        decisions: &mut Decisions,
+        query: &fanout_policy::api::QueryId,
+        verdict: Verdict,
+    ) {
         if let Some(query) = query.0.parse().ok().filter(|query| self.close(*query)) {
             decisions.finals.push(Final { query, verdict });
         }
     }
 
     /// The attempt that the module starts with a send for this part.
-    fn next_attempt(&mut self, part: &RequestId) -> Option<AttemptId> {
+    fn next_attempt(&mut self, part: &PartId) -> Option<AttemptId> {
         let (query, part) = parse_part(part)?;
         let attempts = self.open.get_mut(&query)?.attempts.get_mut(part)?;
         *attempts += 1;
@@ -402,15 +416,15 @@
 }
 
 /// The module orders its work by name, so that numbers are padded: queries then come in the order of arrival.
-fn query_name(query: QueryId) -> RequestId {
-    RequestId(format!("{query:020}").into())
+fn query_name(query: QueryId) -> fanout_policy::api::QueryId {
+    fanout_policy::api::QueryId(format!("{query:020}").into())
 }
 
-fn part_name(query: QueryId, part: usize) -> RequestId {
-    RequestId(format!("{query:020}.{part:03}").into())
+fn part_name(query: QueryId, part: usize) -> PartId {
+    PartId(format!("{query:020}.{part:03}").into())
 }
 
-fn parse_part(name: &RequestId) -> Option<(QueryId, usize)> {
+fn parse_part(name: &PartId) -> Option<(QueryId, usize)> {
     let (query, part) = name.0.split_once('.')?;
     Some((query.parse().ok()?, part.parse().ok()?))
 }
@@ -429,7 +443,7 @@
         let server = |n: usize| ServerInfo {
             name: NodeId(format!("s{n}").into()),
             cell: 0,
-            state: NodeState::Serving,
+            state: ServingState::Serving,
             zone: None,
             started: None,
         };
@@ -480,7 +494,7 @@
                 .all(|d| d.attempt.attempt == 0 && d.until <= 1_000_000)
         );
         let attempts = first.iter().map(|d| d.attempt);
-        let outcomes = [Outcome::Served, Outcome::Full];
+        let outcomes = [Outcome::Served, Outcome::Overloaded];
         let is_retry = core.report(
             30_000,
             attempts.zip(outcomes).map(|(a, o)| ended(a, o)).collect(),
@@ -560,7 +574,7 @@
         let name = core.pick(1000, vec![query(1, &[0])]).dispatches[0]
             .server
             .clone();
-        let state = NodeState::Draining;
+        let state = ServingState::Draining;
         core.learn(
             ListScope::Delta,
             vec![ServerInfo {
--- a/crates/query-api/src/ask.rs
+++ b/crates/query-api/src/ask.rs
@@ -2,7 +2,7 @@
 
 use broker_types::query::{FinalResponse, Names, PartSpec, QueryRequest};
 use broker_types::time::{MILLI, Micros, millis};
-use fanout_policy::api::{Semantics, Settings};
+use fanout_policy::api::{RetrySafety, Settings};
 use http::{HeaderMap, Method, Request};
 use serde::Deserialize;
 use std::rc::Rc;
@@ -82,12 +82,20 @@
         },
         None => return bad(400, "X-Tenant is missing"),
     };
-    let keyed = !matches!(settings.classes[class].semantics, Semantics::Safe);
+    let keyed = !matches!(
+        settings.classes[class].retry_safety,
+        RetrySafety::Idempotent
+    );
     let key = token(m, "idempotency-key")?.filter(|_| keyed);
-    if key.is_none() && matches!(settings.classes[class].semantics, Semantics::Keyed { .. }) {
+    if key.is_none()
+        && matches!(
+            settings.classes[class].retry_safety,
+            RetrySafety::IdempotencyKey { .. }
+        )
+    {
         return bad(400, "Idempotency-Key is missing");
     }
-    let usual = millis(settings.classes[class].give_up);
+    let usual = millis(settings.classes[class].client_timeout);
     let client_timeout = match m.get("x-deadline") {
         None => usual,
         Some(text) => match text.to_str().ok().and_then(deadline) {
--- a/crates/server-protocol/src/lib.rs
+++ b/crates/server-protocol/src/lib.rs
@@ -124,7 +124,7 @@
     let outcome = match end {
         b"good" => Outcome::Served,
         b"bad" => Outcome::Error,
-        b"later" => Outcome::Full,
+        b"later" => Outcome::Overloaded,
         _ => return Err(BadFrame("its end is unknown")),
     };
     let text = |bytes| std::str::from_utf8(bytes).map_err(|_| BadFrame("it is not UTF-8"));
@@ -244,7 +244,7 @@
             let Ok(Some((FromServer::Answer { held, outcome, .. }, _))) = decode(&bytes) else {
                 panic!()
             };
-            assert_eq!((held, outcome), (None, Outcome::Full));
+            assert_eq!((held, outcome), (None, Outcome::Overloaded));
         }
     }
 }
