--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -4,7 +4,8 @@
 use async_channel::{Receiver, Sender};
 use broker_types::query::{FinalResponse, QueryId, QueryRequest};
 use broker_types::server::EndpointList;
-use server_protocol::{BadFrame, FromServer};
+use server_protocol::InvalidFrame;
+use server_protocol::broker::ServerMessage;
 use std::cell::{Cell, RefCell};
 use std::io;
 
@@ -27,13 +28,13 @@
 /// News of a connection to a data server.
 pub enum ConnEvent {
     /// A frame has come.
-    Frame(FromServer),
+    Frame(ServerMessage),
     /// A frame has begun and is not all there yet.
     Begun,
     /// The connection has ended or never came up.
     Down(io::Error),
     /// A frame came that cannot be read. The connection has ended: nothing tells where the next one begins.
-    Bad(BadFrame),
+    Bad(InvalidFrame),
 }
 
 /// The queue between the tasks and the turn loop. Its length is bounded by what feeds it: each client
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -8,7 +8,8 @@
 use broker_types::time::{MILLI, Micros};
 use futures_lite::future::yield_now;
 use futures_lite::{AsyncWriteExt, FutureExt};
-use server_protocol::{self as frame, PartLine};
+use server_protocol::Decoded;
+use server_protocol::broker::{PartRequest, decode, encode_call, encode_cancel};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
 use std::io::{self, Write};
@@ -142,7 +143,7 @@
         loop {
             let mut item = self.waiting.borrow_mut().pop_front()?;
             let frame = match &mut item {
-                Item::GiveUp(wire) => frame::give_up(wire),
+                Item::GiveUp(wire) => encode_cancel(wire),
                 Item::Call(parts) => {
                     let over = |p: &mut Outgoing| {
                         p.until < now + MILLI || p.expires.is_some_and(|at| at <= now)
@@ -153,11 +154,11 @@
                     if parts.is_empty() {
                         continue;
                     }
-                    frame::call(parts.iter().map(|p| PartLine {
+                    encode_call(parts.iter().map(|p| PartRequest {
                         id: &p.wire,
                         shard: p.shard,
                         wait_ms: p.until.saturating_sub(now) / MILLI,
-                        key: p.key.as_deref(),
+                        idempotency_key: p.key.as_deref(),
                         text: &p.text,
                     }))
                 }
@@ -255,10 +256,10 @@
     loop {
         let mut used = 0;
         loop {
-            match frame::decode(&input[used..]) {
+            match decode(&input[used..]) {
                 Ok(None) => break,
-                Ok(Some((message, length))) => {
-                    used += length;
+                Ok(Some(Decoded { message, frame_len })) => {
+                    used += frame_len;
                     inbox.put(Input::Conn(id, ConnEvent::Frame(message)));
                 }
                 Err(bad) => return Ok(ConnEvent::Bad(bad)),
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -14,7 +14,7 @@
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Micros;
 use connection::{Item, Outgoing, SendQueue};
-use server_protocol::FromServer;
+use server_protocol::broker::{PartResponse, ServerMessage};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -402,12 +402,12 @@
         conn.heard = now;
         conn.begun = None;
         match event {
-            ConnEvent::Frame(FromServer::Answer {
+            ConnEvent::Frame(ServerMessage::PartResponse(PartResponse {
                 id: wire,
                 outcome,
-                held,
+                requests_in_flight: held,
                 value,
-            }) => {
+            })) => {
                 if let Some(&attempt) = conn.out.get(&wire) {
                     let value = (outcome == Outcome::Served).then_some(value);
                     return self.end(now, attempt, outcome, held, value);
@@ -423,7 +423,7 @@
                 self.spoil(now, id, "nothing is out");
             }
             ConnEvent::Begun => conn.begun = Some(now),
-            ConnEvent::Frame(FromServer::Rejected(words)) => {
+            ConnEvent::Frame(ServerMessage::FrameRejected(words)) => {
                 warn!(name: "upstream_rejected", server = %conn.server.0, words);
             }
             ConnEvent::Down(error) => {
@@ -433,7 +433,7 @@
                 }
                 self.lose(now, id);
             }
-            ConnEvent::Bad(bad) => self.spoil(now, id, bad.0),
+            ConnEvent::Bad(bad) => self.spoil(now, id, &bad.to_string()),
         }
     }
 
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -60,13 +60,12 @@
 }
 
 fn answer(wire: &str) -> ConnEvent {
-    let (id, outcome, held) = (wire.to_owned(), Outcome::Served, Some(1.0));
-    ConnEvent::Frame(FromServer::Answer {
-        id,
-        outcome,
-        held,
+    ConnEvent::Frame(ServerMessage::PartResponse(PartResponse {
+        id: wire.to_owned(),
+        outcome: Outcome::Served,
+        requests_in_flight: Some(1.0),
         value: "v".to_owned(),
-    })
+    }))
 }
 
 #[test]
@@ -137,7 +136,7 @@
 fn a_spoilt_answer_fails_one_attempt_and_closes_its_connection() {
     for event in [
         answer("q7.0"),
-        ConnEvent::Bad(server_protocol::BadFrame("noise")),
+        ConnEvent::Bad(server_protocol::InvalidFrame::UnknownKind),
     ] {
         let outcomes = outcomes_of_spoilt(event, 3);
         assert_eq!(
@@ -156,7 +155,7 @@
     for surplus in [
         answer("q1.0"),
         ConnEvent::Begun,
-        ConnEvent::Bad(server_protocol::BadFrame("noise")),
+        ConnEvent::Bad(server_protocol::InvalidFrame::UnknownKind),
     ] {
         let (mut pool, _listener) = pool(limits());
         pool.dispatch(0, sends(1, 1));
--- a/crates/load-generator/src/direct.rs
+++ b/crates/load-generator/src/direct.rs
@@ -3,7 +3,8 @@
 use crate::ask::{Answer, Ask, TEXT};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use server_protocol::{FromServer, PartLine, call, decode};
+use server_protocol::Decoded;
+use server_protocol::broker::{PartRequest, ServerMessage, decode, encode_call};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
@@ -32,22 +33,28 @@
             .collect();
         let wait_ms = ask.patience.as_millis() as u64;
         let parts = ids.iter().zip(&ask.shards);
-        let bytes = call(parts.map(|(id, shard)| PartLine {
+        let bytes = encode_call(parts.map(|(id, shard)| PartRequest {
             id,
             shard: *shard,
             wait_ms,
-            key: None,
+            idempotency_key: None,
             text: TEXT,
         }));
         self.stream.write_all(&bytes).await?;
         let (mut values, mut chunk) = (Vec::new(), [0; 4096]);
         while values.len() < ids.len() {
-            match decode(&self.input).map_err(|bad| io::Error::other(bad.0))? {
-                Some((FromServer::Answer { value, .. }, length)) => {
-                    self.input.drain(..length);
-                    values.push((values.len(), value));
+            match decode(&self.input).map_err(io::Error::other)? {
+                Some(Decoded {
+                    message: ServerMessage::PartResponse(response),
+                    frame_len,
+                }) => {
+                    self.input.drain(..frame_len);
+                    values.push((values.len(), response.value));
                 }
-                Some((FromServer::Rejected(words), _)) => return Err(io::Error::other(words)),
+                Some(Decoded {
+                    message: ServerMessage::FrameRejected(reason),
+                    ..
+                }) => return Err(io::Error::other(reason)),
                 None => match self.stream.read(&mut chunk).await? {
                     0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                     n => self.input.extend_from_slice(&chunk[..n]),
--- /dev/null
+++ b/crates/server-protocol/src/broker.rs
@@ -0,0 +1,147 @@
+//! The broker's side: encodes calls and cancellations, decodes what data servers send.
+
+use crate::frame::{self, PartialFrame, split_line, utf8};
+use crate::{Decoded, InvalidFrame, PartStatus};
+use fanout_policy::api::Outcome;
+use std::fmt::Write;
+
+/// Longest body accepted from a data server, in bytes: a value as long as the longest HTTP body, and its line.
+const MAX_BODY_LEN: usize = 66 * 1024;
+/// Longest line of a response, in bytes: it carries an id no longer than a client may choose, and short fields.
+pub const MAX_RESPONSE_LINE_LEN: usize = 1024;
+/// Names of the load report's field with the number of requests in flight: that of the settings and that of
+/// the protocol.
+const REQUESTS_IN_FLIGHT: [&str; 2] = ["rif", "inflight"];
+
+/// One part of a call, to be encoded.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct PartRequest<'a> {
+    /// Id of the part on the wire.
+    pub id: &'a str,
+    /// Shard that the part asks for.
+    pub shard: usize,
+    /// How long the broker will wait for the response, in milliseconds.
+    pub wait_ms: u64,
+    /// The query's idempotency key, if its class has one.
+    pub idempotency_key: Option<&'a str>,
+    /// The query's text.
+    pub text: &'a str,
+}
+
+/// A message from a data server.
+#[derive(Clone, Debug, PartialEq)]
+pub enum ServerMessage {
+    /// The response to one part.
+    PartResponse(PartResponse),
+    /// The server rejected the previous frame, for the reason given, and will close the connection.
+    FrameRejected(String),
+}
+
+/// A data server's response to one part.
+#[derive(Clone, Debug, PartialEq)]
+pub struct PartResponse {
+    /// Id of the part on the wire.
+    pub id: String,
+    /// Outcome of the part.
+    pub outcome: Outcome,
+    /// Number of requests in flight at the server, if it reports one.
+    pub requests_in_flight: Option<f64>,
+    /// The value, as received.
+    pub value: String,
+}
+
+/// Encodes one call with the given parts.
+pub fn encode_call<'a>(parts: impl IntoIterator<Item = PartRequest<'a>>) -> Vec<u8> {
+    let mut payload = String::new();
+    for part in parts {
+        let _ = write!(payload, "{} {} d={}", part.id, part.shard, part.wait_ms);
+        if let Some(key) = part.idempotency_key {
+            let _ = write!(payload, ",k={key}");
+        }
+        let _ = writeln!(payload, " {}", part.text.len());
+        payload.push_str(part.text);
+    }
+    frame::encode(frame::CALL, payload.as_bytes())
+}
+
+/// Encodes the cancellation of the part with this id.
+#[must_use]
+pub fn encode_cancel(id: &str) -> Vec<u8> {
+    frame::encode(frame::CANCEL, id.as_bytes())
+}
+
+/// Decodes the frame that `input` begins with. `Ok(None)`: it has not arrived completely.
+///
+/// A frame is reported as invalid as soon as the bytes received show it, because the rest may never arrive.
+///
+/// # Errors
+///
+/// The frame is invalid.
+pub fn decode(input: &[u8]) -> Result<Option<Decoded<ServerMessage>>, InvalidFrame> {
+    let Some(frame) = PartialFrame::parse(input, MAX_BODY_LEN)? else {
+        return Ok(None);
+    };
+    let Some(kind) = frame.kind() else {
+        return Ok(None);
+    };
+    // Brokers send no probes, so the response to one is unexpected as well.
+    if !matches!(kind, frame::PART_RESPONSE | frame::REJECTION) {
+        return Err(InvalidFrame::UnknownKind);
+    }
+    let Some(payload) = frame.payload() else {
+        return if kind == frame::PART_RESPONSE && exceeds_line_limit(frame.received()) {
+            Err(InvalidFrame::UnterminatedResponseLine)
+        } else {
+            Ok(None)
+        };
+    };
+    let message = if kind == frame::PART_RESPONSE {
+        ServerMessage::PartResponse(decode_part_response(payload)?)
+    } else {
+        ServerMessage::FrameRejected(String::from_utf8_lossy(payload).into_owned())
+    };
+    Ok(Some(Decoded {
+        message,
+        frame_len: frame.frame_len(),
+    }))
+}
+
+/// Whether the beginning of a response contains more than the longest line, and no newline within it.
+fn exceeds_line_limit(received: &[u8]) -> bool {
+    received.len() > MAX_RESPONSE_LINE_LEN && !received[..MAX_RESPONSE_LINE_LEN].contains(&b'\n')
+}
+
+/// Decodes `ID STATUS SCORE LOAD_REPORT\nVALUE`.
+fn decode_part_response(payload: &[u8]) -> Result<PartResponse, InvalidFrame> {
+    let (line, value) = split_line(payload).ok_or(InvalidFrame::UnterminatedResponseLine)?;
+    let mut fields = line.splitn(4, |byte| *byte == b' ');
+    let (Some(id), Some(status), Some(score), Some(load_report)) =
+        (fields.next(), fields.next(), fields.next(), fields.next())
+    else {
+        return Err(InvalidFrame::ResponseFieldsMissing);
+    };
+    let status = PartStatus::from_wire(status)?;
+    if utf8(score)?.parse::<f64>().is_err() {
+        return Err(InvalidFrame::InvalidScore);
+    }
+    Ok(PartResponse {
+        id: utf8(id)?.to_owned(),
+        outcome: status.into(),
+        requests_in_flight: parse_requests_in_flight(load_report),
+        value: utf8(value)?.to_owned(),
+    })
+}
+
+/// Number of requests in flight according to a load report. An unreadable report does not invalidate its frame:
+/// the number is unknown.
+fn parse_requests_in_flight(load_report: &[u8]) -> Option<f64> {
+    let load_report = utf8(load_report).ok()?;
+    let mut entries = load_report
+        .split(',')
+        .filter_map(|entry| entry.split_once('='));
+    let (_, number) = entries.find(|(name, _)| REQUESTS_IN_FLIGHT.contains(name))?;
+    number
+        .parse()
+        .ok()
+        .filter(|number: &f64| number.is_finite() && *number >= 0.0)
+}
--- /dev/null
+++ b/crates/server-protocol/src/part_status.rs
@@ -0,0 +1,50 @@
+//! The status of a part's response.
+
+use crate::InvalidFrame;
+use fanout_policy::api::Outcome;
+
+/// How a data server finished a part.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PartStatus {
+    /// The part was served.
+    Succeeded,
+    /// The part ran and ended with an error.
+    Failed,
+    /// The server rejected the part without running it.
+    Rejected,
+}
+
+impl PartStatus {
+    /// The status as it stands in a frame.
+    pub(crate) fn as_wire(self) -> &'static str {
+        match self {
+            PartStatus::Succeeded => "good",
+            PartStatus::Failed => "bad",
+            PartStatus::Rejected => "later",
+        }
+    }
+
+    /// Reads a status from a frame.
+    ///
+    /// # Errors
+    ///
+    /// The status is unknown.
+    pub(crate) fn from_wire(bytes: &[u8]) -> Result<Self, InvalidFrame> {
+        match bytes {
+            b"good" => Ok(PartStatus::Succeeded),
+            b"bad" => Ok(PartStatus::Failed),
+            b"later" => Ok(PartStatus::Rejected),
+            _ => Err(InvalidFrame::UnknownStatus),
+        }
+    }
+}
+
+impl From<PartStatus> for Outcome {
+    fn from(status: PartStatus) -> Self {
+        match status {
+            PartStatus::Succeeded => Outcome::Served,
+            PartStatus::Failed => Outcome::Error,
+            PartStatus::Rejected => Outcome::Full,
+        }
+    }
+}
--- /dev/null
+++ b/crates/server-protocol/tests/common/mod.rs
@@ -0,0 +1,7 @@
+//! Helpers of this package's tests.
+
+/// Builds a frame by hand, independently of the encoder.
+pub fn frame(kind: u8, payload: &[u8]) -> Vec<u8> {
+    let body_len = u32::try_from(payload.len() + 1).unwrap();
+    [&body_len.to_be_bytes()[..], &[kind], payload].concat()
+}
--- a/crates/test-fleet/src/server.rs
+++ b/crates/test-fleet/src/server.rs
@@ -5,7 +5,11 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use server_protocol::from_broker::{End, FromBroker, Part, answer, decode, probe_answer, rejected};
+use server_protocol::server::{
+    BrokerMessage, PartRequest, decode, encode_frame_rejection, encode_part_response,
+    encode_probe_response,
+};
+use server_protocol::{Decoded, PartStatus};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::io;
@@ -126,7 +130,7 @@
         out: &RefCell<BTreeMap<String, usize>>,
     ) -> io::Result<()> {
         // The work of one connection, by when it is done: bounded by what brokers send on one.
-        let work: RefCell<BTreeMap<(Instant, usize), Part>> = RefCell::default();
+        let work: RefCell<BTreeMap<(Instant, usize), PartRequest>> = RefCell::default();
         let bell = async_channel::bounded::<()>(1);
         let read = async {
             let mut input = Vec::new();
@@ -136,13 +140,14 @@
                 loop {
                     match decode(&input[used..]) {
                         Ok(None) => break,
-                        Ok(Some((message, length))) => {
-                            used += length;
+                        Ok(Some(Decoded { message, frame_len })) => {
+                            used += frame_len;
                             self.hear(message, out, &work, stream).await?;
                             let _ = bell.0.try_send(());
                         }
-                        Err(bad) => {
-                            (&*stream).write_all(&rejected(bad.0)).await?;
+                        Err(invalid) => {
+                            let rejection = encode_frame_rejection(&invalid.to_string());
+                            (&*stream).write_all(&rejection).await?;
                             return Ok(());
                         }
                     }
@@ -192,13 +197,13 @@
 
     async fn hear(
         &self,
-        message: FromBroker,
+        message: BrokerMessage,
         out: &RefCell<BTreeMap<String, usize>>,
-        work: &RefCell<BTreeMap<(Instant, usize), Part>>,
+        work: &RefCell<BTreeMap<(Instant, usize), PartRequest>>,
         mut stream: &Async<TcpStream>,
     ) -> io::Result<()> {
         match message {
-            FromBroker::Call(parts) => {
+            BrokerMessage::Call(parts) => {
                 let now = Instant::now();
                 self.book(Books::called);
                 for part in parts {
@@ -213,7 +218,7 @@
                             server: self.name.clone(),
                             id: part.id.clone(),
                             shard: part.shard,
-                            key: part.key.clone(),
+                            key: part.idempotency_key.clone(),
                             came: now,
                             drained,
                             ran: fault != Fault::TurnsAway,
@@ -228,36 +233,45 @@
                 }
                 Ok(())
             }
-            FromBroker::GiveUp(id) => {
+            BrokerMessage::Cancel(id) => {
                 if let Some(place) = out.borrow_mut().remove(&id) {
                     self.given_up(place);
                 }
                 Ok(())
             }
-            FromBroker::Probe(load) => stream.write_all(&probe_answer(load, self.held.get())).await,
+            BrokerMessage::Probe(kind) => {
+                stream
+                    .write_all(&encode_probe_response(kind, self.held.get()))
+                    .await
+            }
         }
     }
 
     /// What a part that is done is answered with.
-    fn finish(&self, part: &Part) -> Out {
+    fn finish(&self, part: &PartRequest) -> Out {
         let count = self.count.get().wrapping_add(1);
         self.count.set(count);
         let hits = |every: u32| every > 0 && count.is_multiple_of(every);
-        let end = match self.fault() {
+        let status = match self.fault() {
             Fault::Resets(every) if hits(every) => return Out::Reset,
             Fault::Garbles(every) if hits(every) => {
                 return Out::Bytes(b"\xff\xff\xff\xff noise".to_vec());
             }
-            Fault::Errors(every) if hits(every) => End::Bad,
-            Fault::TurnsAway => End::Later,
-            _ => End::Good,
+            Fault::Errors(every) if hits(every) => PartStatus::Failed,
+            Fault::TurnsAway => PartStatus::Rejected,
+            _ => PartStatus::Succeeded,
         };
-        let value = if end == End::Good {
+        let value = if status == PartStatus::Succeeded {
             value(part.shard, &part.text)
         } else {
             String::new()
         };
-        Out::Bytes(answer(&part.id, end, self.held.get(), &value))
+        Out::Bytes(encode_part_response(
+            &part.id,
+            status,
+            self.held.get(),
+            &value,
+        ))
     }
 }
 
