--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -4,7 +4,7 @@
 use batch_window::Pacing;
 use broker_types::time::Micros;
 use logging::Format;
-use operator_config::{LONGEST, LogFormat, LogLevel, Settings, read};
+use operator_config::{LogFormat, LogLevel, MAX_FILE_BYTES, Settings, parse};
 use std::io::Read;
 use std::path::{Path, PathBuf};
 use tracing::{Level, info, warn};
@@ -22,7 +22,7 @@
     let mut text = String::new();
     // One byte more shows that it is too long.
     std::fs::File::open(path)
-        .and_then(|f| f.take(LONGEST as u64 + 1).read_to_string(&mut text))
+        .and_then(|f| f.take(MAX_FILE_BYTES as u64 + 1).read_to_string(&mut text))
         .map_err(failed)?;
     Ok(text)
 }
@@ -39,7 +39,7 @@
 
     /// Takes settings that stand in no file; reading it again changes nothing.
     pub fn of_text(name: &str, text: &str) -> Result<Self, String> {
-        let settings = read(name, text).map_err(|faults| faults.to_string())?;
+        let settings = parse(name, text).map_err(|faults| faults.to_string())?;
         Ok(Operator {
             path: None,
             settings,
@@ -47,7 +47,7 @@
     }
 
     fn parse(path: &Path) -> Result<Settings, String> {
-        read(&path.display().to_string(), &read_text(path)?).map_err(|faults| faults.to_string())
+        parse(&path.display().to_string(), &read_text(path)?).map_err(|faults| faults.to_string())
     }
 
     /// Reads the file again, whole or not at all: nothing is changed by this.
@@ -67,11 +67,11 @@
         let changes = self.settings.changes(new);
         self.adopt_quietly(new);
         self.set_log();
-        if !changes.now.is_empty() {
-            info!(name: "operator_file", changed = changes.now.join(","));
+        if !changes.effective.is_empty() {
+            info!(name: "operator_file", changed = changes.effective.join(","));
         }
-        if !changes.restart.is_empty() {
-            warn!(name: "restart_needed", changed = changes.restart.join(","));
+        if !changes.restart_required.is_empty() {
+            warn!(name: "restart_needed", changed = changes.restart_required.join(","));
         }
     }
 
@@ -101,7 +101,7 @@
     /// How turns are spaced, where the settings' tick is given.
     pub fn pacing(&self, tick: Micros) -> Pacing {
         self.settings
-            .gather
+            .gather_time
             .map_or(Pacing::Fixed(tick), Pacing::Gather)
     }
 
--- a/crates/operator-config/src/keywords.rs
+++ b/crates/operator-config/src/keywords.rs
@@ -1,13 +1,26 @@
-//! The keywords: what each takes, means, and when it takes effect.
+//! The keywords of a file: the argument of each, its purpose, and when a change of it takes effect.
 
-/// When a line that changed in the file takes effect.
+pub(crate) const LOG_FORMAT: &str = "log-format";
+pub(crate) const LOG_LEVEL: &str = "log-level";
+pub(crate) const GATHER_TIME: &str = "gather-time";
+pub(crate) const LISTEN_HTTP2: &str = "listen-http2";
+pub(crate) const HTTP2_CONNECTIONS: &str = "http2-connections";
+pub(crate) const HTTP2_STREAMS: &str = "http2-streams";
+pub(crate) const HTTP2_CONNECTION_WINDOW: &str = "http2-connection-window";
+pub(crate) const HTTP2_HEADER_LIST: &str = "http2-header-list";
+
+/// Longest word for which a similar keyword is looked for, in bytes. The cost of a comparison is the product of the
+/// lengths, and a longer word is not a misspelt keyword.
+const MAX_MISSPELT_BYTES: usize = 64;
+
+/// When a change of a keyword's argument takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// With the SIGHUP that reads it.
-    AtOnce,
-    /// With the SIGHUP that reads it, for connections that come later.
+    /// With the SIGHUP on which the file is read.
+    Immediate,
+    /// With the SIGHUP on which the file is read, for connections that are opened afterwards.
     NewConnections,
-    /// When the program is started again.
+    /// When the program is restarted.
     Restart,
 }
 
@@ -16,106 +29,87 @@
 pub struct Keyword {
     /// Its name.
     pub name: &'static str,
-    /// What it takes, as a person reads it.
-    pub takes: &'static str,
+    /// Description of its argument, for a person.
+    pub argument: &'static str,
     /// What it is for.
-    pub about: &'static str,
+    pub description: &'static str,
     /// When a change takes effect.
     pub effect: Effect,
-    /// The keyword without which it means nothing.
-    pub needs: Option<&'static str>,
-}
-
-const fn keyword(
-    name: &'static str,
-    takes: &'static str,
-    about: &'static str,
-    effect: Effect,
-    needs: Option<&'static str>,
-) -> Keyword {
-    Keyword {
-        name,
-        takes,
-        about,
-        effect,
-        needs,
-    }
+    /// The keyword without which it has no effect.
+    pub requires: Option<&'static str>,
 }
 
-const HTTP2: Option<&str> = Some("listen-http2");
-
-/// All keywords; each stands on one line of a file at most, with one argument.
+/// All keywords. Each may stand on one line of a file, with one argument.
 pub const KEYWORDS: &[Keyword] = &[
-    keyword(
-        "log-format",
-        "logfmt or json",
-        "form of the log's lines",
-        Effect::AtOnce,
-        None,
-    ),
-    keyword(
-        "log-level",
-        "error, warn, info, debug or trace",
-        "least level that is logged",
-        Effect::AtOnce,
-        None,
-    ),
-    keyword(
-        "gather-time",
-        "a time, 0us to 50ms",
-        "longest wait for parts that could share a call",
-        Effect::AtOnce,
-        None,
-    ),
-    keyword(
-        "listen-http2",
-        "an address with a port",
-        "where clients with HTTP/2 connect",
-        Effect::Restart,
-        None,
-    ),
-    keyword(
-        "http2-connections",
-        "1 to 65536",
-        "most HTTP/2 connections",
-        Effect::Restart,
-        HTTP2,
-    ),
-    keyword(
-        "http2-streams",
-        "1 to 65536",
-        "most requests at once on a connection",
-        Effect::NewConnections,
-        HTTP2,
-    ),
-    keyword(
-        "http2-connection-window",
-        "a size, 64KiB to 64MiB",
-        "the same for all requests of a connection together",
-        Effect::NewConnections,
-        HTTP2,
-    ),
-    keyword(
-        "http2-header-list",
-        "a size, 1KiB to 64KiB",
-        "longest header list of a request",
-        Effect::NewConnections,
-        HTTP2,
-    ),
+    Keyword {
+        name: LOG_FORMAT,
+        argument: "logfmt or json",
+        description: "form of the log's lines",
+        effect: Effect::Immediate,
+        requires: None,
+    },
+    Keyword {
+        name: LOG_LEVEL,
+        argument: "error, warn, info, debug or trace",
+        description: "least level that is logged",
+        effect: Effect::Immediate,
+        requires: None,
+    },
+    Keyword {
+        name: GATHER_TIME,
+        argument: "a time, 0us to 50ms",
+        description: "longest wait for parts that could share a call",
+        effect: Effect::Immediate,
+        requires: None,
+    },
+    Keyword {
+        name: LISTEN_HTTP2,
+        argument: "an address with a port",
+        description: "where clients with HTTP/2 connect",
+        effect: Effect::Restart,
+        requires: None,
+    },
+    Keyword {
+        name: HTTP2_CONNECTIONS,
+        argument: "1 to 65536",
+        description: "most HTTP/2 connections",
+        effect: Effect::Restart,
+        requires: Some(LISTEN_HTTP2),
+    },
+    Keyword {
+        name: HTTP2_STREAMS,
+        argument: "1 to 65536",
+        description: "most requests at once on a connection",
+        effect: Effect::NewConnections,
+        requires: Some(LISTEN_HTTP2),
+    },
+    Keyword {
+        name: HTTP2_CONNECTION_WINDOW,
+        argument: "a size, 64KiB to 64MiB",
+        description: "the same for all requests of a connection together",
+        effect: Effect::NewConnections,
+        requires: Some(LISTEN_HTTP2),
+    },
+    Keyword {
+        name: HTTP2_HEADER_LIST,
+        argument: "a size, 1KiB to 64KiB",
+        description: "longest header list of a request",
+        effect: Effect::NewConnections,
+        requires: Some(LISTEN_HTTP2),
+    },
 ];
 
 /// The keyword of this name.
 pub(crate) fn find(name: &str) -> Option<&'static Keyword> {
-    KEYWORDS.iter().find(|k| k.name == name)
+    KEYWORDS.iter().find(|keyword| keyword.name == name)
 }
 
-/// The keyword that a wrong one was probably meant to be.
-pub(crate) fn nearest(name: &str) -> Option<&'static str> {
-    // Longer words are nobody's slip of the pen, and comparing costs the product of the lengths.
-    if name.len() > 64 {
+/// The keyword that a misspelt one was probably meant to be: the nearest, if at most a third of it differs.
+pub(crate) fn find_similar(name: &str) -> Option<&'static str> {
+    if name.len() > MAX_MISSPELT_BYTES {
         return None;
     }
-    let distance = |k: &Keyword| strsim::damerau_levenshtein(k.name, name);
-    let nearest = KEYWORDS.iter().min_by_key(|k| distance(k))?;
+    let distance = |keyword: &Keyword| strsim::damerau_levenshtein(keyword.name, name);
+    let nearest = KEYWORDS.iter().min_by_key(|keyword| distance(keyword))?;
     (distance(nearest) <= nearest.name.len() / 3).then_some(nearest.name)
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,27 +1,31 @@
 //! The operator's own file: what an installation sets beside the platform's configuration.
 //!
-//! The form is that of classic daemons: a keyword and its arguments a line, blanks between them, `#` begins a
-//! comment, units are written out (`250ms`, `64KiB`). [`grammar`] splits the text into words and their places,
-//! [`keywords`] says which keywords there are, what they take and when they take effect, [`settings`] makes typed
-//! values of it and refuses what contradicts itself. All faults of a file are found at once, each with its place.
+//! The form is that of classic daemons: a keyword and its argument a line, separated by blanks; `#` begins a
+//! comment; units are written out (`250ms`, `64KiB`). `grammar` splits the text into words and their places,
+//! `keywords` lists the keywords with their arguments and the time when a change takes effect, `values` parses
+//! arguments, and `parser` puts the typed [`Settings`] together and rejects keywords that contradict each other. All
+//! errors of a file are reported at once, each with its place.
 //!
 //! ```
 //! let text = "listen-http2 127.0.0.1:8443\nhttp2-streams 100 # a connection\n";
-//! let settings = operator_config::read("query-broker.conf", text).unwrap();
+//! let settings = operator_config::parse("query-broker.conf", text).unwrap();
 //! assert_eq!(settings.http2.unwrap().streams, Some(100));
-//! let faults = operator_config::read("query-broker.conf", "http2-stream 100").unwrap_err();
-//! assert!(faults.to_string().contains("query-broker.conf:1:1: unknown keyword http2-stream"));
+//! let errors = operator_config::parse("query-broker.conf", "http2-stream 100").unwrap_err();
+//! assert!(errors.to_string().contains("query-broker.conf:1:1: unknown keyword http2-stream"));
 //! ```
 
-mod fault;
+mod error;
 mod grammar;
 mod keywords;
+mod parser;
 mod settings;
 mod values;
 
-pub use fault::{Fault, Faults};
+pub use error::{ConfigFileError, ConfigFileErrors, ErrorKind};
 pub use keywords::{Effect, KEYWORDS, Keyword};
-pub use settings::{Changes, Http2, Log, LogFormat, LogLevel, Settings, read};
+pub use parser::parse;
+pub use settings::{Changes, Http2Settings, LogFormat, LogLevel, LogSettings, Settings};
+pub use values::InvalidValue;
 
 /// Longest file that is read, in bytes.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_FILE_BYTES: usize = 1 << 20;
--- /dev/null
+++ b/crates/operator-config/src/parser.rs
@@ -0,0 +1,237 @@
+//! Makes typed settings of a file's text and collects all errors on the way.
+
+use crate::MAX_FILE_BYTES;
+use crate::error::{ConfigFileError, ConfigFileErrors, ErrorKind, SourceText};
+use crate::grammar::{Line, Word, parse_lines};
+use crate::keywords::{self, KEYWORDS, Keyword};
+use crate::settings::{Http2Settings, LogFormat, LogLevel, LogSettings, Settings};
+use crate::values::{self, InvalidValue};
+use broker_types::time::{MILLI, Micros};
+use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
+
+const LOG_FORMATS: &[(&str, LogFormat)] =
+    &[("logfmt", LogFormat::Logfmt), ("json", LogFormat::Json)];
+const LOG_LEVELS: &[(&str, LogLevel)] = &[
+    ("error", LogLevel::Error),
+    ("warn", LogLevel::Warn),
+    ("info", LogLevel::Info),
+    ("debug", LogLevel::Debug),
+    ("trace", LogLevel::Trace),
+];
+
+/// Bounds of `gather-time`.
+const GATHER_TIME_BOUNDS: RangeInclusive<Micros> = 0..=50 * MILLI;
+/// Bounds of `http2-connections`.
+const CONNECTIONS_BOUNDS: RangeInclusive<u64> = 1..=65_536;
+/// Bounds of `http2-streams`.
+const STREAMS_BOUNDS: RangeInclusive<u64> = 1..=65_536;
+/// Bounds of `http2-connection-window`, in bytes.
+const CONNECTION_WINDOW_BOUNDS: RangeInclusive<u64> = 64 << 10..=64 << 20;
+/// Bounds of `http2-header-list`, in bytes.
+const HEADER_LIST_BOUNDS: RangeInclusive<u64> = 1 << 10..=64 << 10;
+
+/// Parses the text of a file; errors call the file `name`.
+///
+/// # Errors
+///
+/// All errors of the file, in the order of their places.
+pub fn parse(name: &str, text: &str) -> Result<Settings, ConfigFileErrors> {
+    let source = SourceText::new(name, text);
+    if text.len() > MAX_FILE_BYTES {
+        let kind = ErrorKind::FileTooLong { bytes: text.len() };
+        return Err(ConfigFileErrors {
+            errors: vec![source.error(&(0..0), kind)],
+        });
+    }
+    let mut parser = SettingsParser::new(source);
+    for line in parse_lines(text) {
+        parser.add_line(line);
+    }
+    let settings = parser.settings();
+    let mut errors = parser.errors;
+    if errors.is_empty() {
+        return Ok(settings);
+    }
+    errors.sort_by_key(|error| error.span.start);
+    Err(ConfigFileErrors { errors })
+}
+
+/// A keyword of the file with its one argument.
+#[derive(Clone)]
+struct Entry {
+    keyword: Word,
+    argument: Word,
+}
+
+struct SettingsParser<'a> {
+    source: SourceText<'a>,
+    errors: Vec<ConfigFileError>,
+    /// The first line of each keyword.
+    entries: BTreeMap<&'static str, Entry>,
+}
+
+impl<'a> SettingsParser<'a> {
+    fn new(source: SourceText<'a>) -> Self {
+        SettingsParser {
+            source,
+            errors: Vec::new(),
+            entries: BTreeMap::new(),
+        }
+    }
+
+    fn report(&mut self, word: &Word, kind: ErrorKind) {
+        let error = self.source.error(&word.span, kind);
+        self.errors.push(error);
+    }
+
+    /// Takes a line of the file, if its keyword is known and new.
+    fn add_line(&mut self, line: Line) {
+        let name = &line.keyword.text;
+        let Some(keyword) = keywords::find(name) else {
+            let kind = ErrorKind::UnknownKeyword {
+                keyword: name.clone(),
+                nearest: keywords::find_similar(name),
+            };
+            return self.report(&line.keyword, kind);
+        };
+        if let Some(first) = self.entries.get(keyword.name) {
+            let kind = ErrorKind::RepeatedKeyword {
+                keyword: keyword.name,
+                first_line: self.source.line(first.keyword.span.start),
+            };
+            return self.report(&line.keyword, kind);
+        }
+        self.add_entry(keyword, line);
+    }
+
+    /// Takes a line of a known keyword, if it has exactly one argument.
+    fn add_entry(&mut self, keyword: &Keyword, line: Line) {
+        let mut arguments = line.arguments.into_iter();
+        match (arguments.next(), arguments.next()) {
+            (None, _) => {
+                let kind = ErrorKind::MissingArgument {
+                    keyword: keyword.name,
+                    argument: keyword.argument,
+                };
+                self.report(&line.keyword, kind);
+            }
+            (Some(argument), None) => {
+                let entry = Entry {
+                    keyword: line.keyword,
+                    argument,
+                };
+                self.entries.insert(keyword.name, entry);
+            }
+            (_, Some(surplus)) => {
+                let kind = ErrorKind::SurplusArgument {
+                    keyword: keyword.name,
+                    argument: keyword.argument,
+                    surplus: surplus.text.clone(),
+                };
+                self.report(&surplus, kind);
+            }
+        }
+    }
+
+    /// The typed value of a keyword's argument; `None` where it is absent or invalid.
+    fn value<T>(
+        &mut self,
+        keyword: &'static str,
+        parse_value: impl Fn(&str) -> Result<T, InvalidValue>,
+    ) -> Option<T> {
+        let argument = self.entries.get(keyword)?.argument.clone();
+        match parse_value(&argument.text) {
+            Ok(value) => Some(value),
+            Err(expected) => {
+                let kind = ErrorKind::InvalidArgument {
+                    keyword,
+                    argument: argument.text.clone(),
+                    expected,
+                };
+                self.report(&argument, kind);
+                None
+            }
+        }
+    }
+
+    fn whole_number(&mut self, keyword: &'static str, bounds: &RangeInclusive<u64>) -> Option<u64> {
+        self.value(keyword, |word| values::parse_whole_number(word, bounds))
+    }
+
+    fn size(&mut self, keyword: &'static str, bounds: &RangeInclusive<u64>) -> Option<u64> {
+        self.value(keyword, |word| values::parse_size(word, bounds))
+    }
+
+    fn settings(&mut self) -> Settings {
+        let log = self.log_settings();
+        let gather_time = self.value(keywords::GATHER_TIME, |word| {
+            values::parse_duration(word, &GATHER_TIME_BOUNDS)
+        });
+        let http2 = self.http2_settings();
+        self.check_requirements();
+        Settings {
+            log,
+            http2,
+            gather_time,
+            arguments: self.arguments(),
+        }
+    }
+
+    fn log_settings(&mut self) -> LogSettings {
+        let format = self.value(keywords::LOG_FORMAT, |word| {
+            values::parse_choice(word, LOG_FORMATS)
+        });
+        let level = self.value(keywords::LOG_LEVEL, |word| {
+            values::parse_choice(word, LOG_LEVELS)
+        });
+        LogSettings {
+            format: format.unwrap_or_default(),
+            level: level.unwrap_or_default(),
+        }
+    }
+
+    /// The settings of the HTTP/2 listener; all of them are checked also where there is none.
+    fn http2_settings(&mut self) -> Option<Http2Settings> {
+        let listen = self.value(keywords::LISTEN_HTTP2, values::parse_address);
+        let connections = self.whole_number(keywords::HTTP2_CONNECTIONS, &CONNECTIONS_BOUNDS);
+        let streams = self.whole_number(keywords::HTTP2_STREAMS, &STREAMS_BOUNDS);
+        let connection_window =
+            self.size(keywords::HTTP2_CONNECTION_WINDOW, &CONNECTION_WINDOW_BOUNDS);
+        let header_list = self.size(keywords::HTTP2_HEADER_LIST, &HEADER_LIST_BOUNDS);
+        Some(Http2Settings {
+            listen: listen?,
+            connections: connections.map(|n| n as usize),
+            streams: streams.map(|n| n as u32),
+            connection_window: connection_window.map(|n| n as u32),
+            header_list: header_list.map(|n| n as u32),
+        })
+    }
+
+    /// Reports keywords that have no effect because one that they require is absent.
+    fn check_requirements(&mut self) {
+        for keyword in KEYWORDS {
+            let Some(requires) = keyword.requires else {
+                continue;
+            };
+            if self.entries.contains_key(requires) {
+                continue;
+            }
+            if let Some(entry) = self.entries.get(keyword.name).cloned() {
+                let kind = ErrorKind::MissingRequirement {
+                    keyword: keyword.name,
+                    requires,
+                };
+                self.report(&entry.keyword, kind);
+            }
+        }
+    }
+
+    /// The arguments as written, by keyword.
+    fn arguments(&self) -> BTreeMap<&'static str, String> {
+        self.entries
+            .iter()
+            .map(|(name, entry)| (*name, entry.argument.text.clone()))
+            .collect()
+    }
+}
--- a/crates/operator-config/src/values.rs
+++ b/crates/operator-config/src/values.rs
@@ -1,123 +1,149 @@
-//! Arguments as typed values. An error is what would be right.
+//! Arguments as typed values.
 
 use broker_types::time::{MILLI, Micros, SECOND};
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
+use thiserror::Error;
 
-pub(crate) fn address(word: &str) -> Result<SocketAddr, String> {
-    word.parse()
-        .map_err(|_| "expected an address with a port, as 127.0.0.1:8081 or [::1]:8081".to_owned())
+/// What an argument should have been. Bounds are inclusive.
+#[derive(Clone, Debug, PartialEq, Eq, Error)]
+pub enum InvalidValue {
+    /// A socket address.
+    #[error("expected an address with a port, as 127.0.0.1:8081 or [::1]:8081")]
+    Address,
+    /// A whole number within bounds.
+    #[error("expected a whole number from {min} to {max}")]
+    WholeNumber {
+        /// The least.
+        min: u64,
+        /// The greatest.
+        max: u64,
+    },
+    /// A size with its unit, within bounds in bytes.
+    #[error(
+        "expected a size from {} to {} with its unit (B, KiB, MiB)",
+        format_with_unit(*.min, SIZE_UNITS),
+        format_with_unit(*.max, SIZE_UNITS)
+    )]
+    Size {
+        /// The least, in bytes.
+        min: u64,
+        /// The greatest, in bytes.
+        max: u64,
+    },
+    /// A duration with its unit, within bounds in microseconds.
+    #[error(
+        "expected a time from {} to {} with its unit (us, ms, s, min)",
+        format_with_unit(*.min, DURATION_UNITS),
+        format_with_unit(*.max, DURATION_UNITS)
+    )]
+    Duration {
+        /// The shortest, in microseconds.
+        min: Micros,
+        /// The longest, in microseconds.
+        max: Micros,
+    },
+    /// One of some words.
+    #[error("expected one of {}", .names.join(", "))]
+    Choice {
+        /// The words.
+        names: Vec<&'static str>,
+    },
 }
 
-pub(crate) fn whole(word: &str, within: &RangeInclusive<u64>) -> Result<u64, String> {
-    let number = word
-        .bytes()
-        .all(|b| b.is_ascii_digit())
-        .then(|| word.parse().ok())
-        .flatten();
-    number.filter(|n| within.contains(n)).ok_or_else(|| {
-        format!(
-            "expected a whole number from {} to {}",
-            within.start(),
-            within.end()
-        )
-    })
+/// A unit and how many of the smallest unit it stands for.
+struct Unit {
+    name: &'static str,
+    factor: u64,
+}
+
+/// Units of a size, smallest first; factors in bytes.
+const SIZE_UNITS: &[Unit] = &[unit("B", 1), unit("KiB", 1 << 10), unit("MiB", 1 << 20)];
+
+/// Units of a duration, smallest first; factors in microseconds.
+const DURATION_UNITS: &[Unit] = &[
+    unit("us", 1),
+    unit("ms", MILLI),
+    unit("s", SECOND),
+    unit("min", 60 * SECOND),
+];
+
+const fn unit(name: &'static str, factor: u64) -> Unit {
+    Unit { name, factor }
 }
 
-/// A size with its unit, in bytes.
-pub(crate) fn size(word: &str, within: &RangeInclusive<u64>) -> Result<u64, String> {
-    let units = [("KiB", 1 << 10), ("MiB", 1 << 20), ("B", 1)];
-    with_unit(word, &units, within).ok_or_else(|| {
-        let show = |n: &u64| {
-            units[..2]
-                .iter()
-                .rev()
-                .find(|(_, u)| n.is_multiple_of(*u) && n >= u)
-                .map_or(format!("{n}B"), |(unit, u)| format!("{}{unit}", n / u))
-        };
-        format!(
-            "expected a size from {} to {} with its unit (B, KiB, MiB)",
-            show(within.start()),
-            show(within.end())
-        )
+/// Parses a socket address.
+pub(crate) fn parse_address(word: &str) -> Result<SocketAddr, InvalidValue> {
+    word.parse().map_err(|_| InvalidValue::Address)
+}
+
+/// Parses a whole number, written in digits alone.
+pub(crate) fn parse_whole_number(
+    word: &str,
+    bounds: &RangeInclusive<u64>,
+) -> Result<u64, InvalidValue> {
+    let invalid = InvalidValue::WholeNumber {
+        min: *bounds.start(),
+        max: *bounds.end(),
+    };
+    if !word.bytes().all(|b| b.is_ascii_digit()) {
+        return Err(invalid);
+    }
+    match word.parse() {
+        Ok(number) if bounds.contains(&number) => Ok(number),
+        _ => Err(invalid),
+    }
+}
+
+/// Parses a size with its unit, into bytes.
+pub(crate) fn parse_size(word: &str, bounds: &RangeInclusive<u64>) -> Result<u64, InvalidValue> {
+    parse_with_unit(word, SIZE_UNITS, bounds).ok_or_else(|| InvalidValue::Size {
+        min: *bounds.start(),
+        max: *bounds.end(),
     })
 }
 
-/// A span of time with its unit.
-pub(crate) fn span(word: &str, within: &RangeInclusive<Micros>) -> Result<Micros, String> {
-    let units = [
-        ("us", 1),
-        ("ms", MILLI),
-        ("s", SECOND),
-        ("min", 60 * SECOND),
-    ];
-    with_unit(word, &units, within).ok_or_else(|| {
-        let show = |n: &u64| {
-            units
-                .iter()
-                .rev()
-                .find(|(_, u)| n.is_multiple_of(*u) && n >= u)
-                .map_or(format!("{n}us"), |(unit, u)| format!("{}{unit}", n / u))
-        };
-        format!(
-            "expected a time from {} to {} with its unit (us, ms, s, min)",
-            show(within.start()),
-            show(within.end())
-        )
+/// Parses a duration with its unit.
+pub(crate) fn parse_duration(
+    word: &str,
+    bounds: &RangeInclusive<Micros>,
+) -> Result<Micros, InvalidValue> {
+    parse_with_unit(word, DURATION_UNITS, bounds).ok_or_else(|| InvalidValue::Duration {
+        min: *bounds.start(),
+        max: *bounds.end(),
     })
 }
 
-fn with_unit(word: &str, units: &[(&str, u64)], within: &RangeInclusive<u64>) -> Option<u64> {
+/// The value whose name the word is.
+pub(crate) fn parse_choice<T: Copy>(
+    word: &str,
+    choices: &[(&'static str, T)],
+) -> Result<T, InvalidValue> {
+    match choices.iter().find(|(name, _)| *name == word) {
+        Some((_, value)) => Ok(*value),
+        None => Err(InvalidValue::Choice {
+            names: choices.iter().map(|(name, _)| *name).collect(),
+        }),
+    }
+}
+
+/// Digits and one of the units, as a number of the smallest unit.
+fn parse_with_unit(word: &str, units: &[Unit], bounds: &RangeInclusive<u64>) -> Option<u64> {
     let digits = word.bytes().take_while(u8::is_ascii_digit).count();
-    let (number, unit) = word.split_at(digits);
-    let (_, each) = units.iter().find(|(name, _)| *name == unit)?;
+    let (number, unit_name) = word.split_at(digits);
+    let unit = units.iter().find(|unit| unit.name == unit_name)?;
+    let number: u64 = number.parse().ok()?;
     number
-        .parse::<u64>()
-        .ok()?
-        .checked_mul(*each)
-        .filter(|n| within.contains(n))
+        .checked_mul(unit.factor)
+        .filter(|value| bounds.contains(value))
 }
 
-pub(crate) fn choice<T: Copy>(word: &str, choices: &[(&str, T)]) -> Result<T, String> {
-    choices
-        .iter()
-        .find(|(name, _)| *name == word)
-        .map(|(_, value)| *value)
-        .ok_or_else(|| {
-            let names: Vec<&str> = choices.iter().map(|(name, _)| *name).collect();
-            format!("expected one of {}", names.join(", "))
-        })
+/// A value in the largest unit that writes it as a whole number.
+fn format_with_unit(value: u64, units: &[Unit]) -> String {
+    let fits = |unit: &&Unit| value >= unit.factor && value.is_multiple_of(unit.factor);
+    let unit = units.iter().rev().find(fits).unwrap_or(&units[0]);
+    format!("{}{}", value / unit.factor, unit.name)
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn units_are_written_out_and_bounds_hold() {
-        assert_eq!(span("250ms", &(0..=SECOND)), Ok(250_000));
-        assert_eq!(size("64KiB", &(0..=1 << 20)), Ok(65_536));
-        for word in [
-            "250",
-            "ms",
-            "-1ms",
-            "1.5ms",
-            "2s",
-            "1 ms",
-            "99999999999999999999ms",
-            "18446744073709551615s",
-        ] {
-            let expected = "expected a time from 1us to 1s with its unit (us, ms, s, min)";
-            assert_eq!(
-                span(word, &(1..=SECOND)),
-                Err(expected.to_owned()),
-                "{word}"
-            );
-        }
-        assert_eq!(
-            size("1kb", &(1..=3 << 20)),
-            Err("expected a size from 1B to 3MiB with its unit (B, KiB, MiB)".into())
-        );
-        assert!(whole("+1", &(0..=9)).is_err() && whole("10", &(0..=9)).is_err());
-    }
-}
+mod tests;
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,6 +1,6 @@
-//! Whole files: what they set, and what they are refused for.
+//! Tests of whole files: their settings, and the errors that they are rejected with.
 
-use operator_config::{Effect, KEYWORDS, LogFormat, LogLevel, Settings, read};
+use operator_config::{Effect, KEYWORDS, LogFormat, LogLevel, Settings, parse};
 use proptest::prelude::*;
 
 const FULL: &str = "\
@@ -15,23 +15,23 @@
 http2-header-list 16KiB
 ";
 
-fn faults(text: &str) -> Vec<String> {
-    read("f", text)
+fn errors(text: &str) -> Vec<String> {
+    parse("f", text)
         .unwrap_err()
-        .0
+        .errors
         .iter()
         .map(ToString::to_string)
         .collect()
 }
 
 #[test]
-fn a_file_with_every_keyword_is_read() {
-    let settings = read("f", FULL).unwrap();
+fn file_with_every_keyword_is_parsed() {
+    let settings = parse("f", FULL).unwrap();
     assert_eq!(
         (settings.log.format, settings.log.level),
         (LogFormat::Json, LogLevel::Debug)
     );
-    assert_eq!(settings.gather, Some(500));
+    assert_eq!(settings.gather_time, Some(500));
     let http2 = settings.http2.unwrap();
     assert_eq!(
         (http2.listen.port(), http2.connections, http2.streams),
@@ -45,15 +45,15 @@
         KEYWORDS.iter().all(|k| FULL.contains(k.name)),
         "a keyword is not tested"
     );
-    assert_eq!(read("f", "").unwrap(), Settings::default());
+    assert_eq!(parse("f", "").unwrap(), Settings::default());
 }
 
-/// A faulty file is owed all its faults at once: each round of mending and trying again takes a person's time.
+/// A faulty file gets all its errors at once: each round of correction costs the operator's time.
 #[test]
-fn every_fault_has_its_place_and_says_what_is_right() {
+fn every_error_has_its_place_and_expected_value() {
     let text = "log-levle info\nlog-level loud\nlog-format json json\nhttp2-streams 0\nlog-level info\ngather-time\nx\u{e9}\"y 1\n";
     assert_eq!(
-        faults(text),
+        errors(text),
         [
             "f:1:1: unknown keyword log-levle; did you mean log-level?",
             "f:2:11: loud is no argument for log-level; expected one of error, warn, info, debug, trace",
@@ -68,16 +68,16 @@
 }
 
 #[test]
-fn a_change_is_told_by_when_it_takes_effect_and_a_restart_is_waited_for() {
-    let old = read("f", FULL).unwrap();
+fn changes_are_grouped_by_effect_and_restart_settings_are_kept() {
+    let old = parse("f", FULL).unwrap();
     let text = FULL
         .replace("8081", "9091")
         .replace("streams 200", "streams 100")
         .replace("debug", "info");
-    let new = read("f", &text).unwrap();
+    let new = parse("f", &text).unwrap();
     let changes = old.changes(&new);
     assert_eq!(
-        (changes.now, changes.restart),
+        (changes.effective, changes.restart_required),
         (vec!["log-level", "http2-streams"], vec!["listen-http2"])
     );
     let adopted = old.adopt(&new);
@@ -86,21 +86,21 @@
         (http2.listen.port(), http2.streams, adopted.log.level),
         (8081, Some(100), LogLevel::Info)
     );
-    // What waits for the restart is told again with each file until it comes.
-    assert_eq!(adopted.changes(&new).restart, ["listen-http2"]);
-    assert_eq!(old.adopt(&read("f", "").unwrap()).http2, old.http2);
+    // A change that needs a restart is reported again with each file until then.
+    assert_eq!(adopted.changes(&new).restart_required, ["listen-http2"]);
+    assert_eq!(old.adopt(&parse("f", "").unwrap()).http2, old.http2);
     assert!(KEYWORDS.iter().any(|k| k.effect == Effect::NewConnections));
 }
 
 proptest! {
-    /// Whatever stands in a file: settings or faults, each within the text, and no panic.
+    /// Whatever the text is: it gives settings or errors, each within the text, and no panic.
     #[test]
-    fn any_text_is_read_or_has_faults(text in "(log-level|listen-http2|http2-connection-window|[a-z-]{0,12}|\\PC{0,6}|#| |\t|\r|\n|7|64KiB|127.0.0.1:1){0,40}") {
-        match read("f", &text) {
+    fn any_text_gives_settings_or_errors_within_the_text(text in "(log-level|listen-http2|http2-connection-window|[a-z-]{0,12}|\\PC{0,6}|#| |\t|\r|\n|7|64KiB|127.0.0.1:1){0,40}") {
+        match parse("f", &text) {
             Ok(settings) => prop_assert_eq!(settings.changes(&settings), Default::default()),
-            Err(faults) => for fault in faults.0 {
-                prop_assert!(text.get(fault.span.clone()).is_some());
-                prop_assert!(!fault.to_string().contains('\n'));
+            Err(errors) => for error in errors.errors {
+                prop_assert!(text.get(error.span.clone()).is_some());
+                prop_assert!(!error.to_string().contains('\n'));
             }
         }
     }
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -3,7 +3,7 @@
 use crate::cli::CheckArguments;
 use broker::operator::read_text;
 use miette::{GraphicalReportHandler, GraphicalTheme};
-use operator_config::{Effect, Faults, KEYWORDS, read};
+use operator_config::{ConfigFileError, ConfigFileErrors, Effect, KEYWORDS, parse};
 use serde_json::{Value, json};
 use std::io::{IsTerminal, Write};
 use std::path::Path;
@@ -17,12 +17,12 @@
     };
     let name = file.display().to_string();
     let (faults, text) = match read_text(file) {
-        Ok(text) => (read(&name, &text).err(), None),
+        Ok(text) => (parse(&name, &text).err(), None),
         Err(error) => (None, Some(error)),
     };
     let count = faults
         .as_ref()
-        .map_or(usize::from(text.is_some()), |f| f.0.len());
+        .map_or(usize::from(text.is_some()), |f| f.errors.len());
     if arguments.json {
         say(&(report(file, faults.as_ref(), text.as_deref()).to_string() + "\n"));
     } else if let Some(error) = text {
@@ -48,17 +48,17 @@
     let _ = std::io::stderr().write_all(text.as_bytes());
 }
 
-fn report(file: &Path, faults: Option<&Faults>, error: Option<&str>) -> Value {
-    let one = |f: &operator_config::Fault| json!({"line": f.line, "column": f.column, "what": f.what, "expected": f.expected});
+fn report(file: &Path, faults: Option<&ConfigFileErrors>, error: Option<&str>) -> Value {
+    let one = |f: &ConfigFileError| json!({"line": f.line, "column": f.column, "what": f.kind.to_string(), "expected": f.kind.expected().unwrap_or_default()});
     let mut list: Vec<Value> = faults
-        .map(|f| f.0.iter().map(one).collect())
+        .map(|f| f.errors.iter().map(one).collect())
         .unwrap_or_default();
     list.extend(error.map(|e| json!({"what": e})));
     json!({"file": file.display().to_string(), "usable": list.is_empty(), "faults": list})
 }
 
 /// Every fault with its line and the word underlined.
-fn pictures(faults: &Faults) -> String {
+fn pictures(faults: &ConfigFileErrors) -> String {
     let theme = if std::io::stderr().is_terminal() {
         GraphicalTheme::unicode()
     } else {
@@ -66,31 +66,31 @@
     };
     let handler = GraphicalReportHandler::new_themed(theme);
     let mut text = String::new();
-    for fault in &faults.0 {
+    for fault in &faults.errors {
         if handler.render_report(&mut text, fault).is_err() {
             text += &format!("{fault}\n");
         }
     }
     text + &format!(
         "{} to mend\n",
-        if faults.0.len() == 1 {
+        if faults.errors.len() == 1 {
             "one fault".into()
         } else {
-            format!("{} faults", faults.0.len())
+            format!("{} faults", faults.errors.len())
         }
     )
 }
 
 fn keywords() -> String {
     let effect = |e| match e {
-        Effect::AtOnce => "at once",
+        Effect::Immediate => "at once",
         Effect::NewConnections => "for new connections",
         Effect::Restart => "at a restart",
     };
     let row = |a: &str, b: &str, c: &str, d: &str| format!("{a:<24} {b:<38} {c:<20} {d}\n");
     let mut text = row("keyword", "takes", "a change holds", "what it is");
     for k in KEYWORDS {
-        text += &row(k.name, k.takes, effect(k.effect), k.about);
+        text += &row(k.name, k.argument, effect(k.effect), k.description);
     }
     text
 }
