--- a/crates/load-generator/src/http2.rs
+++ b/crates/load-generator/src/http2.rs
@@ -49,6 +49,12 @@
         })
     }
 
+    /// Concurrent streams that the peer allows: `usize::MAX` until its SETTINGS have been received and applied.
+    #[must_use]
+    pub fn peer_stream_limit(&self) -> usize {
+        self.sender.current_max_send_streams()
+    }
+
     /// Opens a stream with a whole request, once the other side allows one more.
     pub async fn open(&self, request: &Request<Vec<u8>>) -> Result<Stream, h2::Error> {
         let mut sender = self.sender.clone().ready().await?;
--- a/crates/query-broker/tests/http2/rig.rs
+++ b/crates/query-broker/tests/http2/rig.rs
@@ -68,6 +68,15 @@
         Http1::connect(self.program.http1).await.unwrap()
     }
 
+    /// Waits until the connection's SETTINGS from the broker apply to it. They are the first frame that a server sends
+    /// (RFC 9113, section 3.4), so that they are known with the first response.
+    pub(crate) async fn settle(&self, http2: &Http2) {
+        let ready = http::Request::get("http://broker.svc/-/ready");
+        let response = http2.send(&ready.body(Vec::new()).unwrap()).await.unwrap();
+        assert_eq!(response.status(), 200);
+        assert_ne!(http2.peer_stream_limit(), usize::MAX);
+    }
+
     /// Waits until the data servers have seen so many attempts.
     pub(crate) async fn attempts(&self, n: usize) {
         while self.fleet.books(|b| b.attempts().len()) < n {
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -15,6 +15,8 @@
     let rig = rig(Duration::from_millis(20));
     rig.run(async {
         let http2 = rig.connect().await;
+        // More than the limit of streams: a client that does not know it yet would be refused.
+        rig.settle(&http2).await;
         let asks: Vec<_> = (0..300)
             .map(|n| lookup(&format!("q{n}"), &[n % 8]))
             .collect();
@@ -168,15 +170,17 @@
         .iter()
         .for_each(|s| s.set_work(Duration::from_millis(300)));
     let mut raw = Raw::settled(rig.program.http2.unwrap());
-    for n in 0..3 {
-        raw.send(&query(1 + 2 * n, &format!("q{n}")));
-    }
+    // In one write, so that all three arrive while the first two are being served.
+    let queries: Vec<Vec<u8>> = (0..3).map(|n| query(1 + 2 * n, &format!("q{n}"))).collect();
+    raw.send(&queries.concat());
     let reset = raw.expect(RST_STREAM);
     assert_eq!((reset.stream, reset.code()), (5, 7), "REFUSED_STREAM");
     assert_eq!(status(&raw.expect(HEADERS)), 200);
     // A client that keeps to the limit is never refused.
     rig.run(async {
         let http2 = rig.connect_with(&Builder::new()).await;
+        rig.settle(&http2).await;
+        assert_eq!(http2.peer_stream_limit(), 2);
         let asks: Vec<_> = (0..6).map(|n| lookup(&format!("k{n}"), &[n])).collect();
         let answers = join_all(asks.iter().map(|ask| http2.ask(ask))).await;
         assert!(
