--- a/crates/broker-types/src/limits.rs
+++ b/crates/broker-types/src/limits.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
     /// Most connections.
-    pub sockets: usize,
+    pub max_connections: usize,
     /// Most parts in a call.
-    pub batch: usize,
+    pub max_parts_per_call: usize,
     /// Most parts on a connection.
-    pub multiplex: usize,
+    pub max_parts_per_connection: usize,
     /// A connection must be up within this time.
     pub dial_timeout: Micros,
-    /// Servers close connections that are idle for this long.
-    pub keepalive: Micros,
+    /// Time after which a server closes an idle connection.
+    pub idle_timeout: Micros,
 }
--- a/crates/broker-types/src/query.rs
+++ b/crates/broker-types/src/query.rs
@@ -1,18 +1,36 @@
 //! A query: what a client asks, its parts and attempts, and the one final answer.
 
 use crate::time::Micros;
+use std::fmt;
 use std::rc::Rc;
 
-/// Number of a query, never used twice.
-pub type QueryId = u64;
+/// Number of a query, unique within the life of the process.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct QueryId(pub u64);
+
+impl fmt::Display for QueryId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
+
+/// Position of a part among the parts of its query, from 0.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct PartIndex(pub usize);
+
+impl fmt::Display for PartIndex {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
 
 /// One attempt at a part of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The query.
     pub query: QueryId,
-    /// The part's place among the query's parts.
-    pub part: usize,
+    /// The part.
+    pub part: PartIndex,
     /// Which attempt at the part, from 0.
     pub attempt: u32,
 }
@@ -25,7 +43,7 @@
     /// Its share of the whole answer.
     pub weight: f64,
     /// A guess at the work in it.
-    pub hint: Option<Micros>,
+    pub work_hint: Option<Micros>,
 }
 
 /// What a client asks.
@@ -42,11 +60,20 @@
     /// Whether the client marked it as a repeat.
     pub is_retry: bool,
     /// The idempotency key, in a keyed class.
-    pub key: Option<Rc<str>>,
+    pub idempotency_key: Option<Rc<str>>,
     /// The parts.
     pub parts: Vec<PartSpec>,
     /// What each part has to carry.
-    pub text: Rc<str>,
+    pub payload: Rc<str>,
+}
+
+/// The value that a data server gave for one shard.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct ShardValue {
+    /// Index of the shard.
+    pub shard: usize,
+    /// The value, as the server sent it.
+    pub value: String,
 }
 
 /// The final answer to a client.
@@ -55,9 +82,9 @@
     /// Served.
     Answered {
         /// Whether it is whole.
-        whole: bool,
-        /// Shard and value of each part that is in.
-        values: Vec<(usize, String)>,
+        is_complete: bool,
+        /// Value of each part that was answered.
+        values: Vec<ShardValue>,
     },
     /// Not served; trying again is harmless.
     Rejected {
@@ -71,7 +98,7 @@
         /// Status of the answer.
         status: u16,
         /// What is wrong.
-        why: String,
+        reason: String,
     },
 }
 
--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -17,7 +17,7 @@
     /// Index of its zone.
     pub zone: Option<usize>,
     /// When its process last started on the program's clock, perhaps before its origin; `None`: long ago.
-    pub started: Option<i64>,
+    pub started_at: Option<i64>,
 }
 
 /// What a list of servers is.
@@ -103,7 +103,7 @@
                 EndpointState::Removed => NodeState::Gone,
             },
             zone: zones.iter().position(|z| *z == t.zone),
-            started: (t.started_unix_ms > 0.0).then(|| of_unix_ms(t.started_unix_ms as i64)),
+            started_at: (t.started_unix_ms > 0.0).then(|| of_unix_ms(t.started_unix_ms as i64)),
         };
         self.endpoints.iter().map(server).collect()
     }
@@ -123,7 +123,7 @@
         let servers = targets.servers(&["x".to_owned(), "y".to_owned()], |unix_ms| unix_ms - 1);
         let seen: Vec<_> = servers
             .iter()
-            .map(|s| (s.cell, s.state, s.zone, s.started))
+            .map(|s| (s.cell, s.state, s.zone, s.started_at))
             .collect();
         let leaving = (3, NodeState::Draining, Some(1), None);
         let active = (1, NodeState::Serving, None, Some(1_796_125_499_999));
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -263,7 +263,7 @@
     ) -> io::Result<Duration> {
         let response = final_answer(&FinalResponse::Invalid {
             status,
-            why: why.to_owned(),
+            reason: why.to_owned(),
         });
         write(stream, &encode_response(&self.shared.dated(response), LAST)).await?;
         Ok(LINGER)
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -140,9 +140,10 @@
         if violation == Violation::Http1 {
             let why =
                 "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)".to_owned();
-            let reply = self
-                .shared
-                .dated(final_answer(&FinalResponse::Invalid { status: 400, why }));
+            let reply = self.shared.dated(final_answer(&FinalResponse::Invalid {
+                status: 400,
+                reason: why,
+            }));
             let reader = Reader {
                 version: Version::HTTP_11,
                 head_only: false,
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -121,7 +121,7 @@
 fn bad(status: u16, why: &str) -> query_api::Response {
     final_answer(&FinalResponse::Invalid {
         status,
-        why: why.to_owned(),
+        reason: why.to_owned(),
     })
 }
 
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -52,7 +52,7 @@
         Inbox {
             queue: RefCell::default(),
             bell,
-            next_query: Cell::new(1),
+            next_query: Cell::new(QueryId(1)),
             asks: Cell::new(0),
         }
     }
@@ -67,7 +67,7 @@
     /// Hands in a query; its reply comes once, unless the ticket is dropped before.
     pub fn ask(&self, connection: Connection, ask: QueryRequest) -> Ticket<'_> {
         let id = self.next_query.get();
-        self.next_query.set(id + 1);
+        self.next_query.set(QueryId(id.0 + 1));
         let (sender, reply) = async_channel::bounded(1);
         self.asks.set(self.asks.get() + 1);
         self.put(Input::QueryRequest(id, connection, ask, sender));
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -3,7 +3,7 @@
 use crate::upstream::{Ended, Send};
 use admission::{Connection, Shares};
 use async_channel::Sender;
-use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest};
+use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest, ShardValue};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{Semantics, Settings};
@@ -131,7 +131,10 @@
         // Parts go by the request's id on the wire: those of two requests could not be told apart.
         if self.ids.contains(&ask.id) {
             let why = "X-Request-Id is that of a request in hand".to_owned();
-            return answered(FinalResponse::Invalid { status: 400, why });
+            return answered(FinalResponse::Invalid {
+                status: 400,
+                reason: why,
+            });
         }
         let units = 1 + ask.parts.len();
         if !self.shares.take(connection, units) {
@@ -141,7 +144,7 @@
             });
         }
         let give_up_at = now + ask.client_timeout;
-        if let Some(key) = &ask.key {
+        if let Some(key) = &ask.idempotency_key {
             let shards = ask.parts.iter().map(|p| p.shard);
             let verdict = self.repeats.open(now, key, shards, give_up_at);
             if verdict != Verdict::Serve {
@@ -167,7 +170,7 @@
             is_retry: ask.is_retry,
             parts: ask.parts.clone(),
         };
-        let span = debug_span!("query", query = id, connection, id = %ask.id);
+        let span = debug_span!("query", query = id.0, connection, id = %ask.id);
         span.in_scope(|| debug!(name: "query_taken", class = ask.class, parts = ask.parts.len()));
         self.ids.insert(ask.id.clone());
         let values = vec![None; ask.parts.len()];
@@ -189,7 +192,9 @@
     /// The client has gone. Nothing may be left to free where the reply was on its way already.
     pub(crate) fn gone(&mut self, now: Micros, query: QueryId) {
         if let Some(pending) = self.close(now, query, false) {
-            pending.span.in_scope(|| debug!(name: "query_gone", query));
+            pending
+                .span
+                .in_scope(|| debug!(name: "query_gone", query = query.0));
         }
     }
 
@@ -209,7 +214,12 @@
         let reply = reply(
             shards
                 .zip(values)
-                .filter_map(|(shard, v)| Some((shard, v?)))
+                .filter_map(|(shard, value)| {
+                    Some(ShardValue {
+                        shard,
+                        value: value?,
+                    })
+                })
                 .collect(),
         );
         let Some(pending) = self.close(now, query, matches!(reply, FinalResponse::Answered { .. }))
@@ -243,7 +253,7 @@
         let pending = self.pending.remove(&query)?;
         self.ids.remove(&pending.ask.id);
         self.shares.give_back(pending.connection, pending.units());
-        if let Some(key) = &pending.ask.key {
+        if let Some(key) = &pending.ask.idempotency_key {
             self.repeats.close(now, key, answered);
         }
         Some(pending)
@@ -252,9 +262,9 @@
     /// A dispatch with all that its frame needs.
     pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<Send, Held> {
         let pending = self.pending.get_mut(&d.attempt.query).ok_or(Held::Over)?;
-        let part = pending.ask.parts.get(d.attempt.part).ok_or(Held::Over)?;
+        let part = pending.ask.parts.get(d.attempt.part.0).ok_or(Held::Over)?;
         let mut expires = None;
-        if let Some(key) = &pending.ask.key {
+        if let Some(key) = &pending.ask.idempotency_key {
             if !self.repeats.may_send(now, key, part.shard) {
                 return Err(Held::Repeat);
             }
@@ -279,8 +289,8 @@
             expires,
             wire: format!("{}.{}", pending.ask.id, part.shard),
             shard: part.shard,
-            key: pending.ask.key.clone(),
-            text: pending.ask.text.clone(),
+            key: pending.ask.idempotency_key.clone(),
+            text: pending.ask.payload.clone(),
         })
     }
 
@@ -298,7 +308,7 @@
             return;
         };
         pending.span.in_scope(
-            || debug!(name: "part_ended", part = ended.attempt.part, outcome = ?ended.outcome),
+            || debug!(name: "part_ended", part = ended.attempt.part.0, outcome = ?ended.outcome),
         );
         if let Some(told) = pending
             .story
@@ -307,7 +317,7 @@
         {
             told.ended = Some((ended.outcome, now));
         }
-        if let Some(value) = pending.values.get_mut(ended.attempt.part)
+        if let Some(value) = pending.values.get_mut(ended.attempt.part.0)
             && ended.outcome == Outcome::Served
         {
             *value = ended.value.take();
@@ -316,4 +326,4 @@
 }
 
 /// Shard and value of each part that is in.
-pub(crate) type Values = Vec<(usize, String)>;
+pub(crate) type Values = Vec<ShardValue>;
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -12,7 +12,7 @@
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
 use batch_window::Pacing;
-use broker_types::query::{AttemptId, FinalResponse, QueryId};
+use broker_types::query::{AttemptId, FinalResponse, PartIndex, QueryId};
 use broker_types::server::{EndpointList, ListScope, NodeId, NodeState, Outcome};
 use broker_types::time::{Micros, millis};
 use futures_lite::future::yield_now;
@@ -54,7 +54,7 @@
     dispatches: BTreeMap<AttemptId, Dispatch>,
     ended: Vec<Ended>,
     /// Queries that ended in this turn, and parts that came in.
-    over: Vec<(QueryId, Option<usize>)>,
+    over: Vec<(QueryId, Option<PartIndex>)>,
     leaving_since: Option<Micros>,
     /// When to read the configuration again.
     reload_at: Option<Micros>,
@@ -364,7 +364,10 @@
         self.queries.finish(now, query, |values| match verdict {
             Verdict::Refuse { retry_after } => FinalResponse::Rejected { retry_after },
             Verdict::Fail => FinalResponse::Failed,
-            Verdict::Answer { whole } => FinalResponse::Answered { whole, values },
+            Verdict::Answer { whole } => FinalResponse::Answered {
+                is_complete: whole,
+                values,
+            },
         });
     }
 
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -10,7 +10,7 @@
 use crate::inbox::{ConnEvent, Inbox};
 use async_executor::{LocalExecutor, Task};
 use broker_types::limits::PoolLimits;
-use broker_types::query::{AttemptId, QueryId};
+use broker_types::query::{AttemptId, PartIndex, QueryId};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Micros;
 use connection::{Item, Outgoing, SendQueue};
@@ -177,7 +177,7 @@
         }
         for (server, mut sends) in by_server {
             while !sends.is_empty() {
-                let rest = sends.split_off(sends.len().min(self.limits.batch.max(1)));
+                let rest = sends.split_off(sends.len().min(self.limits.max_parts_per_call.max(1)));
                 self.call(now, &server, std::mem::replace(&mut sends, rest));
             }
         }
@@ -242,18 +242,19 @@
             .conns
             .iter()
             .filter_map(|id| Some((*id, self.conns.get(id)?)));
-        let roomy =
-            open.filter(|(_, c)| !c.retiring && c.out.len() + parts <= self.limits.multiplex);
+        let roomy = open.filter(|(_, c)| {
+            !c.retiring && c.out.len() + parts <= self.limits.max_parts_per_connection
+        });
         let best = roomy.min_by_key(|(_, c)| (c.out.len(), c.used));
-        let most = (self.limits.sockets / self.servers.len().max(1)).clamp(1, PER_SERVER);
+        let most = (self.limits.max_connections / self.servers.len().max(1)).clamp(1, PER_SERVER);
         if let Some((id, conn)) = best
             && (conn.out.is_empty()
                 || server.conns.len() >= most
-                || self.conns.len() >= self.limits.sockets)
+                || self.conns.len() >= self.limits.max_connections)
         {
             return Some(id);
         }
-        if self.conns.len() >= self.limits.sockets && !self.evict() {
+        if self.conns.len() >= self.limits.max_connections && !self.evict() {
             warn!(name: "upstream_sockets_full", server = %name.0, open = self.conns.len());
             return None;
         }
@@ -296,15 +297,15 @@
 
     /// Takes back what a query that has ended, or one part of it that is in, has not begun to send. Nothing of it
     /// reaches a server, so that it needs no leave to call off.
-    pub fn take_back(&mut self, now: Micros, query: QueryId, part: Option<usize>) {
+    pub fn take_back(&mut self, now: Micros, query: QueryId, part: Option<PartIndex>) {
         let first = AttemptId {
             query,
-            part: part.unwrap_or(0),
+            part: part.unwrap_or(PartIndex(0)),
             attempt: 0,
         };
         let last = AttemptId {
             query,
-            part: part.unwrap_or(usize::MAX),
+            part: part.unwrap_or(PartIndex(usize::MAX)),
             attempt: u32::MAX,
         };
         let out: Vec<AttemptId> = self
@@ -508,7 +509,7 @@
 
     /// Closes what is idle for too long, or retired and done with.
     pub fn sweep(&mut self, now: Micros) {
-        let idle = self.limits.keepalive * IDLE_SHARE.0 / IDLE_SHARE.1;
+        let idle = self.limits.idle_timeout * IDLE_SHARE.0 / IDLE_SHARE.1;
         let done =
             |c: &Conn| c.out.is_empty() && (c.retiring || now.saturating_sub(c.used) >= idle);
         let done: Vec<u64> = self
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -21,11 +21,11 @@
 fn limits() -> PoolLimits {
     let (dial_timeout, keepalive) = (SECOND / 4, 15 * SECOND);
     PoolLimits {
-        sockets: 10,
-        batch: 2,
-        multiplex: 4,
+        max_connections: 10,
+        max_parts_per_call: 2,
+        max_parts_per_connection: 4,
         dial_timeout,
-        keepalive,
+        idle_timeout: keepalive,
     }
 }
 
@@ -36,8 +36,8 @@
 fn sends(query: u64, parts: usize) -> Vec<Send> {
     let send = |part| Send {
         attempt: AttemptId {
-            query,
-            part,
+            query: QueryId(query),
+            part: PartIndex(part),
             attempt: 0,
         },
         server: server(),
@@ -100,7 +100,7 @@
 #[test]
 fn what_waits_behind_a_connection_that_was_up_is_not_sent() {
     let (mut pool, _listener) = pool(PoolLimits {
-        sockets: 1,
+        max_connections: 1,
         ..limits()
     });
     pool.dispatch(0, sends(1, 1));
@@ -121,7 +121,7 @@
 
 fn outcomes_of_spoilt(event: ConnEvent, sent: usize) -> (Vec<Outcome>, usize) {
     let (mut pool, _listener) = pool(PoolLimits {
-        batch: 4,
+        max_parts_per_call: 4,
         ..limits()
     });
     pool.dispatch(0, sends(1, sent));
@@ -179,8 +179,8 @@
     pool.give_up(
         10,
         AttemptId {
-            query: 1,
-            part: 0,
+            query: QueryId(1),
+            part: PartIndex(0),
             attempt: 0,
         },
     );
@@ -200,10 +200,10 @@
 #[test]
 fn late_answers_to_more_than_may_be_out_spoil_nothing() {
     let (mut pool, _listener) = pool(PoolLimits {
-        sockets: 1,
+        max_connections: 1,
         ..limits()
     });
-    for query in 1..=limits().multiplex as u64 + 2 {
+    for query in 1..=limits().max_parts_per_connection as u64 + 2 {
         pool.dispatch(0, sends(query, 1));
         while pool.conns[&0].queue.begin(0).is_some() {
             pool.conns[&0].queue.written();
@@ -211,8 +211,8 @@
         pool.give_up(
             10,
             AttemptId {
-                query,
-                part: 0,
+                query: QueryId(query),
+                part: PartIndex(0),
                 attempt: 0,
             },
         );
@@ -249,7 +249,7 @@
 #[test]
 fn with_no_descriptor_left_an_idle_connection_makes_room_or_the_attempt_ends() {
     let (mut pool, listener) = pool(PoolLimits {
-        sockets: 1,
+        max_connections: 1,
         ..limits()
     });
     pool.dispatch(0, sends(1, 1));
@@ -356,8 +356,8 @@
     pool.give_up(
         SECOND / 2,
         AttemptId {
-            query: 1,
-            part: 0,
+            query: QueryId(1),
+            part: PartIndex(0),
             attempt: 0,
         },
     );
@@ -526,10 +526,14 @@
     pool.dispatch(0, sends(1, 2));
     pool.dispatch(0, sends(2, 1));
     pool.conns[&1].queue.begin(0);
-    pool.take_back(10, 2, None);
-    pool.take_back(10, 1, None);
+    pool.take_back(10, QueryId(2), None);
+    pool.take_back(10, QueryId(1), None);
     assert_eq!(outcomes(&mut pool, 10), [Outcome::NotSent; 2]);
-    assert!(pool.flights.keys().all(|attempt| attempt.query == 2));
+    assert!(
+        pool.flights
+            .keys()
+            .all(|attempt| attempt.query == QueryId(2))
+    );
 }
 
 /// What must not be sent any more is given back at that moment; what was sent before is waited for.
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -159,11 +159,12 @@
             http1_holds: CLIENT_HOLDS,
         },
         pool: PoolLimits {
-            sockets: (shared / 3) as usize,
-            batch: site.settings.batch,
-            multiplex: (site.multiplex.unwrap_or(MULTIPLEX) as usize).max(site.settings.batch),
+            max_connections: (shared / 3) as usize,
+            max_parts_per_call: site.settings.batch,
+            max_parts_per_connection: (site.multiplex.unwrap_or(MULTIPLEX) as usize)
+                .max(site.settings.batch),
             dial_timeout: millis(site.dial_timeout.unwrap_or(DIAL_TIMEOUT_MS)),
-            keepalive: millis(site.keepalive.unwrap_or(KEEPALIVE_MS)),
+            idle_timeout: millis(site.keepalive.unwrap_or(KEEPALIVE_MS)),
         },
         names: Names {
             classes: site.class_names,
@@ -199,9 +200,13 @@
             ),
             (3, 2, "n3")
         );
-        assert!(config.clients.sockets + (config.pool.sockets as u64) < SOCKETS);
+        assert!(config.clients.sockets + (config.pool.max_connections as u64) < SOCKETS);
         assert_eq!(
-            (config.pool.batch, config.pool.dial_timeout, config.max_open),
+            (
+                config.pool.max_parts_per_call,
+                config.pool.dial_timeout,
+                config.max_open
+            ),
             (2, 250_000, 100)
         );
     }
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -4,7 +4,7 @@
 //! same decisions and rules. It alone sees the module's events and actions, and it alone counts what is open:
 //! a query enters in [`Core::pick`] and leaves with its one [`Final`] or in [`Core::leave`].
 
-use broker_types::query::{AttemptId, PartSpec, QueryId};
+use broker_types::query::{AttemptId, PartIndex, PartSpec, QueryId};
 use broker_types::server::{ListScope, NodeId, Outcome, ServerInfo};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::Aggregator;
@@ -170,7 +170,7 @@
             cell: s.cell,
             state: s.state,
             zone: s.zone,
-            started: s.started.map(|at| at as f64 / MILLI as f64),
+            started: s.started_at.map(|at| at as f64 / MILLI as f64),
         };
         self.staged.push(Event::List {
             kind,
@@ -228,7 +228,7 @@
             );
             self.staged.push(Event::Query(fanout_policy::api::Query {
                 id: query_name(q.id),
-                group: q.id,
+                group: q.id.0,
                 class: ClassIndex(q.class),
                 tenant: TenantIndex(q.tenant),
                 give_up_at: to_ms(q.give_up_at),
@@ -236,11 +236,11 @@
             }));
             self.staged.extend(q.parts.iter().enumerate().map(|(i, p)| {
                 Event::Part(Part {
-                    id: part_name(q.id, i),
-                    group: q.id,
+                    id: part_name(q.id, PartIndex(i)),
+                    group: q.id.0,
                     shard: p.shard,
                     weight: p.weight,
-                    work_hint: p.hint.map(to_ms),
+                    work_hint: p.work_hint.map(to_ms),
                 })
             }));
         }
@@ -378,7 +378,13 @@
     }
 
     fn finish(&mut self, decisions: &mut Decisions, query: &RequestId, verdict: Verdict) {
-        if let Some(query) = query.0.parse().ok().filter(|query| self.close(*query)) {
+        if let Some(query) = query
+            .0
+            .parse()
+            .ok()
+            .map(QueryId)
+            .filter(|query| self.close(*query))
+        {
             decisions.finals.push(Final { query, verdict });
         }
     }
@@ -386,7 +392,7 @@
     /// The attempt that the module starts with a send for this part.
     fn next_attempt(&mut self, part: &RequestId) -> Option<AttemptId> {
         let (query, part) = parse_part(part)?;
-        let attempts = self.open.get_mut(&query)?.attempts.get_mut(part)?;
+        let attempts = self.open.get_mut(&query)?.attempts.get_mut(part.0)?;
         *attempts += 1;
         Some(AttemptId {
             query,
@@ -403,16 +409,16 @@
 
 /// The module orders its work by name, so that numbers are padded: queries then come in the order of arrival.
 fn query_name(query: QueryId) -> RequestId {
-    RequestId(format!("{query:020}").into())
+    RequestId(format!("{:020}", query.0).into())
 }
 
-fn part_name(query: QueryId, part: usize) -> RequestId {
-    RequestId(format!("{query:020}.{part:03}").into())
+fn part_name(query: QueryId, part: PartIndex) -> RequestId {
+    RequestId(format!("{:020}.{:03}", query.0, part.0).into())
 }
 
-fn parse_part(name: &RequestId) -> Option<(QueryId, usize)> {
+fn parse_part(name: &RequestId) -> Option<(QueryId, PartIndex)> {
     let (query, part) = name.0.split_once('.')?;
-    Some((query.parse().ok()?, part.parse().ok()?))
+    Some((QueryId(query.parse().ok()?), PartIndex(part.parse().ok()?)))
 }
 
 #[cfg(test)]
@@ -431,24 +437,24 @@
             cell: 0,
             state: NodeState::Serving,
             zone: None,
-            started: None,
+            started_at: None,
         };
         core.learn(ListScope::Cached, (0..2).map(server).collect());
         core
     }
 
-    fn query(id: QueryId, shards: &[usize]) -> Query {
+    fn query(id: u64, shards: &[usize]) -> Query {
         let weight = 1.0 / shards.len() as f64;
         let parts = shards
             .iter()
             .map(|&shard| PartSpec {
                 shard,
                 weight,
-                hint: None,
+                work_hint: None,
             })
             .collect();
         Query {
-            id,
+            id: QueryId(id),
             class: 0,
             tenant: 0,
             give_up_at: 1_000_000,
@@ -472,7 +478,7 @@
         let first = core.pick(1000, vec![query(1, &[0, 1])]).dispatches;
         assert_eq!(
             first.iter().map(|d| d.attempt.part).collect::<Vec<_>>(),
-            [0, 1]
+            [PartIndex(0), PartIndex(1)]
         );
         assert!(
             first
@@ -489,8 +495,8 @@
         assert_eq!(
             is_retry.dispatches[0].attempt,
             AttemptId {
-                query: 1,
-                part: 1,
+                query: QueryId(1),
+                part: PartIndex(1),
                 attempt: 1
             }
         );
@@ -501,7 +507,7 @@
         assert_eq!(
             last.finals,
             [Final {
-                query: 1,
+                query: QueryId(1),
                 verdict: Verdict::Answer { whole: true }
             }]
         );
@@ -516,7 +522,7 @@
         assert!(matches!(
             both.finals[..],
             [Final {
-                query: 2,
+                query: QueryId(2),
                 verdict: Verdict::Refuse {
                     retry_after: Some(_)
                 }
@@ -526,8 +532,8 @@
             (core.held(), both.dispatches.len(), both.no_room),
             (3, 2, 1)
         );
-        core.leave(1);
-        core.leave(1);
+        core.leave(QueryId(1));
+        core.leave(QueryId(1));
         assert_eq!(core.held(), 0);
         let next = core.pick(6000, vec![query(3, &[2])]);
         assert_eq!(
@@ -547,7 +553,7 @@
         assert_eq!(
             late.finals,
             [Final {
-                query: 1,
+                query: QueryId(1),
                 verdict: Verdict::Fail
             }]
         );
@@ -568,7 +574,7 @@
                 cell: 0,
                 state,
                 zone: None,
-                started: None,
+                started_at: None,
             }],
         );
         for id in 2..20 {
--- a/crates/query-api/src/answer.rs
+++ b/crates/query-api/src/answer.rs
@@ -75,16 +75,19 @@
 /// Encodes the final answer of a query.
 pub fn final_answer(reply: &FinalResponse) -> Response {
     match reply {
-        FinalResponse::Answered { whole, values } => {
+        FinalResponse::Answered {
+            is_complete,
+            values,
+        } => {
             let answers = values
                 .iter()
-                .map(|(range, blob)| ValueBody {
-                    range: *range,
-                    blob,
+                .map(|v| ValueBody {
+                    range: v.shard,
+                    blob: &v.value,
                 })
                 .collect();
             let body = serde_json::to_vec(&AnswerBody {
-                total: *whole,
+                total: *is_complete,
                 answers,
             })
             .unwrap_or_default();
@@ -100,8 +103,8 @@
             response
         }
         FinalResponse::Failed => error(502, "", "failed"),
-        FinalResponse::Invalid { status, why } => {
-            error(*status, if *status == 405 { "POST" } else { "" }, why)
+        FinalResponse::Invalid { status, reason } => {
+            error(*status, if *status == 405 { "POST" } else { "" }, reason)
         }
     }
 }
@@ -137,7 +140,7 @@
     fn a_method_that_is_not_allowed_is_told_which_is() {
         let response = final_answer(&FinalResponse::Invalid {
             status: 405,
-            why: "a query is a POST".into(),
+            reason: "a query is a POST".into(),
         });
         assert_eq!(response.headers()["allow"], "POST");
     }
--- a/crates/query-api/src/ask.rs
+++ b/crates/query-api/src/ask.rs
@@ -30,7 +30,7 @@
 fn bad<T>(status: u16, why: impl Into<String>) -> Result<T, FinalResponse> {
     Err(FinalResponse::Invalid {
         status,
-        why: why.into(),
+        reason: why.into(),
     })
 }
 
@@ -105,9 +105,9 @@
         tenant,
         client_timeout,
         is_retry: m.get("x-retry").is_some_and(|v| v == "1"),
-        key,
+        idempotency_key: key,
         parts: parts(body.ranges, settings.shards)?,
-        text: body.predicate.into(),
+        payload: body.predicate.into(),
     })
 }
 
@@ -134,7 +134,7 @@
         parts.push(PartSpec {
             shard: r.range,
             weight: r.portion,
-            hint,
+            work_hint: hint,
         });
     }
     // What is whole, and what may be answered in part, is judged by these: a query that asks for more or less
