--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -8,7 +8,7 @@
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{Semantics, Settings};
 use idempotency::{Proof, Repeats, Verdict};
-use policy_engine::{Dispatch, Query};
+use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tracing::{Span, debug, debug_span, info};
@@ -123,7 +123,7 @@
         connection: Connection,
         ask: QueryRequest,
         reply: Sender<FinalResponse>,
-    ) -> Option<Query> {
+    ) -> Option<QuerySpec> {
         let answered = |reply_with| {
             let _ = reply.try_send(reply_with);
             None
@@ -162,11 +162,11 @@
                 Verdict::Over => return answered(FinalResponse::Failed),
             }
         }
-        let query = Query {
+        let query = QuerySpec {
             id,
             class: ask.class,
             tenant: ask.tenant,
-            give_up_at,
+            deadline: give_up_at,
             is_retry: ask.is_retry,
             parts: ask.parts.clone(),
         };
@@ -269,7 +269,7 @@
                 return Err(Held::Repeat);
             }
             expires = self.repeats.over_at(key, part.shard);
-            self.repeats.sent(now, key, part.shard, d.until);
+            self.repeats.sent(now, key, part.shard, d.deadline);
             self.keyed.insert(d.attempt, (key.clone(), part.shard));
         }
         pending.span.in_scope(
@@ -285,7 +285,7 @@
         Ok(Send {
             attempt: d.attempt,
             server: d.server,
-            until: d.until,
+            until: d.deadline,
             expires,
             wire: format!("{}.{}", pending.ask.id, part.shard),
             shard: part.shard,
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -18,7 +18,9 @@
 use futures_lite::future::yield_now;
 use futures_lite::{FutureExt, StreamExt};
 use platform_config::{self as config, Config};
-use policy_engine::{Core, Decisions, Dispatch, Final, Report, Verdict};
+use policy_engine::{
+    AttemptReport, Decisions, Dispatch, FinishedQuery, PolicyEngine, QueryOutcome,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -44,7 +46,7 @@
     operator: Operator,
     /// What the platform gives to client connections.
     clients: Given,
-    core: Core,
+    core: PolicyEngine,
     upstream: Upstream,
     discovery: Discovery,
     inbox: Rc<Inbox>,
@@ -123,7 +125,7 @@
         operator,
         clients: config.clients,
         queries: Queries::new(&config.settings, config.max_open),
-        core: Core::new(config.settings, config.max_open, config.seed),
+        core: PolicyEngine::new(config.settings, config.max_open, config.seed),
         upstream: Upstream::new(executor.clone(), inbox.clone(), clock, config.pool),
         discovery: Discovery::start(
             executor.clone(),
@@ -171,7 +173,7 @@
             let closing = self.fronts.is_closing().then_some(now + self.tick);
             let ended = (self.upstream.has_ended() || !self.ended.is_empty()).then_some(now);
             let due = [
-                Some(self.core.due()),
+                Some(self.core.next_deadline()),
                 Some(self.upstream.due()),
                 leaving.filter(|at| now < *at),
                 self.reload_at,
@@ -211,7 +213,7 @@
                 }
                 Input::Gone(id) => {
                     asks.retain(|(ask, ..)| *ask != id);
-                    self.core.leave(id);
+                    self.core.abandon(id);
                     self.queries.gone(now, id);
                     self.over.push((id, None));
                 }
@@ -225,14 +227,14 @@
             self.reload(now);
         }
         let reports = self.take_reports(now);
-        let decisions = self.core.report(now, reports);
+        let decisions = self.core.on_attempts_ended(now, reports);
         self.carry_out(now, decisions);
         let admit =
             |(id, connection, ask, reply)| self.queries.admit(now, id, connection, ask, reply);
         let queries = asks.into_iter().filter_map(admit).collect();
-        let decisions = self.core.pick(now, queries);
+        let decisions = self.core.submit(now, queries);
         self.carry_out(now, decisions);
-        let decisions = self.core.tick(now);
+        let decisions = self.core.poll(now);
         self.carry_out(now, decisions);
         for (query, part) in std::mem::take(&mut self.over) {
             self.upstream.take_back(now, query, part);
@@ -255,9 +257,9 @@
         self.tell_at = now + TELL_EVERY;
         let s = self.core.summary(now);
         info!(
-            name: "decisions", held = self.core.held(), open = self.upstream.open(), serving = s.serving,
-            passed_over = s.passed_over, cold = s.cold, pace = s.pace, slow = s.slow, rows = s.rows,
-            unit = s.unit, lag = s.lag
+            name: "decisions", held = self.core.in_flight(), open = self.upstream.open(), serving = s.serving,
+            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = s.touched_rows,
+            unit = s.part_cost_ms, lag = s.forecast_error_ms
         );
     }
 
@@ -281,7 +283,7 @@
                 .filter(|_| server.state == NodeState::Serving);
             self.upstream.learn(now, server.name.clone(), endpoint);
         }
-        self.core.learn(scope, servers);
+        self.core.update_endpoints(scope, servers);
     }
 
     /// Takes the configuration and the operator's file as they are now: both or none. A file that is missing or
@@ -319,7 +321,7 @@
     }
 
     /// What ended since the last turn, for the decisions; the values stay here, with their queries.
-    fn take_reports(&mut self, now: Micros) -> Vec<Report> {
+    fn take_reports(&mut self, now: Micros) -> Vec<AttemptReport> {
         let mut ended = std::mem::take(&mut self.ended);
         ended.extend(self.upstream.take_ended(now));
         let report = |mut e: Ended| {
@@ -327,7 +329,7 @@
             if e.outcome == Outcome::Served {
                 self.over.push((e.attempt.query, Some(e.attempt.part)));
             }
-            Report {
+            AttemptReport {
                 attempt: e.attempt,
                 outcome: e.outcome,
                 elapsed: e.elapsed,
@@ -338,13 +340,13 @@
     }
 
     fn carry_out(&mut self, now: Micros, decisions: Decisions) {
-        if decisions.no_room > 0 {
-            warn!(name: "no_room", queries = decisions.no_room, held = self.core.held());
+        if decisions.over_capacity > 0 {
+            warn!(name: "no_room", queries = decisions.over_capacity, held = self.core.in_flight());
         }
-        if decisions.overdue > 0 {
-            warn!(name: "overdue", queries = decisions.overdue);
+        if decisions.expired > 0 {
+            warn!(name: "overdue", queries = decisions.expired);
         }
-        for attempt in decisions.give_up {
+        for attempt in decisions.cancellations {
             if self.dispatches.remove(&attempt).is_some() {
                 // Called off in the turn that asked for it.
                 self.ended.push(never_sent(attempt));
@@ -352,20 +354,20 @@
                 self.upstream.give_up(now, attempt);
             }
         }
-        for Final { query, verdict } in decisions.finals {
-            self.finish(now, query, verdict);
+        for FinishedQuery { query, outcome } in decisions.finished {
+            self.finish(now, query, outcome);
         }
         self.dispatches
             .extend(decisions.dispatches.into_iter().map(|d| (d.attempt, d)));
     }
 
-    fn finish(&mut self, now: Micros, query: QueryId, verdict: Verdict) {
+    fn finish(&mut self, now: Micros, query: QueryId, outcome: QueryOutcome) {
         self.over.push((query, None));
-        self.queries.finish(now, query, |values| match verdict {
-            Verdict::Refuse { retry_after } => FinalResponse::Rejected { retry_after },
-            Verdict::Fail => FinalResponse::Failed,
-            Verdict::Answer { whole } => FinalResponse::Answered {
-                is_complete: whole,
+        self.queries.finish(now, query, |values| match outcome {
+            QueryOutcome::Rejected { retry_after } => FinalResponse::Rejected { retry_after },
+            QueryOutcome::Failed => FinalResponse::Failed,
+            QueryOutcome::Answered { is_complete } => FinalResponse::Answered {
+                is_complete,
                 values,
             },
         });
@@ -379,7 +381,7 @@
             Err(Held::Over) => {}
             Err(Held::Repeat) => {
                 // An earlier query of its key may have run this part: this one can be neither served nor refused.
-                self.core.leave(attempt.query);
+                self.core.abandon(attempt.query);
                 self.queries
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
             }
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! It knows no protocol. Queries, parts and servers are numbers and names here, so any front can go through the
 //! same decisions and rules. It alone sees the module's events and actions, and it alone counts what is open:
-//! a query enters in [`Core::pick`] and leaves with its one [`Final`] or in [`Core::leave`].
+//! a query enters in [`PolicyEngine::submit`] and leaves with its one [`FinishedQuery`] or in [`PolicyEngine::abandon`].
 
 use broker_types::query::{AttemptId, PartIndex, PartSpec, QueryId};
 use broker_types::server::{ListScope, NodeId, Outcome, ServerInfo};
@@ -17,7 +17,7 @@
 
 /// A query that wants answers from its shards.
 #[derive(Clone, Debug)]
-pub struct Query {
+pub struct QuerySpec {
     /// Its number.
     pub id: QueryId,
     /// Index of its class.
@@ -25,7 +25,7 @@
     /// Index of its tenant.
     pub tenant: usize,
     /// When its client gives up.
-    pub give_up_at: Micros,
+    pub deadline: Micros,
     /// Whether its client marked it as a repeat.
     pub is_retry: bool,
     /// Its parts.
@@ -34,7 +34,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug)]
-pub struct Report {
+pub struct AttemptReport {
     /// The attempt.
     pub attempt: AttemptId,
     /// How it ended.
@@ -53,69 +53,69 @@
     /// Where to.
     pub server: NodeId,
     /// When to stop waiting for it.
-    pub until: Micros,
+    pub deadline: Micros,
 }
 
 /// How a query ends.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Verdict {
+pub enum QueryOutcome {
     /// Answer from the parts that are in.
-    Answer {
+    Answered {
         /// Whether the answer is whole.
-        whole: bool,
+        is_complete: bool,
     },
     /// Not served; trying again is harmless.
-    Refuse {
+    Rejected {
         /// When to come back.
         retry_after: Option<Micros>,
     },
     /// Not served, promising nothing.
-    Fail,
+    Failed,
 }
 
 /// The one final answer of a query.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Final {
+pub struct FinishedQuery {
     /// The query.
     pub query: QueryId,
     /// How it ends.
-    pub verdict: Verdict,
+    pub outcome: QueryOutcome,
 }
 
 /// What is to be done, in the order give up, finish, dispatch.
 #[derive(Debug, Default, PartialEq)]
 pub struct Decisions {
     /// Attempts to stop waiting for. Each still gets its report.
-    pub give_up: Vec<AttemptId>,
+    pub cancellations: Vec<AttemptId>,
     /// Final answers to give at once.
-    pub finals: Vec<Final>,
+    pub finished: Vec<FinishedQuery>,
     /// Attempts to send.
     pub dispatches: Vec<Dispatch>,
     /// Queries among the final answers that there was no room for.
-    pub no_room: usize,
+    pub over_capacity: usize,
     /// Queries among the final answers that the decisions had left to run out of time.
-    pub overdue: usize,
+    pub expired: usize,
 }
 
 /// What the decisions go by. Of classes, the figures stand in their order.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Summary {
+pub struct PolicySummary {
     /// Servers that may be sent something.
     pub serving: usize,
     /// Servers passed over for their failures, or since they are full.
-    pub passed_over: usize,
+    pub ejected: usize,
     /// Servers that may be cold.
-    pub cold: usize,
+    pub warming_up: usize,
     /// Time until an answer per work out at a server.
-    pub pace: f64,
+    pub latency_per_work: f64,
     /// Servers that take more than twice as long.
     pub slow: usize,
     /// Rows touched.
-    pub rows: String,
+    pub touched_rows: String,
     /// Work of a part, in milliseconds.
-    pub unit: String,
+    pub part_cost_ms: String,
     /// How much longer than forecast queries take, in milliseconds.
-    pub lag: String,
+    pub forecast_error_ms: String,
 }
 
 /// A server is told as slow from this multiple of the fleet's pace on.
@@ -128,12 +128,12 @@
 }
 
 /// The decisions, and what they have in hand.
-pub struct Core {
+pub struct PolicyEngine {
     aggregator: Aggregator,
     settings: Settings,
-    max_open: usize,
+    max_in_flight: usize,
     /// Queries and parts in hand.
-    held: usize,
+    in_flight: usize,
     open: BTreeMap<QueryId, Open>,
     /// The open queries by the time at which their clients give up.
     ends: BTreeSet<(Micros, QueryId)>,
@@ -142,15 +142,15 @@
     wake_at: Option<Micros>,
 }
 
-impl Core {
+impl PolicyEngine {
     /// A core that may hold so many queries and parts.
     #[must_use]
-    pub fn new(settings: Settings, max_open: usize, seed: u64) -> Self {
-        Core {
+    pub fn new(settings: Settings, max_in_flight: usize, seed: u64) -> Self {
+        PolicyEngine {
             aggregator: Aggregator::new(settings.clone(), seed),
             settings,
-            max_open,
-            held: 0,
+            max_in_flight,
+            in_flight: 0,
             open: BTreeMap::new(),
             ends: BTreeSet::new(),
             staged: Vec::new(),
@@ -159,7 +159,7 @@
     }
 
     /// Takes news of the list of servers. It counts from the next call on.
-    pub fn learn(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
+    pub fn update_endpoints(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
         let kind = match scope {
             ListScope::Cached => ListKind::Disk,
             ListScope::Snapshot => ListKind::Complete,
@@ -179,14 +179,14 @@
     }
 
     /// The query's client has gone away: nothing more is owed.
-    pub fn leave(&mut self, query: QueryId) {
+    pub fn abandon(&mut self, query: QueryId) {
         if self.close(query) {
             self.staged.push(Event::Gone(query_name(query)));
         }
     }
 
     /// Takes the attempts that ended.
-    pub fn report(&mut self, now: Micros, reports: Vec<Report>) -> Decisions {
+    pub fn on_attempts_ended(&mut self, now: Micros, reports: Vec<AttemptReport>) -> Decisions {
         if reports.is_empty() {
             return Decisions::default();
         }
@@ -202,28 +202,28 @@
     }
 
     /// Takes the queries that came. One that there is no room for is refused before the decisions see it.
-    pub fn pick(&mut self, now: Micros, queries: Vec<Query>) -> Decisions {
+    pub fn submit(&mut self, now: Micros, queries: Vec<QuerySpec>) -> Decisions {
         if queries.is_empty() {
             return Decisions::default();
         }
         let mut refused = Vec::new();
         for q in queries {
             let needs = 1 + q.parts.len();
-            if self.held + needs > self.max_open {
+            if self.in_flight + needs > self.max_in_flight {
                 let retry_after = no_room_advice(&self.settings, q.class).map(millis);
-                refused.push(Final {
+                refused.push(FinishedQuery {
                     query: q.id,
-                    verdict: Verdict::Refuse { retry_after },
+                    outcome: QueryOutcome::Rejected { retry_after },
                 });
                 continue;
             }
-            self.held += needs;
-            self.ends.insert((q.give_up_at, q.id));
+            self.in_flight += needs;
+            self.ends.insert((q.deadline, q.id));
             self.open.insert(
                 q.id,
                 Open {
                     attempts: vec![0; q.parts.len()],
-                    give_up_at: q.give_up_at,
+                    give_up_at: q.deadline,
                 },
             );
             self.staged.push(Event::Query(fanout_policy::api::Query {
@@ -231,7 +231,7 @@
                 group: q.id.0,
                 class: ClassIndex(q.class),
                 tenant: TenantIndex(q.tenant),
-                give_up_at: to_ms(q.give_up_at),
+                give_up_at: to_ms(q.deadline),
                 again: q.is_retry,
             }));
             self.staged.extend(q.parts.iter().enumerate().map(|(i, p)| {
@@ -245,13 +245,13 @@
             }));
         }
         let mut decisions = self.run(now);
-        decisions.no_room = refused.len();
-        decisions.finals.extend(refused);
+        decisions.over_capacity = refused.len();
+        decisions.finished.extend(refused);
         decisions
     }
 
     /// Ends the turn: wakes the decisions where they asked for it, and fails what is about to run out of time.
-    pub fn tick(&mut self, now: Micros) -> Decisions {
+    pub fn poll(&mut self, now: Micros) -> Decisions {
         let mut decisions = Decisions::default();
         if self.wake_at.take_if(|at| now >= *at).is_some() {
             self.staged.push(Event::Woken);
@@ -262,19 +262,19 @@
         // Guards against a module that says nothing: what a broker took gets its answer before its time is up.
         let last = now + millis(self.settings.tick);
         while let Some(&(_, query)) = self.ends.first().filter(|(at, _)| *at <= last) {
-            self.leave(query);
-            decisions.finals.push(Final {
+            self.abandon(query);
+            decisions.finished.push(FinishedQuery {
                 query,
-                verdict: Verdict::Fail,
+                outcome: QueryOutcome::Failed,
             });
-            decisions.overdue += 1;
+            decisions.expired += 1;
         }
         decisions
     }
 
-    /// When [`Core::tick`] is due.
+    /// When [`PolicyEngine::poll`] is due.
     #[must_use]
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let margin = millis(self.settings.tick);
         let end = self.ends.first().map(|(at, _)| at.saturating_sub(margin));
         let wake = if self.staged.is_empty() {
@@ -291,7 +291,7 @@
 
     /// What the decisions go by, as one line of a log can tell it.
     #[must_use]
-    pub fn summary(&self, now: Micros) -> Summary {
+    pub fn summary(&self, now: Micros) -> PolicySummary {
         let views = self.aggregator.views(to_ms(now));
         let classes = self.aggregator.class_views();
         let join = |of: &dyn Fn(&ClassView) -> f64| {
@@ -301,25 +301,25 @@
                 .collect::<Vec<_>>()
                 .join(",")
         };
-        Summary {
+        PolicySummary {
             serving: views
                 .iter()
                 .filter(|v| v.state == NodeState::Serving)
                 .count(),
-            passed_over: views.iter().filter(|v| v.ejected_until.is_some()).count(),
-            cold: views.iter().filter(|v| v.cold_since.is_some()).count(),
-            pace: self.aggregator.usual_pace(),
+            ejected: views.iter().filter(|v| v.ejected_until.is_some()).count(),
+            warming_up: views.iter().filter(|v| v.cold_since.is_some()).count(),
+            latency_per_work: self.aggregator.usual_pace(),
             slow: views.iter().filter(|v| v.pace > SLOW).count(),
-            rows: join(&|c| c.rows),
-            unit: join(&|c| c.unit),
-            lag: join(&|c| c.lag),
+            touched_rows: join(&|c| c.rows),
+            part_cost_ms: join(&|c| c.unit),
+            forecast_error_ms: join(&|c| c.lag),
         }
     }
 
     /// Queries and parts in hand.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn in_flight(&self) -> usize {
+        self.in_flight
     }
 
     /// The one place where a query is given back. True if it was open.
@@ -327,7 +327,7 @@
         let Some(open) = self.open.remove(&query) else {
             return false;
         };
-        self.held -= 1 + open.attempts.len();
+        self.in_flight -= 1 + open.attempts.len();
         self.ends.remove(&(open.give_up_at, query));
         true
     }
@@ -345,16 +345,16 @@
                         .open
                         .get(&attempt.query)
                         .map_or(now, |open| open.give_up_at);
-                    let until = within.map_or(give_up_at, |ms| give_up_at.min(now + millis(ms)));
+                    let deadline = within.map_or(give_up_at, |ms| give_up_at.min(now + millis(ms)));
                     decisions.dispatches.push(Dispatch {
                         attempt,
                         server: node,
-                        until,
+                        deadline,
                     });
                 }
                 Action::Cancel { part, attempt } => {
                     if let Some((query, part)) = parse_part(&part) {
-                        decisions.give_up.push(AttemptId {
+                        decisions.cancellations.push(AttemptId {
                             query,
                             part,
                             attempt,
@@ -362,13 +362,21 @@
                     }
                 }
                 Action::Answer { query, whole } => {
-                    self.finish(&mut decisions, &query, Verdict::Answer { whole });
+                    self.finish(
+                        &mut decisions,
+                        &query,
+                        QueryOutcome::Answered { is_complete: whole },
+                    );
                 }
                 Action::Refuse { query, retry_after } => {
                     let retry_after = retry_after.map(millis);
-                    self.finish(&mut decisions, &query, Verdict::Refuse { retry_after });
+                    self.finish(
+                        &mut decisions,
+                        &query,
+                        QueryOutcome::Rejected { retry_after },
+                    );
                 }
-                Action::Fail { query } => self.finish(&mut decisions, &query, Verdict::Fail),
+                Action::Fail { query } => self.finish(&mut decisions, &query, QueryOutcome::Failed),
                 Action::Wake { after } => self.wake_at = Some(now + millis(after)),
                 // Brokers share only the network, and the list is always watched.
                 Action::Tell { .. } | Action::Watch => {}
@@ -377,7 +385,7 @@
         decisions
     }
 
-    fn finish(&mut self, decisions: &mut Decisions, query: &RequestId, verdict: Verdict) {
+    fn finish(&mut self, decisions: &mut Decisions, query: &RequestId, outcome: QueryOutcome) {
         if let Some(query) = query
             .0
             .parse()
@@ -385,7 +393,7 @@
             .map(QueryId)
             .filter(|query| self.close(*query))
         {
-            decisions.finals.push(Final { query, verdict });
+            decisions.finished.push(FinishedQuery { query, outcome });
         }
     }
 
@@ -427,11 +435,11 @@
     use fanout_policy::settings::{Message, decode};
     use serde_json::Value;
 
-    fn core(max_open: usize) -> Core {
+    fn core(max_in_flight: usize) -> PolicyEngine {
         let settings: Value =
             serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
         let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
-        let mut core = Core::new(site.settings, max_open, 7);
+        let mut core = PolicyEngine::new(site.settings, max_in_flight, 7);
         let server = |n: usize| ServerInfo {
             name: NodeId(format!("s{n}").into()),
             cell: 0,
@@ -439,11 +447,11 @@
             zone: None,
             started_at: None,
         };
-        core.learn(ListScope::Cached, (0..2).map(server).collect());
+        core.update_endpoints(ListScope::Cached, (0..2).map(server).collect());
         core
     }
 
-    fn query(id: u64, shards: &[usize]) -> Query {
+    fn query(id: u64, shards: &[usize]) -> QuerySpec {
         let weight = 1.0 / shards.len() as f64;
         let parts = shards
             .iter()
@@ -453,18 +461,18 @@
                 work_hint: None,
             })
             .collect();
-        Query {
+        QuerySpec {
             id: QueryId(id),
             class: 0,
             tenant: 0,
-            give_up_at: 1_000_000,
+            deadline: 1_000_000,
             is_retry: false,
             parts,
         }
     }
 
-    fn ended(attempt: AttemptId, outcome: Outcome) -> Report {
-        Report {
+    fn ended(attempt: AttemptId, outcome: Outcome) -> AttemptReport {
+        AttemptReport {
             attempt,
             outcome,
             elapsed: 20_000,
@@ -475,7 +483,7 @@
     #[test]
     fn a_query_goes_out_is_tried_again_and_ends_once() {
         let mut core = core(10);
-        let first = core.pick(1000, vec![query(1, &[0, 1])]).dispatches;
+        let first = core.submit(1000, vec![query(1, &[0, 1])]).dispatches;
         assert_eq!(
             first.iter().map(|d| d.attempt.part).collect::<Vec<_>>(),
             [PartIndex(0), PartIndex(1)]
@@ -483,15 +491,15 @@
         assert!(
             first
                 .iter()
-                .all(|d| d.attempt.attempt == 0 && d.until <= 1_000_000)
+                .all(|d| d.attempt.attempt == 0 && d.deadline <= 1_000_000)
         );
         let attempts = first.iter().map(|d| d.attempt);
         let outcomes = [Outcome::Served, Outcome::Full];
-        let is_retry = core.report(
+        let is_retry = core.on_attempts_ended(
             30_000,
             attempts.zip(outcomes).map(|(a, o)| ended(a, o)).collect(),
         );
-        assert_eq!(is_retry.finals, []);
+        assert_eq!(is_retry.finished, []);
         assert_eq!(
             is_retry.dispatches[0].attempt,
             AttemptId {
@@ -500,44 +508,51 @@
                 attempt: 1
             }
         );
-        let last = core.report(
+        let last = core.on_attempts_ended(
             60_000,
             vec![ended(is_retry.dispatches[0].attempt, Outcome::Served)],
         );
         assert_eq!(
-            last.finals,
-            [Final {
+            last.finished,
+            [FinishedQuery {
                 query: QueryId(1),
-                verdict: Verdict::Answer { whole: true }
+                outcome: QueryOutcome::Answered { is_complete: true }
             }]
         );
-        assert_eq!((core.held(), core.tick(2_000_000).finals), (0, vec![]));
+        assert_eq!(
+            (core.in_flight(), core.poll(2_000_000).finished),
+            (0, vec![])
+        );
     }
 
     /// Beyond MaxOpen the simulator never hands a query over, so that the module does not expect one.
     #[test]
     fn what_finds_no_room_is_refused_with_advice_and_room_comes_back() {
         let mut core = core(3);
-        let both = core.pick(1000, vec![query(1, &[0, 1]), query(2, &[2])]);
+        let both = core.submit(1000, vec![query(1, &[0, 1]), query(2, &[2])]);
         assert!(matches!(
-            both.finals[..],
-            [Final {
+            both.finished[..],
+            [FinishedQuery {
                 query: QueryId(2),
-                verdict: Verdict::Refuse {
+                outcome: QueryOutcome::Rejected {
                     retry_after: Some(_)
                 }
             }]
         ));
         assert_eq!(
-            (core.held(), both.dispatches.len(), both.no_room),
+            (core.in_flight(), both.dispatches.len(), both.over_capacity),
             (3, 2, 1)
         );
-        core.leave(QueryId(1));
-        core.leave(QueryId(1));
-        assert_eq!(core.held(), 0);
-        let next = core.pick(6000, vec![query(3, &[2])]);
+        core.abandon(QueryId(1));
+        core.abandon(QueryId(1));
+        assert_eq!(core.in_flight(), 0);
+        let next = core.submit(6000, vec![query(3, &[2])]);
         assert_eq!(
-            (next.give_up.len(), next.dispatches.len(), core.held()),
+            (
+                next.cancellations.len(),
+                next.dispatches.len(),
+                core.in_flight()
+            ),
             (2, 1, 2)
         );
     }
@@ -546,28 +561,28 @@
     #[test]
     fn a_query_that_the_module_forgets_is_failed_in_time() {
         let mut core = core(10);
-        core.pick(1000, vec![query(1, &[0])]);
+        core.submit(1000, vec![query(1, &[0])]);
         core.aggregator = Aggregator::new(core.settings.clone(), 7);
-        assert!(core.due() <= 1_000_000 - 5000);
-        let late = core.tick(995_000);
+        assert!(core.next_deadline() <= 1_000_000 - 5000);
+        let late = core.poll(995_000);
         assert_eq!(
-            late.finals,
-            [Final {
+            late.finished,
+            [FinishedQuery {
                 query: QueryId(1),
-                verdict: Verdict::Fail
+                outcome: QueryOutcome::Failed
             }]
         );
-        assert_eq!((late.overdue, core.held()), (1, 0));
+        assert_eq!((late.expired, core.in_flight()), (1, 0));
     }
 
     #[test]
     fn a_drained_server_is_sent_nothing_from_the_same_turn_on() {
         let mut core = core(100);
-        let name = core.pick(1000, vec![query(1, &[0])]).dispatches[0]
+        let name = core.submit(1000, vec![query(1, &[0])]).dispatches[0]
             .server
             .clone();
         let state = NodeState::Draining;
-        core.learn(
+        core.update_endpoints(
             ListScope::Delta,
             vec![ServerInfo {
                 name: name.clone(),
@@ -578,7 +593,7 @@
             }],
         );
         for id in 2..20 {
-            let sent = core.pick(6000, vec![query(id, &[0])]).dispatches;
+            let sent = core.submit(6000, vec![query(id, &[0])]).dispatches;
             assert!(sent.iter().all(|d| d.server != name));
         }
     }
