--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,10 +1,10 @@
 //! Who may take how much of the broker's room, without I/O or clock.
 //!
-//! [`Shares`] divides the room for queries and parts among connections: an HTTP/1.1 connection has one query in hand,
-//! an HTTP/2 connection may have hundreds, and must not shut out the others. [`budget`] derives how much each front
+//! [`ConnectionQuota`] divides the room for queries and parts among connections: an HTTP/1.1 connection has one query in hand,
+//! an HTTP/2 connection may have hundreds, and must not shut out the others. [`resource_limits`] derives how much each front
 //! may hold from the limits of the platform, so that all of them together stay within the memory given to clients.
 
-pub mod budget;
-mod shares;
+mod quota;
+pub mod resource_limits;
 
-pub use shares::{Connection, Shares};
+pub use quota::{ConnectionId, ConnectionQuota};
--- a/crates/admission/src/shares.rs
+++ b/crates/admission/src/quota.rs
@@ -1,9 +1,17 @@
 //! Shares of room by connection.
 
 use std::collections::BTreeMap;
+use std::fmt;
 
-/// Number of a client connection, never used twice.
-pub type Connection = u64;
+/// Number of a client connection, unique within the life of the process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct ConnectionId(pub u64);
+
+impl fmt::Display for ConnectionId {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        self.0.fmt(f)
+    }
+}
 
 /// A connection may hold up to so many times the room that is still free. This is the dynamic threshold by which
 /// switches share a buffer among ports (Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998): one
@@ -13,38 +21,38 @@
 
 /// The room for queries and parts, and who holds it.
 #[derive(Debug)]
-pub struct Shares {
-    room: usize,
-    held: usize,
-    by_connection: BTreeMap<Connection, usize>,
+pub struct ConnectionQuota {
+    capacity: usize,
+    in_use: usize,
+    by_connection: BTreeMap<ConnectionId, usize>,
 }
 
-impl Shares {
+impl ConnectionQuota {
     /// So much room, in queries and parts together.
     #[must_use]
-    pub fn new(room: usize) -> Self {
-        Shares {
-            room,
-            held: 0,
+    pub fn new(capacity: usize) -> Self {
+        ConnectionQuota {
+            capacity,
+            in_use: 0,
             by_connection: BTreeMap::new(),
         }
     }
 
     /// Takes room for a query and its parts. False: the connection holds more than its share already. One that holds
     /// nothing is never turned away here, however full the room is; whether there is any left is not judged here.
-    pub fn take(&mut self, connection: Connection, units: usize) -> bool {
+    pub fn try_acquire(&mut self, connection: ConnectionId, units: usize) -> bool {
         let own = self.by_connection.get(&connection).copied().unwrap_or(0);
-        let free = self.room.saturating_sub(self.held + units);
+        let free = self.capacity.saturating_sub(self.in_use + units);
         if own > 0 && own + units > TIMES_FREE * free {
             return false;
         }
-        self.held += units;
+        self.in_use += units;
         *self.by_connection.entry(connection).or_insert(0) += units;
         true
     }
 
-    /// Gives room back that [`Shares::take`] took.
-    pub fn give_back(&mut self, connection: Connection, units: usize) {
+    /// Gives room back that [`ConnectionQuota::try_acquire`] took.
+    pub fn release(&mut self, connection: ConnectionId, units: usize) {
         let Some(own) = self.by_connection.get_mut(&connection) else {
             debug_assert!(
                 false,
@@ -58,7 +66,7 @@
         );
         let units = units.min(*own);
         *own -= units;
-        self.held -= units;
+        self.in_use -= units;
         if *own == 0 {
             self.by_connection.remove(&connection);
         }
@@ -66,13 +74,13 @@
 
     /// Queries and parts that are held.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.held
+    pub fn in_use(&self) -> usize {
+        self.in_use
     }
 
     /// Connections that hold something.
     #[must_use]
-    pub fn connections(&self) -> usize {
+    pub fn holders(&self) -> usize {
         self.by_connection.len()
     }
 }
@@ -83,33 +91,36 @@
     use proptest::prelude::*;
 
     /// Takes until turned away; how much that was.
-    fn greedy(shares: &mut Shares, connection: Connection) -> usize {
-        let before = shares.held();
-        while shares.take(connection, 1) {}
-        shares.held() - before
+    fn greedy(quota: &mut ConnectionQuota, connection: ConnectionId) -> usize {
+        let before = quota.in_use();
+        while quota.try_acquire(connection, 1) {}
+        quota.in_use() - before
     }
 
     #[test]
     fn one_connection_leaves_room_for_others() {
-        let mut shares = Shares::new(300);
-        assert_eq!(greedy(&mut shares, 1), 200);
-        assert_eq!(greedy(&mut shares, 2), 66);
-        assert!(shares.take(3, 4), "one that holds nothing found no room");
-        let mut one_each = Shares::new(300);
+        let mut quota = ConnectionQuota::new(300);
+        assert_eq!(greedy(&mut quota, ConnectionId(1)), 200);
+        assert_eq!(greedy(&mut quota, ConnectionId(2)), 66);
+        assert!(
+            quota.try_acquire(ConnectionId(3), 4),
+            "one that holds nothing found no room"
+        );
+        let mut one_each = ConnectionQuota::new(300);
         assert!(
-            (0..100).all(|c| one_each.take(c, 3)),
+            (0..100).all(|c| one_each.try_acquire(ConnectionId(c), 3)),
             "connections with one query each are no matter of shares"
         );
     }
 
     #[test]
     fn room_that_comes_back_is_there_for_whoever_asks() {
-        let mut shares = Shares::new(300);
-        greedy(&mut shares, 1);
-        greedy(&mut shares, 2);
-        shares.give_back(1, 200);
-        assert_eq!((shares.held(), shares.connections()), (66, 1));
-        assert!(shares.take(2, 1));
+        let mut quota = ConnectionQuota::new(300);
+        greedy(&mut quota, ConnectionId(1));
+        greedy(&mut quota, ConnectionId(2));
+        quota.release(ConnectionId(1), 200);
+        assert_eq!((quota.in_use(), quota.holders()), (66, 1));
+        assert!(quota.try_acquire(ConnectionId(2), 1));
     }
 
     proptest! {
@@ -117,20 +128,20 @@
         /// in while less than all is taken, and a connection beyond its first query leaves a third of what is free.
         #[test]
         fn the_books_agree(moves in prop::collection::vec((0u64..6, 1usize..8, any::<bool>()), 0..400)) {
-            let mut shares = Shares::new(100);
+            let mut quota = ConnectionQuota::new(100);
             let mut books: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
             for (c, units, give) in moves {
                 let own = books.entry(c).or_default();
                 if give {
-                    if let Some(units) = own.pop() { shares.give_back(c, units); }
-                } else if shares.take(c, units) {
+                    if let Some(units) = own.pop() { quota.release(ConnectionId(c), units); }
+                } else if quota.try_acquire(ConnectionId(c), units) {
                     own.push(units);
                     let sum: usize = own.iter().sum();
-                    prop_assert!(own.len() == 1 || sum <= TIMES_FREE * 100usize.saturating_sub(shares.held()));
+                    prop_assert!(own.len() == 1 || sum <= TIMES_FREE * 100usize.saturating_sub(quota.in_use()));
                 } else {
                     prop_assert!(!own.is_empty());
                 }
-                prop_assert_eq!(shares.held(), books.values().flatten().sum::<usize>());
+                prop_assert_eq!(quota.in_use(), books.values().flatten().sum::<usize>());
             }
         }
     }
--- a/crates/batch-window/src/lib.rs
+++ b/crates/batch-window/src/lib.rs
@@ -11,43 +11,45 @@
 use broker_types::time::Micros;
 
 /// So many queries in hand beside the first make the wait the longest.
-const CROWD: u64 = 8;
+const QUERIES_FOR_FULL_WINDOW: u64 = 8;
 
 /// How turns are spaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Pacing {
+pub enum BatchWindow {
     /// So far apart whatever is in hand.
     Fixed(Micros),
     /// At once where one query is in hand, up to so far apart where many are.
-    Gather(Micros),
+    Adaptive(Micros),
 }
 
-impl Pacing {
+impl BatchWindow {
     /// The least time between the beginnings of two turns, with so many queries in hand (those that wait to be taken
     /// up included).
     #[must_use]
-    pub fn gap(self, in_hand: usize) -> Micros {
+    pub fn duration(self, in_hand: usize) -> Micros {
         match self {
-            Pacing::Fixed(gap) => gap,
-            Pacing::Gather(most) => {
-                let others = (in_hand as u64).saturating_sub(1).min(CROWD);
-                most * others / CROWD
+            BatchWindow::Fixed(duration) => duration,
+            BatchWindow::Adaptive(max_duration) => {
+                let others = (in_hand as u64)
+                    .saturating_sub(1)
+                    .min(QUERIES_FOR_FULL_WINDOW);
+                max_duration * others / QUERIES_FOR_FULL_WINDOW
             }
         }
     }
 
     /// The longest that a turn is put off.
     #[must_use]
-    pub fn most(self) -> Micros {
+    pub fn max_duration(self) -> Micros {
         match self {
-            Pacing::Fixed(most) | Pacing::Gather(most) => most,
+            BatchWindow::Fixed(max_duration) | BatchWindow::Adaptive(max_duration) => max_duration,
         }
     }
 
     /// When the next turn begins at the earliest, after one that began at `last`.
     #[must_use]
-    pub fn earliest(self, last: Micros, in_hand: usize) -> Micros {
-        last.saturating_add(self.gap(in_hand))
+    pub fn next_start(self, last: Micros, in_hand: usize) -> Micros {
+        last.saturating_add(self.duration(in_hand))
     }
 }
 
@@ -58,19 +60,22 @@
 
     #[test]
     fn one_query_alone_is_served_at_once_and_a_crowd_gathers() {
-        let gaps = [0, 1, 2, 5, 9, 10_000].map(|n| Pacing::Gather(4000).gap(n));
+        let gaps = [0, 1, 2, 5, 9, 10_000].map(|n| BatchWindow::Adaptive(4000).duration(n));
         assert_eq!(gaps, [0, 0, 500, 2000, 4000, 4000]);
-        assert_eq!([0, 1, 100].map(|n| Pacing::Fixed(5000).gap(n)), [5000; 3]);
+        assert_eq!(
+            [0, 1, 100].map(|n| BatchWindow::Fixed(5000).duration(n)),
+            [5000; 3]
+        );
     }
 
     /// A client that asks one query after another never has more than one in hand, however fast it is served: with
     /// a rule by rate its second query would wait.
     #[test]
     fn a_client_that_asks_in_turn_is_never_made_to_wait() {
-        let pacing = Pacing::Gather(5000);
+        let pacing = BatchWindow::Adaptive(5000);
         let (mut now, mut waited) = (0, 0);
         for _ in 0..1000 {
-            let start = pacing.earliest(now, 1).max(now);
+            let start = pacing.next_start(now, 1).max(now);
             waited += start - now;
             now = start + 50;
         }
@@ -79,10 +84,10 @@
 
     proptest! {
         #[test]
-        fn the_wait_never_shrinks_with_more_in_hand_nor_passes_the_most(most in 0u64..50_000, a in 0usize..5000, b in 0usize..5000) {
-            let pacing = Pacing::Gather(most);
-            prop_assert!(pacing.gap(a.min(b)) <= pacing.gap(a.max(b)));
-            prop_assert!(pacing.gap(a) <= most);
+        fn the_wait_never_shrinks_with_more_in_hand_nor_passes_the_most(max_duration in 0u64..50_000, a in 0usize..5000, b in 0usize..5000) {
+            let pacing = BatchWindow::Adaptive(max_duration);
+            prop_assert!(pacing.duration(a.min(b)) <= pacing.duration(a.max(b)));
+            prop_assert!(pacing.duration(a) <= max_duration);
         }
     }
 }
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -5,7 +5,7 @@
 use super::{Shared, Stage};
 use crate::clock::limited;
 use crate::net::{LINGER, LINGER_IDLE, has_hung_up, linger, read_some};
-use admission::Connection;
+use admission::ConnectionId;
 use async_io::{Async, Timer};
 use broker_types::query::FinalResponse;
 use broker_types::time::Micros;
@@ -218,7 +218,7 @@
     /// The answer to a request, and whether that could be used.
     async fn answer(
         &self,
-        number: Connection,
+        number: ConnectionId,
         request: &Request<Vec<u8>>,
         stream: &Async<TcpStream>,
         input: &mut ReadBuffer,
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -10,8 +10,8 @@
 use super::{Shared, Stage};
 use crate::clock::{Clock, limited, span};
 use crate::net::{LINGER, linger, read_some};
-use admission::Connection;
-use admission::budget;
+use admission::ConnectionId;
+use admission::resource_limits::Http2Limits;
 use async_io::{Async, Timer};
 use broker_types::query::FinalResponse;
 use broker_types::time::{Micros, SECOND};
@@ -55,7 +55,7 @@
 pub struct Http2 {
     shared: Rc<Shared>,
     slots: Rc<Slots>,
-    limits: Cell<budget::Http2>,
+    limits: Cell<Http2Limits>,
     clock: Clock,
 }
 
@@ -71,7 +71,7 @@
             Ok(ahead) => ahead,
             Err(violation) => {
                 if let Some(violation) = violation {
-                    warn!(name: "http2_refused", connection, why = %violation);
+                    warn!(name: "http2_refused", connection = connection.0, why = %violation);
                     let _ = self.refuse(&stream, violation).await;
                 }
                 return;
@@ -88,10 +88,10 @@
 
 impl Http2 {
     /// A front with these limits.
-    pub fn new(shared: Rc<Shared>, limits: budget::Http2, clock: Clock) -> Self {
+    pub fn new(shared: Rc<Shared>, limits: Http2Limits, clock: Clock) -> Self {
         Http2 {
             shared,
-            slots: Slots::new(limits.connections),
+            slots: Slots::new(limits.max_connections),
             limits: Cell::new(limits),
             clock,
         }
@@ -103,7 +103,7 @@
     }
 
     /// Takes other limits, for connections that come from now on; the number of these stays.
-    pub fn set_limits(&self, limits: budget::Http2) {
+    pub fn set_limits(&self, limits: Http2Limits) {
         self.limits.set(limits);
     }
 
@@ -155,18 +155,18 @@
         linger(stream, LINGER).await
     }
 
-    async fn connection(&self, number: Connection, stream: Rc<Async<TcpStream>>, ahead: Vec<u8>) {
+    async fn connection(&self, number: ConnectionId, stream: Rc<Async<TcpStream>>, ahead: Vec<u8>) {
         let limits = self.limits.get();
-        let budget = Budget::new(limits.streams, limits.header_list);
+        let budget = Budget::new(limits.max_streams, limits.max_header_list);
         let watch = Watch::new(Guard::new(self.clock.now(), budget));
         let _ = stream.get_ref().set_nodelay(true);
         let io = Watched::new(stream, ahead, watch.clone(), self.clock);
-        let streams = limits.streams as usize;
+        let streams = limits.max_streams as usize;
         let handshake = server::Builder::new()
             .initial_window_size(STREAM_WINDOW)
             .initial_connection_window_size(limits.connection_window)
-            .max_concurrent_streams(limits.streams)
-            .max_header_list_size(limits.header_list)
+            .max_concurrent_streams(limits.max_streams)
+            .max_header_list_size(limits.max_header_list)
             .max_send_buffer_size(SEND_BUFFER)
             .max_concurrent_reset_streams(streams)
             .max_pending_accept_reset_streams(streams)
@@ -219,7 +219,7 @@
 /// One connection and its requests.
 struct Life<'a> {
     front: &'a Http2,
-    number: Connection,
+    number: ConnectionId,
     h2: server::Connection<Watched, Bytes>,
     streams: FuturesUnordered<Served>,
     watch: SharedWatch,
@@ -248,7 +248,7 @@
                 }
                 Event::Ended(end) => self.ended(end),
                 Event::Violation(violation) => {
-                    warn!(name: "http2_flood", connection = self.number, why = %violation);
+                    warn!(name: "http2_flood", connection = self.number.0, why = %violation);
                     self.h2.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
                     self.streams.clear();
                     self.end();
@@ -266,9 +266,9 @@
                         .as_ref()
                         .filter(|e| e.reason() == Some(Reason::ENHANCE_YOUR_CALM))
                     {
-                        warn!(name: "http2_flood", connection = self.number, why = %error);
+                        warn!(name: "http2_flood", connection = self.number.0, why = %error);
                     } else if let Some(error) = error {
-                        debug!(name: "http2_down", connection = self.number, error = %error);
+                        debug!(name: "http2_down", connection = self.number.0, error = %error);
                     }
                     return;
                 }
@@ -344,7 +344,7 @@
         match self.phase {
             Phase::Ending(_) => return false,
             _ if half => {
-                warn!(name: "http2_half_sent", connection = self.number);
+                warn!(name: "http2_half_sent", connection = self.number.0);
                 self.h2.abrupt_shutdown(Reason::PROTOCOL_ERROR);
                 self.streams.clear();
                 self.end();
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::{limited, span};
 use crate::front::Shared;
-use admission::Connection;
+use admission::ConnectionId;
 use async_io::Timer;
 use broker_types::query::FinalResponse;
 use bytes::Bytes;
@@ -39,7 +39,7 @@
 /// Serves one request to its end.
 pub(super) async fn serve(
     shared: Rc<Shared>,
-    connection: Connection,
+    connection: ConnectionId,
     request: Request<RecvStream>,
     mut respond: SendResponse<Bytes>,
 ) -> End {
@@ -110,7 +110,7 @@
     match sent {
         Ok(()) => End::Answered(length, usable),
         Err(Unsent::Late) => {
-            warn!(name: "http2_slow_reader", connection, length);
+            warn!(name: "http2_slow_reader", connection = connection.0, length);
             stream.send_reset(Reason::CANCEL);
             End::Reset(usable)
         }
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -13,7 +13,8 @@
 
 use crate::clock::Clock;
 use crate::inbox::Inbox;
-use admission::{Connection, budget};
+use admission::ConnectionId;
+use admission::resource_limits::ListenerLimits;
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
@@ -45,7 +46,7 @@
     stage: Cell<Stage>,
     /// Closed, and replaced, when the stage changes.
     moved: RefCell<(Sender<()>, Receiver<()>)>,
-    connections: Cell<Connection>,
+    connections: Cell<ConnectionId>,
     /// The `Date` field of this second, and when that began.
     date: RefCell<(Instant, HeaderValue)>,
 }
@@ -54,7 +55,10 @@
     /// For a program that serves.
     pub fn new(inbox: Rc<Inbox>, settings: Settings, names: Names) -> Rc<Self> {
         let date = RefCell::new((Instant::now(), date(SystemTime::now())));
-        let (stage, connections) = (Cell::new(Stage::Serving), Cell::new(0));
+        let (stage, connections) = (
+            Cell::new(Stage::Serving),
+            Cell::new(ConnectionId::default()),
+        );
         let moved = RefCell::new(async_channel::bounded(1));
         Rc::new(Shared {
             inbox,
@@ -83,8 +87,9 @@
     }
 
     /// A number for a connection, which it keeps.
-    fn next_connection(&self) -> Connection {
-        self.connections.set(self.connections.get() + 1);
+    fn next_connection(&self) -> ConnectionId {
+        self.connections
+            .set(ConnectionId(self.connections.get().0 + 1));
         self.connections.get()
     }
 
@@ -164,7 +169,7 @@
     /// Where those with HTTP/2 do.
     pub http2: Option<Async<TcpListener>>,
     /// What both may hold.
-    pub limits: budget::Fronts,
+    pub limits: ListenerLimits,
 }
 
 impl Fronts {
@@ -175,7 +180,7 @@
         clock: Clock,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
-        let http1 = Http1::new(shared.clone(), plan.limits.http1_connections);
+        let http1 = Http1::new(shared.clone(), plan.limits.max_http1_connections);
         let http1 = Listening::start(http1, plan.http1, &executor);
         let http2 = plan.http2.zip(plan.limits.http2).map(|(listener, limits)| {
             Listening::start(
@@ -193,7 +198,7 @@
     }
 
     /// Takes other limits, where that is possible while the program runs.
-    pub fn set_limits(&self, limits: budget::Fronts) {
+    pub fn set_limits(&self, limits: ListenerLimits) {
         if let (Some(http2), Some(limits)) = (&self.http2, limits.http2) {
             http2.front.set_limits(limits);
         }
--- a/crates/broker/src/inbox.rs
+++ b/crates/broker/src/inbox.rs
@@ -1,6 +1,6 @@
 //! What the turn loop has yet to see. Tasks on sockets put it in; the loop takes all of it once a turn.
 
-use admission::Connection;
+use admission::ConnectionId;
 use async_channel::{Receiver, Sender};
 use broker_types::query::{FinalResponse, QueryId, QueryRequest};
 use broker_types::server::EndpointList;
@@ -11,7 +11,7 @@
 /// Something that happened since the last turn.
 pub enum Input {
     /// A client asks, on its connection.
-    QueryRequest(QueryId, Connection, QueryRequest, Sender<FinalResponse>),
+    QueryRequest(QueryId, ConnectionId, QueryRequest, Sender<FinalResponse>),
     /// The client of a query has gone.
     Gone(QueryId),
     /// A connection to a data server has news.
@@ -65,7 +65,7 @@
         let _ = self.bell.0.try_send(());
     }
     /// Hands in a query; its reply comes once, unless the ticket is dropped before.
-    pub fn ask(&self, connection: Connection, ask: QueryRequest) -> Ticket<'_> {
+    pub fn ask(&self, connection: ConnectionId, ask: QueryRequest) -> Ticket<'_> {
         let id = self.next_query.get();
         self.next_query.set(QueryId(id.0 + 1));
         let (sender, reply) = async_channel::bounded(1);
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -1,7 +1,7 @@
 //! The operator's own file, as the running program holds it.
 
-use admission::budget::Asked;
-use batch_window::Pacing;
+use admission::resource_limits::Http2Overrides;
+use batch_window::BatchWindow;
 use broker_types::time::Micros;
 use logging::Format;
 use operator_config::{LONGEST, LogFormat, LogLevel, Settings, read};
@@ -99,21 +99,21 @@
     }
 
     /// How turns are spaced, where the settings' tick is given.
-    pub fn pacing(&self, tick: Micros) -> Pacing {
+    pub fn batch_window(&self, tick: Micros) -> BatchWindow {
         self.settings
             .gather
-            .map_or(Pacing::Fixed(tick), Pacing::Gather)
+            .map_or(BatchWindow::Fixed(tick), BatchWindow::Adaptive)
     }
 
     /// What the HTTP/2 front is asked to hold, if there is to be one.
     #[must_use]
-    pub fn http2(&self) -> Option<Asked> {
+    pub fn http2(&self) -> Option<Http2Overrides> {
         let http2 = self.settings.http2?;
-        Some(Asked {
-            connections: http2.connections,
-            streams: http2.streams,
+        Some(Http2Overrides {
+            max_connections: http2.connections,
+            max_streams: http2.streams,
             connection_window: http2.connection_window,
-            header_list: http2.header_list,
+            max_header_list: http2.header_list,
         })
     }
 }
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,13 +1,13 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
 use crate::upstream::{Ended, Send};
-use admission::{Connection, Shares};
+use admission::{ConnectionId, ConnectionQuota};
 use async_channel::Sender;
 use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest, ShardValue};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{Semantics, Settings};
-use idempotency::{Proof, Repeats, Verdict};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission};
 use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 
 /// A query in hand. Dropping it drops the way to its client, so it is dropped with its one reply.
 struct Pending {
-    connection: Connection,
+    connection: ConnectionId,
     ask: QueryRequest,
     reply: Sender<FinalResponse>,
     /// The value of each part that is in.
@@ -80,8 +80,8 @@
     pending: BTreeMap<QueryId, Pending>,
     /// The requests' ids: parts go by them on the wire.
     ids: BTreeSet<Rc<str>>,
-    shares: Shares,
-    repeats: Repeats,
+    quota: ConnectionQuota,
+    register: IdempotencyRegister,
     /// Attempts that are out under a key.
     keyed: BTreeMap<AttemptId, (Rc<str>, usize)>,
     max_retry_after: Option<Micros>,
@@ -98,8 +98,12 @@
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
-            shares: Shares::new(room),
-            repeats: Repeats::new(window.min().unwrap_or(NO_WINDOW), keep.unwrap_or(0), KEYS),
+            quota: ConnectionQuota::new(room),
+            register: IdempotencyRegister::new(
+                window.min().unwrap_or(NO_WINDOW),
+                keep.unwrap_or(0),
+                KEYS,
+            ),
             keyed: BTreeMap::new(),
             max_retry_after: settings.max_retry_after.map(millis),
         }
@@ -120,7 +124,7 @@
         &mut self,
         now: Micros,
         id: QueryId,
-        connection: Connection,
+        connection: ConnectionId,
         ask: QueryRequest,
         reply: Sender<FinalResponse>,
     ) -> Option<QuerySpec> {
@@ -137,8 +141,8 @@
             });
         }
         let units = 1 + ask.parts.len();
-        if !self.shares.take(connection, units) {
-            info!(name: "share_full", connection, held = self.shares.held());
+        if !self.quota.try_acquire(connection, units) {
+            info!(name: "share_full", connection = connection.0, held = self.quota.in_use());
             return answered(FinalResponse::Rejected {
                 retry_after: self.max_retry_after,
             });
@@ -146,20 +150,20 @@
         let give_up_at = now + ask.client_timeout;
         if let Some(key) = &ask.idempotency_key {
             let shards = ask.parts.iter().map(|p| p.shard);
-            let verdict = self.repeats.open(now, key, shards, give_up_at);
-            if verdict != Verdict::Serve {
-                self.shares.give_back(connection, units);
-                info!(name: "key_repeated", connection, id = %ask.id, verdict = ?verdict);
+            let verdict = self.register.admit(now, key, shards, give_up_at);
+            if verdict != KeyAdmission::Admitted {
+                self.quota.release(connection, units);
+                info!(name: "key_repeated", connection = connection.0, id = %ask.id, verdict = ?verdict);
             }
             match verdict {
-                Verdict::Serve => {}
-                Verdict::Busy(until) => {
+                KeyAdmission::Admitted => {}
+                KeyAdmission::RetryAt(until) => {
                     let wait = until.saturating_sub(now);
                     return answered(FinalResponse::Rejected {
                         retry_after: self.max_retry_after.map(|most| most.min(wait)),
                     });
                 }
-                Verdict::Over => return answered(FinalResponse::Failed),
+                KeyAdmission::WindowExpired => return answered(FinalResponse::Failed),
             }
         }
         let query = QuerySpec {
@@ -170,7 +174,7 @@
             is_retry: ask.is_retry,
             parts: ask.parts.clone(),
         };
-        let span = debug_span!("query", query = id.0, connection, id = %ask.id);
+        let span = debug_span!("query", query = id.0, connection = connection.0, id = %ask.id);
         span.in_scope(|| debug!(name: "query_taken", class = ask.class, parts = ask.parts.len()));
         self.ids.insert(ask.id.clone());
         let values = vec![None; ask.parts.len()];
@@ -252,9 +256,9 @@
     fn close(&mut self, now: Micros, query: QueryId, answered: bool) -> Option<Pending> {
         let pending = self.pending.remove(&query)?;
         self.ids.remove(&pending.ask.id);
-        self.shares.give_back(pending.connection, pending.units());
+        self.quota.release(pending.connection, pending.units());
         if let Some(key) = &pending.ask.idempotency_key {
-            self.repeats.close(now, key, answered);
+            self.register.on_query_ended(now, key, answered);
         }
         Some(pending)
     }
@@ -265,11 +269,12 @@
         let part = pending.ask.parts.get(d.attempt.part.0).ok_or(Held::Over)?;
         let mut expires = None;
         if let Some(key) = &pending.ask.idempotency_key {
-            if !self.repeats.may_send(now, key, part.shard) {
+            if !self.register.may_send(now, key, part.shard) {
                 return Err(Held::Repeat);
             }
-            expires = self.repeats.over_at(key, part.shard);
-            self.repeats.sent(now, key, part.shard, d.deadline);
+            expires = self.register.window_ends_at(key, part.shard);
+            self.register
+                .on_attempt_sent(now, key, part.shard, d.deadline);
             self.keyed.insert(d.attempt, (key.clone(), part.shard));
         }
         pending.span.in_scope(
@@ -298,11 +303,15 @@
     pub(crate) fn ended(&mut self, now: Micros, ended: &mut Ended) {
         if let Some((key, shard)) = self.keyed.remove(&ended.attempt) {
             let proof = match ended.outcome {
-                Outcome::Served | Outcome::Error => Proof::Ran,
-                Outcome::Full | Outcome::NoConnection | Outcome::NotSent => Proof::NeverRan,
-                Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => Proof::MayRun,
+                Outcome::Served | Outcome::Error => ExecutionEvidence::Executed,
+                Outcome::Full | Outcome::NoConnection | Outcome::NotSent => {
+                    ExecutionEvidence::NotExecuted
+                }
+                Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
+                    ExecutionEvidence::PossiblyExecuted
+                }
             };
-            self.repeats.ended(now, &key, shard, proof);
+            self.register.on_attempt_ended(now, &key, shard, proof);
         }
         let Some(pending) = self.pending.get_mut(&ended.attempt.query) else {
             return;
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -7,11 +7,11 @@
 use crate::operator::Operator;
 use crate::queries::{Held, Queries};
 use crate::upstream::{Ended, Send, Upstream};
-use admission::budget::{self, Given, divide};
+use admission::resource_limits::{ClientResources, ListenerLimits, allocate};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use batch_window::Pacing;
+use batch_window::BatchWindow;
 use broker_types::query::{AttemptId, FinalResponse, PartIndex, QueryId};
 use broker_types::server::{EndpointList, ListScope, NodeId, NodeState, Outcome};
 use broker_types::time::{Micros, millis};
@@ -42,10 +42,10 @@
     clock: Clock,
     zones: Vec<String>,
     tick: Micros,
-    pacing: Pacing,
+    batch_window: BatchWindow,
     operator: Operator,
     /// What the platform gives to client connections.
-    clients: Given,
+    clients: ClientResources,
     core: PolicyEngine,
     upstream: Upstream,
     discovery: Discovery,
@@ -70,8 +70,8 @@
 }
 
 /// What the fronts may hold; the error names what does not fit.
-fn limits(clients: Given, operator: &Operator) -> io::Result<budget::Fronts> {
-    divide(clients, operator.http2()).map_err(io::Error::other)
+fn limits(clients: ClientResources, operator: &Operator) -> io::Result<ListenerLimits> {
+    allocate(clients, operator.http2()).map_err(io::Error::other)
 }
 
 /// Runs a broker until it is told to end; `started` is told where it listens, for HTTP/1.1 and HTTP/2.
@@ -121,7 +121,7 @@
         clock,
         zones: config.names.zones,
         tick,
-        pacing: operator.pacing(tick),
+        batch_window: operator.batch_window(tick),
         operator,
         clients: config.clients,
         queries: Queries::new(&config.settings, config.max_open),
@@ -146,7 +146,7 @@
     broker.learn(clock.now(), ListScope::Cached, &config.known);
     info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.known.endpoints.len());
     if let (Some(listen), Some(held)) = (listen_http2, limits.http2) {
-        let (connections, streams) = (held.connections, held.streams);
+        let (connections, streams) = (held.max_connections, held.max_streams);
         info!(name: "started_http2", listen = %listen, connections, streams);
     }
     started(listen, listen_http2);
@@ -186,7 +186,7 @@
     }
 
     /// Waits for the next turn: for something to happen or the next moment that is due. What is due keeps a tick's
-    /// distance; for what happened, the pacing says how long to gather.
+    /// distance; for what happened, the batch window says how long to gather.
     async fn pause(&self, now: Micros, due: Micros) {
         let due = due.clamp(now + self.tick, now + 1_000_000_000);
         let timer = async {
@@ -194,8 +194,8 @@
         };
         self.inbox.wait().or(timer).await;
         let next = self
-            .pacing
-            .earliest(now, self.queries.len() + self.inbox.asks());
+            .batch_window
+            .next_start(now, self.queries.len() + self.inbox.asks());
         if self.clock.now() < next {
             Timer::at(self.clock.instant(next)).await;
         } else {
@@ -294,13 +294,13 @@
             let settings = self.operator.reread()?;
             let mut operator = self.operator.clone();
             operator.adopt_quietly(&settings);
-            let limits = divide(self.clients, operator.http2())?;
+            let limits = allocate(self.clients, operator.http2())?;
             Ok((config.discovery, settings, limits))
         };
         match read() {
             Ok((discovery, settings, limits)) => {
                 self.operator.adopt(&settings);
-                self.pacing = self.operator.pacing(self.tick);
+                self.batch_window = self.operator.batch_window(self.tick);
                 self.fronts.set_limits(limits);
                 info!(name: "reloaded", discovery = %discovery);
                 self.discovery.move_to(discovery);
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -6,7 +6,7 @@
 //! query of a key is in hand, or an attempt that was given up may still run, a repeat is put off; once the window of
 //! a part that may have run is over, nothing sends that part again, and a repeat has failed.
 //!
-//! Every part that was sent is told of ([`Repeats::sent`]) and so is its end ([`Repeats::ended`]), also after its
+//! Every part that was sent is told of ([`IdempotencyRegister::on_attempt_sent`]) and so is its end ([`IdempotencyRegister::on_attempt_ended`]), also after its
 //! query has ended. The register holds a bounded number of keys; when it is full, keys that were answered go first,
 //! and if there are none, a new key is put off rather than an old one forgotten.
 
@@ -16,24 +16,24 @@
 
 /// What becomes of a query that brings a key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum KeyAdmission {
     /// It may be served.
-    Serve,
+    Admitted,
     /// Another query of the key is in hand, or one of its attempts may still run: not before this moment.
-    Busy(Micros),
+    RetryAt(Micros),
     /// A part of it may have run, and its repeats are no longer dropped.
-    Over,
+    WindowExpired,
 }
 
 /// What the end of an attempt proves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Proof {
+pub enum ExecutionEvidence {
     /// It never ran.
-    NeverRan,
+    NotExecuted,
     /// It has run, and is over.
-    Ran,
+    Executed,
     /// It may have run, or may yet, until it stops being waited for.
-    MayRun,
+    PossiblyExecuted,
 }
 
 /// What is known of one part under a key.
@@ -62,7 +62,7 @@
 
 /// The register.
 #[derive(Debug)]
-pub struct Repeats {
+pub struct IdempotencyRegister {
     window: Micros,
     keep: Micros,
     most: usize,
@@ -73,13 +73,13 @@
     spare: BTreeSet<(Micros, Rc<str>)>,
 }
 
-impl Repeats {
+impl IdempotencyRegister {
     /// A register where repeats are dropped for `window` after the first attempt, clients come back for `keep` after
     /// that at the latest, and so many keys are held at the most.
     #[must_use]
     pub fn new(window: Micros, keep: Micros, most: usize) -> Self {
         let (entries, order, spare) = Default::default();
-        Repeats {
+        IdempotencyRegister {
             window,
             keep,
             most,
@@ -91,28 +91,28 @@
 
     /// Takes up a query of this key with these shards, whose client waits until `give_up_at`. Unless it may be
     /// served, nothing is kept of it.
-    pub fn open(
+    pub fn admit(
         &mut self,
         now: Micros,
         key: &Rc<str>,
         shards: impl Iterator<Item = usize>,
         give_up_at: Micros,
-    ) -> Verdict {
+    ) -> KeyAdmission {
         self.sweep(now);
         if let Some(entry) = self.entries.get(key) {
             if let Some(until) = entry.open {
-                return Verdict::Busy(until);
+                return KeyAdmission::RetryAt(until);
             }
             let mut busy = None;
             for part in shards.filter_map(|s| entry.parts.get(&s)) {
                 if part.out > 0 || part.until > now {
                     busy = busy.max(Some(part.until));
                 } else if part.first.is_some_and(|first| now >= first + self.window) {
-                    return Verdict::Over;
+                    return KeyAdmission::WindowExpired;
                 }
             }
             if let Some(until) = busy {
-                return Verdict::Busy(until);
+                return KeyAdmission::RetryAt(until);
             }
         } else if self.entries.len() >= self.most {
             match self
@@ -123,8 +123,8 @@
                 Some((at, old)) if self.entries.get(&old).is_some_and(|e| e.answered) => {
                     self.forget(at, &old);
                 }
-                Some((at, _)) => return Verdict::Busy(at),
-                None => return Verdict::Busy(give_up_at),
+                Some((at, _)) => return KeyAdmission::RetryAt(at),
+                None => return KeyAdmission::RetryAt(give_up_at),
             }
         }
         let entry = self.entries.entry(key.clone()).or_insert_with(|| Entry {
@@ -137,7 +137,7 @@
         self.spare.remove(&(entry.forget_at, key.clone()));
         entry.open = Some(give_up_at);
         entry.answered = false;
-        Verdict::Serve
+        KeyAdmission::Admitted
     }
 
     /// Whether the part may be sent at this moment: not once the window of an attempt that may have run is over.
@@ -149,13 +149,13 @@
 
     /// When the window of a part is over of which an attempt may have run: from then on it may not be sent.
     #[must_use]
-    pub fn over_at(&self, key: &str, shard: usize) -> Option<Micros> {
+    pub fn window_ends_at(&self, key: &str, shard: usize) -> Option<Micros> {
         let part = self.entries.get(key).and_then(|e| e.parts.get(&shard))?;
         part.first.map(|first| first + self.window)
     }
 
     /// An attempt at a part goes out, and is waited for until `until`.
-    pub fn sent(&mut self, now: Micros, key: &str, shard: usize, until: Micros) {
+    pub fn on_attempt_sent(&mut self, now: Micros, key: &str, shard: usize, until: Micros) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
@@ -166,7 +166,13 @@
     }
 
     /// An attempt has ended.
-    pub fn ended(&mut self, now: Micros, key: &str, shard: usize, proof: Proof) {
+    pub fn on_attempt_ended(
+        &mut self,
+        now: Micros,
+        key: &str,
+        shard: usize,
+        proof: ExecutionEvidence,
+    ) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
@@ -175,20 +181,20 @@
         };
         part.out = part.out.saturating_sub(1);
         match proof {
-            Proof::NeverRan if part.out == 0 && part.ran == 0 => {
+            ExecutionEvidence::NotExecuted if part.out == 0 && part.ran == 0 => {
                 entry.parts.remove(&shard);
             }
-            Proof::NeverRan => {}
-            Proof::Ran => {
+            ExecutionEvidence::NotExecuted => {}
+            ExecutionEvidence::Executed => {
                 part.ran += 1;
                 part.until = now;
             }
-            Proof::MayRun => part.ran += 1,
+            ExecutionEvidence::PossiblyExecuted => part.ran += 1,
         }
     }
 
     /// The query of this key has ended; true: with an answer, which its client takes for an end.
-    pub fn close(&mut self, now: Micros, key: &Rc<str>, answered: bool) {
+    pub fn on_query_ended(&mut self, now: Micros, key: &Rc<str>, answered: bool) {
         let Some(entry) = self.entries.get_mut(key) else {
             return;
         };
@@ -211,12 +217,18 @@
         }
     }
 
-    /// Keys that are held.
+    /// Number of keys that are remembered.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn len(&self) -> usize {
         self.entries.len()
     }
 
+    /// Whether no key is remembered.
+    #[must_use]
+    pub fn is_empty(&self) -> bool {
+        self.entries.is_empty()
+    }
+
     fn sweep(&mut self, now: Micros) {
         while let Some((at, key)) = self.order.first().filter(|(at, _)| *at <= now).cloned() {
             self.forget_unless_out(now, at, &key);
@@ -255,24 +267,24 @@
     const SECOND: Micros = 1_000_000;
     const WINDOW: Micros = 5 * SECOND;
 
-    fn register() -> Repeats {
-        Repeats::new(WINDOW, WINDOW, 100)
+    fn register() -> IdempotencyRegister {
+        IdempotencyRegister::new(WINDOW, WINDOW, 100)
     }
 
     fn key(n: usize) -> Rc<str> {
         format!("k{n}").into()
     }
 
-    fn open(r: &mut Repeats, now: Micros, n: usize) -> Verdict {
-        r.open(now, &key(n), [0, 1].into_iter(), now + 4 * SECOND)
+    fn open(r: &mut IdempotencyRegister, now: Micros, n: usize) -> KeyAdmission {
+        r.admit(now, &key(n), [0, 1].into_iter(), now + 4 * SECOND)
     }
 
     #[test]
     fn a_key_in_hand_is_not_taken_up_twice() {
         let mut r = register();
-        assert_eq!(open(&mut r, 0, 1), Verdict::Serve);
-        assert_eq!(open(&mut r, SECOND, 1), Verdict::Busy(4 * SECOND));
-        assert_eq!(open(&mut r, SECOND, 2), Verdict::Serve);
+        assert_eq!(open(&mut r, 0, 1), KeyAdmission::Admitted);
+        assert_eq!(open(&mut r, SECOND, 1), KeyAdmission::RetryAt(4 * SECOND));
+        assert_eq!(open(&mut r, SECOND, 2), KeyAdmission::Admitted);
     }
 
     /// The client went away with an attempt out: that may run until the broker had told it to.
@@ -280,12 +292,12 @@
     fn a_repeat_waits_while_the_first_attempt_may_run() {
         let mut r = register();
         open(&mut r, 0, 1);
-        r.sent(0, "k1", 0, 2 * SECOND);
-        r.close(SECOND, &key(1), false);
-        assert_eq!(open(&mut r, SECOND, 1), Verdict::Busy(2 * SECOND));
-        r.ended(SECOND, "k1", 0, Proof::MayRun);
-        assert_eq!(open(&mut r, SECOND, 1), Verdict::Busy(2 * SECOND));
-        assert_eq!(open(&mut r, 2 * SECOND, 1), Verdict::Serve);
+        r.on_attempt_sent(0, "k1", 0, 2 * SECOND);
+        r.on_query_ended(SECOND, &key(1), false);
+        assert_eq!(open(&mut r, SECOND, 1), KeyAdmission::RetryAt(2 * SECOND));
+        r.on_attempt_ended(SECOND, "k1", 0, ExecutionEvidence::PossiblyExecuted);
+        assert_eq!(open(&mut r, SECOND, 1), KeyAdmission::RetryAt(2 * SECOND));
+        assert_eq!(open(&mut r, 2 * SECOND, 1), KeyAdmission::Admitted);
         assert!(r.may_send(WINDOW - 1, "k1", 0) && !r.may_send(WINDOW, "k1", 0));
         assert!(
             r.may_send(WINDOW, "k1", 1),
@@ -295,28 +307,31 @@
 
     #[test]
     fn what_ran_or_never_ran_holds_up_no_repeat_within_the_window() {
-        for proof in [Proof::Ran, Proof::NeverRan] {
+        for proof in [ExecutionEvidence::Executed, ExecutionEvidence::NotExecuted] {
             let mut r = register();
             open(&mut r, 0, 1);
-            r.sent(0, "k1", 0, 2 * SECOND);
-            r.ended(10, "k1", 0, proof);
-            r.close(10, &key(1), false);
-            assert_eq!(open(&mut r, 20, 1), Verdict::Serve);
+            r.on_attempt_sent(0, "k1", 0, 2 * SECOND);
+            r.on_attempt_ended(10, "k1", 0, proof);
+            r.on_query_ended(10, &key(1), false);
+            assert_eq!(open(&mut r, 20, 1), KeyAdmission::Admitted);
         }
     }
 
     #[test]
     fn after_the_window_only_what_never_ran_is_sent_again() {
         for (proof, verdict) in [
-            (Proof::Ran, Verdict::Over),
-            (Proof::MayRun, Verdict::Over),
-            (Proof::NeverRan, Verdict::Serve),
+            (ExecutionEvidence::Executed, KeyAdmission::WindowExpired),
+            (
+                ExecutionEvidence::PossiblyExecuted,
+                KeyAdmission::WindowExpired,
+            ),
+            (ExecutionEvidence::NotExecuted, KeyAdmission::Admitted),
         ] {
             let mut r = register();
             open(&mut r, 0, 1);
-            r.sent(0, "k1", 0, SECOND);
-            r.ended(10, "k1", 0, proof);
-            r.close(10, &key(1), false);
+            r.on_attempt_sent(0, "k1", 0, SECOND);
+            r.on_attempt_ended(10, "k1", 0, proof);
+            r.on_query_ended(10, &key(1), false);
             assert_eq!(open(&mut r, WINDOW, 1), verdict);
         }
     }
@@ -324,22 +339,22 @@
     /// A full register must not let a repeat through by forgetting the key that it repeats.
     #[test]
     fn a_full_register_forgets_what_was_answered_and_else_puts_off() {
-        let mut r = Repeats::new(WINDOW, WINDOW, 2);
+        let mut r = IdempotencyRegister::new(WINDOW, WINDOW, 2);
         for n in 0..2 {
             open(&mut r, 0, n);
-            r.sent(0, &key(n), 0, SECOND);
-            r.ended(10, &key(n), 0, Proof::Ran);
-            r.close(10, &key(n), n == 1);
+            r.on_attempt_sent(0, &key(n), 0, SECOND);
+            r.on_attempt_ended(10, &key(n), 0, ExecutionEvidence::Executed);
+            r.on_query_ended(10, &key(n), n == 1);
         }
-        assert_eq!(open(&mut r, 20, 2), Verdict::Serve);
+        assert_eq!(open(&mut r, 20, 2), KeyAdmission::Admitted);
         assert_eq!(
             open(&mut r, 20, 3),
-            Verdict::Busy(SECOND.max(10) - SECOND + 10 + 2 * WINDOW)
+            KeyAdmission::RetryAt(SECOND.max(10) - SECOND + 10 + 2 * WINDOW)
         );
-        assert_eq!(open(&mut r, WINDOW, 0), Verdict::Over);
+        assert_eq!(open(&mut r, WINDOW, 0), KeyAdmission::WindowExpired);
         assert_eq!(
-            (r.held(), open(&mut r, 20 + 2 * WINDOW, 3)),
-            (2, Verdict::Serve)
+            (r.len(), open(&mut r, 20 + 2 * WINDOW, 3)),
+            (2, KeyAdmission::Admitted)
         );
     }
 
@@ -347,13 +362,17 @@
     enum Move {
         Open(usize),
         Send(usize, usize),
-        End(usize, usize, Proof),
+        End(usize, usize, ExecutionEvidence),
         Close(usize, bool),
         Wait(Micros),
     }
 
     fn moves() -> impl Strategy<Value = Vec<Move>> {
-        let proof = prop::sample::select(vec![Proof::Ran, Proof::NeverRan, Proof::MayRun]);
+        let proof = prop::sample::select(vec![
+            ExecutionEvidence::Executed,
+            ExecutionEvidence::NotExecuted,
+            ExecutionEvidence::PossiblyExecuted,
+        ]);
         let one = prop_oneof![
             (0usize..4).prop_map(Move::Open),
             (0usize..4, 0usize..2).prop_map(|(k, s)| Move::Send(k, s)),
@@ -369,7 +388,7 @@
         /// that may have run is sent once its window is over, for as long as clients come back.
         #[test]
         fn no_part_is_sent_twice_at_once_or_beyond_its_window(moves in moves()) {
-            let mut r = Repeats::new(WINDOW, WINDOW, 3);
+            let mut r = IdempotencyRegister::new(WINDOW, WINDOW, 3);
             let mut now = 0;
             let mut in_hand = [false; 4];
             // Of each part: attempts out, and when the first that may have run was sent.
@@ -378,7 +397,7 @@
             let mut ran = [[0u32; 2]; 4];
             for m in moves {
                 match m {
-                    Move::Open(k) => if open(&mut r, now, k) == Verdict::Serve {
+                    Move::Open(k) => if open(&mut r, now, k) == KeyAdmission::Admitted {
                         prop_assert!(!in_hand[k] && out[k] == [0, 0]);
                         in_hand[k] = true;
                     },
@@ -387,23 +406,23 @@
                         if let Some(first) = first[k][s] { prop_assert!(now < first + WINDOW || now >= first + 2 * WINDOW); }
                         if ran[k][s] == 0 { first[k][s] = Some(now); }
                         out[k][s] += 1;
-                        r.sent(now, &key(k), s, now + SECOND);
+                        r.on_attempt_sent(now, &key(k), s, now + SECOND);
                     },
                     Move::End(k, s, proof) => if out[k][s] > 0 {
                         out[k][s] -= 1;
-                        if proof != Proof::NeverRan { ran[k][s] += 1; }
+                        if proof != ExecutionEvidence::NotExecuted { ran[k][s] += 1; }
                         if ran[k][s] == 0 { first[k][s] = None; }
-                        r.ended(now, &key(k), s, proof);
+                        r.on_attempt_ended(now, &key(k), s, proof);
                     },
                     Move::Close(k, answered) => if in_hand[k] {
                         in_hand[k] = false;
                         // A client that has its answer asks nothing more of that key.
-                        r.close(now, &key(k), false);
+                        r.on_query_ended(now, &key(k), false);
                         let _ = answered;
                     },
                     Move::Wait(time) => now += time,
                 }
-                prop_assert!(r.held() <= 3);
+                prop_assert!(r.len() <= 3);
             }
         }
     }
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -1,6 +1,6 @@
 //! The one place where the environment and the configuration file are read, checked and given defaults.
 
-use admission::budget::Given;
+use admission::resource_limits::ClientResources;
 use broker_types::limits::PoolLimits;
 use broker_types::query::Names;
 use broker_types::server::EndpointList;
@@ -46,7 +46,7 @@
     /// Most queries and parts in hand.
     pub max_open: usize,
     /// What client connections may take.
-    pub clients: Given,
+    pub clients: ClientResources,
     /// The limits for connections to data servers.
     pub pool: PoolLimits,
 }
@@ -153,10 +153,10 @@
         seed,
         known,
         max_open: site.max_open.unwrap_or(MAX_OPEN) as usize,
-        clients: Given {
-            sockets: shared * 2 / 3,
-            memory,
-            http1_holds: CLIENT_HOLDS,
+        clients: ClientResources {
+            descriptors: shared * 2 / 3,
+            memory_bytes: memory,
+            http1_connection_bytes: CLIENT_HOLDS,
         },
         pool: PoolLimits {
             max_connections: (shared / 3) as usize,
@@ -178,7 +178,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use admission::budget::divide;
+    use admission::resource_limits::allocate;
     use serde_json::json;
 
     fn config() -> Value {
@@ -200,7 +200,7 @@
             ),
             (3, 2, "n3")
         );
-        assert!(config.clients.sockets + (config.pool.max_connections as u64) < SOCKETS);
+        assert!(config.clients.descriptors + (config.pool.max_connections as u64) < SOCKETS);
         assert_eq!(
             (
                 config.pool.max_parts_per_call,
@@ -216,9 +216,9 @@
     fn client_connections_fit_the_memory() {
         let mut config = config();
         let slots = |config: &Value| -> usize {
-            divide(check(config, |_| None).unwrap().clients, None)
+            allocate(check(config, |_| None).unwrap().clients, None)
                 .unwrap()
-                .http1_connections
+                .max_http1_connections
         };
         assert_eq!(slots(&config), 661);
         config["limits"]["memory_mb"] = json!(32);
