--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -9,7 +9,7 @@
 use fastrand::Rng;
 use futures_lite::AsyncWriteExt;
 use http::Response;
-use http1_codec::{Limits, Message, ResponseDecoder, Step};
+use http1_codec::{Limits, Message, Progress, ResponseDecoder};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
@@ -25,8 +25,8 @@
 const WHOLE: Duration = Duration::from_secs(2);
 /// The longest answer: a list of many thousand servers.
 const LIMITS: Limits = Limits {
-    head: 16 * 1024,
-    body: 4 << 20,
+    head_bytes: 16 * 1024,
+    body_bytes: 4 << 20,
 };
 /// First and longest wait after a failure, of which up to half is left to chance. The first is well under the
 /// 200 ms that a watch may pause; the longest is short, since what an agent is told while we sleep counts as told.
@@ -152,13 +152,13 @@
     input: &mut Vec<u8>,
 ) -> io::Result<Message<Response<Vec<u8>>>> {
     loop {
-        match decoder.step(input).map_err(io::Error::other)? {
-            Step::Whole(message) => return Ok(message),
-            Step::More(_) => {
+        match decoder.decode(input).map_err(io::Error::other)? {
+            Progress::Complete(message) => return Ok(message),
+            Progress::Incomplete { .. } => {
                 if read_some(stream, input).await? == 0 {
                     // A reset is an error of its own, so that this is the end that some answers go by.
                     return decoder
-                        .end()
+                        .finish()
                         .ok_or_else(|| io::ErrorKind::UnexpectedEof.into());
                 }
             }
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -12,7 +12,9 @@
 use futures_lite::future::yield_now;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use http::{Method, Request, Version};
-use http1_codec::{Fault, Limits, Message, Reader, RequestDecoder, Step, encode_response};
+use http1_codec::{
+    Limits, Message, ParseError, Progress, RequestDecoder, ResponseOptions, encode_response,
+};
 use query_api::{BODY_CAP, HEAD_CAP, Response, Routed, final_answer, refuse_connection};
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
@@ -31,8 +33,8 @@
 const LOOK: Duration = Duration::from_millis(50);
 /// What a request may take.
 const LIMITS: Limits = Limits {
-    head: HEAD_CAP,
-    body: BODY_CAP,
+    head_bytes: HEAD_CAP,
+    body_bytes: BODY_CAP,
 };
 
 /// The front of HTTP/1.1.
@@ -60,7 +62,7 @@
 /// How the reading of a request ended.
 enum Read {
     Whole(Box<Message<Request<Vec<u8>>>>),
-    Bad(Fault),
+    Bad(ParseError),
 }
 
 impl Serve for Http1 {
@@ -83,7 +85,7 @@
 }
 
 /// The reader of an answer that ends its connection.
-const LAST: Reader = Reader {
+const LAST: ResponseOptions = ResponseOptions {
     version: Version::HTTP_11,
     head_only: false,
     keep_alive: false,
@@ -126,7 +128,9 @@
             let message = match self.request(stream, &mut decoder, &mut input, served).await {
                 Ok(Read::Whole(message)) => message,
                 Ok(Read::Bad(fault)) => {
-                    return self.reject(stream, fault.status(), fault.why()).await;
+                    return self
+                        .reject(stream, fault.status(), &fault.to_string())
+                        .await;
                 }
                 Err(e) if e.kind() == io::ErrorKind::TimedOut => {
                     return self
@@ -138,7 +142,7 @@
             let (response, usable) = self
                 .answer(number, &message.value, stream, &mut input)
                 .await?;
-            let reader = Reader {
+            let reader = ResponseOptions {
                 version: message.value.version(),
                 head_only: message.value.method() == Method::HEAD,
                 keep_alive: message.keep_alive && self.shared.stage() == Stage::Serving,
@@ -277,11 +281,11 @@
 ) -> io::Result<Read> {
     let mut told = false;
     loop {
-        match decoder.step(&mut input.bytes) {
+        match decoder.decode(&mut input.bytes) {
             Err(fault) => return Ok(Read::Bad(fault)),
-            Ok(Step::Whole(message)) => return Ok(Read::Whole(Box::new(message))),
-            Ok(Step::More(waits)) => {
-                if waits && !told {
+            Ok(Progress::Complete(message)) => return Ok(Read::Whole(Box::new(message))),
+            Ok(Progress::Incomplete { awaits_continue }) => {
+                if awaits_continue && !told {
                     told = true;
                     write(stream, b"HTTP/1.1 100 Continue\r\n\r\n").await?;
                 }
--- a/crates/broker/src/front/http2/io.rs
+++ b/crates/broker/src/front/http2/io.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use async_io::Async;
 use futures_lite::{AsyncRead as _, AsyncWrite as _};
-use http2_flood_guard::{Guard, Violation};
+use http2_flood_guard::{FloodGuard, Violation};
 use std::cell::RefCell;
 use std::io;
 use std::net::TcpStream;
@@ -14,7 +14,7 @@
 
 /// The guard of a connection, and what it found.
 pub(super) struct Watch {
-    guard: Guard,
+    guard: FloodGuard,
     violation: Option<Violation>,
 }
 
@@ -22,7 +22,7 @@
 pub(super) type SharedWatch = Rc<RefCell<Watch>>;
 
 impl Watch {
-    pub(super) fn new(guard: Guard) -> SharedWatch {
+    pub(super) fn new(guard: FloodGuard) -> SharedWatch {
         Rc::new(RefCell::new(Watch {
             guard,
             violation: None,
@@ -33,7 +33,7 @@
         self.violation
     }
 
-    pub(super) fn guard(&mut self) -> &mut Guard {
+    pub(super) fn guard(&mut self) -> &mut FloodGuard {
         &mut self.guard
     }
 }
@@ -65,7 +65,7 @@
     /// Shows the guard what comes. False: it must go no further.
     fn passes(&self, bytes: &[u8]) -> bool {
         let mut watch = self.watch.borrow_mut();
-        if let Err(violation) = watch.guard.feed(self.clock.now(), bytes) {
+        if let Err(violation) = watch.guard.on_received(self.clock.now(), bytes) {
             watch.violation = Some(violation);
         }
         watch.violation.is_none()
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -21,8 +21,8 @@
 use h2::server::{self, SendResponse};
 use h2::{Reason, RecvStream};
 use http::{Request, Version};
-use http1_codec::{Reader, encode_response};
-use http2_flood_guard::{Budget, Guard, PREFACE, Violation};
+use http1_codec::{ResponseOptions, encode_response};
+use http2_flood_guard::{FloodGuard, FloodLimits, PREFACE, Violation};
 use io::{SharedWatch, Watch, Watched};
 use query_api::{BODY_CAP, final_answer};
 use std::cell::Cell;
@@ -110,7 +110,7 @@
     /// Reads what a connection begins with, up to the length of the preface. An error without a violation is a client
     /// that went away or said nothing.
     async fn preface(&self, stream: &Async<TcpStream>) -> Result<Vec<u8>, Option<Violation>> {
-        let mut guard = Guard::new(0, Budget::new(1, 1));
+        let mut guard = FloodGuard::new(0, FloodLimits::new(1, 1));
         let mut ahead = Vec::new();
         let evictable = self.slots.evictable(Rank::Fresh);
         let read = async {
@@ -120,7 +120,7 @@
                     return Err(None);
                 }
                 let end = ahead.len().min(PREFACE.len());
-                guard.feed(0, &ahead[seen..end]).map_err(Some)?;
+                guard.on_received(0, &ahead[seen..end]).map_err(Some)?;
             }
             Ok(())
         };
@@ -137,13 +137,13 @@
 
     /// Tells a client that speaks HTTP/1 what is spoken here.
     async fn refuse(&self, stream: &Async<TcpStream>, violation: Violation) -> std::io::Result<()> {
-        if violation == Violation::Http1 {
+        if violation == Violation::Http1Request {
             let why =
                 "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)".to_owned();
             let reply = self
                 .shared
                 .dated(final_answer(&FinalResponse::Invalid { status: 400, why }));
-            let reader = Reader {
+            let reader = ResponseOptions {
                 version: Version::HTTP_11,
                 head_only: false,
                 keep_alive: false,
@@ -156,8 +156,8 @@
 
     async fn connection(&self, number: Connection, stream: Rc<Async<TcpStream>>, ahead: Vec<u8>) {
         let limits = self.limits.get();
-        let budget = Budget::new(limits.streams, limits.header_list);
-        let watch = Watch::new(Guard::new(self.clock.now(), budget));
+        let budget = FloodLimits::new(limits.streams, limits.header_list);
+        let watch = Watch::new(FloodGuard::new(self.clock.now(), budget));
         let _ = stream.get_ref().set_nodelay(true);
         let io = Watched::new(stream, ahead, watch.clone(), self.clock);
         let streams = limits.streams as usize;
@@ -283,7 +283,7 @@
     fn ended(&mut self, end: End) {
         match end {
             End::Answered(length, usable) => {
-                self.watch.borrow_mut().guard().answered(length);
+                self.watch.borrow_mut().guard().on_response_sent(length);
                 self.served |= usable;
             }
             End::Reset(usable) => self.served |= usable,
@@ -315,7 +315,7 @@
             .watch
             .borrow_mut()
             .guard()
-            .half_since()
+            .incomplete_since()
             .map(|at| at + SILENCE);
         let idle = self.streams.is_empty().then(|| {
             self.idle_since
@@ -338,7 +338,7 @@
             .watch
             .borrow_mut()
             .guard()
-            .half_since()
+            .incomplete_since()
             .is_some_and(|at| now >= at + SILENCE);
         match self.phase {
             Phase::Ending(_) => return false,
--- a/crates/http1-codec/src/encode.rs
+++ b/crates/http1-codec/src/encode.rs
@@ -1,59 +1,70 @@
-//! Responses on their way out.
+//! Encoding of responses (RFC 9112, sections 4 to 6).
 
 use http::{Response, Version};
 use std::io::Write;
 
-/// What the client of a response needs to be told, or not.
+/// Initial capacity for the head of a response, in bytes: enough for the fields that this project sends.
+const HEAD_CAPACITY_BYTES: usize = 256;
+
+/// Properties of the request and its connection that affect the framing of the response.
 #[derive(Clone, Copy, Debug)]
-pub struct Reader {
-    /// Its version: an old one is told where the connection stays open (RFC 9112, section 9.3).
+pub struct ResponseOptions {
+    /// Version of the request. A client with HTTP/1.0 has to be notified that the connection stays open
+    /// (RFC 9112, section 9.3).
     pub version: Version,
-    /// Whether it asked for the head alone, with HEAD (RFC 9110, section 9.3.2).
+    /// Whether the method was HEAD, so that the body is left out (RFC 9110, section 9.3.2).
     pub head_only: bool,
-    /// Whether the connection may serve another request.
+    /// Whether the connection may carry another request.
     pub keep_alive: bool,
 }
 
-/// Encodes a response whose body is whole. Framing fields are added here and must not be among its own.
+/// Encodes a response with a complete body.
+///
+/// `Content-Length` and `Connection` are added here and must not be among the response's own fields.
 #[must_use]
-pub fn encode_response(response: &Response<Vec<u8>>, reader: Reader) -> Vec<u8> {
+pub fn encode_response(response: &Response<Vec<u8>>, options: ResponseOptions) -> Vec<u8> {
     let status = response.status();
     let body = response.body();
-    let mut out = Vec::with_capacity(256 + body.len());
-    // Writing into memory does not fail.
+    let has_body = !status.is_informational() && status.as_u16() != 204;
+    let mut encoded = Vec::with_capacity(HEAD_CAPACITY_BYTES + body.len());
+    // Writing into a vector does not fail.
     let _ = write!(
-        out,
+        encoded,
         "HTTP/1.1 {} {}\r\n",
         status.as_u16(),
         status.canonical_reason().unwrap_or("Unknown")
     );
     for (name, value) in response.headers() {
-        title(name.as_str(), &mut out);
-        out.extend_from_slice(b": ");
-        out.extend_from_slice(value.as_bytes());
-        out.extend_from_slice(b"\r\n");
+        append_title_case(name.as_str(), &mut encoded);
+        encoded.extend_from_slice(b": ");
+        encoded.extend_from_slice(value.as_bytes());
+        encoded.extend_from_slice(b"\r\n");
     }
-    let bodiless = status.is_informational() || status.as_u16() == 204;
-    if !bodiless {
-        let _ = write!(out, "Content-Length: {}\r\n", body.len());
+    if has_body {
+        let _ = write!(encoded, "Content-Length: {}\r\n", body.len());
     }
-    if !reader.keep_alive {
-        out.extend_from_slice(b"Connection: close\r\n");
-    } else if reader.version < Version::HTTP_11 {
-        out.extend_from_slice(b"Connection: keep-alive\r\n");
+    if !options.keep_alive {
+        encoded.extend_from_slice(b"Connection: close\r\n");
+    } else if options.version < Version::HTTP_11 {
+        encoded.extend_from_slice(b"Connection: keep-alive\r\n");
     }
-    out.extend_from_slice(b"\r\n");
-    if !bodiless && !reader.head_only {
-        out.extend_from_slice(body);
+    encoded.extend_from_slice(b"\r\n");
+    if has_body && !options.head_only {
+        encoded.extend_from_slice(body);
     }
-    out
+    encoded
 }
 
-/// Field names are written the way people know them; readers must not care (RFC 9110, section 5.1).
-fn title(name: &str, out: &mut Vec<u8>) {
-    let mut first = true;
-    for b in name.bytes() {
-        out.push(if first { b.to_ascii_uppercase() } else { b });
-        first = b == b'-';
+/// Appends a field name in its usual spelling, such as `Retry-After`. Names are case-insensitive (RFC 9110,
+/// section 5.1).
+fn append_title_case(name: &str, encoded: &mut Vec<u8>) {
+    let mut starts_word = true;
+    for byte in name.bytes() {
+        encoded.push(if starts_word {
+            byte.to_ascii_uppercase()
+        } else {
+            byte
+        });
+        starts_word = byte == b'-';
     }
 }
--- a/crates/http1-codec/src/head.rs
+++ b/crates/http1-codec/src/head.rs
@@ -1,128 +1,184 @@
-//! Rules of a message's head: target, `Host`, framing, persistence (RFC 9112, sections 3, 5, 6 and 9).
+//! Parsing of the heads of requests and responses (RFC 9112, sections 2 to 5).
 
-use crate::body::Framing;
-use crate::fault::Fault;
-use http::header::{
-    CONNECTION, CONTENT_LENGTH, HOST, HeaderMap, HeaderName, HeaderValue, TRANSFER_ENCODING,
-};
-use http::{Method, Uri, Version};
+use crate::body::{BodyDecoder, BodyFraming};
+use crate::decode::Limits;
+use crate::error::ParseError;
+use crate::fields;
+use http::header::{EXPECT, HeaderMap};
+use http::{Method, Request, Response, StatusCode, Version};
 
-/// Most fields of a head.
-pub(crate) const FIELDS: usize = 64;
+/// What precedes the minor version in a start line.
+const VERSION_PREFIX: &[u8; 7] = b"HTTP/1.";
 
-/// The fields as typed values.
-pub(crate) fn fields(parsed: &[httparse::Header]) -> Result<HeaderMap, Fault> {
-    let mut map = HeaderMap::with_capacity(parsed.len());
-    for h in parsed {
-        let name = HeaderName::from_bytes(h.name.as_bytes()).map_err(|_| Fault::Head)?;
-        let value = HeaderValue::from_bytes(h.value.trim_ascii()).map_err(|_| Fault::Head)?;
-        map.append(name, value);
-    }
-    Ok(map)
+/// A message whose head is parsed and whose body is being decoded.
+#[derive(Debug)]
+pub(crate) struct PartialMessage<T> {
+    pub(crate) value: T,
+    pub(crate) keep_alive: bool,
+    /// Whether the client sends the body only after `100 Continue` (RFC 9110, section 10.1.1).
+    pub(crate) expects_continue: bool,
+    pub(crate) body: BodyDecoder,
 }
 
-/// The members of a field that is a list, over all its lines.
-fn members<'a>(fields: &'a HeaderMap, name: &HeaderName) -> impl Iterator<Item = &'a [u8]> {
-    let lines = fields.get_all(name).iter();
-    lines
-        .flat_map(|v| v.as_bytes().split(|b| *b == b','))
-        .map(<[u8]>::trim_ascii)
-        .filter(|m| !m.is_empty())
+/// A parsed head.
+#[derive(Debug)]
+pub(crate) struct ParsedHead<T> {
+    pub(crate) message: PartialMessage<T>,
+    /// Length of the head, in bytes.
+    pub(crate) length: usize,
 }
 
-/// How the body is delimited; `None`: nothing is said of one.
-pub(crate) fn framing(fields: &HeaderMap, version: Version) -> Result<Option<Framing>, Fault> {
-    let coded = fields.contains_key(TRANSFER_ENCODING);
-    let mut lengths = fields.get_all(CONTENT_LENGTH).iter();
-    let length = lengths.next();
-    // Two lengths, or a length and chunks, are how requests are smuggled past a front.
-    if lengths.next().is_some() || (coded && length.is_some()) {
-        return Err(Fault::Length);
-    }
-    if coded {
-        if version < Version::HTTP_11 {
-            return Err(Fault::Coding);
+/// Parses the request head that `input` starts with, or returns `None` if it is incomplete.
+pub(crate) fn parse_request_head(
+    input: &[u8],
+    limits: Limits,
+) -> Result<Option<ParsedHead<Request<Vec<u8>>>>, ParseError> {
+    let mut field_lines = [httparse::EMPTY_HEADER; fields::MAX_FIELDS];
+    let mut head = httparse::Request::new(&mut field_lines);
+    let length = match head.parse(input) {
+        Ok(httparse::Status::Complete(length)) if length <= limits.head_bytes => length,
+        Ok(httparse::Status::Partial) if input.len() <= limits.head_bytes => return Ok(None),
+        // The first line alone exceeds the limit of the head.
+        Ok(_) if !input[..limits.head_bytes].contains(&b'\n') => {
+            return Err(ParseError::RequestLineTooLong);
         }
-        let codings: Vec<&[u8]> = members(fields, &TRANSFER_ENCODING).collect();
-        let chunked = |c: &&[u8]| c.eq_ignore_ascii_case(b"chunked");
-        return match codings.split_last() {
-            Some((last, [])) if chunked(last) => Ok(Some(Framing::Chunked)),
-            Some((last, before)) if chunked(last) && !before.iter().any(chunked) => {
-                Err(Fault::CodingUnknown)
-            }
-            _ => Err(Fault::Coding),
-        };
-    }
-    let Some(length) = length else {
-        return Ok(None);
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(ParseError::HeadTooLong),
+        Err(httparse::Error::Version) => return parse_later_minor_version(input, limits),
+        Err(_) => return Err(ParseError::MalformedHead),
     };
-    let digits = length.as_bytes();
-    if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
-        return Err(Fault::Length);
-    }
-    // More digits than a number holds are a length all the same: one that is too long.
-    let length = std::str::from_utf8(digits)
-        .ok()
-        .and_then(|d| d.parse().ok());
-    Ok(Some(Framing::Length(length.unwrap_or(u64::MAX))))
+    let message = request_message(&head, limits)?;
+    Ok(Some(ParsedHead { message, length }))
 }
 
-/// Whether the connection may serve another message (section 9.3).
-pub(crate) fn keeps_alive(fields: &HeaderMap, version: Version) -> bool {
-    let says = |word: &[u8]| members(fields, &CONNECTION).any(|m| m.eq_ignore_ascii_case(word));
-    !says(b"close") && (version >= Version::HTTP_11 || says(b"keep-alive"))
+/// Converts a parsed request head into a message, applying the rules that concern more than the grammar.
+fn request_message(
+    head: &httparse::Request,
+    limits: Limits,
+) -> Result<PartialMessage<Request<Vec<u8>>>, ParseError> {
+    let version = http_version(head.version);
+    let method = Method::from_bytes(head.method.unwrap_or_default().as_bytes())
+        .map_err(|_| ParseError::MalformedHead)?;
+    let uri = fields::parse_target(&method, head.path.unwrap_or_default())?;
+    let header_fields = fields::typed_fields(head.headers)?;
+    fields::validate_host(&header_fields, version)?;
+    let framing = request_body_framing(&header_fields, &method, version)?;
+    let expects_continue = expects_continue(&header_fields, version, framing);
+    let keep_alive = fields::is_persistent(&header_fields, version);
+    let body = BodyDecoder::new(framing, limits.body_bytes)?;
+    let mut value = Request::new(Vec::new());
+    *value.method_mut() = method;
+    *value.uri_mut() = uri;
+    *value.version_mut() = version;
+    *value.headers_mut() = header_fields;
+    Ok(PartialMessage {
+        value,
+        keep_alive,
+        expects_continue,
+        body,
+    })
 }
 
-/// The target, in a form that the method allows (section 3.2).
-pub(crate) fn target(method: &Method, text: &str) -> Result<Uri, Fault> {
-    if *method == Method::CONNECT {
-        return Err(Fault::Connect);
-    }
-    // What a URI cannot hold (RFC 3986, section 2); a fragment is none of a server's business.
-    let odd = |b: u8| !b.is_ascii_graphic() || b"\"#<>\\^`{|}".contains(&b);
-    if text.bytes().any(odd) {
-        return Err(Fault::Target);
-    }
-    let uri: Uri = text.parse().map_err(|_| Fault::Target)?;
-    match text {
-        "*" if *method == Method::OPTIONS => Ok(uri),
-        origin if origin.starts_with('/') => Ok(uri),
-        _ => match (uri.scheme_str(), uri.authority()) {
-            (Some("http" | "https"), Some(authority)) if is_host(authority.as_str(), false) => {
-                Ok(uri)
-            }
-            _ => Err(Fault::Target),
-        },
+/// How a request's body is delimited. A method that implies a body requires a declared length.
+fn request_body_framing(
+    header_fields: &HeaderMap,
+    method: &Method,
+    version: Version,
+) -> Result<BodyFraming, ParseError> {
+    let implies_body = [Method::POST, Method::PUT, Method::PATCH].contains(method);
+    match fields::body_framing(header_fields, version)? {
+        Some(framing) => Ok(framing),
+        None if implies_body => Err(ParseError::LengthRequired),
+        None => Ok(BodyFraming::ContentLength(0)),
     }
 }
 
-/// Checks `Host`: exactly one, and one that a URI could hold (section 3.2; RFC 9110, section 7.2).
-pub(crate) fn host(fields: &HeaderMap, version: Version) -> Result<(), Fault> {
-    let mut hosts = fields.get_all(HOST).iter();
-    match (hosts.next(), hosts.next()) {
-        (None, _) if version < Version::HTTP_11 => Ok(()),
-        (Some(one), None) if one.to_str().is_ok_and(|h| is_host(h, true)) => Ok(()),
-        _ => Err(Fault::Host),
-    }
+/// Whether the client sends the body only after `100 Continue`. The expectation is ignored in HTTP/1.0 and where
+/// there is no body (RFC 9110, section 10.1.1).
+fn expects_continue(header_fields: &HeaderMap, version: Version, framing: BodyFraming) -> bool {
+    let has_expectation = header_fields
+        .get(EXPECT)
+        .is_some_and(|value| value.as_bytes().eq_ignore_ascii_case(b"100-continue"));
+    has_expectation && version == Version::HTTP_11 && framing != BodyFraming::ContentLength(0)
 }
 
-/// `uri-host [ ":" port ]` (RFC 3986, section 3.2.2); a user before the host is refused (RFC 9110, section 4.2.4).
-fn is_host(text: &str, may_be_empty: bool) -> bool {
-    let (host, port) = match text.strip_prefix('[').and_then(|t| t.split_once(']')) {
-        Some((v6, rest)) => {
-            let Some(port) = rest.strip_prefix(':').or(rest.is_empty().then_some("")) else {
-                return false;
-            };
-            return v6.parse::<std::net::Ipv6Addr>().is_ok() && is_port(port);
+/// Parses a request with a later minor version as HTTP/1.1 (RFC 9110, section 2.5), and rejects another major version.
+fn parse_later_minor_version(
+    input: &[u8],
+    limits: Limits,
+) -> Result<Option<ParsedHead<Request<Vec<u8>>>>, ParseError> {
+    let line_length = input
+        .iter()
+        .position(|b| *b == b'\n')
+        .unwrap_or(input.len());
+    let prefix = input[..line_length]
+        .windows(VERSION_PREFIX.len())
+        .position(|w| w == VERSION_PREFIX)
+        .ok_or(ParseError::UnsupportedVersion)?;
+    let minor_version = prefix + VERSION_PREFIX.len();
+    match &input[minor_version..] {
+        [b'2'..=b'9'] => Ok(None),
+        [b'2'..=b'9', b'\r' | b'\n', ..] => {
+            let mut as_http11 = input.to_vec();
+            as_http11[minor_version] = b'1';
+            parse_request_head(&as_http11, limits)
         }
-        None => text.split_once(':').unwrap_or((text, "")),
+        _ => Err(ParseError::UnsupportedVersion),
+    }
+}
+
+/// Parses the response head that `input` starts with, or returns `None` if it is incomplete.
+pub(crate) fn parse_response_head(
+    input: &[u8],
+    limits: Limits,
+) -> Result<Option<ParsedHead<Response<Vec<u8>>>>, ParseError> {
+    let mut field_lines = [httparse::EMPTY_HEADER; fields::MAX_FIELDS];
+    let mut head = httparse::Response::new(&mut field_lines);
+    let length = match head.parse(input) {
+        Ok(httparse::Status::Complete(length)) if length <= limits.head_bytes => length,
+        Ok(httparse::Status::Partial) if input.len() <= limits.head_bytes => return Ok(None),
+        Ok(_) | Err(httparse::Error::TooManyHeaders) => return Err(ParseError::HeadTooLong),
+        Err(_) => return Err(ParseError::MalformedHead),
     };
-    let named = host
-        .bytes()
-        .all(|b| b.is_ascii_alphanumeric() || b"-._~%!$&'()*+,;=".contains(&b));
-    named && is_port(port) && (may_be_empty || !host.is_empty())
+    let message = response_message(&head, limits)?;
+    Ok(Some(ParsedHead { message, length }))
 }
 
-fn is_port(text: &str) -> bool {
-    text.is_empty() || (text.bytes().all(|b| b.is_ascii_digit()) && text.parse::<u16>().is_ok())
+/// Converts a parsed response head into a message.
+fn response_message(
+    head: &httparse::Response,
+    limits: Limits,
+) -> Result<PartialMessage<Response<Vec<u8>>>, ParseError> {
+    let version = http_version(head.version);
+    let status = StatusCode::from_u16(head.code.unwrap_or_default())
+        .map_err(|_| ParseError::MalformedHead)?;
+    let header_fields = fields::typed_fields(head.headers)?;
+    let declared_framing = fields::body_framing(&header_fields, version)?;
+    // These never have a body, whatever their fields declare (RFC 9112, section 6.3).
+    let has_body = !status.is_informational() && ![204, 304].contains(&status.as_u16());
+    let framing = if has_body {
+        declared_framing.unwrap_or(BodyFraming::ConnectionClose)
+    } else {
+        BodyFraming::ContentLength(0)
+    };
+    let keep_alive = fields::is_persistent(&header_fields, version);
+    let body = BodyDecoder::new(framing, limits.body_bytes)?;
+    let mut value = Response::new(Vec::new());
+    *value.status_mut() = status;
+    *value.version_mut() = version;
+    *value.headers_mut() = header_fields;
+    Ok(PartialMessage {
+        value,
+        keep_alive,
+        expects_continue: false,
+        body,
+    })
+}
+
+/// The typed version for a minor version of HTTP/1.
+fn http_version(minor: Option<u8>) -> Version {
+    if minor == Some(0) {
+        Version::HTTP_10
+    } else {
+        Version::HTTP_11
+    }
 }
--- a/crates/http1-codec/tests/any_bytes.rs
+++ b/crates/http1-codec/tests/any_bytes.rs
@@ -1,42 +1,61 @@
-//! Whatever comes, and however it is cut: no panic, bounded memory, and the same end.
+//! Arbitrary input in arbitrary reads: no panic, bounded memory, and the same result.
 
-use http1_codec::{Fault, Limits, RequestDecoder, ResponseDecoder, Step};
+use http1_codec::{Limits, ParseError, Progress, RequestDecoder, ResponseDecoder};
 use proptest::prelude::*;
 
 const LIMITS: Limits = Limits {
-    head: 512,
-    body: 128,
+    head_bytes: 512,
+    body_bytes: 128,
 };
 
-/// What a stream decodes to when it comes in pieces of these lengths, and the most that was kept of it.
-fn decode(bytes: &[u8], cuts: &[usize]) -> (Vec<String>, Option<Fault>) {
+/// The result of decoding a whole stream of bytes.
+#[derive(Debug, PartialEq, Eq)]
+struct Decoded {
+    requests: Vec<String>,
+    error: Option<ParseError>,
+}
+
+/// Decodes a stream that arrives in reads of these lengths, cyclically. The buffered input must stay bounded.
+fn decode(bytes: &[u8], read_lengths: &[usize]) -> Decoded {
     let mut decoder = RequestDecoder::new(LIMITS);
-    let (mut seen, mut input, mut rest) = (Vec::new(), Vec::new(), bytes);
-    let mut cuts = cuts.iter().cycle();
+    let mut requests = Vec::new();
+    let mut input = Vec::new();
+    let mut rest = bytes;
+    let mut read_lengths = read_lengths.iter().cycle();
     while !rest.is_empty() {
-        let n = cuts
+        let n = read_lengths
             .next()
             .map_or(rest.len(), |n| (*n).clamp(1, rest.len()));
         input.extend_from_slice(&rest[..n]);
         rest = &rest[n..];
         loop {
-            match decoder.step(&mut input) {
-                Ok(Step::Whole(m)) => seen.push(format!("{:?} {}", m.value, m.keep_alive)),
-                Ok(Step::More(_)) => break,
-                Err(fault) => return (seen, Some(fault)),
+            match decoder.decode(&mut input) {
+                Ok(Progress::Complete(m)) => {
+                    requests.push(format!("{:?} {}", m.value, m.keep_alive));
+                }
+                Ok(Progress::Incomplete { .. }) => break,
+                Err(error) => {
+                    return Decoded {
+                        requests,
+                        error: Some(error),
+                    };
+                }
             }
         }
-        // What waits for more is never longer than a head, a chunk's line or a trailer, and the piece.
+        // The longest incomplete element is a trailer section, and one read may follow it.
         assert!(
             input.len() <= 8 * 1024 + n,
-            "{} bytes are kept",
+            "{} bytes are buffered",
             input.len()
         );
     }
-    (seen, None)
+    Decoded {
+        requests,
+        error: None,
+    }
 }
 
-fn pieces() -> impl Strategy<Value = Vec<u8>> {
+fn request_fragments() -> impl Strategy<Value = Vec<u8>> {
     let words = prop::sample::select(vec![
         "GET ",
         "POST ",
@@ -69,19 +88,16 @@
 }
 
 proptest! {
-    /// A front and what stands before it must see the same requests, however the network cuts them.
+    /// Every decoder of one stream must find the same requests, whatever reads the network leads to.
     #[test]
-    fn the_cuts_change_nothing(bytes in pieces(), cuts in prop::collection::vec(1usize..50, 1..8)) {
-        let (whole, cut) = (decode(&bytes, &[bytes.len()]), decode(&bytes, &cuts));
-        // A fault may show sooner in one than in the other only where the stream ends before it must.
-        prop_assert_eq!(&whole.0, &cut.0);
-        prop_assert_eq!(whole.1, cut.1);
+    fn result_is_independent_of_read_boundaries(bytes in request_fragments(), read_lengths in prop::collection::vec(1usize..50, 1..8)) {
+        prop_assert_eq!(decode(&bytes, &[bytes.len()]), decode(&bytes, &read_lengths));
     }
 
     #[test]
-    fn any_response_is_decoded_or_refused(bytes in pieces()) {
+    fn arbitrary_responses_do_not_panic(bytes in request_fragments()) {
         let mut input = [b"HTTP/1.1 200 OK\r\n".to_vec(), bytes].concat();
         let mut decoder = ResponseDecoder::new(LIMITS);
-        while let Ok(Step::Whole(_)) = decoder.step(&mut input) {}
+        while let Ok(Progress::Complete(_)) = decoder.decode(&mut input) {}
     }
 }
--- /dev/null
+++ b/crates/http1-codec/tests/rfc9112/accepted_requests.rs
@@ -0,0 +1,207 @@
+//! Requests that RFC 9112 allows.
+
+use crate::support::{decode_at_once, decode_bytewise, expand};
+use http::Method;
+
+struct AcceptedRequest {
+    /// Section of RFC 9112, and the property.
+    section: &'static str,
+    template: &'static str,
+    path: &'static str,
+    body: &'static str,
+    keep_alive: bool,
+}
+
+const fn accepted(
+    section: &'static str,
+    template: &'static str,
+    path: &'static str,
+    body: &'static str,
+    keep_alive: bool,
+) -> AcceptedRequest {
+    AcceptedRequest {
+        section,
+        template,
+        path,
+        body,
+        keep_alive,
+    }
+}
+
+const CASES: &[AcceptedRequest] = &[
+    accepted(
+        "2.2 empty lines before",
+        "~~GET /a HTTP/1.1~Host: a~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "2.2 lines that end in LF",
+        "GET /a HTTP/1.1\nHost: a\n\n",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "2.3 a later minor version",
+        "GET /a HTTP/1.2~Host: a~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "3.1 a method of one's own",
+        "BREW /a HTTP/1.1~Host: a~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "3.2 an empty Host",
+        "GET /a HTTP/1.1~Host:~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "3.2 Host with a port",
+        "GET /a HTTP/1.1~hOST: a.b:80~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "3.2 Host with an address",
+        "GET /a HTTP/1.1~Host: [::1]:80~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "3.2.1 a query",
+        "GET /a?b=c HTTP/1.1~Host: a~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "3.2.2 a whole URI",
+        "GET http://b/a HTTP/1.1~Host: a~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "3.2.4 the server as a whole",
+        "OPTIONS * HTTP/1.1~Host: a~~",
+        "*",
+        "",
+        true,
+    ),
+    accepted(
+        "5.1 blanks round a value",
+        "POST /a HTTP/1.1~Host:\ta \t~Content-Length:  1 ~~x",
+        "/a",
+        "x",
+        true,
+    ),
+    accepted(
+        "5.5 bytes beyond ASCII",
+        "GET /a HTTP/1.1~Host: a~A: \u{e9}~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "6.1 chunked in any letters",
+        "POST /a HTTP/1.1~Host: a~Transfer-Encoding: CHUNKED~~1~x~0~~",
+        "/a",
+        "x",
+        true,
+    ),
+    accepted("6.3 no body", "GET /a HTTP/1.1~Host: a~~", "/a", "", true),
+    accepted(
+        "6.3 a body where none is usual",
+        "GET /a HTTP/1.1~Host: a~Content-Length: 1~~x",
+        "/a",
+        "x",
+        true,
+    ),
+    accepted(
+        "7.1 chunks",
+        "POST /a HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1~x~00A~0123456789~000~~",
+        "/a",
+        "x0123456789",
+        true,
+    ),
+    accepted(
+        "7.1.1 extensions",
+        "POST /a HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1;a=\"b\"~x~0 ;c~~",
+        "/a",
+        "x",
+        true,
+    ),
+    accepted(
+        "7.1.2 trailers",
+        "POST /a HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0~A: b~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted("9.3 an old request", "GET /a HTTP/1.0~~", "/a", "", false),
+    accepted(
+        "9.3 an old request that stays",
+        "GET /a HTTP/1.0~Connection: Keep-Alive~~",
+        "/a",
+        "",
+        true,
+    ),
+    accepted(
+        "9.3 close among others",
+        "GET /a HTTP/1.1~Host: a~Connection: x, Close~~",
+        "/a",
+        "",
+        false,
+    ),
+    accepted(
+        "9.3 close over two lines",
+        "GET /a HTTP/1.1~Host: a~Connection: x~Connection: close~~",
+        "/a",
+        "",
+        false,
+    ),
+    accepted(
+        "9.3 close goes before keep-alive",
+        "GET /a HTTP/1.1~Host: a~Connection: close, keep-alive~~",
+        "/a",
+        "",
+        false,
+    ),
+];
+
+#[test]
+fn allowed_request_is_accepted_up_to_its_end() {
+    for case in CASES {
+        let section = case.section;
+        let text = expand(case.template);
+        let at_once = decode_at_once(&format!("{text}GET")).unwrap();
+        let bytewise = decode_bytewise(&text).unwrap();
+        for message in [at_once.request, bytewise] {
+            let message = message.unwrap_or_else(|| panic!("{section}: it is not complete"));
+            assert_eq!(message.value.uri().path(), case.path, "{section}");
+            assert_eq!(message.value.body(), case.body.as_bytes(), "{section}");
+            assert_eq!(message.keep_alive, case.keep_alive, "{section}");
+        }
+        assert_eq!(
+            at_once.rest, b"GET",
+            "{section}: the rest belongs to the next request"
+        );
+    }
+}
+
+#[test]
+fn methods_are_case_sensitive_tokens() {
+    let decoded = decode_at_once("get / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
+    assert_ne!(decoded.request.unwrap().value.method(), Method::GET);
+}
--- /dev/null
+++ b/crates/http1-codec/tests/rfc9112/responses.rs
@@ -0,0 +1,97 @@
+//! Encoding and decoding of responses.
+
+use http::Version;
+use http1_codec::{
+    Limits, ParseError, Progress, ResponseDecoder, ResponseOptions, encode_response,
+};
+
+#[test]
+fn response_framing_depends_on_request() {
+    let mut response = http::Response::new(b"xy".to_vec());
+    response
+        .headers_mut()
+        .insert("retry-after", "1".parse().unwrap());
+    let options = ResponseOptions {
+        version: Version::HTTP_11,
+        head_only: false,
+        keep_alive: true,
+    };
+    let text =
+        |response: &_, options| String::from_utf8(encode_response(response, options)).unwrap();
+    assert_eq!(
+        text(&response, options),
+        "HTTP/1.1 200 OK\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\nxy"
+    );
+    let last = text(
+        &response,
+        ResponseOptions {
+            keep_alive: false,
+            head_only: true,
+            ..options
+        },
+    );
+    assert!(
+        last.ends_with("Content-Length: 2\r\nConnection: close\r\n\r\n"),
+        "{last}"
+    );
+    let old = text(
+        &response,
+        ResponseOptions {
+            version: Version::HTTP_10,
+            ..options
+        },
+    );
+    assert!(old.contains("\r\nConnection: keep-alive\r\n"), "{old}");
+    *response.status_mut() = http::StatusCode::NO_CONTENT;
+    assert!(!text(&response, options).contains("Content-Length"));
+}
+
+#[test]
+fn interim_responses_are_skipped() {
+    let limits = Limits {
+        head_bytes: 1024,
+        body_bytes: 256,
+    };
+    let mut input = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200 OK\r\nConnection: close\r\n\
+        Transfer-Encoding: chunked\r\n\r\n2\r\nxy\r\n0\r\n\r\n"
+        .to_vec();
+    let mut decoder = ResponseDecoder::new(limits);
+    let mut seen = Vec::new();
+    while let Ok(Progress::Complete(m)) = decoder.decode(&mut input) {
+        seen.push((m.value.status().as_u16(), m.value.into_body(), m.keep_alive));
+    }
+    assert_eq!(seen, [(204, vec![], true), (200, b"xy".to_vec(), false)]);
+}
+
+/// RFC 9112, section 6.3: only a response without a declared length may end so.
+#[test]
+fn response_without_length_ends_with_connection() {
+    let limits = Limits {
+        head_bytes: 1024,
+        body_bytes: 3,
+    };
+    for (text, body) in [
+        ("HTTP/1.1 200 OK~~xy", Some("xy")),
+        ("HTTP/1.1 200 OK~~", Some("")),
+        ("HTTP/1.1 200 OK~Content-Length: 3~~xy", None),
+        ("HTTP/1.1 200 OK~Transfer-Encoding: chunked~~2~xy~", None),
+        ("HTTP/1.1 200 OK~", None),
+        ("", None),
+    ] {
+        let mut decoder = ResponseDecoder::new(limits);
+        let mut input = text.replace('~', "\r\n").into_bytes();
+        assert!(
+            matches!(decoder.decode(&mut input), Ok(Progress::Incomplete { .. })),
+            "{text}"
+        );
+        let ended = decoder.finish();
+        assert!(ended.as_ref().is_none_or(|m| !m.keep_alive));
+        let ended = ended.map(|m| m.value.into_body());
+        assert_eq!(ended.as_deref(), body.map(str::as_bytes), "{text}");
+    }
+    let mut endless = b"HTTP/1.1 200 OK\r\n\r\nwxyz".to_vec();
+    assert_eq!(
+        ResponseDecoder::new(limits).decode(&mut endless).err(),
+        Some(ParseError::BodyTooLong)
+    );
+}
--- /dev/null
+++ b/crates/http2-flood-guard/src/violation.rs
@@ -0,0 +1,24 @@
+//! Reasons to close a connection.
+
+use crate::frame_scanner::FrameKind;
+use thiserror::Error;
+
+/// Why a connection has to be closed.
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+pub enum Violation {
+    /// The connection starts with an HTTP/1 request.
+    #[error("it speaks HTTP/1")]
+    Http1Request,
+    /// The connection starts neither with the preface (RFC 9113, section 3.4) nor with an HTTP/1 request.
+    #[error("it does not begin with the preface")]
+    InvalidPreface,
+    /// The first frame after the preface is not SETTINGS (RFC 9113, section 3.4).
+    #[error("its first frame is not SETTINGS")]
+    MissingSettings,
+    /// More frames of this kind arrived than the connection has tokens for.
+    #[error("a flood of {0}")]
+    Flood(FrameKind),
+    /// A header block is longer than [`FloodLimits::max_header_block_bytes`](crate::FloodLimits).
+    #[error("a header block without end")]
+    HeaderBlockTooLong,
+}
--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -3,14 +3,14 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use http::{Request, Response};
-use http1_codec::{Limits, ResponseDecoder, Step};
+use http1_codec::{Limits, Progress, ResponseDecoder};
 use std::fmt::Write;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
 const LIMITS: Limits = Limits {
-    head: 16 * 1024,
-    body: 1 << 20,
+    head_bytes: 16 * 1024,
+    body_bytes: 1 << 20,
 };
 
 /// A connection.
@@ -61,11 +61,11 @@
         loop {
             match self
                 .decoder
-                .step(&mut self.input)
+                .decode(&mut self.input)
                 .map_err(io::Error::other)?
             {
-                Step::Whole(message) => return Ok(message.value),
-                Step::More(_) => match self.stream.read(&mut self.chunk).await? {
+                Progress::Complete(message) => return Ok(message.value),
+                Progress::Incomplete { .. } => match self.stream.read(&mut self.chunk).await? {
                     0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                     n => self.input.extend_from_slice(&self.chunk[..n]),
                 },
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -4,7 +4,7 @@
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use http::{Request, Response, Version};
-use http1_codec::{Limits, Reader, RequestDecoder, Step, encode_response};
+use http1_codec::{Limits, Progress, RequestDecoder, ResponseOptions, encode_response};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,8 +14,8 @@
 use std::time::{Duration, Instant};
 
 const LIMITS: Limits = Limits {
-    head: 16 * 1024,
-    body: 64 * 1024,
+    head_bytes: 16 * 1024,
+    body_bytes: 64 * 1024,
 };
 /// The longest watch that is granted.
 const LONGEST_WAIT: u64 = 60_000;
@@ -90,16 +90,16 @@
         let (mut input, mut chunk) = (Vec::new(), vec![0; 4096]);
         loop {
             let message = loop {
-                match decoder.step(&mut input).map_err(io::Error::other)? {
-                    Step::Whole(message) => break message,
-                    Step::More(_) => match stream.read(&mut chunk).await? {
+                match decoder.decode(&mut input).map_err(io::Error::other)? {
+                    Progress::Complete(message) => break message,
+                    Progress::Incomplete { .. } => match stream.read(&mut chunk).await? {
                         0 => return Ok(()),
                         n => input.extend_from_slice(&chunk[..n]),
                     },
                 }
             };
             let response = self.answer(&message.value).await;
-            let reader = Reader {
+            let reader = ResponseOptions {
                 version: Version::HTTP_11,
                 head_only: false,
                 keep_alive: message.keep_alive,
