--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,14 +1,14 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
 use crate::upstream::{Ended, Send};
-use admission::{Connection, Shares};
+use admission::{ConnectionId, ConnectionQuota};
 use async_channel::Sender;
-use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest};
+use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest, ShardValue};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{RetrySafety, Settings};
-use idempotency::{Proof, Repeats, Verdict};
-use policy_engine::{Dispatch, Query};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission};
+use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use tracing::{Span, debug, debug_span, info};
@@ -20,7 +20,7 @@
 
 /// A query in hand. Dropping it drops the way to its client, so it is dropped with its one reply.
 struct Pending {
-    connection: Connection,
+    connection: ConnectionId,
     ask: QueryRequest,
     reply: Sender<FinalResponse>,
     /// The value of each part that is in.
@@ -80,8 +80,8 @@
     pending: BTreeMap<QueryId, Pending>,
     /// The requests' ids: parts go by them on the wire.
     ids: BTreeSet<Rc<str>>,
-    shares: Shares,
-    repeats: Repeats,
+    quota: ConnectionQuota,
+    register: IdempotencyRegister,
     /// Attempts that are out under a key.
     keyed: BTreeMap<AttemptId, (Rc<str>, usize)>,
     max_retry_after: Option<Micros>,
@@ -105,8 +105,12 @@
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
-            shares: Shares::new(room),
-            repeats: Repeats::new(window.min().unwrap_or(NO_WINDOW), keep.unwrap_or(0), KEYS),
+            quota: ConnectionQuota::new(room),
+            register: IdempotencyRegister::new(
+                window.min().unwrap_or(NO_WINDOW),
+                keep.unwrap_or(0),
+                KEYS,
+            ),
             keyed: BTreeMap::new(),
             max_retry_after: settings.max_retry_after.map(millis),
         }
@@ -127,10 +131,10 @@
         &mut self,
         now: Micros,
         id: QueryId,
-        connection: Connection,
+        connection: ConnectionId,
         ask: QueryRequest,
         reply: Sender<FinalResponse>,
-    ) -> Option<Query> {
+    ) -> Option<QuerySpec> {
         let answered = |reply_with| {
             let _ = reply.try_send(reply_with);
             None
@@ -138,43 +142,46 @@
         // Parts go by the request's id on the wire: those of two requests could not be told apart.
         if self.ids.contains(&ask.id) {
             let why = "X-Request-Id is that of a request in hand".to_owned();
-            return answered(FinalResponse::Invalid { status: 400, why });
+            return answered(FinalResponse::Invalid {
+                status: 400,
+                reason: why,
+            });
         }
         let units = 1 + ask.parts.len();
-        if !self.shares.take(connection, units) {
-            info!(name: "share_full", connection, held = self.shares.held());
+        if !self.quota.try_acquire(connection, units) {
+            info!(name: "share_full", connection = connection.0, held = self.quota.in_use());
             return answered(FinalResponse::Rejected {
                 retry_after: self.max_retry_after,
             });
         }
         let give_up_at = now + ask.client_timeout;
-        if let Some(key) = &ask.key {
+        if let Some(key) = &ask.idempotency_key {
             let shards = ask.parts.iter().map(|p| p.shard);
-            let verdict = self.repeats.open(now, key, shards, give_up_at);
-            if verdict != Verdict::Serve {
-                self.shares.give_back(connection, units);
-                info!(name: "key_repeated", connection, id = %ask.id, verdict = ?verdict);
+            let verdict = self.register.admit(now, key, shards, give_up_at);
+            if verdict != KeyAdmission::Admitted {
+                self.quota.release(connection, units);
+                info!(name: "key_repeated", connection = connection.0, id = %ask.id, verdict = ?verdict);
             }
             match verdict {
-                Verdict::Serve => {}
-                Verdict::Busy(until) => {
+                KeyAdmission::Admitted => {}
+                KeyAdmission::RetryAt(until) => {
                     let wait = until.saturating_sub(now);
                     return answered(FinalResponse::Rejected {
                         retry_after: self.max_retry_after.map(|most| most.min(wait)),
                     });
                 }
-                Verdict::Over => return answered(FinalResponse::Failed),
+                KeyAdmission::WindowExpired => return answered(FinalResponse::Failed),
             }
         }
-        let query = Query {
+        let query = QuerySpec {
             id,
             class: ask.class,
             tenant: ask.tenant,
-            give_up_at,
+            deadline: give_up_at,
             is_retry: ask.is_retry,
             parts: ask.parts.clone(),
         };
-        let span = debug_span!("query", query = id, connection, id = %ask.id);
+        let span = debug_span!("query", query = id.0, connection = connection.0, id = %ask.id);
         span.in_scope(|| debug!(name: "query_taken", class = ask.class, parts = ask.parts.len()));
         self.ids.insert(ask.id.clone());
         let values = vec![None; ask.parts.len()];
@@ -196,7 +203,9 @@
     /// The client has gone. Nothing may be left to free where the reply was on its way already.
     pub(crate) fn gone(&mut self, now: Micros, query: QueryId) {
         if let Some(pending) = self.close(now, query, false) {
-            pending.span.in_scope(|| debug!(name: "query_gone", query));
+            pending
+                .span
+                .in_scope(|| debug!(name: "query_gone", query = query.0));
         }
     }
 
@@ -216,7 +225,12 @@
         let reply = reply(
             shards
                 .zip(values)
-                .filter_map(|(shard, v)| Some((shard, v?)))
+                .filter_map(|(shard, value)| {
+                    Some(ShardValue {
+                        shard,
+                        value: value?,
+                    })
+                })
                 .collect(),
         );
         let Some(pending) = self.close(now, query, matches!(reply, FinalResponse::Answered { .. }))
@@ -249,9 +263,9 @@
     fn close(&mut self, now: Micros, query: QueryId, answered: bool) -> Option<Pending> {
         let pending = self.pending.remove(&query)?;
         self.ids.remove(&pending.ask.id);
-        self.shares.give_back(pending.connection, pending.units());
-        if let Some(key) = &pending.ask.key {
-            self.repeats.close(now, key, answered);
+        self.quota.release(pending.connection, pending.units());
+        if let Some(key) = &pending.ask.idempotency_key {
+            self.register.on_query_ended(now, key, answered);
         }
         Some(pending)
     }
@@ -259,14 +273,15 @@
     /// A dispatch with all that its frame needs.
     pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<Send, Held> {
         let pending = self.pending.get_mut(&d.attempt.query).ok_or(Held::Over)?;
-        let part = pending.ask.parts.get(d.attempt.part).ok_or(Held::Over)?;
+        let part = pending.ask.parts.get(d.attempt.part.0).ok_or(Held::Over)?;
         let mut expires = None;
-        if let Some(key) = &pending.ask.key {
-            if !self.repeats.may_send(now, key, part.shard) {
+        if let Some(key) = &pending.ask.idempotency_key {
+            if !self.register.may_send(now, key, part.shard) {
                 return Err(Held::Repeat);
             }
-            expires = self.repeats.over_at(key, part.shard);
-            self.repeats.sent(now, key, part.shard, d.until);
+            expires = self.register.window_ends_at(key, part.shard);
+            self.register
+                .on_attempt_sent(now, key, part.shard, d.deadline);
             self.keyed.insert(d.attempt, (key.clone(), part.shard));
         }
         pending.span.in_scope(
@@ -282,12 +297,12 @@
         Ok(Send {
             attempt: d.attempt,
             server: d.server,
-            until: d.until,
+            until: d.deadline,
             expires,
             wire: format!("{}.{}", pending.ask.id, part.shard),
             shard: part.shard,
-            key: pending.ask.key.clone(),
-            text: pending.ask.text.clone(),
+            key: pending.ask.idempotency_key.clone(),
+            text: pending.ask.payload.clone(),
         })
     }
 
@@ -295,17 +310,21 @@
     pub(crate) fn ended(&mut self, now: Micros, ended: &mut Ended) {
         if let Some((key, shard)) = self.keyed.remove(&ended.attempt) {
             let proof = match ended.outcome {
-                Outcome::Served | Outcome::Error => Proof::Ran,
-                Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent => Proof::NeverRan,
-                Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => Proof::MayRun,
+                Outcome::Served | Outcome::Error => ExecutionEvidence::Executed,
+                Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent => {
+                    ExecutionEvidence::NotExecuted
+                }
+                Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
+                    ExecutionEvidence::PossiblyExecuted
+                }
             };
-            self.repeats.ended(now, &key, shard, proof);
+            self.register.on_attempt_ended(now, &key, shard, proof);
         }
         let Some(pending) = self.pending.get_mut(&ended.attempt.query) else {
             return;
         };
         pending.span.in_scope(
-            || debug!(name: "part_ended", part = ended.attempt.part, outcome = ?ended.outcome),
+            || debug!(name: "part_ended", part = ended.attempt.part.0, outcome = ?ended.outcome),
         );
         if let Some(told) = pending
             .story
@@ -314,7 +333,7 @@
         {
             told.ended = Some((ended.outcome, now));
         }
-        if let Some(value) = pending.values.get_mut(ended.attempt.part)
+        if let Some(value) = pending.values.get_mut(ended.attempt.part.0)
             && ended.outcome == Outcome::Served
         {
             *value = ended.value.take();
@@ -323,4 +342,4 @@
 }
 
 /// Shard and value of each part that is in.
-pub(crate) type Values = Vec<(usize, String)>;
+pub(crate) type Values = Vec<ShardValue>;
