--- a/crates/load-generator/src/direct.rs
+++ b/crates/load-generator/src/direct.rs
@@ -1,6 +1,6 @@
 //! A connection to a data server, as a broker has it.
 
-use crate::ask::{Answer, Ask, TEXT};
+use crate::query::{LoadQuery, QUERY_TEXT, QueryOutcome, ShardValue};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use server_protocol::{FromServer, PartLine, call, decode};
@@ -24,20 +24,20 @@
     }
 
     /// Sends all parts in one call and waits for their answers.
-    pub(crate) async fn ask(&mut self, ask: &Ask) -> io::Result<Answer> {
+    pub(crate) async fn ask(&mut self, ask: &LoadQuery) -> io::Result<QueryOutcome> {
         let ids: Vec<String> = ask
             .shards
             .iter()
             .map(|s| format!("{}.{s}", ask.id))
             .collect();
-        let wait_ms = ask.patience.as_millis() as u64;
+        let wait_ms = ask.client_timeout.as_millis() as u64;
         let parts = ids.iter().zip(&ask.shards);
         let bytes = call(parts.map(|(id, shard)| PartLine {
             id,
             shard: *shard,
             wait_ms,
             key: None,
-            text: TEXT,
+            text: QUERY_TEXT,
         }));
         self.stream.write_all(&bytes).await?;
         let (mut values, mut chunk) = (Vec::new(), [0; 4096]);
@@ -45,7 +45,10 @@
             match decode(&self.input).map_err(|bad| io::Error::other(bad.0))? {
                 Some((FromServer::Answer { value, .. }, length)) => {
                     self.input.drain(..length);
-                    values.push((values.len(), value));
+                    values.push(ShardValue {
+                        shard: values.len(),
+                        value,
+                    });
                 }
                 Some((FromServer::Rejected(words), _)) => return Err(io::Error::other(words)),
                 None => match self.stream.read(&mut chunk).await? {
@@ -54,6 +57,9 @@
                 },
             }
         }
-        Ok(Answer::Served(true, values))
+        Ok(QueryOutcome::Answered {
+            complete: true,
+            values,
+        })
     }
 }
--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -14,19 +14,19 @@
 };
 
 /// A connection.
-pub struct Http1 {
+pub struct Http1Client {
     stream: Async<TcpStream>,
     decoder: ResponseDecoder,
     input: Vec<u8>,
     chunk: Vec<u8>,
 }
 
-impl Http1 {
+impl Http1Client {
     /// Connects.
     pub async fn connect(to: SocketAddr) -> io::Result<Self> {
         let stream = Async::<TcpStream>::connect(to).await?;
         stream.get_ref().set_nodelay(true)?;
-        Ok(Http1 {
+        Ok(Http1Client {
             stream,
             decoder: ResponseDecoder::new(LIMITS),
             input: Vec::new(),
@@ -42,7 +42,7 @@
     ) -> io::Result<Response<Vec<u8>>> {
         match self.send(request).await {
             Err(_) if self.input.is_empty() => {
-                *self = Http1::connect(self.stream.get_ref().peer_addr()?).await?;
+                *self = Http1Client::connect(self.stream.get_ref().peer_addr()?).await?;
                 self.send(request).await
             }
             answer => answer,
--- a/crates/load-generator/src/http2.rs
+++ b/crates/load-generator/src/http2.rs
@@ -1,6 +1,6 @@
 //! An HTTP/2 connection of a client, by prior knowledge: many requests at once.
 
-use crate::ask::{Answer, Ask};
+use crate::query::{LoadQuery, QueryOutcome};
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
 use bytes::Bytes;
@@ -13,18 +13,18 @@
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
 /// A connection; dropped, it ends.
-pub struct Http2 {
+pub struct Http2Client {
     sender: SendRequest<Bytes>,
     _driver: Task<()>,
 }
 
 /// A request on its way.
-pub struct Stream {
+pub struct Http2Stream {
     response: ResponseFuture,
     body: SendStream<Bytes>,
 }
 
-impl Http2 {
+impl Http2Client {
     /// Connects, with windows of the usual size.
     pub async fn connect(to: SocketAddr, executor: &LocalExecutor<'static>) -> io::Result<Self> {
         Self::connect_with(to, executor, &Builder::new()).await
@@ -43,14 +43,14 @@
             .await
             .map_err(io::Error::other)?;
         let driver = executor.spawn(async move { _ = connection.await });
-        Ok(Http2 {
+        Ok(Http2Client {
             sender,
             _driver: driver,
         })
     }
 
     /// Opens a stream with a whole request, once the other side allows one more.
-    pub async fn open(&self, request: &Request<Vec<u8>>) -> Result<Stream, h2::Error> {
+    pub async fn open(&self, request: &Request<Vec<u8>>) -> Result<Http2Stream, h2::Error> {
         let mut sender = self.sender.clone().ready().await?;
         let (head, body) = request.clone().into_parts();
         let (response, mut stream) =
@@ -58,18 +58,18 @@
         if !body.is_empty() {
             stream.send_data(Bytes::from(body), true)?;
         }
-        Ok(Stream {
+        Ok(Http2Stream {
             response,
             body: stream,
         })
     }
 
     /// Opens a stream with the head of a request; its body never comes.
-    pub async fn open_half(&self, request: &Request<Vec<u8>>) -> Result<Stream, h2::Error> {
+    pub async fn open_half(&self, request: &Request<Vec<u8>>) -> Result<Http2Stream, h2::Error> {
         let mut sender = self.sender.clone().ready().await?;
         let (head, _) = request.clone().into_parts();
         let (response, body) = sender.send_request(Request::from_parts(head, ()), false)?;
-        Ok(Stream { response, body })
+        Ok(Http2Stream { response, body })
     }
 
     /// Sends a request and waits for its response.
@@ -78,15 +78,15 @@
     }
 
     /// Asks, and says how that was answered.
-    pub async fn ask(&self, ask: &Ask) -> Answer {
+    pub async fn ask(&self, ask: &LoadQuery) -> QueryOutcome {
         match self.send(&ask.request()).await {
-            Ok(response) => Answer::of(&response),
-            Err(error) => Answer::Reset(error.to_string()),
+            Ok(response) => QueryOutcome::from_response(&response),
+            Err(error) => QueryOutcome::Aborted(error.to_string()),
         }
     }
 }
 
-impl Stream {
+impl Http2Stream {
     /// Waits for the response.
     pub async fn response(self) -> Result<Response<Vec<u8>>, h2::Error> {
         let (head, mut body) = self.response.await?.into_parts();
--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -1,9 +1,9 @@
 //! Load at a rate, whatever comes back.
 
-use crate::ask::{Answer, Ask};
 use crate::direct::Direct;
-use crate::http1::Http1;
-use crate::http2::Http2;
+use crate::http1::Http1Client;
+use crate::http2::Http2Client;
+use crate::query::{LoadQuery, QueryOutcome};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use hdrhistogram::Histogram;
@@ -28,13 +28,13 @@
 
 /// The load.
 #[derive(Clone, Debug)]
-pub struct Load {
+pub struct LoadProfile {
     /// Queries a second; `None`: as fast as so many at once are answered.
     pub rate: Option<f64>,
     /// Most queries at once. One that is due while so many are out waits, and is charged for it.
-    pub at_once: usize,
+    pub max_concurrent: usize,
     /// How long queries come.
-    pub time: Duration,
+    pub duration: Duration,
     /// Time at the beginning that does not count.
     pub warm_up: Duration,
     /// Seed of the arrivals.
@@ -47,7 +47,7 @@
 
 /// What came of it.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct LoadReport {
     /// Latency from when a query was due, in microseconds.
     pub latency: Histogram<u64>,
     /// Queries that were served, in the time that counts.
@@ -55,12 +55,12 @@
     /// Queries that were not.
     pub unserved: u64,
     /// The time that counts.
-    pub time: Duration,
+    pub measured_duration: Duration,
 }
 
 enum Way {
-    Http1(RefCell<Vec<Http1>>, SocketAddr),
-    Http2(Vec<Http2>, Cell<usize>),
+    Http1(RefCell<Vec<Http1Client>>, SocketAddr),
+    Http2(Vec<Http2Client>, Cell<usize>),
     Direct(RefCell<Option<Direct>>),
 }
 
@@ -70,14 +70,14 @@
             Target::Http1(to, n) => {
                 let mut connections = Vec::with_capacity(n);
                 for _ in 0..n {
-                    connections.push(Http1::connect(to).await?);
+                    connections.push(Http1Client::connect(to).await?);
                 }
                 Ok(Way::Http1(RefCell::new(connections), to))
             }
             Target::Http2(to, n) => {
                 let mut connections = Vec::with_capacity(n);
                 for _ in 0..n {
-                    connections.push(Http2::connect(to, executor).await?);
+                    connections.push(Http2Client::connect(to, executor).await?);
                 }
                 Ok(Way::Http2(connections, Cell::new(0)))
             }
@@ -85,13 +85,13 @@
         }
     }
 
-    async fn ask(&self, ask: &Ask) -> Answer {
+    async fn ask(&self, ask: &LoadQuery) -> QueryOutcome {
         match self {
             Way::Http1(idle, to) => {
                 let idle_one = idle.borrow_mut().pop();
                 let connection = match idle_one {
                     Some(connection) => Ok(connection),
-                    None => Http1::connect(*to).await,
+                    None => Http1Client::connect(*to).await,
                 };
                 let answer = async {
                     let mut connection = connection?;
@@ -101,9 +101,9 @@
                 match answer.await {
                     Ok((connection, response)) => {
                         idle.borrow_mut().push(connection);
-                        Answer::of(&response)
+                        QueryOutcome::from_response(&response)
                     }
-                    Err(error) => Answer::Reset(error.to_string()),
+                    Err(error) => QueryOutcome::Aborted(error.to_string()),
                 }
             }
             Way::Http2(connections, next) => {
@@ -112,42 +112,42 @@
             }
             Way::Direct(idle) => {
                 let Some(mut direct) = idle.take() else {
-                    return Answer::Reset("one at a time".to_owned());
+                    return QueryOutcome::Aborted("one at a time".to_owned());
                 };
                 let answer = direct.ask(ask).await;
                 idle.replace(Some(direct));
-                answer.unwrap_or_else(|e| Answer::Reset(e.to_string()))
+                answer.unwrap_or_else(|e| QueryOutcome::Aborted(e.to_string()))
             }
         }
     }
 }
 
 /// Runs a load to its end, on this thread.
-pub fn open_loop(target: Target, load: &Load) -> io::Result<Outcome> {
+pub fn open_loop(target: Target, load: &LoadProfile) -> io::Result<LoadReport> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(target, load, executor.clone())))
 }
 
 async fn run(
     target: Target,
-    load: &Load,
+    load: &LoadProfile,
     executor: Rc<LocalExecutor<'static>>,
-) -> io::Result<Outcome> {
+) -> io::Result<LoadReport> {
     let way = Rc::new(Way::open(target, &executor).await?);
     let mut random = Pcg64Mcg::seed_from_u64(load.seed);
     let latency = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-    let outcome = Rc::new(RefCell::new(Outcome {
+    let outcome = Rc::new(RefCell::new(LoadReport {
         latency,
         served: 0,
         unserved: 0,
-        time: load.time - load.warm_up,
+        measured_duration: load.duration - load.warm_up,
     }));
-    let (permits, permit) = async_channel::bounded(load.at_once);
-    for _ in 0..load.at_once {
+    let (permits, permit) = async_channel::bounded(load.max_concurrent);
+    for _ in 0..load.max_concurrent {
         let _ = permits.try_send(());
     }
     let begun = Instant::now();
-    let (counts, end) = (begun + load.warm_up, begun + load.time);
+    let (counts, end) = (begun + load.warm_up, begun + load.duration);
     let prefix: u32 = random.next_u32();
     let mut due = begun;
     for n in 0u64.. {
@@ -170,14 +170,14 @@
         if load.rate.is_none() {
             due = Instant::now();
         }
-        let ask = Ask::new(format!("{prefix:08x}{n:08x}"), &load.class, &load.shards);
+        let ask = LoadQuery::new(format!("{prefix:08x}{n:08x}"), &load.class, &load.shards);
         let (way, outcome, permits, due) = (way.clone(), outcome.clone(), permits.clone(), due);
         executor
             .spawn(async move {
                 let answer = way.ask(&ask).await;
                 if due >= counts && Instant::now() <= end + Duration::from_secs(5) {
                     let mut outcome = outcome.borrow_mut();
-                    if matches!(answer, Answer::Served(..)) {
+                    if matches!(answer, QueryOutcome::Answered { .. }) {
                         outcome.served += 1;
                         outcome
                             .latency
@@ -190,7 +190,7 @@
             })
             .detach();
     }
-    for _ in 0..load.at_once {
+    for _ in 0..load.max_concurrent {
         let late = async {
             Timer::after(Duration::from_secs(5)).await;
             Err(async_channel::RecvError)
@@ -202,11 +202,11 @@
             break;
         }
     }
-    let done = outcome.replace(Outcome {
+    let done = outcome.replace(LoadReport {
         latency: Histogram::new(3).map_err(io::Error::other)?,
         served: 0,
         unserved: 0,
-        time: Duration::ZERO,
+        measured_duration: Duration::ZERO,
     });
     Ok(done)
 }
--- a/crates/load-generator/src/raw.rs
+++ b/crates/load-generator/src/raw_http2.rs
@@ -33,32 +33,32 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
     /// Its kind.
-    pub kind: u8,
+    pub frame_type: u8,
     /// Its flags.
     pub flags: u8,
     /// Its stream.
-    pub stream: u32,
+    pub stream_id: u32,
     /// What it carries.
-    pub rest: Vec<u8>,
+    pub payload: Vec<u8>,
 }
 
 impl Frame {
     /// The error code of RST_STREAM or GOAWAY.
     #[must_use]
-    pub fn code(&self) -> u32 {
-        let at = if self.kind == GOAWAY { 4 } else { 0 };
-        u32::from_be_bytes(self.rest[at..at + 4].try_into().unwrap())
+    pub fn error_code(&self) -> u32 {
+        let at = if self.frame_type == GOAWAY { 4 } else { 0 };
+        u32::from_be_bytes(self.payload[at..at + 4].try_into().unwrap())
     }
     /// The last stream that GOAWAY names.
     #[must_use]
-    pub fn last(&self) -> u32 {
-        u32::from_be_bytes(self.rest[..4].try_into().unwrap())
+    pub fn last_stream_id(&self) -> u32 {
+        u32::from_be_bytes(self.payload[..4].try_into().unwrap())
     }
 }
 
 /// A frame.
 #[must_use]
-pub fn frame(kind: u8, flags: u8, stream: u32, rest: &[u8]) -> Vec<u8> {
+pub fn encode_frame(kind: u8, flags: u8, stream: u32, rest: &[u8]) -> Vec<u8> {
     let mut bytes = (rest.len() as u32).to_be_bytes()[1..].to_vec();
     bytes.extend([kind, flags]);
     bytes.extend(stream.to_be_bytes());
@@ -68,7 +68,7 @@
 
 /// Fields as HPACK literals without indexing (RFC 7541, section 6.2.2), none longer than 126 bytes a word.
 #[must_use]
-pub fn fields(pairs: &[(&str, &str)]) -> Vec<u8> {
+pub fn encode_fields(pairs: &[(&str, &str)]) -> Vec<u8> {
     let mut block = Vec::new();
     for (name, value) in pairs {
         block.push(0);
@@ -103,38 +103,38 @@
             .iter()
             .filter(|(n, v)| !v.is_empty() && !usual.iter().any(|(u, _)| u == n)),
     );
-    fields(&pairs)
+    encode_fields(&pairs)
 }
 
 /// The body of a query for shard 0.
-pub const BODY: &[u8] = br#"{"ranges":[{"range":0,"portion":1}],"predicate":"c41e77d0"}"#;
+pub const QUERY_BODY: &[u8] = br#"{"ranges":[{"range":0,"portion":1}],"predicate":"c41e77d0"}"#;
 
 /// A query on a stream, whole.
 #[must_use]
-pub fn query(stream: u32, id: &str) -> Vec<u8> {
+pub fn query_frames(stream: u32, id: &str) -> Vec<u8> {
     [
-        frame(HEADERS, END_HEADERS, stream, &query_fields(id, &[])),
-        frame(DATA, END_STREAM, stream, BODY),
+        encode_frame(HEADERS, END_HEADERS, stream, &query_fields(id, &[])),
+        encode_frame(DATA, END_STREAM, stream, QUERY_BODY),
     ]
     .concat()
 }
 
 /// A connection whose frames are written by hand.
-pub struct Raw {
+pub struct RawHttp2Client {
     stream: TcpStream,
     input: Vec<u8>,
 }
 
-impl Raw {
+impl RawHttp2Client {
     /// Connects and says nothing.
     #[must_use]
-    pub fn connect(to: SocketAddr) -> Raw {
+    pub fn connect(to: SocketAddr) -> RawHttp2Client {
         let stream = TcpStream::connect(to).unwrap();
         stream.set_nodelay(true).unwrap();
         stream
             .set_write_timeout(Some(Duration::from_secs(20)))
             .unwrap();
-        Raw {
+        RawHttp2Client {
             stream,
             input: Vec::new(),
         }
@@ -142,9 +142,9 @@
 
     /// With the preface and settings that keep the other side from indexing fields (SETTINGS_HEADER_TABLE_SIZE is 1).
     #[must_use]
-    pub fn settled(to: SocketAddr) -> Raw {
-        let mut raw = Raw::connect(to);
-        raw.send(&[PREFACE, &frame(SETTINGS, 0, 0, &[0, 1, 0, 0, 0, 0])].concat());
+    pub fn connect_with_preface(to: SocketAddr) -> RawHttp2Client {
+        let mut raw = RawHttp2Client::connect(to);
+        raw.send(&[PREFACE, &encode_frame(SETTINGS, 0, 0, &[0, 1, 0, 0, 0, 0])].concat());
         raw
     }
 
@@ -159,7 +159,7 @@
     }
 
     /// The next frame, within the time; `None`: the connection has ended, or none came.
-    pub fn next(&mut self, within: Duration) -> Option<Frame> {
+    pub fn next_frame(&mut self, within: Duration) -> Option<Frame> {
         let until = Instant::now() + within;
         loop {
             if self.input.len() >= 9 {
@@ -167,12 +167,12 @@
                     u32::from_be_bytes([0, self.input[0], self.input[1], self.input[2]]) as usize;
                 if self.input.len() >= 9 + length {
                     let bytes: Vec<u8> = self.input.drain(..9 + length).collect();
-                    let stream = u32::from_be_bytes(bytes[5..9].try_into().unwrap());
+                    let stream_id = u32::from_be_bytes(bytes[5..9].try_into().unwrap());
                     return Some(Frame {
-                        kind: bytes[3],
+                        frame_type: bytes[3],
                         flags: bytes[4],
-                        stream,
-                        rest: bytes[9..].to_vec(),
+                        stream_id,
+                        payload: bytes[9..].to_vec(),
                     });
                 }
             }
@@ -201,12 +201,12 @@
 
     /// The next frame of this kind, others passed over.
     /// Waits for a frame of this kind; others are passed over.
-    pub fn expect(&mut self, kind: u8) -> Frame {
+    pub fn expect_frame(&mut self, kind: u8) -> Frame {
         let mut others: Vec<Frame> = Vec::new();
         loop {
-            let next = self.next(Duration::from_secs(30));
+            let next = self.next_frame(Duration::from_secs(30));
             let frame = next.unwrap_or_else(|| panic!("no frame of kind {kind}, but {others:?}"));
-            if frame.kind == kind {
+            if frame.frame_type == kind {
                 return frame;
             }
             others.push(frame);
@@ -214,10 +214,10 @@
     }
 
     /// All frames until the connection ends, and how long that took. Panics if it does not end in time.
-    pub fn until_end(&mut self, within: Duration) -> (Vec<Frame>, Duration) {
+    pub fn frames_until_close(&mut self, within: Duration) -> (Vec<Frame>, Duration) {
         let begun = Instant::now();
         let mut frames = Vec::new();
-        while let Some(frame) = self.next(within.saturating_sub(begun.elapsed())) {
+        while let Some(frame) = self.next_frame(within.saturating_sub(begun.elapsed())) {
             frames.push(frame);
         }
         assert!(
@@ -228,7 +228,7 @@
     }
 
     /// What is there beside frames, as text, until the end.
-    pub fn text_until_end(&mut self) -> String {
+    pub fn text_until_close(&mut self) -> String {
         let until = Instant::now() + Duration::from_secs(30);
         while self.read(until) {}
         assert!(Instant::now() < until, "the connection stays open");
@@ -238,10 +238,14 @@
 
 /// The status of a response's HEADERS, where it stands in the static table (RFC 7541, appendix A) or as digits.
 #[must_use]
-pub fn status(frame: &Frame) -> u16 {
+pub fn response_status(frame: &Frame) -> u16 {
     // A new size of the dynamic table may stand before (section 6.3).
-    let updates = frame.rest.iter().take_while(|b| **b & 0xe0 == 0x20).count();
-    let rest = &frame.rest[updates..];
+    let updates = frame
+        .payload
+        .iter()
+        .take_while(|b| **b & 0xe0 == 0x20)
+        .count();
+    let rest = &frame.payload[updates..];
     match rest[0] {
         0x88 => 200,
         0x89 => 204,
--- a/crates/query-broker/src/bench/floods.rs
+++ b/crates/query-broker/src/bench/floods.rs
@@ -2,14 +2,16 @@
 
 use super::{Build, http2};
 use hdrhistogram::Histogram;
-use load_generator::raw::{PING, RST_STREAM, Raw, SETTINGS, frame, query};
-use load_generator::{Load, Target, open_loop};
+use load_generator::raw_http2::{
+    PING, RST_STREAM, RawHttp2Client, SETTINGS, encode_frame, query_frames,
+};
+use load_generator::{LoadProfile, Target, open_loop};
 use std::io;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
-use test_fleet::Plan;
+use test_fleet::FleetPlan;
 
 /// Usual clients ask so many queries a second.
 const RATE: f64 = 500.0;
@@ -27,18 +29,18 @@
 type Burst = fn(u32) -> Vec<u8>;
 
 fn pings(_: u32) -> Vec<u8> {
-    frame(PING, 0, 0, &[0; 8])
+    encode_frame(PING, 0, 0, &[0; 8])
 }
 
 fn settings(_: u32) -> Vec<u8> {
-    frame(SETTINGS, 0, 0, &[])
+    encode_frame(SETTINGS, 0, 0, &[])
 }
 
 fn resets(n: u32) -> Vec<u8> {
     let stream = 1 + 2 * n;
     [
-        query(stream, &format!("flood{n}")),
-        frame(RST_STREAM, 0, stream, &8u32.to_be_bytes()),
+        query_frames(stream, &format!("flood{n}")),
+        encode_frame(RST_STREAM, 0, stream, &8u32.to_be_bytes()),
     ]
     .concat()
 }
@@ -59,9 +61,9 @@
     seconds: Duration,
 ) -> io::Result<Row> {
     let (fleet, program) = build.start(
-        Plan {
-            work: Duration::from_millis(2),
-            ..Plan::default()
+        FleetPlan {
+            part_duration: Duration::from_millis(2),
+            ..FleetPlan::default()
         },
         true,
     )?;
@@ -71,10 +73,10 @@
     let attacker = std::thread::spawn(move || {
         burst.map_or((0, Duration::ZERO), |burst| attack(to, burst, &seen))
     });
-    let load = Load {
+    let load = LoadProfile {
         rate: Some(RATE),
-        at_once: 100,
-        time: seconds,
+        max_concurrent: 100,
+        duration: seconds,
         warm_up: seconds.mul_f64(0.2),
         seed: 9,
         class: "lookup".to_owned(),
@@ -100,7 +102,7 @@
 fn attack(to: SocketAddr, burst: Burst, stop: &AtomicBool) -> (u32, Duration) {
     let (mut ended, mut longest) = (0, Duration::ZERO);
     while !stop.load(Ordering::Relaxed) {
-        let mut raw = Raw::settled(to);
+        let mut raw = RawHttp2Client::connect_with_preface(to);
         let (begun, mut n) = (Instant::now(), 0);
         loop {
             let bytes: Vec<u8> = (n..n + 64).flat_map(burst).collect();
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -2,10 +2,10 @@
 
 use super::Build;
 use async_executor::LocalExecutor;
-use load_generator::{Ask, Http1, Http2};
+use load_generator::{Http1Client, Http2Client, LoadQuery};
 use std::io;
 use std::time::Duration;
-use test_fleet::Plan;
+use test_fleet::FleetPlan;
 
 /// Streams of a connection.
 const STREAMS: usize = 100;
@@ -24,23 +24,23 @@
 /// The broker's resident memory before and with so many half-sent requests, in bytes.
 pub(super) fn measure(build: &Build, http2: bool, requests: usize) -> io::Result<(u64, u64)> {
     let (_fleet, program) = build.start(
-        Plan {
-            work: Duration::ZERO,
-            ..Plan::default()
+        FleetPlan {
+            part_duration: Duration::ZERO,
+            ..FleetPlan::default()
         },
         false,
     )?;
     let executor = LocalExecutor::new();
-    let before = program.memory()?;
+    let before = program.resident_memory()?;
     let to = program.http2.filter(|_| http2);
     let clients = async {
         let (mut old, mut new, mut streams) = (Vec::new(), Vec::new(), Vec::new());
         for n in 0..requests {
-            let request = Ask::new(format!("memory{n}"), "lookup", &[n % 8]).request();
+            let request = LoadQuery::new(format!("memory{n}"), "lookup", &[n % 8]).request();
             match to {
                 Some(to) => {
                     if n % STREAMS == 0 {
-                        new.push(Http2::connect(to, &executor).await?);
+                        new.push(Http2Client::connect(to, &executor).await?);
                     }
                     streams.push(
                         new[n / STREAMS]
@@ -50,14 +50,14 @@
                     );
                 }
                 None => {
-                    let mut connection = Http1::connect(program.http1).await?;
+                    let mut connection = Http1Client::connect(program.http1).await?;
                     connection.send_half(&request).await?;
                     old.push(connection);
                 }
             }
         }
         async_io::Timer::after(SETTLE).await;
-        program.memory()
+        program.resident_memory()
     };
     let with = async_io::block_on(executor.run(clients))?;
     Ok((before, with))
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -6,14 +6,14 @@
 use crate::cli::BenchArguments;
 use hdrhistogram::Histogram;
 use indicatif::{ProgressBar, ProgressStyle};
-use load_generator::{Load, Outcome, Target, open_loop};
+use load_generator::{LoadProfile, LoadReport, Target, open_loop};
 use serde_json::{Value, json};
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
-use test_fleet::{Deployment, Fleet, Plan, Program};
+use test_fleet::{BrokerProcess, Deployment, Fleet, FleetPlan};
 
 /// The system counts processor time in hundredths of a second: less than this says little.
 const LEAST_CPU: Duration = Duration::from_millis(200);
@@ -180,8 +180,8 @@
 /// A deployment with room for whatever is measured.
 fn deployment() -> Deployment {
     Deployment {
-        max_open: 20_000,
-        memory_mb: 1024,
+        max_in_flight: 20_000,
+        memory_limit_mb: 1024,
         ..Deployment::default()
     }
 }
@@ -194,7 +194,7 @@
 
 impl Build {
     /// A fleet, and a broker with the fronts that the build has.
-    fn start(&self, plan: Plan, gather: bool) -> io::Result<(Fleet, Program)> {
+    fn start(&self, plan: FleetPlan, gather: bool) -> io::Result<(Fleet, BrokerProcess)> {
         let fleet = Fleet::start(plan)?;
         let http2 = if self.http2 {
             "listen-http2 127.0.0.1:0\nhttp2-streams 400\n"
@@ -202,12 +202,13 @@
             ""
         };
         let gather = if gather { "gather-time 5ms\n" } else { "" };
-        let program = Program::start(&self.exe, deployment(), &fleet, &format!("{http2}{gather}"))?;
+        let program =
+            BrokerProcess::start(&self.exe, deployment(), &fleet, &format!("{http2}{gather}"))?;
         Ok((fleet, program))
     }
 }
 
-fn http2(program: &Program) -> io::Result<SocketAddr> {
+fn http2(program: &BrokerProcess) -> io::Result<SocketAddr> {
     program
         .http2
         .ok_or_else(|| io::Error::other("the broker does not listen for HTTP/2"))
@@ -215,9 +216,9 @@
 
 /// A broker and a fleet of its own for each measurement, so that none inherits from another.
 fn measure(build: &Build, m: &Measurement, seconds: Duration) -> io::Result<Row> {
-    let plan = Plan {
-        work: Duration::ZERO,
-        ..Plan::default()
+    let plan = FleetPlan {
+        part_duration: Duration::ZERO,
+        ..FleetPlan::default()
     };
     let (fleet, program) = build.start(plan, matches!(m.turns, Turns::Gather))?;
     let target = match m.front {
@@ -226,32 +227,33 @@
         Front::Http2(n) => Target::Http2(http2(&program)?, n),
     };
     let warm_up = seconds.mul_f64(0.2);
-    let mut load = Load {
+    let mut load = LoadProfile {
         rate: m.rate,
-        at_once: m.at_once,
-        time: warm_up,
+        max_concurrent: m.at_once,
+        duration: warm_up,
         warm_up: Duration::ZERO,
         seed: 7,
         class: "lookup".to_owned(),
         shards: vec![0, 1],
     };
     open_loop(target, &load)?;
-    let (cpu, attempts) = (program.cpu()?, fleet.attempts());
-    load.time = seconds;
+    let (cpu, attempts) = (program.cpu_time()?, fleet.received_counts());
+    load.duration = seconds;
     load.seed = 8;
-    let Outcome {
+    let LoadReport {
         latency,
         served,
         unserved,
-        time,
+        measured_duration,
     } = open_loop(target, &load)?;
-    let cpu = program.cpu()? - cpu;
-    let (parts, calls) = fleet.attempts();
-    let calls = (parts - attempts.0) as f64 / (calls - attempts.1).max(1) as f64;
+    let cpu = program.cpu_time()? - cpu;
+    let received = fleet.received_counts();
+    let parts = received.parts - attempts.parts;
+    let calls = parts as f64 / (received.calls - attempts.calls).max(1) as f64;
     let asked = (served + unserved).max(1) as f64;
     Ok(Row {
         what: format!("{}, {} at once", m.front.name(), m.at_once),
-        rate: served as f64 / time.as_secs_f64(),
+        rate: served as f64 / measured_duration.as_secs_f64(),
         cpu_us: (cpu >= LEAST_CPU).then(|| cpu.as_secs_f64() * 1e6 / asked),
         latency,
         unserved,
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -6,15 +6,15 @@
 use std::io::Write;
 use std::net::SocketAddr;
 use std::process::ExitCode;
-use test_fleet::{Deployment, Fleet, Plan};
+use test_fleet::{Deployment, Fleet, FleetPlan};
 
 /// Serves with stand-ins until Ctrl-C.
 pub(crate) fn run(arguments: &DemoArguments) -> ExitCode {
     // Before the stand-ins: what keeps them from starting is told too.
     logging::init(logging::Format::Logfmt, tracing::Level::INFO);
-    let fleet = match Fleet::start(Plan {
+    let fleet = match Fleet::start(FleetPlan {
         servers: arguments.servers.into(),
-        ..Plan::default()
+        ..FleetPlan::default()
     }) {
         Ok(fleet) => fleet,
         Err(error) => return cannot_start(&error),
--- a/crates/query-broker/tests/http2/chaos.rs
+++ b/crates/query-broker/tests/http2/chaos.rs
@@ -4,14 +4,14 @@
 use crate::rig::{Rig, rig_with};
 use async_io::Timer;
 use h2::Reason;
-use load_generator::{Answer, Ask, Http2};
+use load_generator::{Http2Client, LoadQuery, QUERY_TEXT, QueryOutcome};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
-use test_fleet::{Deployment, Fault, Plan, value};
+use test_fleet::{Deployment, Fault, FleetPlan, part_value};
 
 const CONNECTIONS: usize = 3;
 const STREAMS: usize = 100;
@@ -20,7 +20,7 @@
 /// How queries ended for their clients, by id.
 type Ends = Rc<RefCell<BTreeMap<String, Vec<&'static str>>>>;
 
-fn ask(random: &mut Pcg64Mcg, id: String) -> Ask {
+fn ask(random: &mut Pcg64Mcg, id: String) -> LoadQuery {
     let from = random.random_range(0..6);
     let shards: Vec<usize> = (from..from + random.random_range(1..=3))
         .map(|s| s % 8)
@@ -28,16 +28,16 @@
     match random.random_range(0..4) {
         0 => {
             let key = format!("key-{id}");
-            Ask::new(id, "watchlist-save", &shards).under(&key)
+            LoadQuery::new(id, "watchlist-save", &shards).with_idempotency_key(&key)
         }
-        1 => Ask::new(id, "ranking", &shards),
-        _ => Ask::new(id, "lookup", &shards),
+        1 => LoadQuery::new(id, "ranking", &shards),
+        _ => LoadQuery::new(id, "lookup", &shards),
     }
-    .patience(Duration::from_millis(random.random_range(300..2500)))
+    .with_client_timeout(Duration::from_millis(random.random_range(300..2500)))
 }
 
 /// One stream after another, some of which are given up after a random while.
-async fn client(http2: Rc<Http2>, ends: Ends, name: String, seed: u64) {
+async fn client(http2: Rc<Http2Client>, ends: Ends, name: String, seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     for round in 0..ROUNDS {
         let ask = ask(&mut random, format!("{name}r{round}"));
@@ -51,23 +51,27 @@
                 stream.reset();
                 "reset"
             }
-            Ok(stream) => match stream.response().await.map(|r| Answer::of(&r)) {
-                Ok(Answer::Served(full, values)) => {
-                    let right = values
-                        .iter()
-                        .all(|(s, v)| ask.shards.contains(s) && *v == value(*s, "c41e77d0"));
+            Ok(stream) => match stream
+                .response()
+                .await
+                .map(|r| QueryOutcome::from_response(&r))
+            {
+                Ok(QueryOutcome::Answered { complete, values }) => {
+                    let right = values.iter().all(|v| {
+                        ask.shards.contains(&v.shard) && v.value == part_value(v.shard, QUERY_TEXT)
+                    });
                     let all = ask
                         .shards
                         .iter()
-                        .all(|s| values.iter().any(|(v, _)| v == s));
+                        .all(|s| values.iter().any(|v| v.shard == *s));
                     assert!(
-                        right && full == all,
+                        right && complete == all,
                         "{id}: an answer that is not honest: {values:?}"
                     );
                     "served"
                 }
-                Ok(Answer::Refused(_)) => "refused",
-                Ok(Answer::Failed(502)) => "failed",
+                Ok(QueryOutcome::Rejected(_)) => "refused",
+                Ok(QueryOutcome::Failed(502)) => "failed",
                 Ok(other) => panic!("{id}: {other:?}"),
                 // A stream that was given up may count for a moment longer there than here: harmless to repeat.
                 Err(error) if error.reason() == Some(Reason::REFUSED_STREAM) => "refused",
@@ -82,10 +86,10 @@
 async fn trouble(rig: &Rig, seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let faults = [
-        Fault::Errors(3),
-        Fault::Resets(5),
-        Fault::Garbles(7),
-        Fault::TurnsAway,
+        Fault::ErrorEvery(3),
+        Fault::ResetEvery(5),
+        Fault::GarbleEvery(7),
+        Fault::RejectAll,
         Fault::Hang,
         Fault::Slow(Duration::from_millis(150)),
     ];
@@ -95,7 +99,7 @@
         match step {
             3 => rig.fleet.drain(0),
             4 => rig.fleet.kill(1),
-            6 => rig.fleet.revive(1),
+            6 => rig.fleet.restart(1),
             _ if one != 1 => {
                 rig.fleet.servers()[one].set_fault(faults[random.random_range(0..faults.len())]);
             }
@@ -110,13 +114,13 @@
 }
 
 fn run(seed: u64) {
-    let plan = Plan {
+    let plan = FleetPlan {
         servers: 6,
-        work: Duration::from_millis(10),
-        ..Plan::default()
+        part_duration: Duration::from_millis(10),
+        ..FleetPlan::default()
     };
     let deployment = Deployment {
-        max_open: 2000,
+        max_in_flight: 2000,
         ..Deployment::default()
     };
     let mut rig = rig_with(
@@ -144,7 +148,7 @@
         }
     });
     rig.program.signal("TERM").unwrap();
-    assert!(rig.program.exit().unwrap().success());
+    assert!(rig.program.wait_for_exit().unwrap().success());
     let ends = ends.take();
     assert_eq!(ends.len(), CONNECTIONS * STREAMS * ROUNDS);
     assert!(
@@ -157,18 +161,18 @@
     assert!(
         count("reset") > 100 && count("not opened") == 0,
         "{counts:?} {:?}",
-        rig.program.seen()
+        rig.program.log_lines()
     );
     rig.check_books();
     // On the broker's books each query that it took ended once too: nothing was in hand when it left, and it left by
     // itself. Anything else would have kept it, or its log would tell.
     assert!(
         !rig.program
-            .seen()
+            .log_lines()
             .iter()
             .any(|l| l.contains("event=overdue")),
         "{:?}",
-        rig.program.seen()
+        rig.program.log_lines()
     );
 }
 
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -1,9 +1,9 @@
 //! Floods: each is bounded, ended within three seconds, logged, and costs other clients nothing but time.
 
 use crate::rig::{Rig, lookup, rig, whole};
-use load_generator::raw::{
-    BODY, CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, RST_STREAM, Raw, SETTINGS,
-    WINDOW_UPDATE, fields, frame, query, query_fields,
+use load_generator::raw_http2::{
+    CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, QUERY_BODY, RST_STREAM, RawHttp2Client,
+    SETTINGS, WINDOW_UPDATE, encode_fields, encode_frame, query_fields, query_frames,
 };
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
 /// Sends the same again and again until the connection ends. What is measured is the broker's time, so that the bound
 /// on a slow machine is far beyond the three seconds that the page states; `query-broker bench` shows the figure.
 fn flood(rig: &mut Rig, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
-    let mut raw = Raw::settled(rig.program.http2.unwrap());
+    let mut raw = RawHttp2Client::connect_with_preface(rig.program.http2.unwrap());
     let begun = Instant::now();
     let mut n = 0;
     while begun.elapsed() < ENDED {
@@ -27,9 +27,9 @@
         }
     }
     assert!(begun.elapsed() < ENDED, "{what}: it goes on for ever");
-    let (frames, _) = raw.until_end(ENDED);
-    if let Some(goaway) = frames.iter().rfind(|f| f.kind == GOAWAY) {
-        assert_eq!(goaway.code(), ENHANCE_YOUR_CALM, "{what}");
+    let (frames, _) = raw.frames_until_close(ENDED);
+    if let Some(goaway) = frames.iter().rfind(|f| f.frame_type == GOAWAY) {
+        assert_eq!(goaway.error_code(), ENHANCE_YOUR_CALM, "{what}");
     }
     let after = rig.run(async {
         rig.connect()
@@ -44,21 +44,21 @@
 fn floods_of_frames_that_carry_nothing_are_ended() {
     let mut rig = rig(Duration::ZERO);
     for (what, bytes) in [
-        ("PING", frame(PING, 0, 0, &[0; 8])),
-        ("SETTINGS", frame(SETTINGS, 0, 0, &[])),
-        ("PRIORITY", frame(2, 0, 1, &[0, 0, 0, 3, 1])),
+        ("PING", encode_frame(PING, 0, 0, &[0; 8])),
+        ("SETTINGS", encode_frame(SETTINGS, 0, 0, &[])),
+        ("PRIORITY", encode_frame(2, 0, 1, &[0, 0, 0, 3, 1])),
         (
             "WINDOW_UPDATE",
-            frame(WINDOW_UPDATE, 0, 0, &1u32.to_be_bytes()),
+            encode_frame(WINDOW_UPDATE, 0, 0, &1u32.to_be_bytes()),
         ),
-        ("unknown frames", frame(77, 0, 0, b"x")),
+        ("unknown frames", encode_frame(77, 0, 0, b"x")),
     ] {
         // An event has one line a second.
         std::thread::sleep(Duration::from_millis(1100));
         flood(&mut rig, what, |_| bytes.clone());
         rig.program
-            .logged(&format!("why=\"a flood of {what}\""))
-            .or_else(|_| rig.program.logged("event=http2_flood"))
+            .wait_for_log(&format!("why=\"a flood of {what}\""))
+            .or_else(|_| rig.program.wait_for_log("event=http2_flood"))
             .unwrap();
     }
 }
@@ -69,12 +69,12 @@
     flood(&mut rig, "resets", |n| {
         let stream = 1 + 2 * n;
         [
-            query(stream, &format!("r{n}")),
-            frame(RST_STREAM, 0, stream, &8u32.to_be_bytes()),
+            query_frames(stream, &format!("r{n}")),
+            encode_frame(RST_STREAM, 0, stream, &8u32.to_be_bytes()),
         ]
         .concat()
     });
-    rig.program.logged("event=http2_flood").unwrap();
+    rig.program.wait_for_log("event=http2_flood").unwrap();
     rig.check_books();
 }
 
@@ -83,11 +83,11 @@
     let mut rig = rig(Duration::ZERO);
     flood(&mut rig, "empty DATA", |n| {
         let open = if n == 0 {
-            frame(HEADERS, END_HEADERS, 1, &query_fields("e", &[]))
+            encode_frame(HEADERS, END_HEADERS, 1, &query_fields("e", &[]))
         } else {
             Vec::new()
         };
-        [open, frame(DATA, 0, 1, &[])].concat()
+        [open, encode_frame(DATA, 0, 1, &[])].concat()
     });
 }
 
@@ -95,12 +95,17 @@
 fn a_header_block_without_end_is_ended() {
     let mut rig = rig(Duration::ZERO);
     flood(&mut rig, "CONTINUATION", |n| match n {
-        0 => frame(HEADERS, 0, 1, &query_fields("c", &[])),
-        n => frame(CONTINUATION, 0, 1, &fields(&[(&format!("a{n}"), "b")])),
+        0 => encode_frame(HEADERS, 0, 1, &query_fields("c", &[])),
+        n => encode_frame(
+            CONTINUATION,
+            0,
+            1,
+            &encode_fields(&[(&format!("a{n}"), "b")]),
+        ),
     });
     flood(&mut rig, "empty CONTINUATION", |n| match n {
-        0 => frame(HEADERS, 0, 1, &query_fields("d", &[])),
-        _ => frame(CONTINUATION, 0, 1, &[]),
+        0 => encode_frame(HEADERS, 0, 1, &query_fields("d", &[])),
+        _ => encode_frame(CONTINUATION, 0, 1, &[]),
     });
 }
 
@@ -108,7 +113,7 @@
 #[test]
 fn a_header_bomb_is_refused() {
     let rig = rig(Duration::ZERO);
-    let mut raw = Raw::settled(rig.program.http2.unwrap());
+    let mut raw = RawHttp2Client::connect_with_preface(rig.program.http2.unwrap());
     let mut block = query_fields("bomb", &[]);
     // A literal with incremental indexing (RFC 7541, section 6.2.1): the entry that 0xbe then names.
     block.extend([0x40, 4]);
@@ -116,21 +121,21 @@
     block.push(120);
     block.extend([b'x'; 120]);
     block.extend([0xbe; 2000]);
-    raw.send(&frame(HEADERS, END_HEADERS, 1, &block));
-    raw.send(&frame(DATA, 1, 1, BODY));
-    raw.send(&query(3, "usual"));
+    raw.send(&encode_frame(HEADERS, END_HEADERS, 1, &block));
+    raw.send(&encode_frame(DATA, 1, 1, QUERY_BODY));
+    raw.send(&query_frames(3, "usual"));
     let mut seen = Vec::new();
-    while let Some(next) = raw.next(Duration::from_secs(30)) {
-        if next.kind == HEADERS || next.kind == RST_STREAM {
-            seen.push(next.stream);
+    while let Some(next) = raw.next_frame(Duration::from_secs(30)) {
+        if next.frame_type == HEADERS || next.frame_type == RST_STREAM {
+            seen.push(next.stream_id);
         }
-        if next.kind == GOAWAY || seen.contains(&3) {
+        if next.frame_type == GOAWAY || seen.contains(&3) {
             break;
         }
     }
     assert!(
         rig.fleet
-            .books(|b| !b.attempts().iter().any(|a| a.id.starts_with("bomb"))),
+            .attempt_log(|log| !log.attempts().iter().any(|a| a.part_id.starts_with("bomb"))),
         "it was served"
     );
     let after = rig.run(async { rig.connect().await.ask(&lookup("after", &[1])).await });
@@ -142,11 +147,11 @@
 fn silence_is_ended() {
     let mut rig = rig(Duration::ZERO);
     let to = rig.program.http2.unwrap();
-    let half_frame = &frame(HEADERS, END_HEADERS, 1, &query_fields("a", &[]))[..20];
-    let open_block = frame(HEADERS, 0, 1, &query_fields("b", &[]));
-    let preface = load_generator::raw::PREFACE;
-    let settled = [preface, &frame(SETTINGS, 0, 0, &[])].concat();
-    let mut raws: Vec<Raw> = [
+    let half_frame = &encode_frame(HEADERS, END_HEADERS, 1, &query_fields("a", &[]))[..20];
+    let open_block = encode_frame(HEADERS, 0, 1, &query_fields("b", &[]));
+    let preface = load_generator::raw_http2::PREFACE;
+    let settled = [preface, &encode_frame(SETTINGS, 0, 0, &[])].concat();
+    let mut raws: Vec<RawHttp2Client> = [
         Vec::new(),
         preface[..10].to_vec(),
         preface.to_vec(),
@@ -156,30 +161,30 @@
     ]
     .iter()
     .map(|bytes| {
-        let mut raw = Raw::connect(to);
+        let mut raw = RawHttp2Client::connect(to);
         raw.send(bytes);
         raw
     })
     .collect();
     for raw in &mut raws {
-        raw.until_end(ENDED);
+        raw.frames_until_close(ENDED);
     }
-    rig.program.logged("event=http2_half_sent").unwrap();
+    rig.program.wait_for_log("event=http2_half_sent").unwrap();
 }
 
 /// More connections than there are slots: those that ask are served, those that say nothing make room.
 #[test]
 fn silent_connections_do_not_hold_the_seats() {
     let rig = crate::rig::rig_with(
-        test_fleet::Plan {
-            work: Duration::ZERO,
+        test_fleet::FleetPlan {
+            part_duration: Duration::ZERO,
             ..Default::default()
         },
         test_fleet::Deployment::default(),
         "listen-http2 127.0.0.1:0\nhttp2-connections 4\n",
     );
     let to = rig.program.http2.unwrap();
-    let silent: Vec<Raw> = (0..12).map(|_| Raw::connect(to)).collect();
+    let silent: Vec<RawHttp2Client> = (0..12).map(|_| RawHttp2Client::connect(to)).collect();
     rig.run(async {
         for n in 0..8 {
             assert_eq!(
--- a/crates/query-broker/tests/http2/keys.rs
+++ b/crates/query-broker/tests/http2/keys.rs
@@ -1,12 +1,12 @@
 //! Idempotency keys of clients that give up and ask again.
 
 use crate::rig::{rig, whole};
-use load_generator::{Answer, Ask};
+use load_generator::{LoadQuery, QueryOutcome};
 use std::time::Duration;
 use test_fleet::Fault;
 
-fn save(id: &str, key: &str) -> Ask {
-    Ask::new(id, "watchlist-save", &[0]).under(key)
+fn save(id: &str, key: &str) -> LoadQuery {
+    LoadQuery::new(id, "watchlist-save", &[0]).with_idempotency_key(key)
 }
 
 /// The part was sent when the client gave up. Its own repeat is put off while that attempt may run, and served after.
@@ -22,14 +22,14 @@
         let first = http2
             .open(
                 &save("a", "k1")
-                    .patience(Duration::from_millis(1500))
+                    .with_client_timeout(Duration::from_millis(1500))
                     .request(),
             )
             .await
             .unwrap();
         rig.attempts(1).await;
         first.reset();
-        let Answer::Refused(Some(after)) = http2.ask(&save("b", "k1")).await else {
+        let QueryOutcome::Rejected(Some(after)) = http2.ask(&save("b", "k1")).await else {
             panic!("it was not put off")
         };
         assert!(after > 0.0 && after <= 1.5, "{after}");
@@ -43,7 +43,7 @@
         loop {
             n += 1;
             match http2.ask(&save(&format!("d{n}"), "k1")).await {
-                Answer::Refused(Some(after)) => {
+                QueryOutcome::Rejected(Some(after)) => {
                     async_io::Timer::after(Duration::from_secs_f64(after)).await;
                 }
                 answer => break assert_eq!(answer, whole(&[0])),
@@ -66,21 +66,21 @@
         let first = http2
             .open(
                 &save("a", "k1")
-                    .patience(Duration::from_millis(800))
+                    .with_client_timeout(Duration::from_millis(800))
                     .request(),
             )
             .await
             .unwrap();
         rig.attempts(1).await;
         first.reset();
-        let sent = rig.fleet.books(|b| b.attempts().len());
+        let sent = rig.fleet.attempt_log(|log| log.attempts().len());
         rig.fleet
             .servers()
             .iter()
             .for_each(|s| s.set_fault(Fault::None));
         async_io::Timer::after(Duration::from_millis(5100)).await;
-        assert_eq!(http2.ask(&save("b", "k1")).await, Answer::Failed(502));
-        assert_eq!(rig.fleet.books(|b| b.attempts().len()), sent);
+        assert_eq!(http2.ask(&save("b", "k1")).await, QueryOutcome::Failed(502));
+        assert_eq!(rig.fleet.attempt_log(|log| log.attempts().len()), sent);
     });
     rig.check_books();
 }
--- a/crates/query-broker/tests/http2/rig.rs
+++ b/crates/query-broker/tests/http2/rig.rs
@@ -3,18 +3,17 @@
 use async_executor::LocalExecutor;
 use futures_lite::FutureExt;
 use h2::client::Builder;
-use load_generator::{Answer, Ask, Http1, Http2};
+use load_generator::{Http1Client, Http2Client, LoadQuery, QUERY_TEXT, QueryOutcome, ShardValue};
 use std::path::Path;
 use std::rc::Rc;
 use std::time::Duration;
-use test_fleet::books::Rules;
-use test_fleet::{Deployment, Fleet, Plan, Program, value};
+use test_fleet::{AttemptLimits, BrokerProcess, Deployment, Fleet, FleetPlan, part_value};
 
 pub(crate) const BOUND: Duration = Duration::from_secs(30);
 pub(crate) const OPERATOR: &str = "listen-http2 127.0.0.1:0\n";
 
 pub(crate) struct Rig {
-    pub(crate) program: Program,
+    pub(crate) program: BrokerProcess,
     pub(crate) fleet: Fleet,
     pub(crate) executor: Rc<LocalExecutor<'static>>,
 }
@@ -22,19 +21,19 @@
 /// With everything as it comes, but that parts take so long.
 pub(crate) fn rig(work: Duration) -> Rig {
     rig_with(
-        Plan {
-            work,
-            ..Plan::default()
+        FleetPlan {
+            part_duration: work,
+            ..FleetPlan::default()
         },
         Deployment::default(),
         OPERATOR,
     )
 }
 
-pub(crate) fn rig_with(plan: Plan, deployment: Deployment, operator: &str) -> Rig {
+pub(crate) fn rig_with(plan: FleetPlan, deployment: Deployment, operator: &str) -> Rig {
     let fleet = Fleet::start(plan).unwrap();
     let exe = Path::new(env!("CARGO_BIN_EXE_query-broker"));
-    let program = Program::start(exe, deployment, &fleet, operator).unwrap();
+    let program = BrokerProcess::start(exe, deployment, &fleet, operator).unwrap();
     Rig {
         program,
         fleet,
@@ -52,44 +51,50 @@
         async_io::block_on(self.executor.run(clients.or(late)))
     }
 
-    pub(crate) async fn connect(&self) -> Http2 {
-        Http2::connect(self.program.http2.unwrap(), &self.executor)
+    pub(crate) async fn connect(&self) -> Http2Client {
+        Http2Client::connect(self.program.http2.unwrap(), &self.executor)
             .await
             .unwrap()
     }
 
-    pub(crate) async fn connect_with(&self, builder: &Builder) -> Http2 {
-        Http2::connect_with(self.program.http2.unwrap(), &self.executor, builder)
+    pub(crate) async fn connect_with(&self, builder: &Builder) -> Http2Client {
+        Http2Client::connect_with(self.program.http2.unwrap(), &self.executor, builder)
             .await
             .unwrap()
     }
 
-    pub(crate) async fn connect_http1(&self) -> Http1 {
-        Http1::connect(self.program.http1).await.unwrap()
+    pub(crate) async fn connect_http1(&self) -> Http1Client {
+        Http1Client::connect(self.program.http1).await.unwrap()
     }
 
     /// Waits until the data servers have seen so many attempts.
     pub(crate) async fn attempts(&self, n: usize) {
-        while self.fleet.books(|b| b.attempts().len()) < n {
+        while self.fleet.attempt_log(|log| log.attempts().len()) < n {
             async_io::Timer::after(Duration::from_millis(1)).await;
         }
     }
 
     /// What the data servers saw breaks no rule.
     pub(crate) fn check_books(&self) {
-        let violations = self.fleet.books(|b| b.violations(Rules::default()));
+        let violations = self
+            .fleet
+            .attempt_log(|log| log.check_invariants(AttemptLimits::default()));
         assert!(violations.is_empty(), "{violations:#?}");
     }
 }
 
 /// The whole answer of a query for these shards.
-pub(crate) fn whole(shards: &[usize]) -> Answer {
-    Answer::Served(
-        true,
-        shards.iter().map(|s| (*s, value(*s, "c41e77d0"))).collect(),
-    )
+pub(crate) fn whole(shards: &[usize]) -> QueryOutcome {
+    let shard_value = |shard: &usize| ShardValue {
+        shard: *shard,
+        value: part_value(*shard, QUERY_TEXT),
+    };
+    QueryOutcome::Answered {
+        complete: true,
+        values: shards.iter().map(shard_value).collect(),
+    }
 }
 
-pub(crate) fn lookup(id: &str, shards: &[usize]) -> Ask {
-    Ask::new(id, "lookup", shards)
+pub(crate) fn lookup(id: &str, shards: &[usize]) -> LoadQuery {
+    LoadQuery::new(id, "lookup", shards)
 }
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -3,12 +3,13 @@
 use crate::rig::{OPERATOR, lookup, rig, rig_with, whole};
 use futures_util::future::join_all;
 use h2::client::Builder;
-use load_generator::Answer;
-use load_generator::raw::{
-    DATA, END_STREAM, HEADERS, RST_STREAM, Raw, SETTINGS, WINDOW_UPDATE, frame, query, status,
+use load_generator::QueryOutcome;
+use load_generator::raw_http2::{
+    DATA, END_STREAM, HEADERS, RST_STREAM, RawHttp2Client, SETTINGS, WINDOW_UPDATE, encode_frame,
+    query_frames, response_status,
 };
 use std::time::Duration;
-use test_fleet::{Deployment, Fault, Plan};
+use test_fleet::{Deployment, Fault, FleetPlan};
 
 #[test]
 fn a_few_hundred_streams_share_a_connection() {
@@ -30,50 +31,53 @@
 #[test]
 fn a_slow_reader_stalls_no_other_stream_and_is_given_up() {
     let rig = rig(Duration::ZERO);
-    let mut raw = Raw::connect(rig.program.http2.unwrap());
+    let mut raw = RawHttp2Client::connect(rig.program.http2.unwrap());
     // Windows of streams are 10 bytes: SETTINGS_INITIAL_WINDOW_SIZE is setting 4.
     raw.send(
         &[
-            load_generator::raw::PREFACE,
-            &frame(SETTINGS, 0, 0, &[0, 4, 0, 0, 0, 10]),
+            load_generator::raw_http2::PREFACE,
+            &encode_frame(SETTINGS, 0, 0, &[0, 4, 0, 0, 0, 10]),
         ]
         .concat(),
     );
-    raw.send(&query(1, "slow"));
-    let slow = raw.expect(HEADERS);
-    assert_eq!((slow.stream, status(&slow)), (1, 200));
-    assert_eq!(raw.expect(DATA).rest.len(), 10);
-    raw.send(&query(3, "usual"));
-    raw.send(&frame(WINDOW_UPDATE, 0, 3, &10_000u32.to_be_bytes()));
+    raw.send(&query_frames(1, "slow"));
+    let slow = raw.expect_frame(HEADERS);
+    assert_eq!((slow.stream_id, response_status(&slow)), (1, 200));
+    assert_eq!(raw.expect_frame(DATA).payload.len(), 10);
+    raw.send(&query_frames(3, "usual"));
+    raw.send(&encode_frame(WINDOW_UPDATE, 0, 3, &10_000u32.to_be_bytes()));
     let mut length = 0;
     loop {
-        let next = raw.expect(DATA);
-        assert_eq!(next.stream, 3, "the slow one was sent more than its window");
-        length += next.rest.len();
+        let next = raw.expect_frame(DATA);
+        assert_eq!(
+            next.stream_id, 3,
+            "the slow one was sent more than its window"
+        );
+        length += next.payload.len();
         if next.flags & END_STREAM != 0 {
             break;
         }
     }
     assert!(length > 10);
-    let reset = raw.expect(RST_STREAM);
+    let reset = raw.expect_frame(RST_STREAM);
     assert_eq!(
-        (reset.stream, reset.code()),
+        (reset.stream_id, reset.error_code()),
         (1, 8),
         "CANCEL at the deadline"
     );
-    raw.send(&query(5, "after"));
-    assert_eq!(status(&raw.expect(HEADERS)), 200);
+    raw.send(&query_frames(5, "after"));
+    assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
 }
 
 /// The client's reset ends the query: attempts out are given up, and the room comes back.
 #[test]
 fn a_reset_gives_up_what_is_out_and_gives_its_room_back() {
-    let plan = Plan {
+    let plan = FleetPlan {
         servers: 2,
-        ..Plan::default()
+        ..FleetPlan::default()
     };
     let deployment = Deployment {
-        max_open: 20,
+        max_in_flight: 20,
         ..Deployment::default()
     };
     let rig = rig_with(plan, deployment, OPERATOR);
@@ -84,7 +88,7 @@
     rig.run(async {
         let http2 = rig.connect().await;
         for round in 0..20 {
-            let before = rig.fleet.books(|b| b.attempts().len());
+            let before = rig.fleet.attempt_log(|log| log.attempts().len());
             let mut streams = Vec::new();
             for n in 0..4 {
                 let ask = lookup(&format!("r{round}q{n}"), &[0, 1]);
@@ -92,10 +96,12 @@
             }
             // Were the room of earlier rounds not back, these would be refused and never come.
             rig.attempts(before + 8).await;
-            streams.into_iter().for_each(load_generator::Stream::reset);
+            streams
+                .into_iter()
+                .for_each(load_generator::Http2Stream::reset);
             while rig
                 .fleet
-                .books(|b| b.attempts().iter().any(|a| a.ended.is_none()))
+                .attempt_log(|log| log.attempts().iter().any(|a| a.end.is_none()))
             {
                 async_io::Timer::after(Duration::from_millis(1)).await;
             }
@@ -108,14 +114,14 @@
 #[test]
 fn one_connection_does_not_take_all_the_room() {
     let deployment = Deployment {
-        max_open: 90,
+        max_in_flight: 90,
         ..Deployment::default()
     };
-    let rig = rig_with(Plan::default(), deployment, OPERATOR);
+    let rig = rig_with(FleetPlan::default(), deployment, OPERATOR);
     rig.fleet
         .servers()
         .iter()
-        .for_each(|s| s.set_work(Duration::from_millis(700)));
+        .for_each(|s| s.set_part_duration(Duration::from_millis(700)));
     rig.run(async {
         let greedy = rig.connect().await;
         let mut others = Vec::new();
@@ -132,7 +138,7 @@
             let asks: Vec<_> = (0..5).map(|n| lookup(&format!("o{n}"), &[n])).collect();
             let over_http2 = join_all(others.iter().zip(&asks).map(|(c, ask)| c.ask(ask))).await;
             let over_http1 = old.send(&lookup("old", &[6]).request()).await.unwrap();
-            (over_http2, Answer::of(&over_http1))
+            (over_http2, QueryOutcome::from_response(&over_http1))
         };
         let (taken, (over_http2, over_http1)) = futures_lite::future::zip(taken, rest).await;
         for (n, answer) in over_http2.iter().enumerate() {
@@ -141,11 +147,11 @@
         assert_eq!(over_http1, whole(&[6]));
         let served = taken
             .iter()
-            .filter(|a| matches!(a, Answer::Served(true, _)))
+            .filter(|a| matches!(a, QueryOutcome::Answered { complete: true, .. }))
             .count();
         let told = taken
             .iter()
-            .filter(|a| matches!(a, Answer::Refused(Some(after)) if *after > 0.0))
+            .filter(|a| matches!(a, QueryOutcome::Rejected(Some(after)) if *after > 0.0))
             .count();
         assert_eq!(
             (served, told),
@@ -159,28 +165,34 @@
 #[test]
 fn streams_beyond_the_limit_are_refused() {
     let rig = rig_with(
-        Plan::default(),
+        FleetPlan::default(),
         Deployment::default(),
         "listen-http2 127.0.0.1:0\nhttp2-streams 2\n",
     );
     rig.fleet
         .servers()
         .iter()
-        .for_each(|s| s.set_work(Duration::from_millis(300)));
-    let mut raw = Raw::settled(rig.program.http2.unwrap());
+        .for_each(|s| s.set_part_duration(Duration::from_millis(300)));
+    let mut raw = RawHttp2Client::connect_with_preface(rig.program.http2.unwrap());
     for n in 0..3 {
-        raw.send(&query(1 + 2 * n, &format!("q{n}")));
+        raw.send(&query_frames(1 + 2 * n, &format!("q{n}")));
     }
-    let reset = raw.expect(RST_STREAM);
-    assert_eq!((reset.stream, reset.code()), (5, 7), "REFUSED_STREAM");
-    assert_eq!(status(&raw.expect(HEADERS)), 200);
+    let reset = raw.expect_frame(RST_STREAM);
+    assert_eq!(
+        (reset.stream_id, reset.error_code()),
+        (5, 7),
+        "REFUSED_STREAM"
+    );
+    assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
     // A client that keeps to the limit is never refused.
     rig.run(async {
         let http2 = rig.connect_with(&Builder::new()).await;
         let asks: Vec<_> = (0..6).map(|n| lookup(&format!("k{n}"), &[n])).collect();
         let answers = join_all(asks.iter().map(|ask| http2.ask(ask))).await;
         assert!(
-            answers.iter().all(|a| matches!(a, Answer::Served(true, _))),
+            answers
+                .iter()
+                .all(|a| matches!(a, QueryOutcome::Answered { complete: true, .. })),
             "{answers:?}"
         );
     });
--- a/crates/test-fleet/src/program.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -14,7 +14,7 @@
 const BOUND: Duration = Duration::from_secs(30);
 
 /// A running broker. Dropped, it is killed and its files are removed.
-pub struct Program {
+pub struct BrokerProcess {
     child: Child,
     log: Receiver<String>,
     seen: VecDeque<String>,
@@ -25,14 +25,14 @@
     pub http2: Option<SocketAddr>,
 }
 
-impl Program {
+impl BrokerProcess {
     /// Starts a broker from its executable, with an operator's file of this text, and waits until it listens.
     pub fn start(
         exe: &Path,
         deployment: Deployment,
         fleet: &Fleet,
         operator: &str,
-    ) -> io::Result<Program> {
+    ) -> io::Result<BrokerProcess> {
         static NEXT: AtomicU64 = AtomicU64::new(0);
         let number = NEXT.fetch_add(1, Ordering::Relaxed);
         let files =
@@ -63,7 +63,7 @@
             });
         }
         let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let mut program = Program {
+        let mut program = BrokerProcess {
             child,
             log,
             seen: VecDeque::new(),
@@ -79,14 +79,14 @@
     }
 
     fn address(&mut self, event: &str) -> io::Result<SocketAddr> {
-        let line = self.logged(event)?;
+        let line = self.wait_for_log(event)?;
         let word = line.split(' ').find_map(|w| w.strip_prefix("listen="));
         word.and_then(|w| w.parse().ok())
             .ok_or_else(|| io::Error::other(format!("no address in {line}")))
     }
 
-    /// Waits for a line of the log that holds these words; those before it are kept for [`Program::seen`].
-    pub fn logged(&mut self, words: &str) -> io::Result<String> {
+    /// Waits for a line of the log that holds these words; those before it are kept for [`BrokerProcess::log_lines`].
+    pub fn wait_for_log(&mut self, words: &str) -> io::Result<String> {
         let until = Instant::now() + BOUND;
         loop {
             let left = until.saturating_duration_since(Instant::now());
@@ -104,7 +104,7 @@
     }
 
     /// All lines of the log so far.
-    pub fn seen(&mut self) -> &VecDeque<String> {
+    pub fn log_lines(&mut self) -> &VecDeque<String> {
         self.seen.extend(self.log.try_iter());
         &self.seen
     }
@@ -122,14 +122,14 @@
     }
 
     /// Replaces the operator's file, as an editor does: the new one is moved over it.
-    pub fn replace_operator_file(&self, text: &str) -> io::Result<()> {
+    pub fn replace_operator_config(&self, text: &str) -> io::Result<()> {
         let new = self.files.join("new");
         std::fs::write(&new, text)?;
         std::fs::rename(new, self.files.join("query-broker.conf"))
     }
 
     /// Waits for its end.
-    pub fn exit(&mut self) -> io::Result<ExitStatus> {
+    pub fn wait_for_exit(&mut self) -> io::Result<ExitStatus> {
         let until = Instant::now() + BOUND;
         loop {
             if let Some(status) = self.child.try_wait()? {
@@ -143,7 +143,7 @@
     }
 
     /// Its processor time so far, from the system's own books, in clock ticks of a hundredth of a second.
-    pub fn cpu(&self) -> io::Result<Duration> {
+    pub fn cpu_time(&self) -> io::Result<Duration> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
         // After the name, which ends with the last parenthesis: state is the third field, utime and stime the 14th
         // and 15th (proc(5)).
@@ -163,7 +163,7 @@
     }
 
     /// Its resident memory, in bytes.
-    pub fn memory(&self) -> io::Result<u64> {
+    pub fn resident_memory(&self) -> io::Result<u64> {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
         let kib = status.lines().find_map(|l| {
             l.strip_prefix("VmRSS:")?
@@ -177,7 +177,7 @@
     }
 }
 
-impl Drop for Program {
+impl Drop for BrokerProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -1,8 +1,8 @@
 //! A discovery and some data servers, on a thread of their own.
 
-use crate::books::Books;
+use crate::attempt_log::{AttemptLog, ReceivedCounts};
 use crate::discovery::Discovery;
-use crate::server::{Fault, Server, Switch, accept};
+use crate::server::{Fault, FaultInjection, Server, accept};
 use async_channel::Sender;
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
@@ -18,30 +18,30 @@
 
 /// What a fleet is made of.
 #[derive(Clone, Copy, Debug)]
-pub struct Plan {
+pub struct FleetPlan {
     /// Data servers; they take their places in the cells by turns.
     pub servers: usize,
     /// Cells, each of which holds shards of its own.
     pub cells: usize,
     /// How long a part takes.
-    pub work: Duration,
+    pub part_duration: Duration,
     /// After a start a server is warm after this time.
-    pub warm_after: Duration,
+    pub warm_up_duration: Duration,
 }
 
-impl Default for Plan {
+impl Default for FleetPlan {
     fn default() -> Self {
-        Plan {
+        FleetPlan {
             servers: 4,
             cells: 1,
-            work: Duration::from_millis(2),
-            warm_after: Duration::from_secs(10),
+            part_duration: Duration::from_millis(2),
+            warm_up_duration: Duration::from_secs(10),
         }
     }
 }
 
 /// Word to the thread.
-enum Word {
+enum FleetCommand {
     State(usize, &'static str),
     Silent(bool),
     Kill(usize),
@@ -53,8 +53,8 @@
     /// Where discovery listens.
     pub discovery: SocketAddr,
     servers: Vec<ServerHandle>,
-    books: Arc<Mutex<Books>>,
-    words: Sender<Word>,
+    attempt_log: Arc<Mutex<AttemptLog>>,
+    words: Sender<FleetCommand>,
     known: Value,
     thread: Option<JoinHandle<()>>,
 }
@@ -66,7 +66,7 @@
     pub name: String,
     /// Where it listens.
     pub address: SocketAddr,
-    switch: Arc<Mutex<Switch>>,
+    switch: Arc<Mutex<FaultInjection>>,
 }
 
 struct Running {
@@ -92,9 +92,9 @@
 
 impl Fleet {
     /// Starts all of it on loopback.
-    pub fn start(plan: Plan) -> io::Result<Fleet> {
+    pub fn start(plan: FleetPlan) -> io::Result<Fleet> {
         let loopback = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
-        let books = Arc::new(Mutex::new(Books::default()));
+        let attempt_log = Arc::new(Mutex::new(AttemptLog::default()));
         let discovery_listener = loopback()?;
         let discovery = discovery_listener.local_addr()?;
         let listeners: Vec<TcpListener> = (0..plan.servers)
@@ -102,9 +102,9 @@
             .collect::<io::Result<_>>()?;
         let mut servers = Vec::new();
         for (n, listener) in listeners.iter().enumerate() {
-            let switch = Arc::new(Mutex::new(Switch {
-                work: plan.work,
-                ..Switch::default()
+            let switch = Arc::new(Mutex::new(FaultInjection {
+                part_duration: plan.part_duration,
+                ..FaultInjection::default()
             }));
             servers.push(ServerHandle {
                 name: format!("s{n}"),
@@ -114,7 +114,7 @@
         }
         let (words, heard) = async_channel::unbounded();
         let (ready, started) = std::sync::mpsc::channel();
-        let (handles, shared_books) = (servers.clone(), books.clone());
+        let (handles, shared_log) = (servers.clone(), attempt_log.clone());
         let thread = std::thread::Builder::new()
             .name("stand-ins".to_owned())
             .spawn(move || {
@@ -125,7 +125,7 @@
                     let server = Rc::new(Server {
                         name: handle.name,
                         switch: handle.switch,
-                        books: shared_books.clone(),
+                        attempt_log: shared_log.clone(),
                         held: Cell::new(0),
                         count: Cell::new(0),
                         alive: RefCell::new(async_channel::bounded(1)),
@@ -155,7 +155,7 @@
         Ok(Fleet {
             discovery,
             servers,
-            books,
+            attempt_log,
             words,
             known,
             thread: Some(thread),
@@ -175,49 +175,50 @@
     }
 
     /// What came to the data servers.
-    pub fn books<T>(&self, read: impl FnOnce(&Books) -> T) -> T {
-        // A thread that broke while it held them has said so itself.
-        let books = self
-            .books
+    pub fn attempt_log<T>(&self, read: impl FnOnce(&AttemptLog) -> T) -> T {
+        // A thread that panicked while it held the lock has reported that itself.
+        let log = self
+            .attempt_log
             .lock()
             .unwrap_or_else(std::sync::PoisonError::into_inner);
-        read(&books)
+        read(&log)
     }
 
     /// Parts and calls that came to the data servers.
-    pub fn attempts(&self) -> (u64, u64) {
-        self.books(Books::counts)
+    #[must_use]
+    pub fn received_counts(&self) -> ReceivedCounts {
+        self.attempt_log(AttemptLog::counts)
     }
 
-    fn say(&self, word: Word) {
+    fn say(&self, word: FleetCommand) {
         let _ = self.words.try_send(word);
     }
 
     /// Tells that a server drains.
     pub fn drain(&self, n: usize) {
         self.servers[n].with(|s| s.drained = Some(Instant::now()));
-        self.say(Word::State(n, "leaving"));
+        self.say(FleetCommand::State(n, "leaving"));
     }
 
     /// Ends a server's process: its connections are reset and new ones refused. The list knows nothing of it.
     pub fn kill(&self, n: usize) {
-        self.servers[n].with(|s| s.fault = Fault::Dead);
-        self.say(Word::Kill(n));
+        self.servers[n].with(|s| s.fault = Fault::Down);
+        self.say(FleetCommand::Kill(n));
     }
 
     /// Starts a dead server again: cold, and told so by the list.
-    pub fn revive(&self, n: usize) {
-        self.say(Word::Revive(n));
+    pub fn restart(&self, n: usize) {
+        self.say(FleetCommand::Revive(n));
     }
 
     /// Whether discovery takes calls and answers none.
-    pub fn silence_discovery(&self, silent: bool) {
-        self.say(Word::Silent(silent));
+    pub fn set_discovery_silent(&self, silent: bool) {
+        self.say(FleetCommand::Silent(silent));
     }
 }
 
 impl ServerHandle {
-    fn with(&self, change: impl FnOnce(&mut Switch)) {
+    fn with(&self, change: impl FnOnce(&mut FaultInjection)) {
         if let Ok(mut switch) = self.switch.lock() {
             change(&mut switch);
         }
@@ -229,8 +230,8 @@
     }
 
     /// How long a part takes from now on.
-    pub fn set_work(&self, work: Duration) {
-        self.with(|s| s.work = work);
+    pub fn set_part_duration(&self, part_duration: Duration) {
+        self.with(|s| s.part_duration = part_duration);
     }
 }
 
@@ -244,20 +245,20 @@
 }
 
 async fn obey(
-    word: Word,
+    word: FleetCommand,
     running: &mut BTreeMap<usize, Running>,
     list: &Discovery,
     executor: &Rc<LocalExecutor<'static>>,
-    plan: Plan,
+    plan: FleetPlan,
 ) {
     match word {
-        Word::Silent(silent) => list.set_silent(silent),
-        Word::State(n, state) => {
+        FleetCommand::Silent(silent) => list.set_silent(silent),
+        FleetCommand::State(n, state) => {
             if let Some(one) = running.get(&n) {
                 list.set(one.entry(state));
             }
         }
-        Word::Kill(n) => {
+        FleetCommand::Kill(n) => {
             if let Some(one) = running.get_mut(&n) {
                 if let Some(task) = one.listening.take() {
                     task.cancel().await;
@@ -265,7 +266,7 @@
                 *one.server.alive.borrow_mut() = async_channel::bounded(1);
             }
         }
-        Word::Revive(n) => {
+        FleetCommand::Revive(n) => {
             let Some(one) = running.get_mut(&n) else {
                 return;
             };
@@ -279,7 +280,7 @@
             one.boot_ms = unix_ms();
             if let Ok(mut switch) = one.server.switch.lock() {
                 switch.fault = Fault::None;
-                switch.cold = Some((Instant::now(), plan.warm_after));
+                switch.cold = Some((Instant::now(), plan.warm_up_duration));
                 switch.drained = None;
             }
             one.listening =
--- a/crates/test-fleet/src/server.rs
+++ b/crates/test-fleet/src/server.rs
@@ -1,7 +1,7 @@
 //! One data server: connections, the work in hand, and faults by switch.
 
-use crate::books::{Attempt, Books, Ended};
-use crate::value;
+use crate::attempt_log::{Attempt, AttemptLog, AttemptNumber, AttemptOutcome};
+use crate::part_value;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -11,7 +11,7 @@
 use std::io;
 use std::net::{TcpListener, TcpStream};
 use std::rc::Rc;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
 /// What is wrong with a data server.
@@ -25,23 +25,23 @@
     /// It takes parts and answers none.
     Hang,
     /// Every so many'th part ends in an error: 1 is all of them.
-    Errors(u32),
+    ErrorEvery(u32),
     /// It turns every part away.
-    TurnsAway,
+    RejectAll,
     /// It resets the connection in place of every so many'th answer.
-    Resets(u32),
+    ResetEvery(u32),
     /// It sends noise in place of every so many'th answer.
-    Garbles(u32),
+    GarbleEvery(u32),
     /// Nothing listens, and its connections are reset.
-    Dead,
+    Down,
 }
 
 /// What a data server is told from outside, and shows.
 #[derive(Debug, Default)]
-pub(crate) struct Switch {
+pub(crate) struct FaultInjection {
     pub(crate) fault: Fault,
     /// How long a part takes.
-    pub(crate) work: Duration,
+    pub(crate) part_duration: Duration,
     /// It began at this moment and serves at a share of its speed that grows to the full one in this time.
     pub(crate) cold: Option<(Instant, Duration)>,
     /// When its drain was told.
@@ -51,7 +51,7 @@
 /// The share of its speed that a server begins with.
 const COLD_FROM: f64 = 0.2;
 
-impl Switch {
+impl FaultInjection {
     /// How long a part takes now.
     fn takes(&self, now: Instant) -> Duration {
         let slow = if let Fault::Slow(more) = self.fault {
@@ -59,20 +59,20 @@
         } else {
             Duration::ZERO
         };
-        let share = self.cold.map_or(1.0, |(since, warm_after)| {
+        let share = self.cold.map_or(1.0, |(since, warm_up_duration)| {
             let grown = now.saturating_duration_since(since).as_secs_f64()
-                / warm_after.as_secs_f64().max(1e-3);
+                / warm_up_duration.as_secs_f64().max(1e-3);
             COLD_FROM + (1.0 - COLD_FROM) * grown.min(1.0)
         });
-        (self.work + slow).div_f64(share)
+        (self.part_duration + slow).div_f64(share)
     }
 }
 
 /// One data server, on the fleet's thread.
 pub(crate) struct Server {
     pub(crate) name: String,
-    pub(crate) switch: Arc<Mutex<Switch>>,
-    pub(crate) books: Arc<Mutex<Books>>,
+    pub(crate) switch: Arc<Mutex<FaultInjection>>,
+    pub(crate) attempt_log: Arc<Mutex<AttemptLog>>,
     pub(crate) held: Cell<usize>,
     /// Parts that came, for faults that hit every so many'th.
     pub(crate) count: Cell<u32>,
@@ -95,7 +95,7 @@
     pub(crate) async fn connection(self: Rc<Self>, stream: Async<TcpStream>) {
         let _ = stream.get_ref().set_nodelay(true);
         let alive = self.alive.borrow().1.clone();
-        let out: RefCell<BTreeMap<String, usize>> = RefCell::default();
+        let out: RefCell<BTreeMap<String, AttemptNumber>> = RefCell::default();
         let killed = async {
             let _: Result<(), _> = alive.recv().await;
             Err(io::ErrorKind::ConnectionReset.into())
@@ -109,24 +109,26 @@
         }
     }
 
-    fn given_up(&self, place: usize) {
+    fn given_up(&self, place: AttemptNumber) {
         self.held.set(self.held.get().saturating_sub(1));
-        self.book(|b| b.ended(place, Ended::GivenUp, Instant::now()));
+        self.with_log(|log| log.record_end(place, AttemptOutcome::Cancelled, Instant::now()));
     }
 
-    fn book<T: Default>(&self, entry: impl FnOnce(&mut Books) -> T) -> T {
-        self.books
+    fn with_log<T>(&self, entry: impl FnOnce(&mut AttemptLog) -> T) -> T {
+        let mut log = self
+            .attempt_log
             .lock()
-            .map_or_else(|_| T::default(), |mut books| entry(&mut books))
+            .unwrap_or_else(PoisonError::into_inner);
+        entry(&mut log)
     }
 
     async fn serve(
         &self,
         stream: &Async<TcpStream>,
-        out: &RefCell<BTreeMap<String, usize>>,
+        out: &RefCell<BTreeMap<String, AttemptNumber>>,
     ) -> io::Result<()> {
         // The work of one connection, by when it is done: bounded by what brokers send on one.
-        let work: RefCell<BTreeMap<(Instant, usize), Part>> = RefCell::default();
+        let work: RefCell<BTreeMap<(Instant, AttemptNumber), Part>> = RefCell::default();
         let bell = async_channel::bounded::<()>(1);
         let read = async {
             let mut input = Vec::new();
@@ -178,7 +180,9 @@
                         continue; // given up meanwhile
                     }
                     self.held.set(self.held.get().saturating_sub(1));
-                    self.book(|b| b.ended(place, Ended::Answered, Instant::now()));
+                    self.with_log(|log| {
+                        log.record_end(place, AttemptOutcome::Answered, Instant::now())
+                    });
                     match self.finish(&part) {
                         Out::Bytes(more) => bytes.extend(more),
                         Out::Reset => return Err(io::ErrorKind::ConnectionReset.into()),
@@ -193,14 +197,14 @@
     async fn hear(
         &self,
         message: FromBroker,
-        out: &RefCell<BTreeMap<String, usize>>,
-        work: &RefCell<BTreeMap<(Instant, usize), Part>>,
+        out: &RefCell<BTreeMap<String, AttemptNumber>>,
+        work: &RefCell<BTreeMap<(Instant, AttemptNumber), Part>>,
         mut stream: &Async<TcpStream>,
     ) -> io::Result<()> {
         match message {
             FromBroker::Call(parts) => {
                 let now = Instant::now();
-                self.book(Books::called);
+                self.with_log(AttemptLog::record_call);
                 for part in parts {
                     let (fault, takes, drained) = {
                         let Ok(switch) = self.switch.lock() else {
@@ -208,16 +212,16 @@
                         };
                         (switch.fault, switch.takes(now), switch.drained)
                     };
-                    let place = self.book(|b| {
-                        b.came(Attempt {
+                    let place = self.with_log(|log| {
+                        log.record_attempt(Attempt {
                             server: self.name.clone(),
-                            id: part.id.clone(),
+                            part_id: part.id.clone(),
                             shard: part.shard,
-                            key: part.key.clone(),
-                            came: now,
-                            drained,
-                            ran: fault != Fault::TurnsAway,
-                            ended: None,
+                            idempotency_key: part.key.clone(),
+                            received_at: now,
+                            draining_since: drained,
+                            executed: fault != Fault::RejectAll,
+                            end: None,
                         })
                     });
                     self.held.set(self.held.get() + 1);
@@ -244,16 +248,16 @@
         self.count.set(count);
         let hits = |every: u32| every > 0 && count.is_multiple_of(every);
         let end = match self.fault() {
-            Fault::Resets(every) if hits(every) => return Out::Reset,
-            Fault::Garbles(every) if hits(every) => {
+            Fault::ResetEvery(every) if hits(every) => return Out::Reset,
+            Fault::GarbleEvery(every) if hits(every) => {
                 return Out::Bytes(b"\xff\xff\xff\xff noise".to_vec());
             }
-            Fault::Errors(every) if hits(every) => End::Bad,
-            Fault::TurnsAway => End::Later,
+            Fault::ErrorEvery(every) if hits(every) => End::Bad,
+            Fault::RejectAll => End::Later,
             _ => End::Good,
         };
         let value = if end == End::Good {
-            value(part.shard, &part.text)
+            part_value(part.shard, &part.text)
         } else {
             String::new()
         };
