--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -16,6 +16,8 @@
     let rig = rig(Duration::from_millis(20));
     rig.run(async {
         let http2 = rig.connect().await;
+        // More than the limit of streams: a client that does not know it yet would be refused.
+        rig.settle(&http2).await;
         let asks: Vec<_> = (0..300)
             .map(|n| lookup(&format!("q{n}"), &[n % 8]))
             .collect();
@@ -174,9 +176,11 @@
         .iter()
         .for_each(|s| s.set_part_duration(Duration::from_millis(300)));
     let mut raw = RawHttp2Client::connect_with_preface(rig.program.http2.unwrap());
-    for n in 0..3 {
-        raw.send(&query_frames(1 + 2 * n, &format!("q{n}")));
-    }
+    // In one write, so that all three arrive while the first two are being served.
+    let queries: Vec<Vec<u8>> = (0..3)
+        .map(|n| query_frames(1 + 2 * n, &format!("q{n}")))
+        .collect();
+    raw.send(&queries.concat());
     let reset = raw.expect_frame(RST_STREAM);
     assert_eq!(
         (reset.stream_id, reset.error_code()),
@@ -187,6 +191,8 @@
     // A client that keeps to the limit is never refused.
     rig.run(async {
         let http2 = rig.connect_with(&Builder::new()).await;
+        rig.settle(&http2).await;
+        assert_eq!(http2.peer_stream_limit(), 2);
         let asks: Vec<_> = (0..6).map(|n| lookup(&format!("k{n}"), &[n])).collect();
         let answers = join_all(asks.iter().map(|ask| http2.ask(ask))).await;
         assert!(
