--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -1,7 +1,7 @@
 //! The list of data servers: begins with what the configuration knows, then watches discovery.
 
 use crate::clock::limited;
-use crate::inbox::{Inbox, Input};
+use crate::event_queue::{Event, EventQueue};
 use crate::net::read_some;
 use async_executor::{LocalExecutor, Task};
 use async_io::{Async, Timer};
@@ -35,7 +35,7 @@
 /// The one watch of the list, and so the owner of its connection.
 pub struct Discovery {
     executor: Rc<LocalExecutor<'static>>,
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     chance: Rng,
     /// Dropping it ends the watch and closes its connection.
     _watch: Task<()>,
@@ -45,16 +45,21 @@
     /// Watches at this address, from this version on.
     pub fn start(
         executor: Rc<LocalExecutor<'static>>,
-        inbox: Rc<Inbox>,
+        event_queue: Rc<EventQueue>,
         address: SocketAddr,
         rev: u64,
         seed: u64,
     ) -> Self {
         let mut chance = Rng::with_seed(seed);
-        let _watch = executor.spawn(watch(address, Some(rev), inbox.clone(), chance.fork()));
+        let _watch = executor.spawn(watch(
+            address,
+            Some(rev),
+            event_queue.clone(),
+            chance.fork(),
+        ));
         Discovery {
             executor,
-            inbox,
+            event_queue,
             chance,
             _watch,
         }
@@ -63,17 +68,25 @@
     /// Watches at another address. Its versions need not be those of the last one, and what changed meanwhile
     /// is known to nobody: it is asked for the whole list first.
     pub fn move_to(&mut self, address: SocketAddr) {
-        self._watch =
-            self.executor
-                .spawn(watch(address, None, self.inbox.clone(), self.chance.fork()));
+        self._watch = self.executor.spawn(watch(
+            address,
+            None,
+            self.event_queue.clone(),
+            self.chance.fork(),
+        ));
     }
 }
 
 /// Watches for ever. A list that cannot be had or read leaves the last one in force.
-async fn watch(discovery: SocketAddr, mut rev: Option<u64>, inbox: Rc<Inbox>, mut chance: Rng) {
+async fn watch(
+    discovery: SocketAddr,
+    mut rev: Option<u64>,
+    event_queue: Rc<EventQueue>,
+    mut chance: Rng,
+) {
     let mut back_off = BACK_OFF.0;
     loop {
-        let error = match session(discovery, &mut rev, &mut back_off, &inbox).await {
+        let error = match session(discovery, &mut rev, &mut back_off, &event_queue).await {
             Ok(()) => continue, // closed between two answers, as a server may
             Err(error) => error,
         };
@@ -89,7 +102,7 @@
     discovery: SocketAddr,
     rev: &mut Option<u64>,
     back_off: &mut Duration,
-    inbox: &Inbox,
+    event_queue: &EventQueue,
 ) -> io::Result<()> {
     let mut stream = limited(GRACE, Async::<TcpStream>::connect(discovery)).await?;
     stream.get_ref().set_nodelay(true)?;
@@ -125,7 +138,7 @@
         let news = rev.replace(targets.revision) != Some(targets.revision);
         *back_off = BACK_OFF.0;
         if targets.is_snapshot || !targets.endpoints.is_empty() {
-            inbox.put(Input::EndpointList(targets));
+            event_queue.push(Event::EndpointsUpdated(targets));
         }
         if !news && called.elapsed() < WAIT / 2 {
             // Nothing new before its time: asked again at once, such a server would cost the whole core.
--- /dev/null
+++ b/crates/broker/src/event_queue.rs
@@ -0,0 +1,147 @@
+//! Queue of events between the tasks that serve sockets and the event loop, which drains it once per iteration.
+
+use admission::Connection;
+use async_channel::{Receiver, Sender};
+use broker_types::query::{FinalResponse, QueryId, QueryRequest};
+use broker_types::server::EndpointList;
+use server_protocol::{BadFrame, FromServer};
+use std::cell::{Cell, RefCell};
+use std::io;
+
+/// Something that happened since the last iteration of the event loop.
+pub enum Event {
+    /// A client sent a query.
+    QueryReceived {
+        /// Number of the query.
+        id: QueryId,
+        /// The client's connection.
+        connection: Connection,
+        /// What the client asks for.
+        request: QueryRequest,
+        /// Where the one final response goes.
+        reply: Sender<FinalResponse>,
+    },
+    /// The client of a query closed its connection or cancelled the query.
+    ClientDisconnected {
+        /// Number of the query.
+        query: QueryId,
+    },
+    /// Something happened on a connection to a data server.
+    ServerConnection {
+        /// Number of the connection.
+        connection: u64,
+        /// What happened.
+        event: ConnectionEvent,
+    },
+    /// Discovery sent a list of endpoints, or changes to it.
+    EndpointsUpdated(EndpointList),
+    /// The configuration is to be read again.
+    ReloadRequested,
+    /// The program is to shut down.
+    ShutdownRequested,
+}
+
+/// Something that happened on a connection to a data server.
+pub enum ConnectionEvent {
+    /// A whole frame was received.
+    FrameReceived(FromServer),
+    /// A part of a frame was received; the rest is outstanding.
+    FrameStarted,
+    /// The connection was closed, or could not be opened.
+    Closed(io::Error),
+    /// A frame could not be decoded. The connection is closed: the start of the next frame is unknown.
+    FrameInvalid(BadFrame),
+}
+
+/// The queue of events. Its length is bounded by its producers: each client connection has a limited number of
+/// queries in flight, and a data server connection only answers the attempts that are in flight on it.
+pub struct EventQueue {
+    events: RefCell<Vec<Event>>,
+    wake_up: (Sender<()>, Receiver<()>),
+    next_query: Cell<QueryId>,
+    /// Number of queries among the queued events.
+    pending_queries: Cell<usize>,
+}
+
+impl Default for EventQueue {
+    fn default() -> Self {
+        EventQueue {
+            events: RefCell::default(),
+            wake_up: async_channel::bounded(1),
+            next_query: Cell::new(1),
+            pending_queries: Cell::new(0),
+        }
+    }
+}
+
+impl EventQueue {
+    /// Appends an event and wakes the event loop.
+    pub fn push(&self, event: Event) {
+        self.events.borrow_mut().push(event);
+        // A full channel means that the event loop has been woken already.
+        let _ = self.wake_up.0.try_send(());
+    }
+
+    /// Submits a query. Its final response arrives at the returned handle, once, unless that is dropped before.
+    pub fn submit_query(&self, connection: Connection, request: QueryRequest) -> QueryHandle<'_> {
+        let id = self.next_query.get();
+        self.next_query.set(id + 1);
+        let (reply, response) = async_channel::bounded(1);
+        self.pending_queries.set(self.pending_queries.get() + 1);
+        self.push(Event::QueryReceived {
+            id,
+            connection,
+            request,
+            reply,
+        });
+        QueryHandle {
+            queue: self,
+            id,
+            response,
+        }
+    }
+
+    /// Removes and returns all events.
+    pub fn drain(&self) -> Vec<Event> {
+        let _ = self.wake_up.1.try_recv();
+        self.pending_queries.set(0);
+        std::mem::take(&mut *self.events.borrow_mut())
+    }
+
+    /// Number of queries that are queued.
+    pub fn pending_queries(&self) -> usize {
+        self.pending_queries.get()
+    }
+
+    /// Waits until the queue holds an event.
+    pub async fn wait(&self) {
+        if self.events.borrow().is_empty() {
+            let _ = self.wake_up.1.recv().await;
+        }
+    }
+}
+
+/// A query that was submitted to the event loop. Dropping the handle before the response has arrived reports that
+/// the client has disconnected.
+pub struct QueryHandle<'a> {
+    queue: &'a EventQueue,
+    id: QueryId,
+    response: Receiver<FinalResponse>,
+}
+
+impl QueryHandle<'_> {
+    /// Waits for the final response.
+    pub async fn response(&self) -> FinalResponse {
+        self.response.recv().await.unwrap_or(FinalResponse::Failed)
+    }
+}
+
+impl Drop for QueryHandle<'_> {
+    fn drop(&mut self) {
+        // The event loop closes the channel when it sends the response: afterwards the query is no longer in flight.
+        if !self.response.is_closed() {
+            self.queue
+                .push(Event::ClientDisconnected { query: self.id });
+        }
+    }
+}
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -68,7 +68,7 @@
         &self.slots
     }
 
-    /// An error is the client's going away, which its ticket has told, or the broker's own: its end goes the same way.
+    /// An error is the client's going away, which its handle has reported, or the broker's own: its end goes the same way.
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>, slot: Slot) {
         let most = self.connection(&stream).await.unwrap_or(LINGER);
         let _ending = slot.end();
@@ -231,9 +231,9 @@
         ask.client_timeout = ask
             .client_timeout
             .saturating_sub(input.grown.elapsed().as_micros() as Micros);
-        let ticket = self.shared.inbox.ask(number, ask);
+        let handle = self.shared.event_queue.submit_query(number, ask);
         let reply = async {
-            let reply = ticket.reply().await;
+            let reply = handle.response().await;
             Ok((
                 final_answer(&reply),
                 !matches!(reply, FinalResponse::Invalid { .. }),
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -59,9 +59,9 @@
                     }
                     Routed::Query(ask) => {
                         let until = begun + span(ask.client_timeout);
-                        let ticket = shared.inbox.ask(connection, ask);
-                        // The client's reset drops the ticket, and so tells the turn loop in time for its next turn.
-                        let reply = async { Some(ticket.reply().await) };
+                        let handle = shared.event_queue.submit_query(connection, ask);
+                        // The client's reset drops the handle, which tells the event loop in time for its next iteration.
+                        let reply = async { Some(handle.response().await) };
                         let gone = async {
                             let _ = poll_fn(|cx| respond.poll_reset(cx)).await;
                             None
--- a/crates/broker/src/front/mod.rs
+++ b/crates/broker/src/front/mod.rs
@@ -1,6 +1,6 @@
 //! The fronts: clients' connections, in every version of HTTP that is spoken here.
 //!
-//! What a request means is known by `query_api`; a front reads requests, hands what they ask to the [`Inbox`],
+//! What a request means is known by `query_api`; a front reads requests, hands what they ask to the [`EventQueue`],
 //! and writes the one final answer. All fronts share a [`Shared`].
 
 mod accept;
@@ -12,7 +12,7 @@
 pub use http2::Http2;
 
 use crate::clock::Clock;
-use crate::inbox::Inbox;
+use crate::event_queue::EventQueue;
 use admission::{Connection, budget};
 use async_channel::{Receiver, Sender};
 use async_executor::{LocalExecutor, Task};
@@ -39,7 +39,7 @@
 
 /// What all fronts share.
 pub struct Shared {
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     settings: Settings,
     names: Names,
     stage: Cell<Stage>,
@@ -52,12 +52,12 @@
 
 impl Shared {
     /// For a program that serves.
-    pub fn new(inbox: Rc<Inbox>, settings: Settings, names: Names) -> Rc<Self> {
+    pub fn new(event_queue: Rc<EventQueue>, settings: Settings, names: Names) -> Rc<Self> {
         let date = RefCell::new((Instant::now(), date(SystemTime::now())));
         let (stage, connections) = (Cell::new(Stage::Serving), Cell::new(0));
         let moved = RefCell::new(async_channel::bounded(1));
         Rc::new(Shared {
-            inbox,
+            event_queue,
             settings,
             names,
             stage,
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -2,12 +2,12 @@
 //! refuse is decided by `fanout_policy`, behind the facade `policy_engine`.
 //!
 //! [`turns`] runs the turns; [`front`] serves the clients, [`upstream`] the connections to data servers, and
-//! [`discovery`] watches the list of these. They tell the turns what happened through the [`inbox`].
+//! [`discovery`] watches the list of these. They tell the turns what happened through the [`event_queue`].
 
 pub mod clock;
 pub mod discovery;
+pub mod event_queue;
 pub mod front;
-pub mod inbox;
 pub mod net;
 pub mod operator;
 mod queries;
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -2,8 +2,8 @@
 
 use crate::clock::Clock;
 use crate::discovery::Discovery;
+use crate::event_queue::{Event, EventQueue};
 use crate::front::{Fronts, Plan, Shared};
-use crate::inbox::{Inbox, Input};
 use crate::operator::Operator;
 use crate::queries::{Held, Queries};
 use crate::upstream::{Ended, Send, Upstream};
@@ -47,7 +47,7 @@
     core: Core,
     upstream: Upstream,
     discovery: Discovery,
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     fronts: Fronts,
     queries: Queries,
     /// The turn's dispatches: they go out together at its end.
@@ -80,7 +80,7 @@
     started: impl FnOnce(SocketAddr, Option<SocketAddr>),
 ) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let inbox = Rc::new(Inbox::default());
+    let event_queue = Rc::new(EventQueue::default());
     let clock = Clock::start();
     let limits = limits(config.clients, &operator)?;
     let bind = |address| Async::<TcpListener>::bind(address);
@@ -95,19 +95,23 @@
         .as_ref()
         .map(|l| l.get_ref().local_addr())
         .transpose()?;
-    let on_signal = inbox.clone();
+    let signal_events = event_queue.clone();
     executor
         .spawn(async move {
             while let Some(signal) = signals.next().await {
-                on_signal.put(if matches!(signal, Ok(Signal::Hup)) {
-                    Input::Reload
+                signal_events.push(if matches!(signal, Ok(Signal::Hup)) {
+                    Event::ReloadRequested
                 } else {
-                    Input::Terminate
+                    Event::ShutdownRequested
                 });
             }
         })
         .detach();
-    let shared = Shared::new(inbox.clone(), config.settings.clone(), config.names.clone());
+    let shared = Shared::new(
+        event_queue.clone(),
+        config.settings.clone(),
+        config.names.clone(),
+    );
     let plan = Plan {
         http1: listener,
         http2,
@@ -124,15 +128,15 @@
         clients: config.clients,
         queries: Queries::new(&config.settings, config.max_open),
         core: Core::new(config.settings, config.max_open, config.seed),
-        upstream: Upstream::new(executor.clone(), inbox.clone(), clock, config.pool),
+        upstream: Upstream::new(executor.clone(), event_queue.clone(), clock, config.pool),
         discovery: Discovery::start(
             executor.clone(),
-            inbox.clone(),
+            event_queue.clone(),
             config.discovery,
             rev,
             config.seed,
         ),
-        inbox,
+        event_queue,
         fronts: Fronts::start(shared, plan, clock, executor.clone()),
         dispatches: BTreeMap::new(),
         ended: Vec::new(),
@@ -190,10 +194,10 @@
         let timer = async {
             Timer::at(self.clock.instant(due)).await;
         };
-        self.inbox.wait().or(timer).await;
+        self.event_queue.wait().or(timer).await;
         let next = self
             .pacing
-            .earliest(now, self.queries.len() + self.inbox.asks());
+            .earliest(now, self.queries.len() + self.event_queue.pending_queries());
         if self.clock.now() < next {
             Timer::at(self.clock.instant(next)).await;
         } else {
@@ -204,21 +208,26 @@
 
     fn turn(&mut self, now: Micros) {
         let mut asks = Vec::new();
-        for input in self.inbox.take() {
+        for input in self.event_queue.drain() {
             match input {
-                Input::QueryRequest(id, connection, ask, reply) => {
-                    asks.push((id, connection, ask, reply))
-                }
-                Input::Gone(id) => {
+                Event::QueryReceived {
+                    id,
+                    connection,
+                    request: ask,
+                    reply,
+                } => asks.push((id, connection, ask, reply)),
+                Event::ClientDisconnected { query: id } => {
                     asks.retain(|(ask, ..)| *ask != id);
                     self.core.leave(id);
                     self.queries.gone(now, id);
                     self.over.push((id, None));
                 }
-                Input::Conn(id, event) => self.upstream.hear(now, id, event),
-                Input::EndpointList(targets) => self.learn(now, targets.scope(), &targets),
-                Input::Reload => self.reload_at = Some(now),
-                Input::Terminate => self.terminate(now),
+                Event::ServerConnection { connection, event } => {
+                    self.upstream.hear(now, connection, event)
+                }
+                Event::EndpointsUpdated(targets) => self.learn(now, targets.scope(), &targets),
+                Event::ReloadRequested => self.reload_at = Some(now),
+                Event::ShutdownRequested => self.terminate(now),
             }
         }
         if self.reload_at.take_if(|at| now >= *at).is_some() {
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a data server: what waits to be written, and the task that writes and reads.
 
 use crate::clock::{Clock, limited};
-use crate::inbox::{ConnEvent, Inbox, Input};
+use crate::event_queue::{ConnectionEvent, Event, EventQueue};
 use crate::net::read_some;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
@@ -184,7 +184,7 @@
     endpoint: SocketAddr,
     dial: Micros,
     queue: Rc<SendQueue>,
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     clock: Clock,
 ) {
     let end = match limited(
@@ -195,18 +195,21 @@
     {
         Ok(stream) => {
             queue.up.set(true);
-            let written = async { ConnEvent::Down(write(&stream, &queue, clock).await) };
+            let written = async { ConnectionEvent::Closed(write(&stream, &queue, clock).await) };
             let read = async {
-                read(&stream, id, &inbox)
+                read(&stream, id, &event_queue)
                     .await
-                    .unwrap_or_else(ConnEvent::Down)
+                    .unwrap_or_else(ConnectionEvent::Closed)
             };
             // Reading goes first: nothing is written into a connection that the server has closed by then.
             read.or(written).await
         }
-        Err(error) => ConnEvent::Down(error),
+        Err(error) => ConnectionEvent::Closed(error),
     };
-    inbox.put(Input::Conn(id, end));
+    event_queue.push(Event::ServerConnection {
+        connection: id,
+        event: end,
+    });
 }
 
 /// Writes until that fails.
@@ -250,7 +253,11 @@
 }
 
 /// Reads until the connection ends, and tells how.
-async fn read(stream: &Async<TcpStream>, id: u64, inbox: &Inbox) -> io::Result<ConnEvent> {
+async fn read(
+    stream: &Async<TcpStream>,
+    id: u64,
+    event_queue: &EventQueue,
+) -> io::Result<ConnectionEvent> {
     let mut input = Vec::new();
     loop {
         let mut used = 0;
@@ -259,16 +266,22 @@
                 Ok(None) => break,
                 Ok(Some((message, length))) => {
                     used += length;
-                    inbox.put(Input::Conn(id, ConnEvent::Frame(message)));
+                    event_queue.push(Event::ServerConnection {
+                        connection: id,
+                        event: ConnectionEvent::FrameReceived(message),
+                    });
                 }
-                Err(bad) => return Ok(ConnEvent::Bad(bad)),
+                Err(bad) => return Ok(ConnectionEvent::FrameInvalid(bad)),
             }
         }
         input.drain(..used);
         if input.is_empty() {
             input = Vec::new();
         } else {
-            inbox.put(Input::Conn(id, ConnEvent::Begun));
+            event_queue.push(Event::ServerConnection {
+                connection: id,
+                event: ConnectionEvent::FrameStarted,
+            });
         }
         if read_some(stream, &mut input).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! The pool owns each attempt from its dispatch to its one [`Ended`], and each connection from its dialling to
 //! the drop of its task, which closes the socket. Tasks on sockets tell the pool what happened through the
-//! inbox; the pool acts on it in a turn.
+//! event queue; the pool acts on it in a turn.
 
 mod connection;
 
 use crate::clock::Clock;
-use crate::inbox::{ConnEvent, Inbox};
+use crate::event_queue::{ConnectionEvent, EventQueue};
 use async_executor::{LocalExecutor, Task};
 use broker_types::limits::PoolLimits;
 use broker_types::query::{AttemptId, QueryId};
@@ -104,7 +104,7 @@
 /// The pools of all data servers.
 pub struct Upstream {
     executor: Rc<LocalExecutor<'static>>,
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     clock: Clock,
     limits: PoolLimits,
     servers: BTreeMap<NodeId, Server>,
@@ -119,13 +119,13 @@
     /// Pools without servers.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        inbox: Rc<Inbox>,
+        event_queue: Rc<EventQueue>,
         clock: Clock,
         limits: PoolLimits,
     ) -> Self {
         Upstream {
             executor,
-            inbox,
+            event_queue,
             clock,
             limits,
             servers: BTreeMap::new(),
@@ -265,7 +265,7 @@
             endpoint,
             self.limits.dial_timeout,
             queue.clone(),
-            self.inbox.clone(),
+            self.event_queue.clone(),
             self.clock,
         );
         let conn = Conn {
@@ -395,14 +395,14 @@
     }
 
     /// Takes news of a connection.
-    pub fn hear(&mut self, now: Micros, id: u64, event: ConnEvent) {
+    pub fn hear(&mut self, now: Micros, id: u64, event: ConnectionEvent) {
         let Some(conn) = self.conns.get_mut(&id) else {
             return;
         };
         conn.heard = now;
         conn.begun = None;
         match event {
-            ConnEvent::Frame(FromServer::Answer {
+            ConnectionEvent::FrameReceived(FromServer::Answer {
                 id: wire,
                 outcome,
                 held,
@@ -419,21 +419,21 @@
                     None => self.spoil(now, id, "its id is not out"),
                 }
             }
-            ConnEvent::Begun if conn.out.is_empty() && conn.given_up.is_empty() => {
+            ConnectionEvent::FrameStarted if conn.out.is_empty() && conn.given_up.is_empty() => {
                 self.spoil(now, id, "nothing is out");
             }
-            ConnEvent::Begun => conn.begun = Some(now),
-            ConnEvent::Frame(FromServer::Rejected(words)) => {
+            ConnectionEvent::FrameStarted => conn.begun = Some(now),
+            ConnectionEvent::FrameReceived(FromServer::Rejected(words)) => {
                 warn!(name: "upstream_rejected", server = %conn.server.0, words);
             }
-            ConnEvent::Down(error) => {
+            ConnectionEvent::Closed(error) => {
                 if !conn.out.is_empty() {
                     let out = conn.out.len();
                     warn!(name: "upstream_down", server = %conn.server.0, error = %error, out);
                 }
                 self.lose(now, id);
             }
-            ConnEvent::Bad(bad) => self.spoil(now, id, bad.0),
+            ConnectionEvent::FrameInvalid(bad) => self.spoil(now, id, bad.0),
         }
     }
 
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -1,6 +1,6 @@
 use super::connection::Outgoing;
 use super::*;
-use crate::inbox::Input;
+use crate::event_queue::Event;
 use async_io::Async;
 use broker_types::time::MILLI;
 use futures_lite::future::yield_now;
@@ -55,13 +55,13 @@
     pool.take_ended(now).iter().map(|e| e.outcome).collect()
 }
 
-fn broken() -> ConnEvent {
-    ConnEvent::Down(std::io::ErrorKind::ConnectionReset.into())
+fn broken() -> ConnectionEvent {
+    ConnectionEvent::Closed(std::io::ErrorKind::ConnectionReset.into())
 }
 
-fn answer(wire: &str) -> ConnEvent {
+fn answer(wire: &str) -> ConnectionEvent {
     let (id, outcome, held) = (wire.to_owned(), Outcome::Served, Some(1.0));
-    ConnEvent::Frame(FromServer::Answer {
+    ConnectionEvent::FrameReceived(FromServer::Answer {
         id,
         outcome,
         held,
@@ -119,7 +119,7 @@
     );
 }
 
-fn outcomes_of_spoilt(event: ConnEvent, sent: usize) -> (Vec<Outcome>, usize) {
+fn outcomes_of_spoilt(event: ConnectionEvent, sent: usize) -> (Vec<Outcome>, usize) {
     let (mut pool, _listener) = pool(PoolLimits {
         batch: 4,
         ..limits()
@@ -137,7 +137,7 @@
 fn a_spoilt_answer_fails_one_attempt_and_closes_its_connection() {
     for event in [
         answer("q7.0"),
-        ConnEvent::Bad(server_protocol::BadFrame("noise")),
+        ConnectionEvent::FrameInvalid(server_protocol::BadFrame("noise")),
     ] {
         let outcomes = outcomes_of_spoilt(event, 3);
         assert_eq!(
@@ -155,8 +155,8 @@
 fn surplus_after_a_good_answer_closes_the_connection_and_fails_nothing() {
     for surplus in [
         answer("q1.0"),
-        ConnEvent::Begun,
-        ConnEvent::Bad(server_protocol::BadFrame("noise")),
+        ConnectionEvent::FrameStarted,
+        ConnectionEvent::FrameInvalid(server_protocol::BadFrame("noise")),
     ] {
         let (mut pool, _listener) = pool(limits());
         pool.dispatch(0, sends(1, 1));
@@ -234,7 +234,7 @@
     pool.dispatch(0, sends(1, 1));
     pool.conns[&0].queue.begin(0);
     pool.conns[&0].queue.written();
-    pool.hear(10, 0, ConnEvent::Begun);
+    pool.hear(10, 0, ConnectionEvent::FrameStarted);
     assert_eq!(pool.due(), 10 + limits().dial_timeout);
     pool.sweep(9 + limits().dial_timeout);
     assert_eq!(pool.open(), 1);
@@ -311,7 +311,7 @@
     pool.hear(20, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NoConnection; 2]);
     pool.dispatch(30, sends(3, 1));
-    let (executor, inbox) = (pool.executor.clone(), pool.inbox.clone());
+    let (executor, event_queue) = (pool.executor.clone(), pool.event_queue.clone());
     let queue = pool.conns[&1].queue.clone();
     let written = async {
         while !queue.unwritten().is_empty() {
@@ -319,12 +319,13 @@
         }
     };
     async_io::block_on(executor.run(written));
-    assert!(
-        !inbox
-            .take()
-            .iter()
-            .any(|i| matches!(i, Input::Conn(1, ConnEvent::Down(_))))
-    );
+    assert!(!event_queue.drain().iter().any(|i| matches!(
+        i,
+        Event::ServerConnection {
+            connection: 1,
+            event: ConnectionEvent::Closed(_)
+        }
+    )));
     pool.hear(40, 1, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::ConnectionLost]);
 }
@@ -469,9 +470,9 @@
 fn a_part_that_meets_the_closing_of_an_idle_connection_never_ran() {
     let (mut pool, listener) = pool(limits());
     pool.dispatch(0, sends(1, 1));
-    let (executor, inbox, queue) = (
+    let (executor, event_queue, queue) = (
         pool.executor.clone(),
-        pool.inbox.clone(),
+        pool.event_queue.clone(),
         pool.conns[&0].queue.clone(),
     );
     async_io::block_on(executor.run(async {
@@ -487,14 +488,20 @@
     drop(server);
     let news = async_io::block_on(executor.run(async {
         loop {
-            let news = inbox.take();
+            let news = event_queue.drain();
             if !news.is_empty() {
                 break news;
             }
             yield_now().await;
         }
     }));
-    assert!(matches!(news[..], [Input::Conn(0, ConnEvent::Down(_))]));
+    assert!(matches!(
+        news[..],
+        [Event::ServerConnection {
+            connection: 0,
+            event: ConnectionEvent::Closed(_)
+        }]
+    ));
     pool.hear(30, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NotSent]);
 }
