--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -4,7 +4,8 @@
 use async_channel::{Receiver, Sender};
 use broker_types::query::{FinalResponse, QueryId, QueryRequest};
 use broker_types::server::EndpointList;
-use server_protocol::{BadFrame, FromServer};
+use server_protocol::InvalidFrame;
+use server_protocol::broker::ServerMessage;
 use std::cell::{Cell, RefCell};
 use std::io;
 
@@ -44,13 +45,13 @@
 /// Something that happened on a connection to a data server.
 pub enum ConnectionEvent {
     /// A whole frame was received.
-    FrameReceived(FromServer),
+    FrameReceived(ServerMessage),
     /// A part of a frame was received; the rest is outstanding.
     FrameStarted,
     /// The connection was closed, or could not be opened.
     Closed(io::Error),
     /// A frame could not be decoded. The connection is closed: the start of the next frame is unknown.
-    FrameInvalid(BadFrame),
+    FrameInvalid(InvalidFrame),
 }
 
 /// The queue of events. Its length is bounded by its producers: each client connection has a limited number of
