--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -1,6 +1,6 @@
 //! Queue of events between the tasks that serve sockets and the event loop, which drains it once per iteration.
 
-use admission::Connection;
+use admission::ConnectionId;
 use async_channel::{Receiver, Sender};
 use broker_types::query::{FinalResponse, QueryId, QueryRequest};
 use broker_types::server::EndpointList;
@@ -16,7 +16,7 @@
         /// Number of the query.
         id: QueryId,
         /// The client's connection.
-        connection: Connection,
+        connection: ConnectionId,
         /// What the client asks for.
         request: QueryRequest,
         /// Where the one final response goes.
@@ -69,7 +69,7 @@
         EventQueue {
             events: RefCell::default(),
             wake_up: async_channel::bounded(1),
-            next_query: Cell::new(1),
+            next_query: Cell::new(QueryId(1)),
             pending_queries: Cell::new(0),
         }
     }
@@ -84,9 +84,9 @@
     }
 
     /// Submits a query. Its final response arrives at the returned handle, once, unless that is dropped before.
-    pub fn submit_query(&self, connection: Connection, request: QueryRequest) -> QueryHandle<'_> {
+    pub fn submit_query(&self, connection: ConnectionId, request: QueryRequest) -> QueryHandle<'_> {
         let id = self.next_query.get();
-        self.next_query.set(id + 1);
+        self.next_query.set(QueryId(id.0 + 1));
         let (reply, response) = async_channel::bounded(1);
         self.pending_queries.set(self.pending_queries.get() + 1);
         self.push(Event::QueryReceived {
