--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -1,6 +1,6 @@
 use super::connection::Outgoing;
 use super::*;
-use crate::inbox::Input;
+use crate::event_queue::Event;
 use async_io::Async;
 use broker_types::time::MILLI;
 use futures_lite::future::yield_now;
@@ -21,11 +21,11 @@
 fn limits() -> PoolLimits {
     let (dial_timeout, keepalive) = (SECOND / 4, 15 * SECOND);
     PoolLimits {
-        sockets: 10,
-        batch: 2,
-        multiplex: 4,
+        max_connections: 10,
+        max_parts_per_call: 2,
+        max_parts_per_connection: 4,
         dial_timeout,
-        keepalive,
+        idle_timeout: keepalive,
     }
 }
 
@@ -36,8 +36,8 @@
 fn sends(query: u64, parts: usize) -> Vec<Send> {
     let send = |part| Send {
         attempt: AttemptId {
-            query,
-            part,
+            query: QueryId(query),
+            part: PartIndex(part),
             attempt: 0,
         },
         server: server(),
@@ -55,12 +55,12 @@
     pool.take_ended(now).iter().map(|e| e.outcome).collect()
 }
 
-fn broken() -> ConnEvent {
-    ConnEvent::Down(std::io::ErrorKind::ConnectionReset.into())
+fn broken() -> ConnectionEvent {
+    ConnectionEvent::Closed(std::io::ErrorKind::ConnectionReset.into())
 }
 
-fn answer(wire: &str) -> ConnEvent {
-    ConnEvent::Frame(ServerMessage::PartResponse(PartResponse {
+fn answer(wire: &str) -> ConnectionEvent {
+    ConnectionEvent::FrameReceived(ServerMessage::PartResponse(PartResponse {
         id: wire.to_owned(),
         outcome: Outcome::Served,
         requests_in_flight: Some(1.0),
@@ -99,7 +99,7 @@
 #[test]
 fn what_waits_behind_a_connection_that_was_up_is_not_sent() {
     let (mut pool, _listener) = pool(PoolLimits {
-        sockets: 1,
+        max_connections: 1,
         ..limits()
     });
     pool.dispatch(0, sends(1, 1));
@@ -118,9 +118,9 @@
     );
 }
 
-fn outcomes_of_spoilt(event: ConnEvent, sent: usize) -> (Vec<Outcome>, usize) {
+fn outcomes_of_spoilt(event: ConnectionEvent, sent: usize) -> (Vec<Outcome>, usize) {
     let (mut pool, _listener) = pool(PoolLimits {
-        batch: 4,
+        max_parts_per_call: 4,
         ..limits()
     });
     pool.dispatch(0, sends(1, sent));
@@ -136,7 +136,7 @@
 fn a_spoilt_answer_fails_one_attempt_and_closes_its_connection() {
     for event in [
         answer("q7.0"),
-        ConnEvent::Bad(server_protocol::InvalidFrame::UnknownKind),
+        ConnectionEvent::FrameInvalid(server_protocol::InvalidFrame::UnknownKind),
     ] {
         let outcomes = outcomes_of_spoilt(event, 3);
         assert_eq!(
@@ -154,8 +154,8 @@
 fn surplus_after_a_good_answer_closes_the_connection_and_fails_nothing() {
     for surplus in [
         answer("q1.0"),
-        ConnEvent::Begun,
-        ConnEvent::Bad(server_protocol::InvalidFrame::UnknownKind),
+        ConnectionEvent::FrameStarted,
+        ConnectionEvent::FrameInvalid(server_protocol::InvalidFrame::UnknownKind),
     ] {
         let (mut pool, _listener) = pool(limits());
         pool.dispatch(0, sends(1, 1));
@@ -178,8 +178,8 @@
     pool.give_up(
         10,
         AttemptId {
-            query: 1,
-            part: 0,
+            query: QueryId(1),
+            part: PartIndex(0),
             attempt: 0,
         },
     );
@@ -199,10 +199,10 @@
 #[test]
 fn late_answers_to_more_than_may_be_out_spoil_nothing() {
     let (mut pool, _listener) = pool(PoolLimits {
-        sockets: 1,
+        max_connections: 1,
         ..limits()
     });
-    for query in 1..=limits().multiplex as u64 + 2 {
+    for query in 1..=limits().max_parts_per_connection as u64 + 2 {
         pool.dispatch(0, sends(query, 1));
         while pool.conns[&0].queue.begin(0).is_some() {
             pool.conns[&0].queue.written();
@@ -210,8 +210,8 @@
         pool.give_up(
             10,
             AttemptId {
-                query,
-                part: 0,
+                query: QueryId(query),
+                part: PartIndex(0),
                 attempt: 0,
             },
         );
@@ -233,7 +233,7 @@
     pool.dispatch(0, sends(1, 1));
     pool.conns[&0].queue.begin(0);
     pool.conns[&0].queue.written();
-    pool.hear(10, 0, ConnEvent::Begun);
+    pool.hear(10, 0, ConnectionEvent::FrameStarted);
     assert_eq!(pool.due(), 10 + limits().dial_timeout);
     pool.sweep(9 + limits().dial_timeout);
     assert_eq!(pool.open(), 1);
@@ -248,7 +248,7 @@
 #[test]
 fn with_no_descriptor_left_an_idle_connection_makes_room_or_the_attempt_ends() {
     let (mut pool, listener) = pool(PoolLimits {
-        sockets: 1,
+        max_connections: 1,
         ..limits()
     });
     pool.dispatch(0, sends(1, 1));
@@ -310,7 +310,7 @@
     pool.hear(20, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NoConnection; 2]);
     pool.dispatch(30, sends(3, 1));
-    let (executor, inbox) = (pool.executor.clone(), pool.inbox.clone());
+    let (executor, event_queue) = (pool.executor.clone(), pool.event_queue.clone());
     let queue = pool.conns[&1].queue.clone();
     let written = async {
         while !queue.unwritten().is_empty() {
@@ -318,12 +318,13 @@
         }
     };
     async_io::block_on(executor.run(written));
-    assert!(
-        !inbox
-            .take()
-            .iter()
-            .any(|i| matches!(i, Input::Conn(1, ConnEvent::Down(_))))
-    );
+    assert!(!event_queue.drain().iter().any(|i| matches!(
+        i,
+        Event::ServerConnection {
+            connection: 1,
+            event: ConnectionEvent::Closed(_)
+        }
+    )));
     pool.hear(40, 1, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::ConnectionLost]);
 }
@@ -355,8 +356,8 @@
     pool.give_up(
         SECOND / 2,
         AttemptId {
-            query: 1,
-            part: 0,
+            query: QueryId(1),
+            part: PartIndex(0),
             attempt: 0,
         },
     );
@@ -468,9 +469,9 @@
 fn a_part_that_meets_the_closing_of_an_idle_connection_never_ran() {
     let (mut pool, listener) = pool(limits());
     pool.dispatch(0, sends(1, 1));
-    let (executor, inbox, queue) = (
+    let (executor, event_queue, queue) = (
         pool.executor.clone(),
-        pool.inbox.clone(),
+        pool.event_queue.clone(),
         pool.conns[&0].queue.clone(),
     );
     async_io::block_on(executor.run(async {
@@ -486,14 +487,20 @@
     drop(server);
     let news = async_io::block_on(executor.run(async {
         loop {
-            let news = inbox.take();
+            let news = event_queue.drain();
             if !news.is_empty() {
                 break news;
             }
             yield_now().await;
         }
     }));
-    assert!(matches!(news[..], [Input::Conn(0, ConnEvent::Down(_))]));
+    assert!(matches!(
+        news[..],
+        [Event::ServerConnection {
+            connection: 0,
+            event: ConnectionEvent::Closed(_)
+        }]
+    ));
     pool.hear(30, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NotSent]);
 }
@@ -525,10 +532,14 @@
     pool.dispatch(0, sends(1, 2));
     pool.dispatch(0, sends(2, 1));
     pool.conns[&1].queue.begin(0);
-    pool.take_back(10, 2, None);
-    pool.take_back(10, 1, None);
+    pool.take_back(10, QueryId(2), None);
+    pool.take_back(10, QueryId(1), None);
     assert_eq!(outcomes(&mut pool, 10), [Outcome::NotSent; 2]);
-    assert!(pool.flights.keys().all(|attempt| attempt.query == 2));
+    assert!(
+        pool.flights
+            .keys()
+            .all(|attempt| attempt.query == QueryId(2))
+    );
 }
 
 /// What must not be sent any more is given back at that moment; what was sent before is waited for.
