--- a/crates/load-generator/src/direct.rs
+++ b/crates/load-generator/src/direct.rs
@@ -1,6 +1,6 @@
 //! A connection to a data server, as a broker has it.
 
-use crate::ask::{Answer, Ask, TEXT};
+use crate::query::{LoadQuery, QUERY_TEXT, QueryOutcome, ShardValue};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use server_protocol::Decoded;
@@ -25,20 +25,20 @@
     }
 
     /// Sends all parts in one call and waits for their answers.
-    pub(crate) async fn ask(&mut self, ask: &Ask) -> io::Result<Answer> {
+    pub(crate) async fn ask(&mut self, ask: &LoadQuery) -> io::Result<QueryOutcome> {
         let ids: Vec<String> = ask
             .shards
             .iter()
             .map(|s| format!("{}.{s}", ask.id))
             .collect();
-        let wait_ms = ask.patience.as_millis() as u64;
+        let wait_ms = ask.client_timeout.as_millis() as u64;
         let parts = ids.iter().zip(&ask.shards);
         let bytes = encode_call(parts.map(|(id, shard)| PartRequest {
             id,
             shard: *shard,
             wait_ms,
             idempotency_key: None,
-            text: TEXT,
+            text: QUERY_TEXT,
         }));
         self.stream.write_all(&bytes).await?;
         let (mut values, mut chunk) = (Vec::new(), [0; 4096]);
@@ -49,7 +49,10 @@
                     frame_len,
                 }) => {
                     self.input.drain(..frame_len);
-                    values.push((values.len(), response.value));
+                    values.push(ShardValue {
+                        shard: values.len(),
+                        value: response.value,
+                    });
                 }
                 Some(Decoded {
                     message: ServerMessage::FrameRejected(reason),
@@ -61,6 +64,9 @@
                 },
             }
         }
-        Ok(Answer::Served(true, values))
+        Ok(QueryOutcome::Answered {
+            complete: true,
+            values,
+        })
     }
 }
