--- a/crates/fanout-policy/src/bin/simulator-adapter.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -65,15 +65,27 @@
 
 /// The bytes of hex digits; none if they are not: such a message is dropped.
 fn bytes(hex: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> = hex.chars().map(|c| c.to_digit(16).map(|d| d as u8)).collect();
+    let digits: Option<Vec<u8>> = hex
+        .chars()
+        .map(|c| c.to_digit(16).map(|d| d as u8))
+        .collect();
     let digits = digits.filter(|d| d.len() % 2 == 0)?;
-    Some(digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect())
+    Some(
+        digits
+            .chunks(2)
+            .map(|pair| pair[0] << 4 | pair[1])
+            .collect(),
+    )
 }
 
 /// Requests held by a server as its load report has it; a report that is odd is as none.
 fn held(m: &Message) -> Option<f64> {
     let report = m.get("Gauge")?.as_object()?;
-    report.get("rif").or_else(|| report.get("q"))?.as_f64().filter(|n| *n >= 0.0)
+    report
+        .get("rif")
+        .or_else(|| report.get("q"))?
+        .as_f64()
+        .filter(|n| *n >= 0.0)
 }
 
 fn outcome(m: &Message) -> Result<Outcome, String> {
@@ -92,7 +104,11 @@
 
 fn action_line(instance: u64, action: &Action) -> Value {
     match action {
-        Action::SendAttempt { part, node, timeout } => {
+        Action::SendAttempt {
+            part,
+            node,
+            timeout,
+        } => {
             json!({"t": "Issue", "I": instance, "OpId": &*part.0, "Within": timeout.unwrap_or(0.0), "Node": &*node.0})
         }
         Action::CancelAttempt { part, attempt } => {
@@ -140,7 +156,13 @@
             let settings = settings::decode(&m.inner("Env")?)?.settings;
             let classes = settings.classes.len();
             let aggregator = Aggregator::new(settings, m.whole("RngSeed")?);
-            self.instances.insert(number, Instance { aggregator, classes });
+            self.instances.insert(
+                number,
+                Instance {
+                    aggregator,
+                    classes,
+                },
+            );
             self.inbox.insert(number, Vec::new());
             return Ok(());
         }
@@ -168,7 +190,10 @@
                         None => return m.bad("Slot", "names a list that was never declared"),
                     },
                 };
-                Some(Event::EndpointList { update: kind, endpoints: members })
+                Some(Event::EndpointList {
+                    update: kind,
+                    endpoints: members,
+                })
             }
             "Order" => Some(order(m, instance.classes)?),
             "ReportBack" => Some(Event::AttemptEnded {
@@ -180,7 +205,12 @@
             }),
             "Dropped" => Some(Event::ClientDisconnected(query_id(m)?)),
             "Memo" => bytes(m.text("Contents")?)
-                .map(|bytes| m.whole("Who").map(|from| Event::Gossip { from: from as usize, bytes }))
+                .map(|bytes| {
+                    m.whole("Who").map(|from| Event::Gossip {
+                        from: from as usize,
+                        bytes,
+                    })
+                })
                 .transpose()?,
             "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::TimerFired))?,
             // Not asked for, but part of the wire.
@@ -193,7 +223,9 @@
 
     fn reply(&mut self, now: Ms, batch: &Value, out: &mut impl Write) -> io::Result<()> {
         for (number, events) in std::mem::take(&mut self.inbox) {
-            let Some(instance) = self.instances.get_mut(&number) else { continue };
+            let Some(instance) = self.instances.get_mut(&number) else {
+                continue;
+            };
             for action in instance.aggregator.on_batch(now, events) {
                 writeln!(out, "{}", action_line(number, &action))?;
             }
@@ -220,25 +252,39 @@
             return Err(format!("{}: the message is not an object", place(&last)));
         };
         let Some(name) = fields.get("t").and_then(Value::as_str) else {
-            return Err(format!("{}: message: field t is missing or not a string", place(&last)));
+            return Err(format!(
+                "{}: message: field t is missing or not a string",
+                place(&last)
+            ));
         };
         let m = Message::new(name, fields);
         match name {
             "Tick" => {
                 last = json!(m.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
-                let now = m.number("Moment").map_err(|e| format!("{}: {e}", place(&last)))?;
+                let now = m
+                    .number("Moment")
+                    .map_err(|e| format!("{}: {e}", place(&last)))?;
                 if open.replace((now, last.clone())).is_some() {
-                    return Err(format!("{}: Tick: the batch before is still open", place(&last)));
+                    return Err(format!(
+                        "{}: Tick: the batch before is still open",
+                        place(&last)
+                    ));
                 }
             }
             "EofBatch" => {
                 let Some((now, batch)) = open.take() else {
                     return Err(format!("{}: EofBatch: no batch is open", place(&last)));
                 };
-                adapter.reply(now, &batch, &mut out).map_err(|e| format!("{}: {e}", place(&last)))?;
+                adapter
+                    .reply(now, &batch, &mut out)
+                    .map_err(|e| format!("{}: {e}", place(&last)))?;
             }
-            _ if open.is_none() => return Err(format!("{}: {name}: no batch is open", place(&last))),
-            _ => adapter.hear(&m).map_err(|e| format!("{}: {e}", place(&last)))?,
+            _ if open.is_none() => {
+                return Err(format!("{}: {name}: no batch is open", place(&last)));
+            }
+            _ => adapter
+                .hear(&m)
+                .map_err(|e| format!("{}: {e}", place(&last)))?,
         }
     }
     Ok(())
