--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -1,4 +1,4 @@
-//! The program's clock: whole microseconds on the monotonic clock, counted from the start of the program.
+//! The clock of the program, in microseconds on the monotonic clock since the program started, and time limits.
 
 use async_io::Timer;
 use broker_types::time::{MILLI, Micros};
@@ -6,16 +6,16 @@
 use std::io;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// The program's clock. Copies tell the same time.
+/// The clock of the program. All copies of a clock have the same origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     origin: Instant,
     /// Unix time at the origin, in milliseconds.
-    unix_origin: i64,
+    unix_origin_ms: i64,
 }
 
 impl Clock {
-    /// A clock that starts at zero now.
+    /// Returns a clock whose origin is now.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now()
@@ -23,58 +23,52 @@
             .unwrap_or_default();
         Clock {
             origin: Instant::now(),
-            unix_origin: unix.as_millis() as i64,
+            unix_origin_ms: unix.as_millis() as i64,
         }
     }
-    /// The time now.
+
+    /// Returns the time since the origin.
     #[must_use]
     pub fn now(&self) -> Micros {
         self.origin.elapsed().as_micros() as Micros
     }
-    /// The instant of a moment, for timers.
+
+    /// Converts a time on this clock to an instant, as timers need it.
     #[must_use]
     pub fn instant(&self, at: Micros) -> Instant {
-        self.origin + Duration::from_micros(at)
+        self.origin + to_duration(at)
     }
-    /// A Unix time in milliseconds on this clock: negative if before the start.
+
+    /// Converts a Unix time in milliseconds to microseconds on this clock; negative before the origin.
     #[must_use]
-    pub fn of_unix_ms(&self, unix_ms: i64) -> i64 {
+    pub fn at_unix_ms(&self, unix_ms: i64) -> i64 {
         unix_ms
-            .saturating_sub(self.unix_origin)
+            .saturating_sub(self.unix_origin_ms)
             .saturating_mul(MILLI as i64)
     }
 }
 
-/// A span as the system's timers count it.
+/// Converts a number of microseconds to a duration.
 #[must_use]
-pub fn span(time: Micros) -> Duration {
+pub fn to_duration(time: Micros) -> Duration {
     Duration::from_micros(time)
 }
 
-/// Ends a wait with an error once its time is over.
-pub async fn limited<T>(
-    time: Duration,
-    work: impl Future<Output = io::Result<T>>,
+/// Runs an operation with a time limit. Once the limit has passed, the operation is dropped.
+///
+/// # Errors
+///
+/// The operation's own error, or [`io::ErrorKind::TimedOut`] if the operation does not complete in time.
+pub async fn with_timeout<T>(
+    limit: Duration,
+    operation: impl Future<Output = io::Result<T>>,
 ) -> io::Result<T> {
-    let late = async {
-        Timer::after(time).await;
+    let timeout = async {
+        Timer::after(limit).await;
         Err(io::ErrorKind::TimedOut.into())
     };
-    work.or(late).await
+    operation.or(timeout).await
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn unix_times_map_to_the_origin() {
-        let clock = Clock {
-            origin: Instant::now(),
-            unix_origin: 1_000_000,
-        };
-        assert_eq!(clock.of_unix_ms(1_000_250), 250_000);
-        assert_eq!(clock.of_unix_ms(999_000), -1_000_000);
-        assert_eq!(clock.of_unix_ms(i64::MIN), i64::MIN);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/broker/src/clock/tests.rs
@@ -0,0 +1,14 @@
+//! Tests of the clock with a fixed Unix time at its origin.
+
+use super::*;
+
+#[test]
+fn unix_time_is_converted_relative_to_clock_origin() {
+    let clock = Clock {
+        origin: Instant::now(),
+        unix_origin_ms: 1_000_000,
+    };
+    assert_eq!(clock.at_unix_ms(1_000_250), 250_000);
+    assert_eq!(clock.at_unix_ms(999_000), -1_000_000);
+    assert_eq!(clock.at_unix_ms(i64::MIN), i64::MIN);
+}
--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The list of data servers: begins with what the configuration knows, then watches discovery.
 
-use crate::clock::limited;
+use crate::clock::with_timeout;
 use crate::event_queue::{Event, EventQueue};
 use crate::net::read_some;
 use async_executor::{LocalExecutor, Task};
@@ -104,7 +104,7 @@
     back_off: &mut Duration,
     event_queue: &EventQueue,
 ) -> io::Result<()> {
-    let mut stream = limited(GRACE, Async::<TcpStream>::connect(discovery)).await?;
+    let mut stream = with_timeout(GRACE, Async::<TcpStream>::connect(discovery)).await?;
     stream.get_ref().set_nodelay(true)?;
     let mut input = Vec::new();
     let mut decoder = ResponseDecoder::new(LIMITS);
@@ -119,7 +119,7 @@
         };
         let call = format!("GET /api/targets{query} HTTP/1.1\r\nHost: {discovery}\r\n\r\n");
         stream.write_all(call.as_bytes()).await?;
-        let message = limited(time, answer(&stream, &mut decoder, &mut input)).await?;
+        let message = with_timeout(time, answer(&stream, &mut decoder, &mut input)).await?;
         if message.value.status() != 200 {
             // It may not know our version, as after a loss of its own data: the whole list comes next.
             *rev = None;
--- a/crates/broker/src/front/http1.rs
+++ b/crates/broker/src/front/http1.rs
@@ -3,7 +3,7 @@
 use super::accept::Serve;
 use super::slots::{Rank, Slot, Slots};
 use super::{Shared, Stage};
-use crate::clock::limited;
+use crate::clock::with_timeout;
 use crate::net::{LINGER, LINGER_IDLE, has_hung_up, linger, read_some};
 use admission::ConnectionId;
 use async_io::{Async, Timer};
@@ -207,7 +207,7 @@
         input: &mut ReadBuffer,
         served: bool,
     ) -> io::Result<Read> {
-        let read = limited(MESSAGE_TIME, read_request(stream, decoder, input));
+        let read = with_timeout(MESSAGE_TIME, read_request(stream, decoder, input));
         if served {
             return read.await;
         }
@@ -289,7 +289,7 @@
                     told = true;
                     write(stream, b"HTTP/1.1 100 Continue\r\n\r\n").await?;
                 }
-                if limited(SILENCE, input.read(stream)).await? == 0 {
+                if with_timeout(SILENCE, input.read(stream)).await? == 0 {
                     return Err(io::ErrorKind::UnexpectedEof.into());
                 }
                 yield_now().await;
@@ -299,5 +299,5 @@
 }
 
 async fn write(mut stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<()> {
-    limited(MESSAGE_TIME, stream.write_all(bytes)).await
+    with_timeout(MESSAGE_TIME, stream.write_all(bytes)).await
 }
--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -8,7 +8,7 @@
 use super::accept::Serve;
 use super::slots::{Evictable, Rank, Slot, Slots};
 use super::{Shared, Stage};
-use crate::clock::{Clock, limited, span};
+use crate::clock::{Clock, to_duration, with_timeout};
 use crate::net::{LINGER, linger, read_some};
 use admission::ConnectionId;
 use admission::resource_limits::Http2Limits;
@@ -127,7 +127,7 @@
         let late = async {
             evictable
                 .closed()
-                .or(async { _ = Timer::after(span(SILENCE)).await })
+                .or(async { _ = Timer::after(to_duration(SILENCE)).await })
                 .await;
             Err(None)
         };
@@ -150,7 +150,7 @@
                 keep_alive: false,
             };
             let bytes = encode_response(&reply, reader);
-            limited(span(LAST_WORDS), (&*stream).write_all(&bytes)).await?;
+            with_timeout(to_duration(LAST_WORDS), (&*stream).write_all(&bytes)).await?;
         }
         linger(stream, LINGER).await
     }
@@ -173,7 +173,7 @@
             .reset_stream_duration(RESET_TIME)
             .handshake::<_, Bytes>(io);
         let handshake = async { handshake.await.map_err(std::io::Error::other) };
-        let Ok(h2) = limited(span(SILENCE), handshake).await else {
+        let Ok(h2) = with_timeout(to_duration(SILENCE), handshake).await else {
             return;
         };
         let mut life = Life {
--- a/crates/broker/src/front/http2/stream.rs
+++ b/crates/broker/src/front/http2/stream.rs
@@ -1,6 +1,6 @@
 //! One request: read, handed in, answered.
 
-use crate::clock::{limited, span};
+use crate::clock::{to_duration, with_timeout};
 use crate::front::Shared;
 use admission::ConnectionId;
 use async_io::Timer;
@@ -46,7 +46,7 @@
     let begun = Instant::now();
     let (head, mut body) = request.into_parts();
     let head_only = head.method == Method::HEAD;
-    let read = limited(MESSAGE_TIME, read_body(&mut body, declared(&head.headers)));
+    let read = with_timeout(MESSAGE_TIME, read_body(&mut body, declared(&head.headers)));
     let (reply, usable, until) = match read.await {
         Ok(Body::Whole(bytes)) => {
             let request = Request::from_parts(head, bytes);
@@ -58,7 +58,7 @@
                         (response, usable, begun + MESSAGE_TIME)
                     }
                     Routed::Query(ask) => {
-                        let until = begun + span(ask.client_timeout);
+                        let until = begun + to_duration(ask.client_timeout);
                         let handle = shared.event_queue.submit_query(connection, ask);
                         // The client's reset drops the handle, which tells the event loop in time for its next iteration.
                         let reply = async { Some(handle.response().await) };
@@ -142,7 +142,7 @@
         return Ok(Body::TooLong);
     }
     let mut bytes = Vec::new();
-    while let Some(data) = limited(SILENCE, async {
+    while let Some(data) = with_timeout(SILENCE, async {
         body.data().await.transpose().map_err(io::Error::other)
     })
     .await?
@@ -153,7 +153,7 @@
         bytes.extend_from_slice(&data);
     }
     // Trailers are taken and thrown away, as over HTTP/1.1.
-    limited(SILENCE, async {
+    with_timeout(SILENCE, async {
         body.trailers().await.map_err(io::Error::other)
     })
     .await?;
--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -1,6 +1,6 @@
 use super::slots::{Rank, Slots};
 use super::*;
-use crate::clock::limited;
+use crate::clock::with_timeout;
 use crate::net::read_some;
 use fanout_policy::settings::{Message, decode};
 use futures_lite::future::yield_now;
@@ -43,7 +43,7 @@
         }
         Ok(())
     };
-    async_io::block_on(executor.run(limited(Duration::from_secs(30), taken))).unwrap();
+    async_io::block_on(executor.run(with_timeout(Duration::from_secs(30), taken))).unwrap();
     drop(stays);
 }
 
@@ -62,7 +62,7 @@
         listening.close(&executor).await;
         Ok(())
     };
-    async_io::block_on(executor.run(limited(Duration::from_secs(30), closed))).unwrap();
+    async_io::block_on(executor.run(with_timeout(Duration::from_secs(30), closed))).unwrap();
     let mut answer = [0; 12];
     client.read_exact(&mut answer).unwrap();
     assert_eq!(&answer, b"HTTP/1.1 503");
@@ -93,7 +93,8 @@
         while read_some(&client, &mut answer).await? > 0 {}
         Ok(answer)
     };
-    let answer = async_io::block_on(executor.run(limited(Duration::from_secs(30), asked))).unwrap();
+    let answer =
+        async_io::block_on(executor.run(with_timeout(Duration::from_secs(30), asked))).unwrap();
     assert!(
         answer.starts_with(b"HTTP/1.1 503"),
         "{:?}",
--- a/crates/broker/src/net.rs
+++ b/crates/broker/src/net.rs
@@ -1,5 +1,6 @@
-//! Reading from sockets, for clients, data servers and discovery alike.
+//! Socket operations shared by clients' connections, data servers' connections and discovery.
 
+use crate::clock::with_timeout;
 use async_io::Async;
 use futures_lite::AsyncRead;
 use futures_lite::future::yield_now;
@@ -11,59 +12,68 @@
 use std::task::ready;
 use std::time::Duration;
 
-use crate::clock::limited;
-
-/// A connection that the broker ends is read on for this long, so that its last answer is not lost by a reset
-/// (RFC 9112, section 9.6).
+/// Time for which a connection that the broker closes is still read, so that a reset does not destroy its last
+/// response (RFC 9112, section 9.6).
 pub const LINGER: Duration = Duration::from_millis(500);
-/// The same where its last answer has long been read.
+/// The same for a connection whose last response was read by the client long ago.
 pub const LINGER_IDLE: Duration = Duration::from_millis(100);
-/// Steps in which a connection's buffer grows, and the most that one read takes.
-const STEP: usize = 16 * 1024;
+/// Most bytes that one read takes.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Least number of bytes by which a buffer grows.
+const MIN_GROWTH_BYTES: usize = READ_CHUNK_BYTES / 4;
 
-/// Appends what the socket has, waiting until there is something; 0: the peer has closed. Nothing is taken from
-/// the socket unless this returns, so that it may be dropped while it waits.
+/// Waits until the socket is readable and appends what it holds to `input`. Returns the number of bytes read; 0 at the
+/// end of the stream. Nothing is taken from the socket before this returns, so the future may be dropped while it waits.
+///
+/// The bytes go through a buffer on the stack. The future lives as long as its connection, so a buffer inside it
+/// would cost its memory for each idle connection.
+///
+/// # Errors
 ///
-/// The bytes come through the stack and not through the future, which lives as long as its connection: a
-/// buffer in there would cost its memory for each idle one.
+/// The error of the socket.
 pub async fn read_some(mut stream: &Async<TcpStream>, input: &mut Vec<u8>) -> io::Result<usize> {
     poll_fn(|cx| {
-        let mut chunk = [0; STEP];
-        let n = ready!(Pin::new(&mut stream).poll_read(cx, &mut chunk))?;
-        // By steps, not by doubling: as many connections as there may be must fit the memory, each with its most.
-        if input.capacity() - input.len() < n {
-            input.reserve_exact(n.max(STEP / 4));
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let length = ready!(Pin::new(&mut stream).poll_read(cx, &mut chunk))?;
+        // Doubling could use twice the memory that is planned for the buffers of all connections.
+        if input.capacity() - input.len() < length {
+            input.reserve_exact(length.max(MIN_GROWTH_BYTES));
         }
-        input.extend(&chunk[..n]);
-        Ok(n).into()
+        input.extend(&chunk[..length]);
+        Ok(length).into()
     })
     .await
 }
 
-/// Whether the peer has closed its side, also where bytes that it sent before wait unread.
+/// Returns whether the peer has closed its sending side or the connection has failed. Data that the peer sent before
+/// may still be unread.
 #[must_use]
 pub fn has_hung_up(stream: &Async<TcpStream>) -> bool {
     let mut polled = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
-    let at_once = Timespec {
+    let no_wait = Timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    let over = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
-    poll(&mut polled, Some(&at_once)).is_ok() && polled[0].revents().intersects(over)
+    let hung_up = PollFlags::RDHUP | PollFlags::HUP | PollFlags::ERR;
+    poll(&mut polled, Some(&no_wait)).is_ok() && polled[0].revents().intersects(hung_up)
 }
 
-/// Ends a connection whose client may still be sending: unread bytes would make the end a reset. It is over as soon
-/// as the client has closed its side.
-pub async fn linger(stream: &Async<TcpStream>, most: Duration) -> io::Result<()> {
-    // The library of HTTP/2 has done so already where it came to an end of its own.
+/// Closes the sending side of a connection and discards what the client still sends, until the client has closed its
+/// side or `limit` has passed. Closing a socket with unread bytes would cause a reset.
+///
+/// # Errors
+///
+/// The error of the socket, or [`io::ErrorKind::TimedOut`] if the client does not close its side in time.
+pub async fn linger(stream: &Async<TcpStream>, limit: Duration) -> io::Result<()> {
+    // Fails where the HTTP/2 library has closed the sending side already.
     let _ = stream.get_ref().shutdown(Shutdown::Write);
-    let mut rest = Vec::new();
+    let mut discarded = Vec::new();
     let drain = async {
-        while read_some(stream, &mut rest).await? > 0 {
-            rest.clear();
+        while read_some(stream, &mut discarded).await? > 0 {
+            discarded.clear();
             yield_now().await;
         }
         Ok(())
     };
-    limited(most, drain).await
+    with_timeout(limit, drain).await
 }
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -274,7 +274,7 @@
 
     /// Takes news of the list: the decisions and the pools learn of it in the same turn.
     fn learn(&mut self, now: Micros, scope: ListScope, targets: &EndpointList) {
-        let servers = targets.servers(&self.zones, |ms| self.clock.of_unix_ms(ms));
+        let servers = targets.servers(&self.zones, |ms| self.clock.at_unix_ms(ms));
         if scope != ListScope::Delta {
             let named: BTreeSet<&NodeId> = servers.iter().map(|s| &s.name).collect();
             for name in self
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -1,6 +1,6 @@
 //! One connection to a data server: what waits to be written, and the task that writes and reads.
 
-use crate::clock::{Clock, limited};
+use crate::clock::{Clock, with_timeout};
 use crate::event_queue::{ConnectionEvent, Event, EventQueue};
 use crate::net::read_some;
 use async_channel::{Receiver, Sender};
@@ -188,7 +188,7 @@
     event_queue: Rc<EventQueue>,
     clock: Clock,
 ) {
-    let end = match limited(
+    let end = match with_timeout(
         Duration::from_micros(dial),
         Async::<TcpStream>::connect(endpoint),
     )
