--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -258,8 +258,8 @@
         let s = self.core.summary(now);
         info!(
             name: "decisions", held = self.core.in_flight(), open = self.upstream.open(), serving = s.serving,
-            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = s.touched_rows,
-            unit = s.part_cost_ms, lag = s.forecast_error_ms
+            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = %s.touched_rows,
+            unit = %s.part_cost_ms, lag = %s.forecast_error_ms
         );
     }
 
--- /dev/null
+++ b/crates/policy-engine/src/engine.rs
@@ -0,0 +1,234 @@
+//! The engine: feeds the policy with events and translates its actions into decisions.
+
+use crate::commands::{AttemptReport, Decisions, Dispatch, FinishedQuery, QueryOutcome, QuerySpec};
+use crate::events::{attempt_ended_event, endpoints_event, query_events, to_policy_time};
+use crate::in_flight::InFlightTable;
+use crate::names::{parse_part, parse_query, query_name};
+use crate::summary::PolicySummary;
+use broker_types::query::{AttemptId, QueryId};
+use broker_types::server::{ListScope, NodeId, ServerInfo};
+use broker_types::time::{Micros, millis};
+use fanout_policy::Aggregator;
+use fanout_policy::api::{Action, Event, Ms, RequestId, Settings};
+use fanout_policy::room::no_room_advice;
+
+/// The fan-out policy together with the queries in flight.
+pub struct PolicyEngine {
+    policy: Aggregator,
+    settings: Settings,
+    in_flight: InFlightTable,
+    /// Events for the next run of the policy.
+    staged: Vec<Event>,
+    /// Time at which the policy asked to be run again.
+    wake_at: Option<Micros>,
+}
+
+impl PolicyEngine {
+    /// An engine that holds up to `max_in_flight` queries and parts together; `seed` is for the policy's random
+    /// number generator.
+    #[must_use]
+    pub fn new(settings: Settings, max_in_flight: usize, seed: u64) -> Self {
+        PolicyEngine {
+            policy: Aggregator::new(settings.clone(), seed),
+            settings,
+            in_flight: InFlightTable::new(max_in_flight),
+            staged: Vec::new(),
+            wake_at: Some(0),
+        }
+    }
+
+    /// Updates the list of servers. The policy takes the update into account from its next run on.
+    pub fn update_endpoints(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
+        self.staged.push(endpoints_event(scope, servers));
+    }
+
+    /// Ends a query whose client has disconnected: it gets no [`FinishedQuery`]. Does nothing where the query is not
+    /// in flight.
+    pub fn abandon(&mut self, query: QueryId) {
+        if self.in_flight.remove(query) {
+            self.staged.push(Event::Gone(query_name(query)));
+        }
+    }
+
+    /// Reports attempts that have ended.
+    pub fn on_attempts_ended(&mut self, now: Micros, reports: Vec<AttemptReport>) -> Decisions {
+        if reports.is_empty() {
+            return Decisions::default();
+        }
+        let events = reports.into_iter().map(attempt_ended_event);
+        self.staged.extend(events);
+        self.run_policy(now)
+    }
+
+    /// Submits new queries. A query that exceeds the capacity is rejected without asking the policy.
+    pub fn submit(&mut self, now: Micros, queries: Vec<QuerySpec>) -> Decisions {
+        if queries.is_empty() {
+            return Decisions::default();
+        }
+        let mut rejected = Vec::new();
+        for query in queries {
+            if self.in_flight.try_insert(&query) {
+                self.staged.extend(query_events(&query));
+            } else {
+                rejected.push(self.reject_over_capacity(&query));
+            }
+        }
+        let mut decisions = self.run_policy(now);
+        decisions.over_capacity = rejected.len();
+        decisions.finished.extend(rejected);
+        decisions
+    }
+
+    /// Runs the policy where it asked for it or where events are staged, and fails queries that are about to expire.
+    pub fn poll(&mut self, now: Micros) -> Decisions {
+        let is_wake_due = self.wake_at.take_if(|at| now >= *at).is_some();
+        if is_wake_due {
+            self.staged.push(Event::Woken);
+        }
+        let mut decisions = if self.staged.is_empty() {
+            Decisions::default()
+        } else {
+            self.run_policy(now)
+        };
+        self.fail_expiring_queries(now, &mut decisions);
+        decisions
+    }
+
+    /// The latest time at which [`PolicyEngine::poll`] has to be called next; [`Micros::MAX`] where there is none.
+    #[must_use]
+    pub fn next_deadline(&self) -> Micros {
+        let query_expires = self.in_flight.earliest_deadline();
+        let fail_at = query_expires.map(|deadline| deadline.saturating_sub(self.expiry_margin()));
+        let run_at = if self.staged.is_empty() {
+            self.wake_at
+        } else {
+            Some(0)
+        };
+        [fail_at, run_at]
+            .into_iter()
+            .flatten()
+            .min()
+            .unwrap_or(Micros::MAX)
+    }
+
+    /// A summary of the policy's state for the log.
+    #[must_use]
+    pub fn summary(&self, now: Micros) -> PolicySummary {
+        PolicySummary::of(&self.policy, to_policy_time(now))
+    }
+
+    /// Number of queries and parts in flight.
+    #[must_use]
+    pub fn in_flight(&self) -> usize {
+        self.in_flight.in_use()
+    }
+
+    /// Time before its deadline at which an undecided query fails: one tick of the settings.
+    fn expiry_margin(&self) -> Micros {
+        millis(self.settings.tick)
+    }
+
+    fn reject_over_capacity(&self, query: &QuerySpec) -> FinishedQuery {
+        let retry_after = no_room_advice(&self.settings, query.class).map(millis);
+        FinishedQuery {
+            query: query.id,
+            outcome: QueryOutcome::Rejected { retry_after },
+        }
+    }
+
+    /// Guarantees an answer before the deadline, whatever the policy does.
+    fn fail_expiring_queries(&mut self, now: Micros, decisions: &mut Decisions) {
+        let latest = now + self.expiry_margin();
+        while let Some(query) = self.in_flight.first_due_by(latest) {
+            self.abandon(query);
+            decisions.finished.push(FinishedQuery {
+                query,
+                outcome: QueryOutcome::Failed,
+            });
+            decisions.expired += 1;
+        }
+    }
+
+    /// Runs the policy on the staged events.
+    fn run_policy(&mut self, now: Micros) -> Decisions {
+        let events = std::mem::take(&mut self.staged);
+        let actions = self.policy.on_batch(to_policy_time(now), events);
+        let mut decisions = Decisions::default();
+        for action in actions {
+            self.apply(now, action, &mut decisions);
+        }
+        decisions
+    }
+
+    fn apply(&mut self, now: Micros, action: Action, decisions: &mut Decisions) {
+        match action {
+            Action::Send { part, node, within } => {
+                decisions
+                    .dispatches
+                    .extend(self.dispatch(now, &part, node, within));
+            }
+            Action::Cancel { part, attempt } => {
+                decisions
+                    .cancellations
+                    .extend(cancelled_attempt(&part, attempt));
+            }
+            Action::Answer { query, whole } => {
+                let outcome = QueryOutcome::Answered { is_complete: whole };
+                decisions.finished.extend(self.finish(&query, outcome));
+            }
+            Action::Refuse { query, retry_after } => {
+                let retry_after = retry_after.map(millis);
+                let outcome = QueryOutcome::Rejected { retry_after };
+                decisions.finished.extend(self.finish(&query, outcome));
+            }
+            Action::Fail { query } => {
+                let outcome = QueryOutcome::Failed;
+                decisions.finished.extend(self.finish(&query, outcome));
+            }
+            Action::Wake { after } => self.wake_at = Some(now + millis(after)),
+            // The broker has no channel to its peers, and always watches the endpoint list.
+            Action::Tell { .. } | Action::Watch => {}
+        }
+    }
+
+    /// Starts an attempt that the policy asked for; `None` where its query is no longer in flight.
+    fn dispatch(
+        &mut self,
+        now: Micros,
+        part: &RequestId,
+        server: NodeId,
+        timeout: Option<Ms>,
+    ) -> Option<Dispatch> {
+        let part = parse_part(part)?;
+        let attempt = self.in_flight.start_attempt(part.query, part.part)?;
+        let query_deadline = attempt.query_deadline;
+        let deadline = timeout.map_or(query_deadline, |timeout| {
+            query_deadline.min(now + millis(timeout))
+        });
+        Some(Dispatch {
+            attempt: attempt.id,
+            server,
+            deadline,
+        })
+    }
+
+    /// Ends a query with its outcome; `None` where it is no longer in flight.
+    fn finish(&mut self, query: &RequestId, outcome: QueryOutcome) -> Option<FinishedQuery> {
+        let query = parse_query(query)?;
+        self.in_flight
+            .remove(query)
+            .then_some(FinishedQuery { query, outcome })
+    }
+}
+
+fn cancelled_attempt(part: &RequestId, attempt: u32) -> Option<AttemptId> {
+    let part = parse_part(part)?;
+    Some(AttemptId {
+        query: part.query,
+        part: part.part,
+        attempt,
+    })
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy-engine/src/events.rs
@@ -0,0 +1,78 @@
+//! Translation of the engine's inputs into the policy's events.
+//!
+//! The policy counts time in milliseconds; [`to_policy_time`] is the only place where whole microseconds are given up.
+
+use crate::commands::{AttemptReport, QuerySpec};
+use crate::names::{part_name, query_name};
+use broker_types::query::{PartIndex, PartSpec, QueryId};
+use broker_types::server::{ListScope, ServerInfo};
+use broker_types::time::{MILLI, Micros};
+use fanout_policy::api::{ClassIndex, Event, ListKind, Member, Part, Query, TenantIndex};
+
+/// A time or time span in the policy's milliseconds.
+pub(crate) fn to_policy_time(time: Micros) -> f64 {
+    time as f64 / MILLI as f64
+}
+
+/// The event of a changed endpoint list.
+pub(crate) fn endpoints_event(scope: ListScope, servers: Vec<ServerInfo>) -> Event {
+    let kind = match scope {
+        ListScope::Cached => ListKind::Disk,
+        ListScope::Snapshot => ListKind::Complete,
+        ListScope::Delta => ListKind::Changes,
+    };
+    Event::List {
+        kind,
+        members: servers.into_iter().map(member).collect(),
+    }
+}
+
+fn member(server: ServerInfo) -> Member {
+    Member {
+        node: server.name,
+        cell: server.cell,
+        state: server.state,
+        zone: server.zone,
+        // Unlike other times, this one may lie before the origin of the program's clock.
+        started: server.started_at.map(|at| at as f64 / MILLI as f64),
+    }
+}
+
+/// The event of an attempt that ended.
+pub(crate) fn attempt_ended_event(report: AttemptReport) -> Event {
+    Event::Ended {
+        part: part_name(report.attempt.query, report.attempt.part),
+        attempt: report.attempt.attempt,
+        outcome: report.outcome,
+        elapsed: to_policy_time(report.elapsed),
+        load: report.load,
+    }
+}
+
+/// The events of a new query: the query itself, followed by its parts.
+pub(crate) fn query_events(query: &QuerySpec) -> impl Iterator<Item = Event> {
+    let parts = query.parts.iter().enumerate();
+    let parts = parts.map(|(index, part)| part_event(query.id, PartIndex(index), part));
+    std::iter::once(query_event(query)).chain(parts)
+}
+
+fn query_event(query: &QuerySpec) -> Event {
+    Event::Query(Query {
+        id: query_name(query.id),
+        group: query.id.0,
+        class: ClassIndex(query.class),
+        tenant: TenantIndex(query.tenant),
+        give_up_at: to_policy_time(query.deadline),
+        again: query.is_retry,
+    })
+}
+
+fn part_event(query: QueryId, index: PartIndex, part: &PartSpec) -> Event {
+    Event::Part(Part {
+        id: part_name(query, index),
+        group: query.0,
+        shard: part.shard,
+        weight: part.weight,
+        work_hint: part.work_hint.map(to_policy_time),
+    })
+}
--- /dev/null
+++ b/crates/policy-engine/src/names/tests.rs
@@ -0,0 +1,19 @@
+use super::*;
+
+#[test]
+fn names_are_parsed_back_to_the_numbers_they_were_made_from() {
+    let (query, part) = (QueryId(u64::MAX), PartIndex(7));
+    assert_eq!(parse_query(&query_name(query)), Some(query));
+    assert_eq!(
+        parse_part(&part_name(query, part)),
+        Some(PartKey { query, part })
+    );
+    assert_eq!(parse_part(&query_name(query)), None);
+    assert_eq!(parse_query(&part_name(query, part)), None);
+}
+
+#[test]
+fn names_sort_in_the_order_of_queries_and_parts() {
+    assert!(query_name(QueryId(9)) < query_name(QueryId(10)));
+    assert!(part_name(QueryId(1), PartIndex(9)) < part_name(QueryId(1), PartIndex(10)));
+}
