--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! The pool owns each attempt from its dispatch to its one [`Ended`], and each connection from its dialling to
 //! the drop of its task, which closes the socket. Tasks on sockets tell the pool what happened through the
-//! inbox; the pool acts on it in a turn.
+//! event queue; the pool acts on it in a turn.
 
 mod connection;
 
 use crate::clock::Clock;
-use crate::inbox::{ConnEvent, Inbox};
+use crate::event_queue::{ConnectionEvent, EventQueue};
 use async_executor::{LocalExecutor, Task};
 use broker_types::limits::PoolLimits;
 use broker_types::query::{AttemptId, PartIndex, QueryId};
@@ -104,7 +104,7 @@
 /// The pools of all data servers.
 pub struct Upstream {
     executor: Rc<LocalExecutor<'static>>,
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     clock: Clock,
     limits: PoolLimits,
     servers: BTreeMap<NodeId, Server>,
@@ -119,13 +119,13 @@
     /// Pools without servers.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        inbox: Rc<Inbox>,
+        event_queue: Rc<EventQueue>,
         clock: Clock,
         limits: PoolLimits,
     ) -> Self {
         Upstream {
             executor,
-            inbox,
+            event_queue,
             clock,
             limits,
             servers: BTreeMap::new(),
@@ -187,7 +187,7 @@
         let Some(id) = self.conn_for(now, server, sends.len()) else {
             let never = |s: Send| Ended {
                 attempt: s.attempt,
-                outcome: Outcome::NoConnection,
+                outcome: Outcome::Unreachable,
                 elapsed: 0,
                 load: None,
                 value: None,
@@ -266,7 +266,7 @@
             endpoint,
             self.limits.dial_timeout,
             queue.clone(),
-            self.inbox.clone(),
+            self.event_queue.clone(),
             self.clock,
         );
         let conn = Conn {
@@ -357,7 +357,7 @@
             // Still on this side when its time ended: never ran. Unless there was none, the wait was for a connection
             // that did not come up or takes nothing.
             true if up && !stuck => Outcome::NotSent,
-            true => Outcome::NoConnection,
+            true => Outcome::Unreachable,
             false => outcome,
         };
         self.end(now, attempt, outcome, None, None);
@@ -396,14 +396,14 @@
     }
 
     /// Takes news of a connection.
-    pub fn hear(&mut self, now: Micros, id: u64, event: ConnEvent) {
+    pub fn hear(&mut self, now: Micros, id: u64, event: ConnectionEvent) {
         let Some(conn) = self.conns.get_mut(&id) else {
             return;
         };
         conn.heard = now;
         conn.begun = None;
         match event {
-            ConnEvent::Frame(ServerMessage::PartResponse(PartResponse {
+            ConnectionEvent::FrameReceived(ServerMessage::PartResponse(PartResponse {
                 id: wire,
                 outcome,
                 requests_in_flight: held,
@@ -420,21 +420,21 @@
                     None => self.spoil(now, id, "its id is not out"),
                 }
             }
-            ConnEvent::Begun if conn.out.is_empty() && conn.given_up.is_empty() => {
+            ConnectionEvent::FrameStarted if conn.out.is_empty() && conn.given_up.is_empty() => {
                 self.spoil(now, id, "nothing is out");
             }
-            ConnEvent::Begun => conn.begun = Some(now),
-            ConnEvent::Frame(ServerMessage::FrameRejected(words)) => {
+            ConnectionEvent::FrameStarted => conn.begun = Some(now),
+            ConnectionEvent::FrameReceived(ServerMessage::FrameRejected(words)) => {
                 warn!(name: "upstream_rejected", server = %conn.server.0, words);
             }
-            ConnEvent::Down(error) => {
+            ConnectionEvent::Closed(error) => {
                 if !conn.out.is_empty() {
                     let out = conn.out.len();
                     warn!(name: "upstream_down", server = %conn.server.0, error = %error, out);
                 }
                 self.lose(now, id);
             }
-            ConnEvent::Bad(bad) => self.spoil(now, id, &bad.to_string()),
+            ConnectionEvent::FrameInvalid(bad) => self.spoil(now, id, &bad.to_string()),
         }
     }
 
@@ -475,7 +475,7 @@
         for (wire, attempt) in conn.out.clone() {
             let outcome = match unwritten.contains(&wire) {
                 true if was_up => Outcome::NotSent,
-                true => Outcome::NoConnection,
+                true => Outcome::Unreachable,
                 false => Outcome::ConnectionLost,
             };
             self.end(now, attempt, outcome, None, None);
--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -9,7 +9,7 @@
 use broker_types::server::{ListScope, NodeId, ServerInfo};
 use broker_types::time::{Micros, millis};
 use fanout_policy::Aggregator;
-use fanout_policy::api::{Action, Event, Ms, RequestId, Settings};
+use fanout_policy::api::{Action, Event, Ms, PartId, QueryId as PolicyQueryId, Settings};
 use fanout_policy::room::no_room_advice;
 
 /// The fan-out policy together with the queries in flight.
@@ -46,7 +46,8 @@
     /// in flight.
     pub fn abandon(&mut self, query: QueryId) {
         if self.in_flight.remove(query) {
-            self.staged.push(Event::Gone(query_name(query)));
+            self.staged
+                .push(Event::ClientDisconnected(query_name(query)));
         }
     }
 
@@ -83,7 +84,7 @@
     pub fn poll(&mut self, now: Micros) -> Decisions {
         let is_wake_due = self.wake_at.take_if(|at| now >= *at).is_some();
         if is_wake_due {
-            self.staged.push(Event::Woken);
+            self.staged.push(Event::TimerFired);
         }
         let mut decisions = if self.staged.is_empty() {
             Decisions::default()
@@ -162,21 +163,27 @@
 
     fn apply(&mut self, now: Micros, action: Action, decisions: &mut Decisions) {
         match action {
-            Action::Send { part, node, within } => {
+            Action::SendAttempt {
+                part,
+                node,
+                timeout,
+            } => {
                 decisions
                     .dispatches
-                    .extend(self.dispatch(now, &part, node, within));
+                    .extend(self.dispatch(now, &part, node, timeout));
             }
-            Action::Cancel { part, attempt } => {
+            Action::CancelAttempt { part, attempt } => {
                 decisions
                     .cancellations
                     .extend(cancelled_attempt(&part, attempt));
             }
-            Action::Answer { query, whole } => {
-                let outcome = QueryOutcome::Answered { is_complete: whole };
+            Action::Answer { query, complete } => {
+                let outcome = QueryOutcome::Answered {
+                    is_complete: complete,
+                };
                 decisions.finished.extend(self.finish(&query, outcome));
             }
-            Action::Refuse { query, retry_after } => {
+            Action::Reject { query, retry_after } => {
                 let retry_after = retry_after.map(millis);
                 let outcome = QueryOutcome::Rejected { retry_after };
                 decisions.finished.extend(self.finish(&query, outcome));
@@ -185,9 +192,9 @@
                 let outcome = QueryOutcome::Failed;
                 decisions.finished.extend(self.finish(&query, outcome));
             }
-            Action::Wake { after } => self.wake_at = Some(now + millis(after)),
+            Action::SetTimer { after } => self.wake_at = Some(now + millis(after)),
             // The broker has no channel to its peers, and always watches the endpoint list.
-            Action::Tell { .. } | Action::Watch => {}
+            Action::PublishLoad { .. } | Action::PollEndpointList => {}
         }
     }
 
@@ -195,7 +202,7 @@
     fn dispatch(
         &mut self,
         now: Micros,
-        part: &RequestId,
+        part: &PartId,
         server: NodeId,
         timeout: Option<Ms>,
     ) -> Option<Dispatch> {
@@ -213,7 +220,7 @@
     }
 
     /// Ends a query with its outcome; `None` where it is no longer in flight.
-    fn finish(&mut self, query: &RequestId, outcome: QueryOutcome) -> Option<FinishedQuery> {
+    fn finish(&mut self, query: &PolicyQueryId, outcome: QueryOutcome) -> Option<FinishedQuery> {
         let query = parse_query(query)?;
         self.in_flight
             .remove(query)
@@ -221,7 +228,7 @@
     }
 }
 
-fn cancelled_attempt(part: &RequestId, attempt: u32) -> Option<AttemptId> {
+fn cancelled_attempt(part: &PartId, attempt: u32) -> Option<AttemptId> {
     let part = parse_part(part)?;
     Some(AttemptId {
         query: part.query,
--- a/crates/policy-engine/src/engine/tests.rs
+++ b/crates/policy-engine/src/engine/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 use broker_types::query::{PartIndex, PartSpec};
-use broker_types::server::{NodeState, Outcome};
+use broker_types::server::{Outcome, ServingState};
 use fanout_policy::settings::{Message, decode};
 use serde_json::Value;
 
 /// Deadline of all queries here.
 const DEADLINE: Micros = 1_000_000;
 
-fn server(name: NodeId, state: NodeState) -> ServerInfo {
+fn server(name: NodeId, state: ServingState) -> ServerInfo {
     ServerInfo {
         name,
         cell: 0,
@@ -24,7 +24,7 @@
     let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
     let mut engine = PolicyEngine::new(site.settings, max_in_flight, 7);
     let names = ["s0", "s1"].map(|name| NodeId(name.into()));
-    let servers = names.map(|name| server(name, NodeState::Serving));
+    let servers = names.map(|name| server(name, ServingState::Serving));
     engine.update_endpoints(ListScope::Cached, servers.to_vec());
     engine
 }
@@ -75,7 +75,7 @@
     );
     let reports = vec![
         ended(first[0].attempt, Outcome::Served),
-        ended(first[1].attempt, Outcome::Full),
+        ended(first[1].attempt, Outcome::Overloaded),
     ];
     let second = engine.on_attempts_ended(30_000, reports);
     assert_eq!(second.finished, []);
@@ -135,7 +135,7 @@
     let mut engine = engine(100);
     let first = engine.submit(1000, vec![query(1, &[0])]).dispatches;
     let name = first[0].server.clone();
-    let draining = server(name.clone(), NodeState::Draining);
+    let draining = server(name.clone(), ServingState::Draining);
     engine.update_endpoints(ListScope::Delta, vec![draining]);
     for id in 2..20 {
         let sent = engine.submit(6000, vec![query(id, &[0])]).dispatches;
--- a/crates/policy-engine/src/events.rs
+++ b/crates/policy-engine/src/events.rs
@@ -7,7 +7,7 @@
 use broker_types::query::{PartIndex, PartSpec, QueryId};
 use broker_types::server::{ListScope, ServerInfo};
 use broker_types::time::{MILLI, Micros};
-use fanout_policy::api::{ClassIndex, Event, ListKind, Member, Part, Query, TenantIndex};
+use fanout_policy::api::{ClassIndex, Endpoint, Event, ListUpdate, Part, Query, TenantIndex};
 
 /// A time or time span in the policy's milliseconds.
 pub(crate) fn to_policy_time(time: Micros) -> f64 {
@@ -16,19 +16,19 @@
 
 /// The event of a changed endpoint list.
 pub(crate) fn endpoints_event(scope: ListScope, servers: Vec<ServerInfo>) -> Event {
-    let kind = match scope {
-        ListScope::Cached => ListKind::Disk,
-        ListScope::Snapshot => ListKind::Complete,
-        ListScope::Delta => ListKind::Changes,
+    let update = match scope {
+        ListScope::Cached => ListUpdate::Cached,
+        ListScope::Snapshot => ListUpdate::Snapshot,
+        ListScope::Delta => ListUpdate::Delta,
     };
-    Event::List {
-        kind,
-        members: servers.into_iter().map(member).collect(),
+    Event::EndpointList {
+        update,
+        endpoints: servers.into_iter().map(endpoint).collect(),
     }
 }
 
-fn member(server: ServerInfo) -> Member {
-    Member {
+fn endpoint(server: ServerInfo) -> Endpoint {
+    Endpoint {
         node: server.name,
         cell: server.cell,
         state: server.state,
@@ -40,7 +40,7 @@
 
 /// The event of an attempt that ended.
 pub(crate) fn attempt_ended_event(report: AttemptReport) -> Event {
-    Event::Ended {
+    Event::AttemptEnded {
         part: part_name(report.attempt.query, report.attempt.part),
         attempt: report.attempt.attempt,
         outcome: report.outcome,
@@ -62,8 +62,8 @@
         group: query.id.0,
         class: ClassIndex(query.class),
         tenant: TenantIndex(query.tenant),
-        give_up_at: to_policy_time(query.deadline),
-        again: query.is_retry,
+        client_deadline: to_policy_time(query.deadline),
+        is_retry: query.is_retry,
     })
 }
 
@@ -73,6 +73,6 @@
         group: query.0,
         shard: part.shard,
         weight: part.weight,
-        work_hint: part.work_hint.map(to_policy_time),
+        cost_hint: part.work_hint.map(to_policy_time),
     })
 }
--- a/crates/policy-engine/src/names/tests.rs
+++ b/crates/policy-engine/src/names/tests.rs
@@ -8,8 +8,8 @@
         parse_part(&part_name(query, part)),
         Some(PartKey { query, part })
     );
-    assert_eq!(parse_part(&query_name(query)), None);
-    assert_eq!(parse_query(&part_name(query, part)), None);
+    assert_eq!(parse_part(&PartId("00000000000000000001".into())), None);
+    assert_eq!(parse_query(&PolicyQueryId("1.000".into())), None);
 }
 
 #[test]
--- a/crates/policy-engine/src/summary.rs
+++ b/crates/policy-engine/src/summary.rs
@@ -1,7 +1,7 @@
 //! A summary of the policy's state for the log.
 
 use fanout_policy::Aggregator;
-use fanout_policy::api::{Ms, NodeState};
+use fanout_policy::api::{Ms, ServingState};
 use fanout_policy::view::ClassView;
 use std::fmt;
 
@@ -48,7 +48,7 @@
     pub(crate) fn of(policy: &Aggregator, now: Ms) -> Self {
         let servers = policy.views(now);
         let classes = policy.class_views();
-        let serving = servers.iter().filter(|s| s.state == NodeState::Serving);
+        let serving = servers.iter().filter(|s| s.state == ServingState::Serving);
         let ejected = servers.iter().filter(|s| s.ejected_until.is_some());
         let warming_up = servers.iter().filter(|s| s.cold_since.is_some());
         let slow = servers.iter().filter(|s| s.pace > SLOW_SERVER_RATIO);
--- a/crates/server-protocol/tests/broker_side.rs
+++ b/crates/server-protocol/tests/broker_side.rs
@@ -107,7 +107,7 @@
         let response = decode_part_response(&bytes);
         assert_eq!(
             (response.requests_in_flight, response.outcome),
-            (None, Outcome::Full)
+            (None, Outcome::Overloaded)
         );
     }
 }
