--- a/crates/broker/src/front/tests.rs
+++ b/crates/broker/src/front/tests.rs
@@ -2,7 +2,8 @@
 use super::*;
 use crate::clock::with_timeout;
 use crate::net::read_some;
-use fanout_policy::settings::{Message, decode};
+use fanout_policy::json::JsonObject;
+use fanout_policy::settings::decode;
 use futures_lite::future::yield_now;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -10,7 +11,7 @@
 fn shared() -> Rc<Shared> {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
-    let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
     let names = Names {
         classes: vec!["a".into()],
         tenants: vec!["acme".into()],
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -119,7 +119,7 @@
         http2,
         limits,
     };
-    let rev = config.known.revision;
+    let rev = config.cached_endpoints.revision;
     let tick = millis(config.settings.tick);
     let mut broker = Broker {
         clock,
@@ -128,8 +128,8 @@
         batch_window: operator.batch_window(tick),
         operator,
         clients: config.clients,
-        queries: Queries::new(&config.settings, config.max_open),
-        core: PolicyEngine::new(config.settings, config.max_open, config.seed),
+        queries: Queries::new(&config.settings, config.max_in_flight),
+        core: PolicyEngine::new(config.settings, config.max_in_flight, config.seed),
         upstream: Upstream::new(executor.clone(), event_queue.clone(), clock, config.pool),
         discovery: Discovery::start(
             executor.clone(),
@@ -147,8 +147,8 @@
         reload_at: None,
         tell_at: 0,
     };
-    broker.learn(clock.now(), ListScope::Cached, &config.known);
-    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.known.endpoints.len());
+    broker.learn(clock.now(), ListScope::Cached, &config.cached_endpoints);
+    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.cached_endpoints.endpoints.len());
     if let (Some(listen), Some(held)) = (listen_http2, limits.http2) {
         let (connections, streams) = (held.max_connections, held.max_streams);
         info!(name: "started_http2", listen = %listen, connections, streams);
@@ -299,7 +299,7 @@
     /// faulty leaves all as it was: a slip of the pen must not end a broker that serves. It is read again later.
     fn reload(&mut self, now: Micros) {
         let read = || -> Result<_, String> {
-            let config = config::reread(config::environment)?;
+            let config = config::reload(config::environment).map_err(|error| error.to_string())?;
             let settings = self.operator.reread()?;
             let mut operator = self.operator.clone();
             operator.adopt_quietly(&settings);
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -87,6 +87,7 @@
 mod aggregator;
 pub mod api;
 pub mod choice;
+pub mod json;
 pub mod room;
 pub mod settings;
 mod state;
--- a/crates/fanout-policy/src/settings.rs
+++ b/crates/fanout-policy/src/settings.rs
@@ -1,269 +1,213 @@
-//! Decodes the settings object, as the simulator sends it and as a real broker finds it in its configuration.
+//! Decodes the settings object, as the simulator sends it and as the broker finds it in its configuration.
 
-use crate::api::*;
-use serde_json::{Map, Value};
+use crate::api::{Class, EndpointListSource, Ms, RetryBudget, RetrySafety, Settings, Tenant, WarmUp};
+use crate::json::{FieldError, FieldProblem, JsonObject};
+use serde_json::Value;
 
-/// The settings of a site: what the decisions need, and what only a program on sockets does.
+/// The settings of a site: those of the policy, and those that only a program with sockets needs.
 #[derive(Clone, Debug)]
-pub struct Site {
-    /// What an aggregator is told at its start.
+pub struct SiteSettings {
+    /// Settings of the policy.
     pub settings: Settings,
     /// Names of the classes, in the order of their indices.
     pub class_names: Vec<String>,
-    /// Names of the tenants, likewise.
+    /// Names of the tenants, in the order of their indices.
     pub tenant_names: Vec<String>,
-    /// Names of the zones, likewise.
-    pub zones: Vec<String>,
-    /// Most queries and parts that one aggregator may hold.
-    pub max_open: Option<u64>,
-    /// Most parts that one connection carries at once.
-    pub multiplex: Option<u64>,
-    /// A connection must be up within this time.
+    /// Names of the zones, in the order of their indices.
+    pub zone_names: Vec<String>,
+    /// Largest number of queries and parts that one aggregator may have in flight.
+    pub max_in_flight: Option<u64>,
+    /// Largest number of parts that one connection carries at once.
+    pub max_parts_per_connection: Option<u64>,
+    /// Time within which a connection must be established.
     pub dial_timeout: Option<Ms>,
-    /// Servers close connections that have been idle for this long.
-    pub keepalive: Option<Ms>,
+    /// Idle time after which servers close a connection.
+    pub idle_timeout: Option<Ms>,
 }
 
-/// A JSON object, with what an error about it has to name.
-pub struct Message<'a> {
-    name: &'a str,
-    fields: &'a Map<String, Value>,
+/// Decodes the settings object.
+///
+/// # Errors
+///
+/// The first field that is missing or has a wrong type or value.
+pub fn decode(settings: &JsonObject) -> Result<SiteSettings, FieldError> {
+    let family = settings.object("FamilyInfo")?;
+    let allowed = settings.object("Allowed")?;
+    let rules = settings.object("Rules")?;
+    Ok(SiteSettings {
+        settings: decode_policy(settings, &family, &allowed, &rules)?,
+        class_names: decode_names(settings, "Services")?,
+        tenant_names: decode_names(settings, "Projects")?,
+        zone_names: decode_zone_names(settings)?,
+        max_in_flight: allowed.optional_whole_number("MaxOpen")?,
+        max_parts_per_connection: allowed.optional_whole_number("Multiplex")?,
+        dial_timeout: allowed.optional_number("DialTimeout")?,
+        idle_timeout: allowed.optional_number("Keepalive")?,
+    })
 }
 
-impl<'a> Message<'a> {
-    /// The object of this name.
-    pub fn new(name: &'a str, fields: &'a Map<String, Value>) -> Self {
-        Message { name, fields }
-    }
-    /// What errors call it.
-    pub fn name(&self) -> &str {
-        self.name
-    }
-    /// An error that names this object and the field.
-    pub fn bad<T>(&self, field: &str, what: &str) -> Result<T, String> {
-        Err(format!("{}: field {field} {what}", self.name))
-    }
-    /// A field, unless it is absent or null.
-    pub fn get(&self, field: &str) -> Option<&Value> {
-        self.fields.get(field).filter(|v| !v.is_null())
-    }
-    /// A number that may be absent.
-    pub fn opt_number(&self, field: &str) -> Result<Option<f64>, String> {
-        match self.get(field) {
-            None => Ok(None),
-            Some(v) => match v.as_f64() {
-                Some(n) => Ok(Some(n)),
-                None => self.bad(field, "is not a number"),
-            },
-        }
-    }
-    /// A number.
-    pub fn number(&self, field: &str) -> Result<f64, String> {
-        match self.opt_number(field)? {
-            Some(n) => Ok(n),
-            None => self.bad(field, "is missing"),
-        }
-    }
-    /// A whole number that may be absent.
-    pub fn opt_whole(&self, field: &str) -> Result<Option<u64>, String> {
-        match self.get(field) {
-            None => Ok(None),
-            Some(v) => match v.as_u64().or_else(|| whole(v.as_f64())) {
-                Some(n) => Ok(Some(n)),
-                None => self.bad(field, "is not a whole number"),
-            },
-        }
-    }
-    /// A whole number.
-    pub fn whole(&self, field: &str) -> Result<u64, String> {
-        match self.opt_whole(field)? {
-            Some(n) => Ok(n),
-            None => self.bad(field, "is missing"),
-        }
-    }
-    /// A string.
-    pub fn text(&self, field: &str) -> Result<&str, String> {
-        match self.get(field) {
-            None => self.bad(field, "is missing"),
-            Some(v) => match v.as_str() {
-                Some(s) => Ok(s),
-                None => self.bad(field, "is not a string"),
-            },
-        }
-    }
-    /// A flag; absent means false.
-    pub fn flag(&self, field: &str) -> Result<bool, String> {
-        match self.get(field) {
-            None => Ok(false),
-            Some(v) => match v.as_bool() {
-                Some(b) => Ok(b),
-                None => self.bad(field, "is not true or false"),
-            },
-        }
-    }
-    /// A list.
-    pub fn list(&self, field: &str) -> Result<&Vec<Value>, String> {
-        match self.get(field) {
-            None => self.bad(field, "is missing"),
-            Some(v) => match v.as_array() {
-                Some(a) => Ok(a),
-                None => self.bad(field, "is not a list"),
-            },
-        }
-    }
-    /// A list of numbers.
-    pub fn numbers(&self, field: &str) -> Result<Vec<f64>, String> {
-        let list = self.list(field)?;
-        let numbers: Vec<f64> = list.iter().filter_map(Value::as_f64).collect();
-        if numbers.len() == list.len() { Ok(numbers) } else { self.bad(field, "is not a list of numbers") }
-    }
-    /// An object inside this one.
-    pub fn inner<'b>(&'b self, field: &'b str) -> Result<Message<'b>, String> {
-        match self.get(field) {
-            None => self.bad(field, "is missing"),
-            Some(v) => match v.as_object() {
-                Some(fields) => Ok(Message { name: field, fields }),
-                None => self.bad(field, "is not an object"),
-            },
-        }
+fn decode_policy(
+    settings: &JsonObject,
+    family: &JsonObject,
+    allowed: &JsonObject,
+    rules: &JsonObject,
+) -> Result<Settings, FieldError> {
+    let tenants = decode_tenants(settings)?;
+    let retry_budget = decode_retry_budget(rules)?;
+    let list_source = decode_list_source(settings)?;
+    let classes = decode_classes(settings, family)?;
+    Ok(Settings {
+        classes,
+        tenants,
+        aggregators: settings.whole_number("PeersTotal")? as usize,
+        zone: settings.optional_whole_number("Locality")?.map(|zone| zone as usize),
+        over_quota_weight: settings.optional_number("OverShareWorth")?.unwrap_or(1.0),
+        weight_by_work: settings.get("WorthBy").and_then(Value::as_str) == Some("work"),
+        marks_retries: decode_marks_retries(settings)?,
+        cells: family.whole_number("Positions")? as usize,
+        replica_cells: family.whole_number("Width")? as usize,
+        shards: family.whole_number("Shards")? as usize,
+        max_parts_per_call: family.whole_number("Batch")? as usize,
+        call_cost: family.number("Call")?,
+        max_attempts: allowed.whole_number("SendCap")? as u32,
+        hedging: allowed.flag("SecondCopies")?,
+        cancellation: allowed.flag("Cancel")?,
+        max_retry_after: decode_max_retry_after(allowed)?,
+        gossip: allowed.flag("Peers")?,
+        tick: settings.number("Tick")?,
+        list_source,
+        list_poll_deadline: rules.optional_number("AskWithin")?.unwrap_or(f64::INFINITY),
+        retry_budget,
+        warm_up: decode_warm_up(rules)?,
+    })
+}
+
+/// The tenants; none where the list is absent.
+fn decode_tenants(settings: &JsonObject) -> Result<Vec<Tenant>, FieldError> {
+    if settings.get("Projects").is_none() {
+        return Ok(Vec::new());
     }
-    /// The objects of a list inside this one.
-    pub fn objects<'b>(&'b self, field: &'b str) -> Result<Vec<Message<'b>>, String> {
-        let mut objects = Vec::new();
-        for v in self.list(field)? {
-            match v.as_object() {
-                Some(fields) => objects.push(Message { name: field, fields }),
-                None => return self.bad(field, "holds something that is not an object"),
-            }
-        }
-        Ok(objects)
+    let mut tenants = Vec::new();
+    for tenant in settings.objects("Projects")? {
+        tenants.push(Tenant { quota_per_s: tenant.number("QuotaPerS")? });
     }
+    Ok(tenants)
 }
 
-fn whole(n: Option<f64>) -> Option<u64> {
-    n.filter(|n| n.fract() == 0.0 && *n >= 0.0 && *n < 9.3e18).map(|n| n as u64)
+/// The retry budget, where any of its fields is present; its window must then be too.
+fn decode_retry_budget(rules: &JsonObject) -> Result<Option<RetryBudget>, FieldError> {
+    let free_attempts = rules.optional_number("SpareAttempts")?;
+    let per_request = rules.optional_number("ExtraRatio")?;
+    let window = rules.optional_number("RatioSpan")?;
+    match window {
+        Some(window) => Ok(Some(RetryBudget {
+            free_attempts: free_attempts.unwrap_or(0.0),
+            per_request: per_request.unwrap_or(0.0),
+            window,
+        })),
+        None if free_attempts.is_none() && per_request.is_none() => Ok(None),
+        None => Err(rules.error("RatioSpan", FieldProblem::Missing)),
+    }
 }
 
-fn nth(list: &[f64], index: usize, m: &Message, field: &str) -> Result<f64, String> {
-    match list.get(index) {
-        Some(n) => Ok(*n),
-        None => m.bad(field, "has too few entries"),
+fn decode_list_source(settings: &JsonObject) -> Result<EndpointListSource, FieldError> {
+    match settings.text("MembershipMode")? {
+        "pushed" => Ok(EndpointListSource::Pushed),
+        "on_request" => Ok(EndpointListSource::Polled),
+        _ => Err(settings.error("MembershipMode", FieldProblem::UnknownValue)),
     }
 }
 
-fn classes(env: &Message, family: &Message) -> Result<Vec<Class>, String> {
-    let need = family.numbers("ClassNeed")?;
-    let floor = family.numbers("MinShare")?;
-    let earns = family.numbers("PartialEarns")?;
-    let fetch = family.numbers("FetchParts")?;
+/// The classes. Some of their figures stand in lists of the family, in the order of the classes.
+fn decode_classes(settings: &JsonObject, family: &JsonObject) -> Result<Vec<Class>, FieldError> {
+    let required_shares = ClassFigures::decode(family, "ClassNeed")?;
+    let minimum_shares = ClassFigures::decode(family, "MinShare")?;
+    let partial_weights = ClassFigures::decode(family, "PartialEarns")?;
+    let second_step_parts = ClassFigures::decode(family, "FetchParts")?;
     let mut classes = Vec::new();
-    for (i, c) in env.objects("Services")?.iter().enumerate() {
-        let retry_safety = match c.text("Semantics")? {
-            "repeatable" => RetrySafety::Idempotent,
-            "by_key" => RetrySafety::IdempotencyKey { window: c.number("MemorySpan")? },
-            "once" => RetrySafety::NotIdempotent,
-            _ => return c.bad("Semantics", "is unknown"),
-        };
+    for (index, class) in settings.objects("Services")?.iter().enumerate() {
+        let retry_safety = decode_retry_safety(class)?;
         classes.push(Class {
-            latency_objective: c.number("Aim")?,
-            client_timeout: c.number("GiveUp")?,
-            priority_weight: c.number("Gain")?,
-            late_weight: c.number("LateWorth")?,
+            latency_objective: class.number("Aim")?,
+            client_timeout: class.number("GiveUp")?,
+            priority_weight: class.number("Gain")?,
+            late_weight: class.number("LateWorth")?,
             retry_safety,
-            required_share: nth(&need, i, family, "ClassNeed")?,
-            minimum_share: nth(&floor, i, family, "MinShare")?,
-            partial_weight: nth(&earns, i, family, "PartialEarns")?,
-            has_second_step: nth(&fetch, i, family, "FetchParts")? > 0.0,
+            required_share: required_shares.of_class(index)?,
+            minimum_share: minimum_shares.of_class(index)?,
+            partial_weight: partial_weights.of_class(index)?,
+            has_second_step: second_step_parts.of_class(index)? > 0.0,
         });
     }
     Ok(classes)
 }
 
-/// Reads the settings. The error names the faulty field.
-pub fn decode(env: &Message) -> Result<Site, String> {
-    let family = env.inner("FamilyInfo")?;
-    let allowed = env.inner("Allowed")?;
-    let rules = env.inner("Rules")?;
-    let mut tenants = Vec::new();
-    if env.get("Projects").is_some() {
-        for t in env.objects("Projects")? {
-            tenants.push(Tenant { quota_per_s: t.number("QuotaPerS")? });
-        }
+fn decode_retry_safety(class: &JsonObject) -> Result<RetrySafety, FieldError> {
+    match class.text("Semantics")? {
+        "repeatable" => Ok(RetrySafety::Idempotent),
+        "by_key" => Ok(RetrySafety::IdempotencyKey { window: class.number("MemorySpan")? }),
+        "once" => Ok(RetrySafety::NotIdempotent),
+        _ => Err(class.error("Semantics", FieldProblem::UnknownValue)),
     }
-    let retry_budget = match (
-        rules.opt_number("SpareAttempts")?,
-        rules.opt_number("ExtraRatio")?,
-        rules.opt_number("RatioSpan")?,
-    ) {
-        (None, None, None) => None,
-        (spare, per_request, Some(span)) => Some(RetryBudget {
-            free_attempts: spare.unwrap_or(0.0),
-            per_request: per_request.unwrap_or(0.0),
-            window: span,
-        }),
-        _ => return rules.bad("RatioSpan", "is missing"),
-    };
-    let list_source = match env.text("MembershipMode")? {
-        "pushed" => EndpointListSource::Pushed,
-        "on_request" => EndpointListSource::Polled,
-        _ => return env.bad("MembershipMode", "is unknown"),
-    };
-    let decided = Settings {
-        classes: classes(env, &family)?,
-        tenants,
-        aggregators: env.whole("PeersTotal")? as usize,
-        zone: env.opt_whole("Locality")?.map(|z| z as usize),
-        over_quota_weight: env.opt_number("OverShareWorth")?.unwrap_or(1.0),
-        weight_by_work: env.get("WorthBy").and_then(Value::as_str) == Some("work"),
-        marks_retries: match env.get("Clients") {
-            Some(_) => env.inner("Clients")?.flag("MarksRetry")?,
-            None => false,
-        },
-        cells: family.whole("Positions")? as usize,
-        replica_cells: family.whole("Width")? as usize,
-        shards: family.whole("Shards")? as usize,
-        max_parts_per_call: family.whole("Batch")? as usize,
-        call_cost: family.number("Call")?,
-        max_attempts: allowed.whole("SendCap")? as u32,
-        hedging: allowed.flag("SecondCopies")?,
-        cancellation: allowed.flag("Cancel")?,
-        max_retry_after: if allowed.flag("RetryAfter")? {
-            allowed.opt_number("MaxRetryAfter")?
-        } else {
-            None
-        },
-        gossip: allowed.flag("Peers")?,
-        tick: env.number("Tick")?,
-        list_source,
-        list_poll_deadline: rules.opt_number("AskWithin")?.unwrap_or(f64::INFINITY),
-        retry_budget,
-        warm_up: WarmUp {
-            initial_capacity: rules.number("ColdFrom")?,
-            duration: rules.number("Cold")?,
-            overload_factor: rules.number("FallMultiple")?,
-            overload_window: rules.number("Fall")?,
-        },
-    };
-    Ok(Site {
-        class_names: names(env, "Services")?,
-        tenant_names: names(env, "Projects")?,
-        zones: match env.get("Zones") {
-            Some(_) => env.list("Zones")?.iter().map(|z| z.as_str().unwrap_or_default().to_owned()).collect(),
-            None => Vec::new(),
-        },
-        max_open: allowed.opt_whole("MaxOpen")?,
-        multiplex: allowed.opt_whole("Multiplex")?,
-        dial_timeout: allowed.opt_number("DialTimeout")?,
-        keepalive: allowed.opt_number("Keepalive")?,
-        settings: decided,
+}
+
+/// A field of the family with one number for each class.
+struct ClassFigures<'a> {
+    family: &'a JsonObject<'a>,
+    field: &'static str,
+    figures: Vec<f64>,
+}
+
+impl<'a> ClassFigures<'a> {
+    fn decode(family: &'a JsonObject<'a>, field: &'static str) -> Result<Self, FieldError> {
+        Ok(ClassFigures { family, field, figures: family.numbers(field)? })
+    }
+
+    fn of_class(&self, index: usize) -> Result<f64, FieldError> {
+        let figure = self.figures.get(index).copied();
+        figure.ok_or_else(|| self.family.error(self.field, FieldProblem::TooFewEntries))
+    }
+}
+
+fn decode_marks_retries(settings: &JsonObject) -> Result<bool, FieldError> {
+    match settings.get("Clients") {
+        Some(_) => settings.object("Clients")?.flag("MarksRetry"),
+        None => Ok(false),
+    }
+}
+
+/// The largest retry-after value, where such values reach the clients.
+fn decode_max_retry_after(allowed: &JsonObject) -> Result<Option<Ms>, FieldError> {
+    if allowed.flag("RetryAfter")? { allowed.optional_number("MaxRetryAfter") } else { Ok(None) }
+}
+
+fn decode_warm_up(rules: &JsonObject) -> Result<WarmUp, FieldError> {
+    Ok(WarmUp {
+        initial_capacity: rules.number("ColdFrom")?,
+        duration: rules.number("Cold")?,
+        overload_factor: rules.number("FallMultiple")?,
+        overload_window: rules.number("Fall")?,
     })
 }
 
-/// The names of a list of named things; empty where the list is absent.
-fn names(env: &Message, field: &str) -> Result<Vec<String>, String> {
-    if env.get(field).is_none() {
+/// The names in a list of objects; none where the list is absent, and an empty one where a name is not a string.
+fn decode_names(settings: &JsonObject, field: &str) -> Result<Vec<String>, FieldError> {
+    if settings.get(field).is_none() {
         return Ok(Vec::new());
     }
-    let name = |m: &Message| Ok(m.get("Name").and_then(Value::as_str).unwrap_or_default().to_owned());
-    env.objects(field)?.iter().map(name).collect()
+    let objects = settings.objects(field)?;
+    Ok(objects.iter().map(|object| text_or_empty(object.get("Name"))).collect())
+}
+
+/// The names of the zones; none where the list is absent, and an empty one where an element is not a string.
+fn decode_zone_names(settings: &JsonObject) -> Result<Vec<String>, FieldError> {
+    if settings.get("Zones").is_none() {
+        return Ok(Vec::new());
+    }
+    let zones = settings.list("Zones")?;
+    Ok(zones.iter().map(|zone| text_or_empty(Some(zone))).collect())
+}
+
+fn text_or_empty(value: Option<&Value>) -> String {
+    value.and_then(Value::as_str).unwrap_or_default().to_owned()
 }
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -23,7 +23,8 @@
     let text = format!("listen-http2 {}\ngather-time 5ms\n", arguments.http2);
     let read = || {
         Ok((
-            platform_config::check(&configuration, |_| None)?,
+            platform_config::from_json(&configuration, |_| None)
+                .map_err(|error| error.to_string())?,
             Operator::of_text("demo", &text)?,
         ))
     };
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -14,7 +14,8 @@
         let operator = Operator::load(file)?;
         operator.set_log();
         Ok((
-            platform_config::read(platform_config::environment)?,
+            platform_config::load(platform_config::environment)
+                .map_err(|error| error.to_string())?,
             operator,
         ))
     };
