--- a/crates/broker/src/front/http2/mod.rs
+++ b/crates/broker/src/front/http2/mod.rs
@@ -10,8 +10,8 @@
 use super::{Shared, Stage};
 use crate::clock::{Clock, limited, span};
 use crate::net::{LINGER, linger, read_some};
-use admission::Connection;
-use admission::budget;
+use admission::ConnectionId;
+use admission::resource_limits::Http2Limits;
 use async_io::{Async, Timer};
 use broker_types::query::FinalResponse;
 use broker_types::time::{Micros, SECOND};
@@ -21,8 +21,8 @@
 use h2::server::{self, SendResponse};
 use h2::{Reason, RecvStream};
 use http::{Request, Version};
-use http1_codec::{Reader, encode_response};
-use http2_flood_guard::{Budget, Guard, PREFACE, Violation};
+use http1_codec::{ResponseOptions, encode_response};
+use http2_flood_guard::{FloodGuard, FloodLimits, PREFACE, Violation};
 use io::{SharedWatch, Watch, Watched};
 use query_api::{BODY_CAP, final_answer};
 use std::cell::Cell;
@@ -55,7 +55,7 @@
 pub struct Http2 {
     shared: Rc<Shared>,
     slots: Rc<Slots>,
-    limits: Cell<budget::Http2>,
+    limits: Cell<Http2Limits>,
     clock: Clock,
 }
 
@@ -71,7 +71,7 @@
             Ok(ahead) => ahead,
             Err(violation) => {
                 if let Some(violation) = violation {
-                    warn!(name: "http2_refused", connection, why = %violation);
+                    warn!(name: "http2_refused", connection = connection.0, why = %violation);
                     let _ = self.refuse(&stream, violation).await;
                 }
                 return;
@@ -88,10 +88,10 @@
 
 impl Http2 {
     /// A front with these limits.
-    pub fn new(shared: Rc<Shared>, limits: budget::Http2, clock: Clock) -> Self {
+    pub fn new(shared: Rc<Shared>, limits: Http2Limits, clock: Clock) -> Self {
         Http2 {
             shared,
-            slots: Slots::new(limits.connections),
+            slots: Slots::new(limits.max_connections),
             limits: Cell::new(limits),
             clock,
         }
@@ -103,14 +103,14 @@
     }
 
     /// Takes other limits, for connections that come from now on; the number of these stays.
-    pub fn set_limits(&self, limits: budget::Http2) {
+    pub fn set_limits(&self, limits: Http2Limits) {
         self.limits.set(limits);
     }
 
     /// Reads what a connection begins with, up to the length of the preface. An error without a violation is a client
     /// that went away or said nothing.
     async fn preface(&self, stream: &Async<TcpStream>) -> Result<Vec<u8>, Option<Violation>> {
-        let mut guard = Guard::new(0, Budget::new(1, 1));
+        let mut guard = FloodGuard::new(0, FloodLimits::new(1, 1));
         let mut ahead = Vec::new();
         let evictable = self.slots.evictable(Rank::Fresh);
         let read = async {
@@ -120,7 +120,7 @@
                     return Err(None);
                 }
                 let end = ahead.len().min(PREFACE.len());
-                guard.feed(0, &ahead[seen..end]).map_err(Some)?;
+                guard.on_received(0, &ahead[seen..end]).map_err(Some)?;
             }
             Ok(())
         };
@@ -137,13 +137,14 @@
 
     /// Tells a client that speaks HTTP/1 what is spoken here.
     async fn refuse(&self, stream: &Async<TcpStream>, violation: Violation) -> std::io::Result<()> {
-        if violation == Violation::Http1 {
+        if violation == Violation::Http1Request {
             let why =
                 "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)".to_owned();
-            let reply = self
-                .shared
-                .dated(final_answer(&FinalResponse::Invalid { status: 400, why }));
-            let reader = Reader {
+            let reply = self.shared.dated(final_answer(&FinalResponse::Invalid {
+                status: 400,
+                reason: why,
+            }));
+            let reader = ResponseOptions {
                 version: Version::HTTP_11,
                 head_only: false,
                 keep_alive: false,
@@ -154,18 +155,18 @@
         linger(stream, LINGER).await
     }
 
-    async fn connection(&self, number: Connection, stream: Rc<Async<TcpStream>>, ahead: Vec<u8>) {
+    async fn connection(&self, number: ConnectionId, stream: Rc<Async<TcpStream>>, ahead: Vec<u8>) {
         let limits = self.limits.get();
-        let budget = Budget::new(limits.streams, limits.header_list);
-        let watch = Watch::new(Guard::new(self.clock.now(), budget));
+        let budget = FloodLimits::new(limits.max_streams, limits.max_header_list);
+        let watch = Watch::new(FloodGuard::new(self.clock.now(), budget));
         let _ = stream.get_ref().set_nodelay(true);
         let io = Watched::new(stream, ahead, watch.clone(), self.clock);
-        let streams = limits.streams as usize;
+        let streams = limits.max_streams as usize;
         let handshake = server::Builder::new()
             .initial_window_size(STREAM_WINDOW)
             .initial_connection_window_size(limits.connection_window)
-            .max_concurrent_streams(limits.streams)
-            .max_header_list_size(limits.header_list)
+            .max_concurrent_streams(limits.max_streams)
+            .max_header_list_size(limits.max_header_list)
             .max_send_buffer_size(SEND_BUFFER)
             .max_concurrent_reset_streams(streams)
             .max_pending_accept_reset_streams(streams)
@@ -218,7 +219,7 @@
 /// One connection and its requests.
 struct Life<'a> {
     front: &'a Http2,
-    number: Connection,
+    number: ConnectionId,
     h2: server::Connection<Watched, Bytes>,
     streams: FuturesUnordered<Served>,
     watch: SharedWatch,
@@ -247,7 +248,7 @@
                 }
                 Event::Ended(end) => self.ended(end),
                 Event::Violation(violation) => {
-                    warn!(name: "http2_flood", connection = self.number, why = %violation);
+                    warn!(name: "http2_flood", connection = self.number.0, why = %violation);
                     self.h2.abrupt_shutdown(Reason::ENHANCE_YOUR_CALM);
                     self.streams.clear();
                     self.end();
@@ -265,9 +266,9 @@
                         .as_ref()
                         .filter(|e| e.reason() == Some(Reason::ENHANCE_YOUR_CALM))
                     {
-                        warn!(name: "http2_flood", connection = self.number, why = %error);
+                        warn!(name: "http2_flood", connection = self.number.0, why = %error);
                     } else if let Some(error) = error {
-                        debug!(name: "http2_down", connection = self.number, error = %error);
+                        debug!(name: "http2_down", connection = self.number.0, error = %error);
                     }
                     return;
                 }
@@ -283,7 +284,7 @@
     fn ended(&mut self, end: End) {
         match end {
             End::Answered(length, usable) => {
-                self.watch.borrow_mut().guard().answered(length);
+                self.watch.borrow_mut().guard().on_response_sent(length);
                 self.served |= usable;
             }
             End::Reset(usable) => self.served |= usable,
@@ -315,7 +316,7 @@
             .watch
             .borrow_mut()
             .guard()
-            .half_since()
+            .incomplete_since()
             .map(|at| at + SILENCE);
         let idle = self.streams.is_empty().then(|| {
             self.idle_since
@@ -338,12 +339,12 @@
             .watch
             .borrow_mut()
             .guard()
-            .half_since()
+            .incomplete_since()
             .is_some_and(|at| now >= at + SILENCE);
         match self.phase {
             Phase::Ending(_) => return false,
             _ if half => {
-                warn!(name: "http2_half_sent", connection = self.number);
+                warn!(name: "http2_half_sent", connection = self.number.0);
                 self.h2.abrupt_shutdown(Reason::PROTOCOL_ERROR);
                 self.streams.clear();
                 self.end();
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -2,23 +2,25 @@
 
 use crate::clock::Clock;
 use crate::discovery::Discovery;
+use crate::event_queue::{Event, EventQueue};
 use crate::front::{Fronts, Plan, Shared};
-use crate::inbox::{Inbox, Input};
 use crate::operator::Operator;
 use crate::queries::{Held, Queries};
 use crate::upstream::{Ended, Send, Upstream};
-use admission::budget::{self, Given, divide};
+use admission::resource_limits::{ClientResources, ListenerLimits, allocate};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
-use batch_window::Pacing;
-use broker_types::query::{AttemptId, FinalResponse, QueryId};
-use broker_types::server::{EndpointList, ListScope, NodeId, NodeState, Outcome};
+use batch_window::BatchWindow;
+use broker_types::query::{AttemptId, FinalResponse, PartIndex, QueryId};
+use broker_types::server::{EndpointList, ListScope, NodeId, Outcome, ServingState};
 use broker_types::time::{Micros, millis};
 use futures_lite::future::yield_now;
 use futures_lite::{FutureExt, StreamExt};
 use platform_config::{self as config, Config};
-use policy_engine::{Core, Decisions, Dispatch, Final, Report, Verdict};
+use policy_engine::{
+    AttemptReport, Decisions, Dispatch, FinishedQuery, PolicyEngine, QueryOutcome,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::{SocketAddr, TcpListener};
@@ -40,21 +42,21 @@
     clock: Clock,
     zones: Vec<String>,
     tick: Micros,
-    pacing: Pacing,
+    batch_window: BatchWindow,
     operator: Operator,
     /// What the platform gives to client connections.
-    clients: Given,
-    core: Core,
+    clients: ClientResources,
+    core: PolicyEngine,
     upstream: Upstream,
     discovery: Discovery,
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     fronts: Fronts,
     queries: Queries,
     /// The turn's dispatches: they go out together at its end.
     dispatches: BTreeMap<AttemptId, Dispatch>,
     ended: Vec<Ended>,
     /// Queries that ended in this turn, and parts that came in.
-    over: Vec<(QueryId, Option<usize>)>,
+    over: Vec<(QueryId, Option<PartIndex>)>,
     leaving_since: Option<Micros>,
     /// When to read the configuration again.
     reload_at: Option<Micros>,
@@ -68,8 +70,8 @@
 }
 
 /// What the fronts may hold; the error names what does not fit.
-fn limits(clients: Given, operator: &Operator) -> io::Result<budget::Fronts> {
-    divide(clients, operator.http2()).map_err(io::Error::other)
+fn limits(clients: ClientResources, operator: &Operator) -> io::Result<ListenerLimits> {
+    allocate(clients, operator.http2()).map_err(io::Error::other)
 }
 
 /// Runs a broker until it is told to end; `started` is told where it listens, for HTTP/1.1 and HTTP/2.
@@ -80,7 +82,7 @@
     started: impl FnOnce(SocketAddr, Option<SocketAddr>),
 ) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let inbox = Rc::new(Inbox::default());
+    let event_queue = Rc::new(EventQueue::default());
     let clock = Clock::start();
     let limits = limits(config.clients, &operator)?;
     let bind = |address| Async::<TcpListener>::bind(address);
@@ -95,19 +97,23 @@
         .as_ref()
         .map(|l| l.get_ref().local_addr())
         .transpose()?;
-    let on_signal = inbox.clone();
+    let signal_events = event_queue.clone();
     executor
         .spawn(async move {
             while let Some(signal) = signals.next().await {
-                on_signal.put(if matches!(signal, Ok(Signal::Hup)) {
-                    Input::Reload
+                signal_events.push(if matches!(signal, Ok(Signal::Hup)) {
+                    Event::ReloadRequested
                 } else {
-                    Input::Terminate
+                    Event::ShutdownRequested
                 });
             }
         })
         .detach();
-    let shared = Shared::new(inbox.clone(), config.settings.clone(), config.names.clone());
+    let shared = Shared::new(
+        event_queue.clone(),
+        config.settings.clone(),
+        config.names.clone(),
+    );
     let plan = Plan {
         http1: listener,
         http2,
@@ -119,20 +125,20 @@
         clock,
         zones: config.names.zones,
         tick,
-        pacing: operator.pacing(tick),
+        batch_window: operator.batch_window(tick),
         operator,
         clients: config.clients,
         queries: Queries::new(&config.settings, config.max_open),
-        core: Core::new(config.settings, config.max_open, config.seed),
-        upstream: Upstream::new(executor.clone(), inbox.clone(), clock, config.pool),
+        core: PolicyEngine::new(config.settings, config.max_open, config.seed),
+        upstream: Upstream::new(executor.clone(), event_queue.clone(), clock, config.pool),
         discovery: Discovery::start(
             executor.clone(),
-            inbox.clone(),
+            event_queue.clone(),
             config.discovery,
             rev,
             config.seed,
         ),
-        inbox,
+        event_queue,
         fronts: Fronts::start(shared, plan, clock, executor.clone()),
         dispatches: BTreeMap::new(),
         ended: Vec::new(),
@@ -144,7 +150,7 @@
     broker.learn(clock.now(), ListScope::Cached, &config.known);
     info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.known.endpoints.len());
     if let (Some(listen), Some(held)) = (listen_http2, limits.http2) {
-        let (connections, streams) = (held.connections, held.streams);
+        let (connections, streams) = (held.max_connections, held.max_streams);
         info!(name: "started_http2", listen = %listen, connections, streams);
     }
     started(listen, listen_http2);
@@ -171,7 +177,7 @@
             let closing = self.fronts.is_closing().then_some(now + self.tick);
             let ended = (self.upstream.has_ended() || !self.ended.is_empty()).then_some(now);
             let due = [
-                Some(self.core.due()),
+                Some(self.core.next_deadline()),
                 Some(self.upstream.due()),
                 leaving.filter(|at| now < *at),
                 self.reload_at,
@@ -184,16 +190,16 @@
     }
 
     /// Waits for the next turn: for something to happen or the next moment that is due. What is due keeps a tick's
-    /// distance; for what happened, the pacing says how long to gather.
+    /// distance; for what happened, the batch window says how long to gather.
     async fn pause(&self, now: Micros, due: Micros) {
         let due = due.clamp(now + self.tick, now + 1_000_000_000);
         let timer = async {
             Timer::at(self.clock.instant(due)).await;
         };
-        self.inbox.wait().or(timer).await;
+        self.event_queue.wait().or(timer).await;
         let next = self
-            .pacing
-            .earliest(now, self.queries.len() + self.inbox.asks());
+            .batch_window
+            .next_start(now, self.queries.len() + self.event_queue.pending_queries());
         if self.clock.now() < next {
             Timer::at(self.clock.instant(next)).await;
         } else {
@@ -204,35 +210,40 @@
 
     fn turn(&mut self, now: Micros) {
         let mut asks = Vec::new();
-        for input in self.inbox.take() {
+        for input in self.event_queue.drain() {
             match input {
-                Input::QueryRequest(id, connection, ask, reply) => {
-                    asks.push((id, connection, ask, reply))
-                }
-                Input::Gone(id) => {
+                Event::QueryReceived {
+                    id,
+                    connection,
+                    request: ask,
+                    reply,
+                } => asks.push((id, connection, ask, reply)),
+                Event::ClientDisconnected { query: id } => {
                     asks.retain(|(ask, ..)| *ask != id);
-                    self.core.leave(id);
+                    self.core.abandon(id);
                     self.queries.gone(now, id);
                     self.over.push((id, None));
                 }
-                Input::Conn(id, event) => self.upstream.hear(now, id, event),
-                Input::EndpointList(targets) => self.learn(now, targets.scope(), &targets),
-                Input::Reload => self.reload_at = Some(now),
-                Input::Terminate => self.terminate(now),
+                Event::ServerConnection { connection, event } => {
+                    self.upstream.hear(now, connection, event)
+                }
+                Event::EndpointsUpdated(targets) => self.learn(now, targets.scope(), &targets),
+                Event::ReloadRequested => self.reload_at = Some(now),
+                Event::ShutdownRequested => self.terminate(now),
             }
         }
         if self.reload_at.take_if(|at| now >= *at).is_some() {
             self.reload(now);
         }
         let reports = self.take_reports(now);
-        let decisions = self.core.report(now, reports);
+        let decisions = self.core.on_attempts_ended(now, reports);
         self.carry_out(now, decisions);
         let admit =
             |(id, connection, ask, reply)| self.queries.admit(now, id, connection, ask, reply);
         let queries = asks.into_iter().filter_map(admit).collect();
-        let decisions = self.core.pick(now, queries);
+        let decisions = self.core.submit(now, queries);
         self.carry_out(now, decisions);
-        let decisions = self.core.tick(now);
+        let decisions = self.core.poll(now);
         self.carry_out(now, decisions);
         for (query, part) in std::mem::take(&mut self.over) {
             self.upstream.take_back(now, query, part);
@@ -255,9 +266,9 @@
         self.tell_at = now + TELL_EVERY;
         let s = self.core.summary(now);
         info!(
-            name: "decisions", held = self.core.held(), open = self.upstream.open(), serving = s.serving,
-            passed_over = s.passed_over, cold = s.cold, pace = s.pace, slow = s.slow, rows = s.rows,
-            unit = s.unit, lag = s.lag
+            name: "decisions", held = self.core.in_flight(), open = self.upstream.open(), serving = s.serving,
+            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = s.touched_rows,
+            unit = s.part_cost_ms, lag = s.forecast_error_ms
         );
     }
 
@@ -278,10 +289,10 @@
         for (server, target) in servers.iter().zip(&targets.endpoints) {
             let endpoint = target
                 .address
-                .filter(|_| server.state == NodeState::Serving);
+                .filter(|_| server.state == ServingState::Serving);
             self.upstream.learn(now, server.name.clone(), endpoint);
         }
-        self.core.learn(scope, servers);
+        self.core.update_endpoints(scope, servers);
     }
 
     /// Takes the configuration and the operator's file as they are now: both or none. A file that is missing or
@@ -292,13 +303,13 @@
             let settings = self.operator.reread()?;
             let mut operator = self.operator.clone();
             operator.adopt_quietly(&settings);
-            let limits = divide(self.clients, operator.http2())?;
+            let limits = allocate(self.clients, operator.http2())?;
             Ok((config.discovery, settings, limits))
         };
         match read() {
             Ok((discovery, settings, limits)) => {
                 self.operator.adopt(&settings);
-                self.pacing = self.operator.pacing(self.tick);
+                self.batch_window = self.operator.batch_window(self.tick);
                 self.fronts.set_limits(limits);
                 info!(name: "reloaded", discovery = %discovery);
                 self.discovery.move_to(discovery);
@@ -319,7 +330,7 @@
     }
 
     /// What ended since the last turn, for the decisions; the values stay here, with their queries.
-    fn take_reports(&mut self, now: Micros) -> Vec<Report> {
+    fn take_reports(&mut self, now: Micros) -> Vec<AttemptReport> {
         let mut ended = std::mem::take(&mut self.ended);
         ended.extend(self.upstream.take_ended(now));
         let report = |mut e: Ended| {
@@ -327,7 +338,7 @@
             if e.outcome == Outcome::Served {
                 self.over.push((e.attempt.query, Some(e.attempt.part)));
             }
-            Report {
+            AttemptReport {
                 attempt: e.attempt,
                 outcome: e.outcome,
                 elapsed: e.elapsed,
@@ -338,13 +349,13 @@
     }
 
     fn carry_out(&mut self, now: Micros, decisions: Decisions) {
-        if decisions.no_room > 0 {
-            warn!(name: "no_room", queries = decisions.no_room, held = self.core.held());
+        if decisions.over_capacity > 0 {
+            warn!(name: "no_room", queries = decisions.over_capacity, held = self.core.in_flight());
         }
-        if decisions.overdue > 0 {
-            warn!(name: "overdue", queries = decisions.overdue);
+        if decisions.expired > 0 {
+            warn!(name: "overdue", queries = decisions.expired);
         }
-        for attempt in decisions.give_up {
+        for attempt in decisions.cancellations {
             if self.dispatches.remove(&attempt).is_some() {
                 // Called off in the turn that asked for it.
                 self.ended.push(never_sent(attempt));
@@ -352,19 +363,22 @@
                 self.upstream.give_up(now, attempt);
             }
         }
-        for Final { query, verdict } in decisions.finals {
-            self.finish(now, query, verdict);
+        for FinishedQuery { query, outcome } in decisions.finished {
+            self.finish(now, query, outcome);
         }
         self.dispatches
             .extend(decisions.dispatches.into_iter().map(|d| (d.attempt, d)));
     }
 
-    fn finish(&mut self, now: Micros, query: QueryId, verdict: Verdict) {
+    fn finish(&mut self, now: Micros, query: QueryId, outcome: QueryOutcome) {
         self.over.push((query, None));
-        self.queries.finish(now, query, |values| match verdict {
-            Verdict::Refuse { retry_after } => FinalResponse::Rejected { retry_after },
-            Verdict::Fail => FinalResponse::Failed,
-            Verdict::Answer { whole } => FinalResponse::Answered { whole, values },
+        self.queries.finish(now, query, |values| match outcome {
+            QueryOutcome::Rejected { retry_after } => FinalResponse::Rejected { retry_after },
+            QueryOutcome::Failed => FinalResponse::Failed,
+            QueryOutcome::Answered { is_complete } => FinalResponse::Answered {
+                is_complete,
+                values,
+            },
         });
     }
 
@@ -376,7 +390,7 @@
             Err(Held::Over) => {}
             Err(Held::Repeat) => {
                 // An earlier query of its key may have run this part: this one can be neither served nor refused.
-                self.core.leave(attempt.query);
+                self.core.abandon(attempt.query);
                 self.queries
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
             }
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -1,14 +1,15 @@
 //! One connection to a data server: what waits to be written, and the task that writes and reads.
 
 use crate::clock::{Clock, limited};
-use crate::inbox::{ConnEvent, Inbox, Input};
+use crate::event_queue::{ConnectionEvent, Event, EventQueue};
 use crate::net::read_some;
 use async_channel::{Receiver, Sender};
 use async_io::Async;
 use broker_types::time::{MILLI, Micros};
 use futures_lite::future::yield_now;
 use futures_lite::{AsyncWriteExt, FutureExt};
-use server_protocol::{self as frame, PartLine};
+use server_protocol::Decoded;
+use server_protocol::broker::{PartRequest, decode, encode_call, encode_cancel};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
 use std::io::{self, Write};
@@ -142,7 +143,7 @@
         loop {
             let mut item = self.waiting.borrow_mut().pop_front()?;
             let frame = match &mut item {
-                Item::GiveUp(wire) => frame::give_up(wire),
+                Item::GiveUp(wire) => encode_cancel(wire),
                 Item::Call(parts) => {
                     let over = |p: &mut Outgoing| {
                         p.until < now + MILLI || p.expires.is_some_and(|at| at <= now)
@@ -153,11 +154,11 @@
                     if parts.is_empty() {
                         continue;
                     }
-                    frame::call(parts.iter().map(|p| PartLine {
+                    encode_call(parts.iter().map(|p| PartRequest {
                         id: &p.wire,
                         shard: p.shard,
                         wait_ms: p.until.saturating_sub(now) / MILLI,
-                        key: p.key.as_deref(),
+                        idempotency_key: p.key.as_deref(),
                         text: &p.text,
                     }))
                 }
@@ -184,7 +185,7 @@
     endpoint: SocketAddr,
     dial: Micros,
     queue: Rc<SendQueue>,
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     clock: Clock,
 ) {
     let end = match limited(
@@ -195,18 +196,21 @@
     {
         Ok(stream) => {
             queue.up.set(true);
-            let written = async { ConnEvent::Down(write(&stream, &queue, clock).await) };
+            let written = async { ConnectionEvent::Closed(write(&stream, &queue, clock).await) };
             let read = async {
-                read(&stream, id, &inbox)
+                read(&stream, id, &event_queue)
                     .await
-                    .unwrap_or_else(ConnEvent::Down)
+                    .unwrap_or_else(ConnectionEvent::Closed)
             };
             // Reading goes first: nothing is written into a connection that the server has closed by then.
             read.or(written).await
         }
-        Err(error) => ConnEvent::Down(error),
+        Err(error) => ConnectionEvent::Closed(error),
     };
-    inbox.put(Input::Conn(id, end));
+    event_queue.push(Event::ServerConnection {
+        connection: id,
+        event: end,
+    });
 }
 
 /// Writes until that fails.
@@ -250,25 +254,35 @@
 }
 
 /// Reads until the connection ends, and tells how.
-async fn read(stream: &Async<TcpStream>, id: u64, inbox: &Inbox) -> io::Result<ConnEvent> {
+async fn read(
+    stream: &Async<TcpStream>,
+    id: u64,
+    event_queue: &EventQueue,
+) -> io::Result<ConnectionEvent> {
     let mut input = Vec::new();
     loop {
         let mut used = 0;
         loop {
-            match frame::decode(&input[used..]) {
+            match decode(&input[used..]) {
                 Ok(None) => break,
-                Ok(Some((message, length))) => {
-                    used += length;
-                    inbox.put(Input::Conn(id, ConnEvent::Frame(message)));
+                Ok(Some(Decoded { message, frame_len })) => {
+                    used += frame_len;
+                    event_queue.push(Event::ServerConnection {
+                        connection: id,
+                        event: ConnectionEvent::FrameReceived(message),
+                    });
                 }
-                Err(bad) => return Ok(ConnEvent::Bad(bad)),
+                Err(bad) => return Ok(ConnectionEvent::FrameInvalid(bad)),
             }
         }
         input.drain(..used);
         if input.is_empty() {
             input = Vec::new();
         } else {
-            inbox.put(Input::Conn(id, ConnEvent::Begun));
+            event_queue.push(Event::ServerConnection {
+                connection: id,
+                event: ConnectionEvent::FrameStarted,
+            });
         }
         if read_some(stream, &mut input).await? == 0 {
             return Err(io::ErrorKind::UnexpectedEof.into());
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -2,19 +2,19 @@
 //!
 //! The pool owns each attempt from its dispatch to its one [`Ended`], and each connection from its dialling to
 //! the drop of its task, which closes the socket. Tasks on sockets tell the pool what happened through the
-//! inbox; the pool acts on it in a turn.
+//! event queue; the pool acts on it in a turn.
 
 mod connection;
 
 use crate::clock::Clock;
-use crate::inbox::{ConnEvent, Inbox};
+use crate::event_queue::{ConnectionEvent, EventQueue};
 use async_executor::{LocalExecutor, Task};
 use broker_types::limits::PoolLimits;
-use broker_types::query::{AttemptId, QueryId};
+use broker_types::query::{AttemptId, PartIndex, QueryId};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Micros;
 use connection::{Item, Outgoing, SendQueue};
-use server_protocol::FromServer;
+use server_protocol::broker::{PartResponse, ServerMessage};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -104,7 +104,7 @@
 /// The pools of all data servers.
 pub struct Upstream {
     executor: Rc<LocalExecutor<'static>>,
-    inbox: Rc<Inbox>,
+    event_queue: Rc<EventQueue>,
     clock: Clock,
     limits: PoolLimits,
     servers: BTreeMap<NodeId, Server>,
@@ -119,13 +119,13 @@
     /// Pools without servers.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
-        inbox: Rc<Inbox>,
+        event_queue: Rc<EventQueue>,
         clock: Clock,
         limits: PoolLimits,
     ) -> Self {
         Upstream {
             executor,
-            inbox,
+            event_queue,
             clock,
             limits,
             servers: BTreeMap::new(),
@@ -177,7 +177,7 @@
         }
         for (server, mut sends) in by_server {
             while !sends.is_empty() {
-                let rest = sends.split_off(sends.len().min(self.limits.batch.max(1)));
+                let rest = sends.split_off(sends.len().min(self.limits.max_parts_per_call.max(1)));
                 self.call(now, &server, std::mem::replace(&mut sends, rest));
             }
         }
@@ -187,7 +187,7 @@
         let Some(id) = self.conn_for(now, server, sends.len()) else {
             let never = |s: Send| Ended {
                 attempt: s.attempt,
-                outcome: Outcome::NoConnection,
+                outcome: Outcome::Unreachable,
                 elapsed: 0,
                 load: None,
                 value: None,
@@ -242,18 +242,19 @@
             .conns
             .iter()
             .filter_map(|id| Some((*id, self.conns.get(id)?)));
-        let roomy =
-            open.filter(|(_, c)| !c.retiring && c.out.len() + parts <= self.limits.multiplex);
+        let roomy = open.filter(|(_, c)| {
+            !c.retiring && c.out.len() + parts <= self.limits.max_parts_per_connection
+        });
         let best = roomy.min_by_key(|(_, c)| (c.out.len(), c.used));
-        let most = (self.limits.sockets / self.servers.len().max(1)).clamp(1, PER_SERVER);
+        let most = (self.limits.max_connections / self.servers.len().max(1)).clamp(1, PER_SERVER);
         if let Some((id, conn)) = best
             && (conn.out.is_empty()
                 || server.conns.len() >= most
-                || self.conns.len() >= self.limits.sockets)
+                || self.conns.len() >= self.limits.max_connections)
         {
             return Some(id);
         }
-        if self.conns.len() >= self.limits.sockets && !self.evict() {
+        if self.conns.len() >= self.limits.max_connections && !self.evict() {
             warn!(name: "upstream_sockets_full", server = %name.0, open = self.conns.len());
             return None;
         }
@@ -265,7 +266,7 @@
             endpoint,
             self.limits.dial_timeout,
             queue.clone(),
-            self.inbox.clone(),
+            self.event_queue.clone(),
             self.clock,
         );
         let conn = Conn {
@@ -296,15 +297,15 @@
 
     /// Takes back what a query that has ended, or one part of it that is in, has not begun to send. Nothing of it
     /// reaches a server, so that it needs no leave to call off.
-    pub fn take_back(&mut self, now: Micros, query: QueryId, part: Option<usize>) {
+    pub fn take_back(&mut self, now: Micros, query: QueryId, part: Option<PartIndex>) {
         let first = AttemptId {
             query,
-            part: part.unwrap_or(0),
+            part: part.unwrap_or(PartIndex(0)),
             attempt: 0,
         };
         let last = AttemptId {
             query,
-            part: part.unwrap_or(usize::MAX),
+            part: part.unwrap_or(PartIndex(usize::MAX)),
             attempt: u32::MAX,
         };
         let out: Vec<AttemptId> = self
@@ -356,7 +357,7 @@
             // Still on this side when its time ended: never ran. Unless there was none, the wait was for a connection
             // that did not come up or takes nothing.
             true if up && !stuck => Outcome::NotSent,
-            true => Outcome::NoConnection,
+            true => Outcome::Unreachable,
             false => outcome,
         };
         self.end(now, attempt, outcome, None, None);
@@ -395,19 +396,19 @@
     }
 
     /// Takes news of a connection.
-    pub fn hear(&mut self, now: Micros, id: u64, event: ConnEvent) {
+    pub fn hear(&mut self, now: Micros, id: u64, event: ConnectionEvent) {
         let Some(conn) = self.conns.get_mut(&id) else {
             return;
         };
         conn.heard = now;
         conn.begun = None;
         match event {
-            ConnEvent::Frame(FromServer::Answer {
+            ConnectionEvent::FrameReceived(ServerMessage::PartResponse(PartResponse {
                 id: wire,
                 outcome,
-                held,
+                requests_in_flight: held,
                 value,
-            }) => {
+            })) => {
                 if let Some(&attempt) = conn.out.get(&wire) {
                     let value = (outcome == Outcome::Served).then_some(value);
                     return self.end(now, attempt, outcome, held, value);
@@ -419,21 +420,21 @@
                     None => self.spoil(now, id, "its id is not out"),
                 }
             }
-            ConnEvent::Begun if conn.out.is_empty() && conn.given_up.is_empty() => {
+            ConnectionEvent::FrameStarted if conn.out.is_empty() && conn.given_up.is_empty() => {
                 self.spoil(now, id, "nothing is out");
             }
-            ConnEvent::Begun => conn.begun = Some(now),
-            ConnEvent::Frame(FromServer::Rejected(words)) => {
+            ConnectionEvent::FrameStarted => conn.begun = Some(now),
+            ConnectionEvent::FrameReceived(ServerMessage::FrameRejected(words)) => {
                 warn!(name: "upstream_rejected", server = %conn.server.0, words);
             }
-            ConnEvent::Down(error) => {
+            ConnectionEvent::Closed(error) => {
                 if !conn.out.is_empty() {
                     let out = conn.out.len();
                     warn!(name: "upstream_down", server = %conn.server.0, error = %error, out);
                 }
                 self.lose(now, id);
             }
-            ConnEvent::Bad(bad) => self.spoil(now, id, bad.0),
+            ConnectionEvent::FrameInvalid(bad) => self.spoil(now, id, &bad.to_string()),
         }
     }
 
@@ -474,7 +475,7 @@
         for (wire, attempt) in conn.out.clone() {
             let outcome = match unwritten.contains(&wire) {
                 true if was_up => Outcome::NotSent,
-                true => Outcome::NoConnection,
+                true => Outcome::Unreachable,
                 false => Outcome::ConnectionLost,
             };
             self.end(now, attempt, outcome, None, None);
@@ -508,7 +509,7 @@
 
     /// Closes what is idle for too long, or retired and done with.
     pub fn sweep(&mut self, now: Micros) {
-        let idle = self.limits.keepalive * IDLE_SHARE.0 / IDLE_SHARE.1;
+        let idle = self.limits.idle_timeout * IDLE_SHARE.0 / IDLE_SHARE.1;
         let done =
             |c: &Conn| c.out.is_empty() && (c.retiring || now.saturating_sub(c.used) >= idle);
         let done: Vec<u64> = self
--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -3,30 +3,30 @@
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
 use http::{Request, Response};
-use http1_codec::{Limits, ResponseDecoder, Step};
+use http1_codec::{Limits, Progress, ResponseDecoder};
 use std::fmt::Write;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
 const LIMITS: Limits = Limits {
-    head: 16 * 1024,
-    body: 1 << 20,
+    head_bytes: 16 * 1024,
+    body_bytes: 1 << 20,
 };
 
 /// A connection.
-pub struct Http1 {
+pub struct Http1Client {
     stream: Async<TcpStream>,
     decoder: ResponseDecoder,
     input: Vec<u8>,
     chunk: Vec<u8>,
 }
 
-impl Http1 {
+impl Http1Client {
     /// Connects.
     pub async fn connect(to: SocketAddr) -> io::Result<Self> {
         let stream = Async::<TcpStream>::connect(to).await?;
         stream.get_ref().set_nodelay(true)?;
-        Ok(Http1 {
+        Ok(Http1Client {
             stream,
             decoder: ResponseDecoder::new(LIMITS),
             input: Vec::new(),
@@ -42,7 +42,7 @@
     ) -> io::Result<Response<Vec<u8>>> {
         match self.send(request).await {
             Err(_) if self.input.is_empty() => {
-                *self = Http1::connect(self.stream.get_ref().peer_addr()?).await?;
+                *self = Http1Client::connect(self.stream.get_ref().peer_addr()?).await?;
                 self.send(request).await
             }
             answer => answer,
@@ -61,11 +61,11 @@
         loop {
             match self
                 .decoder
-                .step(&mut self.input)
+                .decode(&mut self.input)
                 .map_err(io::Error::other)?
             {
-                Step::Whole(message) => return Ok(message.value),
-                Step::More(_) => match self.stream.read(&mut self.chunk).await? {
+                Progress::Complete(message) => return Ok(message.value),
+                Progress::Incomplete { .. } => match self.stream.read(&mut self.chunk).await? {
                     0 => return Err(io::ErrorKind::UnexpectedEof.into()),
                     n => self.input.extend_from_slice(&self.chunk[..n]),
                 },
--- a/crates/query-api/src/ask.rs
+++ b/crates/query-api/src/ask.rs
@@ -2,7 +2,7 @@
 
 use broker_types::query::{FinalResponse, Names, PartSpec, QueryRequest};
 use broker_types::time::{MILLI, Micros, millis};
-use fanout_policy::api::{Semantics, Settings};
+use fanout_policy::api::{RetrySafety, Settings};
 use http::{HeaderMap, Method, Request};
 use serde::Deserialize;
 use std::rc::Rc;
@@ -30,7 +30,7 @@
 fn bad<T>(status: u16, why: impl Into<String>) -> Result<T, FinalResponse> {
     Err(FinalResponse::Invalid {
         status,
-        why: why.into(),
+        reason: why.into(),
     })
 }
 
@@ -82,12 +82,20 @@
         },
         None => return bad(400, "X-Tenant is missing"),
     };
-    let keyed = !matches!(settings.classes[class].semantics, Semantics::Safe);
+    let keyed = !matches!(
+        settings.classes[class].retry_safety,
+        RetrySafety::Idempotent
+    );
     let key = token(m, "idempotency-key")?.filter(|_| keyed);
-    if key.is_none() && matches!(settings.classes[class].semantics, Semantics::Keyed { .. }) {
+    if key.is_none()
+        && matches!(
+            settings.classes[class].retry_safety,
+            RetrySafety::IdempotencyKey { .. }
+        )
+    {
         return bad(400, "Idempotency-Key is missing");
     }
-    let usual = millis(settings.classes[class].give_up);
+    let usual = millis(settings.classes[class].client_timeout);
     let client_timeout = match m.get("x-deadline") {
         None => usual,
         Some(text) => match text.to_str().ok().and_then(deadline) {
@@ -105,9 +113,9 @@
         tenant,
         client_timeout,
         is_retry: m.get("x-retry").is_some_and(|v| v == "1"),
-        key,
+        idempotency_key: key,
         parts: parts(body.ranges, settings.shards)?,
-        text: body.predicate.into(),
+        payload: body.predicate.into(),
     })
 }
 
@@ -134,7 +142,7 @@
         parts.push(PartSpec {
             shard: r.range,
             weight: r.portion,
-            hint,
+            work_hint: hint,
         });
     }
     // What is whole, and what may be answered in part, is judged by these: a query that asks for more or less
