--- /dev/null
+++ b/crates/admission/tests/resource_limits.rs
@@ -0,0 +1,98 @@
+//! Limits of the listeners.
+
+use admission::resource_limits::{
+    AllocationError, ClientResources, Http2Overrides, ListenerLimits, allocate,
+};
+use proptest::prelude::*;
+
+const RESOURCES: ClientResources = ClientResources {
+    descriptors: 600,
+    memory_bytes: Some(115 << 20),
+    http1_connection_bytes: 128 << 10,
+};
+
+#[test]
+fn http1_gets_all_resources_where_there_is_no_http2_listener() {
+    let limits = allocate(RESOURCES, None).unwrap();
+    let expected = ListenerLimits {
+        max_http1_connections: 600,
+        http2: None,
+    };
+    assert_eq!(limits, expected);
+}
+
+#[test]
+fn connection_limit_that_does_not_fit_is_refused_with_the_limit_that_would() {
+    let overrides = Http2Overrides {
+        max_connections: Some(100),
+        ..Http2Overrides::default()
+    };
+    let error = allocate(RESOURCES, Some(overrides)).unwrap_err();
+    assert!(matches!(
+        error,
+        AllocationError::TooManyConnections {
+            requested: 100,
+            fitting: 19,
+            ..
+        }
+    ));
+    let text = error.to_string();
+    assert!(
+        text.starts_with("http2-connections 100 do not fit: 19 do, with "),
+        "{text}"
+    );
+}
+
+#[test]
+fn settings_under_which_no_connection_fits_are_refused_with_the_keywords_to_lower() {
+    let overrides = Http2Overrides {
+        max_streams: Some(65_536),
+        ..Http2Overrides::default()
+    };
+    let error = allocate(RESOURCES, Some(overrides)).unwrap_err();
+    assert!(matches!(error, AllocationError::ConnectionTooLarge { .. }));
+    let text = error.to_string();
+    let advice = ": lower http2-streams, http2-header-list or http2-connection-window";
+    assert!(text.ends_with(advice), "{text}");
+}
+
+fn overrides() -> impl Strategy<Value = Http2Overrides> {
+    let max_connections = prop::option::of(1usize..200);
+    let max_streams = prop::option::of(1u32..2000);
+    let connection_window = prop::option::of(65_536u32..1 << 24);
+    let max_header_list = prop::option::of(1024u32..65_536);
+    (
+        max_connections,
+        max_streams,
+        connection_window,
+        max_header_list,
+    )
+        .prop_map(
+            |(max_connections, max_streams, connection_window, max_header_list)| Http2Overrides {
+                max_connections,
+                max_streams,
+                connection_window,
+                max_header_list,
+            },
+        )
+}
+
+proptest! {
+    /// Whatever the platform gives and the operator sets, both listeners at their limits stay within the resources.
+    #[test]
+    fn both_listeners_at_their_limits_fit_the_resources(
+        descriptors in 4u64..5000, memory_bytes in prop::option::of(1u64 << 16..1 << 32), overrides in overrides(),
+    ) {
+        let resources = ClientResources { descriptors, memory_bytes, http1_connection_bytes: 128 << 10 };
+        let Ok(limits) = allocate(resources, Some(overrides)) else {
+            return Ok(());
+        };
+        let http1 = limits.max_http1_connections as u64;
+        let http2 = limits.http2.expect("HTTP/2 was asked for");
+        let http2_connections = http2.max_connections as u64;
+        prop_assert!(http1 + http2_connections <= descriptors);
+        prop_assert!(http2_connections >= 1);
+        let used = http1 * resources.http1_connection_bytes + http2_connections * http2.connection_bytes();
+        prop_assert!(memory_bytes.is_none_or(|bytes| used <= bytes));
+    }
+}
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -303,7 +303,7 @@
             let settings = self.operator.reread()?;
             let mut operator = self.operator.clone();
             operator.adopt_quietly(&settings);
-            let limits = allocate(self.clients, operator.http2())?;
+            let limits = allocate(self.clients, operator.http2()).map_err(|e| e.to_string())?;
             Ok((config.discovery, settings, limits))
         };
         match read() {
