--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,6 +1,6 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
-use crate::upstream::{Ended, Send};
+use crate::upstream::{EndedAttempt, OutgoingAttempt};
 use admission::{ConnectionId, ConnectionQuota};
 use async_channel::Sender;
 use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest, ShardValue};
@@ -271,7 +271,7 @@
     }
 
     /// A dispatch with all that its frame needs.
-    pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<Send, Held> {
+    pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<OutgoingAttempt, Held> {
         let pending = self.pending.get_mut(&d.attempt.query).ok_or(Held::Over)?;
         let part = pending.ask.parts.get(d.attempt.part.0).ok_or(Held::Over)?;
         let mut expires = None;
@@ -294,7 +294,7 @@
             ended: None,
         };
         pending.story.push(told);
-        Ok(Send {
+        Ok(OutgoingAttempt {
             attempt: d.attempt,
             server: d.server,
             until: d.deadline,
@@ -307,7 +307,7 @@
     }
 
     /// Takes the end of an attempt: its value stays here, with its query.
-    pub(crate) fn ended(&mut self, now: Micros, ended: &mut Ended) {
+    pub(crate) fn ended(&mut self, now: Micros, ended: &mut EndedAttempt) {
         if let Some((key, shard)) = self.keyed.remove(&ended.attempt) {
             let proof = match ended.outcome {
                 Outcome::Served | Outcome::Error => ExecutionEvidence::Executed,
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -6,7 +6,7 @@
 use crate::front::{Fronts, Plan, Shared};
 use crate::operator::Operator;
 use crate::queries::{Held, Queries};
-use crate::upstream::{Ended, Send, Upstream};
+use crate::upstream::{EndedAttempt, OutgoingAttempt, ServerPools};
 use admission::resource_limits::{ClientResources, ListenerLimits, allocate};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -47,14 +47,14 @@
     /// What the platform gives to client connections.
     clients: ClientResources,
     core: PolicyEngine,
-    upstream: Upstream,
+    upstream: ServerPools,
     discovery: Discovery,
     event_queue: Rc<EventQueue>,
     fronts: Fronts,
     queries: Queries,
     /// The turn's dispatches: they go out together at its end.
     dispatches: BTreeMap<AttemptId, Dispatch>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedAttempt>,
     /// Queries that ended in this turn, and parts that came in.
     over: Vec<(QueryId, Option<PartIndex>)>,
     leaving_since: Option<Micros>,
@@ -130,7 +130,7 @@
         clients: config.clients,
         queries: Queries::new(&config.settings, config.max_open),
         core: PolicyEngine::new(config.settings, config.max_open, config.seed),
-        upstream: Upstream::new(executor.clone(), event_queue.clone(), clock, config.pool),
+        upstream: ServerPools::new(executor.clone(), event_queue.clone(), clock, config.pool),
         discovery: Discovery::start(
             executor.clone(),
             event_queue.clone(),
@@ -175,10 +175,11 @@
                 }
             }
             let closing = self.fronts.is_closing().then_some(now + self.tick);
-            let ended = (self.upstream.has_ended() || !self.ended.is_empty()).then_some(now);
+            let ended =
+                (self.upstream.has_ended_attempts() || !self.ended.is_empty()).then_some(now);
             let due = [
                 Some(self.core.next_deadline()),
-                Some(self.upstream.due()),
+                Some(self.upstream.next_deadline()),
                 leaving.filter(|at| now < *at),
                 self.reload_at,
                 closing,
@@ -225,7 +226,7 @@
                     self.over.push((id, None));
                 }
                 Event::ServerConnection { connection, event } => {
-                    self.upstream.hear(now, connection, event)
+                    self.upstream.on_connection_event(now, connection, event)
                 }
                 Event::EndpointsUpdated(targets) => self.learn(now, targets.scope(), &targets),
                 Event::ReloadRequested => self.reload_at = Some(now),
@@ -246,15 +247,15 @@
         let decisions = self.core.poll(now);
         self.carry_out(now, decisions);
         for (query, part) in std::mem::take(&mut self.over) {
-            self.upstream.take_back(now, query, part);
+            self.upstream.cancel_unsent(now, query, part);
         }
         let sends = std::mem::take(&mut self.dispatches);
         let sends = sends
             .into_values()
             .filter_map(|d| self.send(now, d))
             .collect();
-        self.upstream.dispatch(now, sends);
-        self.upstream.sweep(now);
+        self.upstream.send_attempts(now, sends);
+        self.upstream.close_expired_connections(now);
         self.tell(now);
     }
 
@@ -266,7 +267,7 @@
         self.tell_at = now + TELL_EVERY;
         let s = self.core.summary(now);
         info!(
-            name: "decisions", held = self.core.in_flight(), open = self.upstream.open(), serving = s.serving,
+            name: "decisions", held = self.core.in_flight(), open = self.upstream.open_connections(), serving = s.serving,
             passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = s.touched_rows,
             unit = s.part_cost_ms, lag = s.forecast_error_ms
         );
@@ -283,14 +284,15 @@
                 .iter()
                 .filter(|name| !named.contains(name))
             {
-                self.upstream.learn(now, name.clone(), None);
+                self.upstream.set_endpoint(now, name.clone(), None);
             }
         }
         for (server, target) in servers.iter().zip(&targets.endpoints) {
             let endpoint = target
                 .address
                 .filter(|_| server.state == ServingState::Serving);
-            self.upstream.learn(now, server.name.clone(), endpoint);
+            self.upstream
+                .set_endpoint(now, server.name.clone(), endpoint);
         }
         self.core.update_endpoints(scope, servers);
     }
@@ -332,8 +334,8 @@
     /// What ended since the last turn, for the decisions; the values stay here, with their queries.
     fn take_reports(&mut self, now: Micros) -> Vec<AttemptReport> {
         let mut ended = std::mem::take(&mut self.ended);
-        ended.extend(self.upstream.take_ended(now));
-        let report = |mut e: Ended| {
+        ended.extend(self.upstream.take_ended_attempts(now));
+        let report = |mut e: EndedAttempt| {
             self.queries.ended(now, &mut e);
             if e.outcome == Outcome::Served {
                 self.over.push((e.attempt.query, Some(e.attempt.part)));
@@ -342,7 +344,7 @@
                 attempt: e.attempt,
                 outcome: e.outcome,
                 elapsed: e.elapsed,
-                load: e.load,
+                load: e.requests_in_flight,
             }
         };
         ended.into_iter().map(report).collect()
@@ -360,7 +362,7 @@
                 // Called off in the turn that asked for it.
                 self.ended.push(never_sent(attempt));
             } else {
-                self.upstream.give_up(now, attempt);
+                self.upstream.cancel(now, attempt);
             }
         }
         for FinishedQuery { query, outcome } in decisions.finished {
@@ -383,7 +385,7 @@
     }
 
     /// A dispatch with all that its frame needs. `None`: it does not go out.
-    fn send(&mut self, now: Micros, d: Dispatch) -> Option<Send> {
+    fn send(&mut self, now: Micros, d: Dispatch) -> Option<OutgoingAttempt> {
         let attempt = d.attempt;
         match self.queries.outgoing(now, d) {
             Ok(send) => return Some(send),
@@ -400,12 +402,12 @@
     }
 }
 
-fn never_sent(attempt: AttemptId) -> Ended {
-    Ended {
+fn never_sent(attempt: AttemptId) -> EndedAttempt {
+    EndedAttempt {
         attempt,
         outcome: Outcome::NotSent,
         elapsed: 0,
-        load: None,
+        requests_in_flight: None,
         value: None,
     }
 }
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -1,6 +1,6 @@
 //! Data servers: one pool of connections for each, and the attempts that are out on them.
 //!
-//! The pool owns each attempt from its dispatch to its one [`Ended`], and each connection from its dialling to
+//! The pool owns each attempt from its dispatch to its one [`EndedAttempt`], and each connection from its dialling to
 //! the drop of its task, which closes the socket. Tasks on sockets tell the pool what happened through the
 //! event queue; the pool acts on it in a turn.
 
@@ -35,7 +35,7 @@
 
 /// An attempt to send, with all that goes into its frame.
 #[derive(Clone, Debug)]
-pub struct Send {
+pub struct OutgoingAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// Where to.
@@ -56,7 +56,7 @@
 
 /// How an attempt ended.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Ended {
+pub struct EndedAttempt {
     /// The attempt.
     pub attempt: AttemptId,
     /// How.
@@ -64,7 +64,7 @@
     /// Time since its dispatch.
     pub elapsed: Micros,
     /// How much the server said it holds.
-    pub load: Option<f64>,
+    pub requests_in_flight: Option<f64>,
     /// The value, if it was served.
     pub value: Option<String>,
 }
@@ -102,7 +102,7 @@
 }
 
 /// The pools of all data servers.
-pub struct Upstream {
+pub struct ServerPools {
     executor: Rc<LocalExecutor<'static>>,
     event_queue: Rc<EventQueue>,
     clock: Clock,
@@ -112,10 +112,10 @@
     next_conn: u64,
     flights: BTreeMap<AttemptId, Flight>,
     deadlines: BTreeSet<(Micros, AttemptId)>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedAttempt>,
 }
 
-impl Upstream {
+impl ServerPools {
     /// Pools without servers.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
@@ -123,7 +123,7 @@
         clock: Clock,
         limits: PoolLimits,
     ) -> Self {
-        Upstream {
+        ServerPools {
             executor,
             event_queue,
             clock,
@@ -139,7 +139,7 @@
 
     /// Takes where a server is to be called; `None`: it wants nothing new, or is gone. What waits unsent for
     /// one that left or moved is taken back.
-    pub fn learn(&mut self, now: Micros, name: NodeId, endpoint: Option<SocketAddr>) {
+    pub fn set_endpoint(&mut self, now: Micros, name: NodeId, endpoint: Option<SocketAddr>) {
         let server = self.servers.entry(name.clone()).or_default();
         let moved = server.endpoint.is_some_and(|old| Some(old) != endpoint);
         server.endpoint = endpoint;
@@ -170,8 +170,8 @@
     }
 
     /// Sends the attempts of one turn: those to one server share calls.
-    pub fn dispatch(&mut self, now: Micros, sends: Vec<Send>) {
-        let mut by_server: BTreeMap<NodeId, Vec<Send>> = BTreeMap::new();
+    pub fn send_attempts(&mut self, now: Micros, sends: Vec<OutgoingAttempt>) {
+        let mut by_server: BTreeMap<NodeId, Vec<OutgoingAttempt>> = BTreeMap::new();
         for send in sends {
             by_server.entry(send.server.clone()).or_default().push(send);
         }
@@ -183,13 +183,13 @@
         }
     }
 
-    fn call(&mut self, now: Micros, server: &NodeId, sends: Vec<Send>) {
+    fn call(&mut self, now: Micros, server: &NodeId, sends: Vec<OutgoingAttempt>) {
         let Some(id) = self.conn_for(now, server, sends.len()) else {
-            let never = |s: Send| Ended {
+            let never = |s: OutgoingAttempt| EndedAttempt {
                 attempt: s.attempt,
                 outcome: Outcome::Unreachable,
                 elapsed: 0,
-                load: None,
+                requests_in_flight: None,
                 value: None,
             };
             return self.ended.extend(sends.into_iter().map(never));
@@ -211,7 +211,7 @@
                 due,
             };
             self.flights.insert(s.attempt, flight);
-            let Send {
+            let OutgoingAttempt {
                 until,
                 expires,
                 wire,
@@ -297,7 +297,7 @@
 
     /// Takes back what a query that has ended, or one part of it that is in, has not begun to send. Nothing of it
     /// reaches a server, so that it needs no leave to call off.
-    pub fn take_back(&mut self, now: Micros, query: QueryId, part: Option<PartIndex>) {
+    pub fn cancel_unsent(&mut self, now: Micros, query: QueryId, part: Option<PartIndex>) {
         let first = AttemptId {
             query,
             part: part.unwrap_or(PartIndex(0)),
@@ -329,7 +329,7 @@
     }
 
     /// Stops waiting for an attempt that was called off.
-    pub fn give_up(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn cancel(&mut self, now: Micros, attempt: AttemptId) {
         self.abandon(now, attempt, Outcome::Cancelled);
     }
 
@@ -374,7 +374,7 @@
         now: Micros,
         attempt: AttemptId,
         outcome: Outcome,
-        load: Option<f64>,
+        requests_in_flight: Option<f64>,
         value: Option<String>,
     ) {
         let Some(flight) = self.flights.remove(&attempt) else {
@@ -386,17 +386,17 @@
             conn.used = now;
         }
         let elapsed = now.saturating_sub(flight.sent);
-        self.ended.push(Ended {
+        self.ended.push(EndedAttempt {
             attempt,
             outcome,
             elapsed,
-            load,
+            requests_in_flight,
             value,
         });
     }
 
     /// Takes news of a connection.
-    pub fn hear(&mut self, now: Micros, id: u64, event: ConnectionEvent) {
+    pub fn on_connection_event(&mut self, now: Micros, id: u64, event: ConnectionEvent) {
         let Some(conn) = self.conns.get_mut(&id) else {
             return;
         };
@@ -508,7 +508,7 @@
     }
 
     /// Closes what is idle for too long, or retired and done with.
-    pub fn sweep(&mut self, now: Micros) {
+    pub fn close_expired_connections(&mut self, now: Micros) {
         let idle = self.limits.idle_timeout * IDLE_SHARE.0 / IDLE_SHARE.1;
         let done =
             |c: &Conn| c.out.is_empty() && (c.retiring || now.saturating_sub(c.used) >= idle);
@@ -537,7 +537,7 @@
     /// Takes the attempts that have ended, those included whose time is over by now. A turn begins with this:
     /// the module ends a query at the moment at which its attempts time out, and would else call them off first,
     /// so that no time-out ever reached it and silent servers went unnoticed.
-    pub fn take_ended(&mut self, now: Micros) -> Vec<Ended> {
+    pub fn take_ended_attempts(&mut self, now: Micros) -> Vec<EndedAttempt> {
         while let Some((due, attempt)) = self
             .deadlines
             .first()
@@ -564,13 +564,13 @@
 
     /// Whether some have ended that were not taken.
     #[must_use]
-    pub fn has_ended(&self) -> bool {
+    pub fn has_ended_attempts(&self) -> bool {
         !self.ended.is_empty()
     }
 
     /// When the next attempt's time is over, or the next frame is late that has begun.
     #[must_use]
-    pub fn due(&self) -> Micros {
+    pub fn next_deadline(&self) -> Micros {
         let deadline = self
             .deadlines
             .first()
@@ -585,7 +585,7 @@
 
     /// Open connections.
     #[must_use]
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.conns.len()
     }
 }
--- a/crates/broker/src/upstream/tests.rs
+++ b/crates/broker/src/upstream/tests.rs
@@ -11,10 +11,10 @@
 
 const SECOND: Micros = 1_000_000;
 
-fn pool(limits: PoolLimits) -> (Upstream, TcpListener) {
+fn pool(limits: PoolLimits) -> (ServerPools, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut pool = Upstream::new(Rc::default(), Rc::default(), Clock::start(), limits);
-    pool.learn(0, server(), Some(listener.local_addr().unwrap()));
+    let mut pool = ServerPools::new(Rc::default(), Rc::default(), Clock::start(), limits);
+    pool.set_endpoint(0, server(), Some(listener.local_addr().unwrap()));
     (pool, listener)
 }
 
@@ -33,8 +33,8 @@
     NodeId("s0".into())
 }
 
-fn sends(query: u64, parts: usize) -> Vec<Send> {
-    let send = |part| Send {
+fn sends(query: u64, parts: usize) -> Vec<OutgoingAttempt> {
+    let send = |part| OutgoingAttempt {
         attempt: AttemptId {
             query: QueryId(query),
             part: PartIndex(part),
@@ -51,8 +51,11 @@
     (0..parts).map(send).collect()
 }
 
-fn outcomes(pool: &mut Upstream, now: Micros) -> Vec<Outcome> {
-    pool.take_ended(now).iter().map(|e| e.outcome).collect()
+fn outcomes(pool: &mut ServerPools, now: Micros) -> Vec<Outcome> {
+    pool.take_ended_attempts(now)
+        .iter()
+        .map(|e| e.outcome)
+        .collect()
 }
 
 fn broken() -> ConnectionEvent {
@@ -71,12 +74,12 @@
 #[test]
 fn calls_are_spread_over_a_few_connections_and_an_idle_one_is_used_again() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 3));
-    assert_eq!(pool.open(), 2);
-    pool.hear(10, 1, answer("q1.2"));
-    pool.dispatch(20, sends(2, 1));
-    assert_eq!((pool.open(), pool.conns[&1].out.len()), (2, 1));
-    (3..20).for_each(|query| pool.dispatch(30, sends(query, 1)));
+    pool.send_attempts(0, sends(1, 3));
+    assert_eq!(pool.open_connections(), 2);
+    pool.on_connection_event(10, 1, answer("q1.2"));
+    pool.send_attempts(20, sends(2, 1));
+    assert_eq!((pool.open_connections(), pool.conns[&1].out.len()), (2, 1));
+    (3..20).for_each(|query| pool.send_attempts(30, sends(query, 1)));
     assert_eq!(
         pool.conns.values().map(|c| c.out.len()).collect::<Vec<_>>(),
         [4; 5]
@@ -87,11 +90,11 @@
 #[test]
 fn of_idle_connections_the_one_that_rested_longest_is_used() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 3));
+    pool.send_attempts(0, sends(1, 3));
     for (now, id, wire) in [(10, 1, "q1.2"), (20, 0, "q1.1"), (30, 0, "q1.0")] {
-        pool.hear(now, id, answer(wire));
+        pool.on_connection_event(now, id, answer(wire));
     }
-    pool.dispatch(40, sends(2, 1));
+    pool.send_attempts(40, sends(2, 1));
     assert_eq!(pool.conns[&1].out.len(), 1);
 }
 
@@ -102,7 +105,7 @@
         max_connections: 1,
         ..limits()
     });
-    pool.dispatch(0, sends(1, 1));
+    pool.send_attempts(0, sends(1, 1));
     let (executor, queue) = (pool.executor.clone(), pool.conns[&0].queue.clone());
     let written = async {
         while !queue.unwritten().is_empty() {
@@ -110,8 +113,8 @@
         }
     };
     async_io::block_on(executor.run(written));
-    pool.dispatch(10, sends(2, 1));
-    pool.hear(20, 0, broken());
+    pool.send_attempts(10, sends(2, 1));
+    pool.on_connection_event(20, 0, broken());
     assert_eq!(
         outcomes(&mut pool, 30),
         [Outcome::ConnectionLost, Outcome::NotSent]
@@ -123,11 +126,11 @@
         max_parts_per_call: 4,
         ..limits()
     });
-    pool.dispatch(0, sends(1, sent));
+    pool.send_attempts(0, sends(1, sent));
     pool.conns[&0].queue.begin(0);
     pool.conns[&0].queue.written();
-    pool.hear(10, 0, event);
-    (outcomes(&mut pool, 20), pool.open())
+    pool.on_connection_event(10, 0, event);
+    (outcomes(&mut pool, 20), pool.open_connections())
 }
 
 /// An answer for what is not out stands in the place of one that will not come: it must not be waited for.
@@ -158,11 +161,11 @@
         ConnectionEvent::FrameInvalid(server_protocol::InvalidFrame::UnknownKind),
     ] {
         let (mut pool, _listener) = pool(limits());
-        pool.dispatch(0, sends(1, 1));
-        pool.hear(10, 0, answer("q1.0"));
-        pool.hear(10, 0, surplus);
+        pool.send_attempts(0, sends(1, 1));
+        pool.on_connection_event(10, 0, answer("q1.0"));
+        pool.on_connection_event(10, 0, surplus);
         assert_eq!(
-            (outcomes(&mut pool, 20), pool.open()),
+            (outcomes(&mut pool, 20), pool.open_connections()),
             (vec![Outcome::Served], 0)
         );
     }
@@ -172,10 +175,10 @@
 #[test]
 fn a_late_answer_to_what_was_given_up_is_passed_over() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 2));
+    pool.send_attempts(0, sends(1, 2));
     pool.conns[&0].queue.begin(0);
     pool.conns[&0].queue.written();
-    pool.give_up(
+    pool.cancel(
         10,
         AttemptId {
             query: QueryId(1),
@@ -183,14 +186,14 @@
             attempt: 0,
         },
     );
-    pool.hear(20, 0, answer("q1.0"));
+    pool.on_connection_event(20, 0, answer("q1.0"));
     assert_eq!(
-        (outcomes(&mut pool, 20), pool.open()),
+        (outcomes(&mut pool, 20), pool.open_connections()),
         (vec![Outcome::Cancelled], 1)
     );
-    pool.hear(30, 0, answer("q1.0"));
+    pool.on_connection_event(30, 0, answer("q1.0"));
     assert_eq!(
-        (outcomes(&mut pool, 30), pool.open()),
+        (outcomes(&mut pool, 30), pool.open_connections()),
         (vec![Outcome::Error], 0)
     );
 }
@@ -203,11 +206,11 @@
         ..limits()
     });
     for query in 1..=limits().max_parts_per_connection as u64 + 2 {
-        pool.dispatch(0, sends(query, 1));
+        pool.send_attempts(0, sends(query, 1));
         while pool.conns[&0].queue.begin(0).is_some() {
             pool.conns[&0].queue.written();
         }
-        pool.give_up(
+        pool.cancel(
             10,
             AttemptId {
                 query: QueryId(query),
@@ -216,12 +219,12 @@
             },
         );
     }
-    pool.dispatch(20, sends(100, 1));
-    pool.take_ended(20);
-    pool.hear(30, 0, answer("q1.0"));
-    pool.hear(30, 0, answer("q100.0"));
+    pool.send_attempts(20, sends(100, 1));
+    pool.take_ended_attempts(20);
+    pool.on_connection_event(30, 0, answer("q1.0"));
+    pool.on_connection_event(30, 0, answer("q100.0"));
     assert_eq!(
-        (outcomes(&mut pool, 30), pool.open()),
+        (outcomes(&mut pool, 30), pool.open_connections()),
         (vec![Outcome::Served], 1)
     );
 }
@@ -230,16 +233,16 @@
 #[test]
 fn a_frame_that_does_not_go_on_is_spoilt() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 1));
+    pool.send_attempts(0, sends(1, 1));
     pool.conns[&0].queue.begin(0);
     pool.conns[&0].queue.written();
-    pool.hear(10, 0, ConnectionEvent::FrameStarted);
-    assert_eq!(pool.due(), 10 + limits().dial_timeout);
-    pool.sweep(9 + limits().dial_timeout);
-    assert_eq!(pool.open(), 1);
-    pool.sweep(10 + limits().dial_timeout);
+    pool.on_connection_event(10, 0, ConnectionEvent::FrameStarted);
+    assert_eq!(pool.next_deadline(), 10 + limits().dial_timeout);
+    pool.close_expired_connections(9 + limits().dial_timeout);
+    assert_eq!(pool.open_connections(), 1);
+    pool.close_expired_connections(10 + limits().dial_timeout);
     assert_eq!(
-        (outcomes(&mut pool, SECOND / 2), pool.open()),
+        (outcomes(&mut pool, SECOND / 2), pool.open_connections()),
         (vec![Outcome::Error], 0)
     );
 }
@@ -251,24 +254,24 @@
         max_connections: 1,
         ..limits()
     });
-    pool.dispatch(0, sends(1, 1));
+    pool.send_attempts(0, sends(1, 1));
     let other = NodeId("s1".into());
-    pool.learn(0, other.clone(), Some(listener.local_addr().unwrap()));
+    pool.set_endpoint(0, other.clone(), Some(listener.local_addr().unwrap()));
     let to_other = |query| {
         sends(query, 1)
             .into_iter()
-            .map(|s| Send {
+            .map(|s| OutgoingAttempt {
                 server: other.clone(),
                 ..s
             })
             .collect()
     };
-    pool.dispatch(0, to_other(2));
+    pool.send_attempts(0, to_other(2));
     assert_eq!(outcomes(&mut pool, 30), [Outcome::Unreachable]);
-    pool.hear(10, 0, answer("q1.0"));
-    pool.dispatch(20, to_other(3));
+    pool.on_connection_event(10, 0, answer("q1.0"));
+    pool.send_attempts(20, to_other(3));
     assert_eq!(
-        (outcomes(&mut pool, 30), pool.open()),
+        (outcomes(&mut pool, 30), pool.open_connections()),
         (vec![Outcome::Served], 1)
     );
 }
@@ -277,39 +280,39 @@
 #[test]
 fn idle_connections_are_closed_before_the_server_does() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 1));
-    pool.hear(100, 0, answer("q1.0"));
-    pool.sweep(11 * SECOND);
-    assert_eq!(pool.open(), 1);
-    pool.sweep(12 * SECOND);
-    assert_eq!(pool.open(), 0);
+    pool.send_attempts(0, sends(1, 1));
+    pool.on_connection_event(100, 0, answer("q1.0"));
+    pool.close_expired_connections(11 * SECOND);
+    assert_eq!(pool.open_connections(), 1);
+    pool.close_expired_connections(12 * SECOND);
+    assert_eq!(pool.open_connections(), 0);
 }
 
 /// Within the drain's grace nothing may go out, not even what waited for a connection when it began.
 #[test]
 fn what_waits_for_a_server_that_leaves_is_taken_back() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 2));
-    pool.learn(10, server(), None);
+    pool.send_attempts(0, sends(1, 2));
+    pool.set_endpoint(10, server(), None);
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NotSent; 2]);
-    pool.dispatch(20, sends(2, 1));
+    pool.send_attempts(20, sends(2, 1));
     assert_eq!(outcomes(&mut pool, 30), [Outcome::Unreachable]);
-    pool.sweep(20);
-    assert_eq!((pool.open(), pool.servers.len()), (0, 0));
+    pool.close_expired_connections(20);
+    assert_eq!((pool.open_connections(), pool.servers.len()), (0, 0));
 }
 
 /// What was not written to its last byte never ran; what was may have, or may yet.
 #[test]
 fn the_end_of_an_attempt_tells_whether_it_may_have_run() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 1));
+    pool.send_attempts(0, sends(1, 1));
     assert_eq!(outcomes(&mut pool, SECOND), [Outcome::Unreachable]);
-    pool.dispatch(0, sends(2, 2));
+    pool.send_attempts(0, sends(2, 2));
     let queue = pool.conns[&0].queue.clone();
     queue.begin(0);
-    pool.hear(20, 0, broken());
+    pool.on_connection_event(20, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::Unreachable; 2]);
-    pool.dispatch(30, sends(3, 1));
+    pool.send_attempts(30, sends(3, 1));
     let (executor, event_queue) = (pool.executor.clone(), pool.event_queue.clone());
     let queue = pool.conns[&1].queue.clone();
     let written = async {
@@ -325,7 +328,7 @@
             event: ConnectionEvent::Closed(_)
         }
     )));
-    pool.hear(40, 1, broken());
+    pool.on_connection_event(40, 1, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::ConnectionLost]);
 }
 
@@ -334,16 +337,16 @@
 fn a_connection_that_stays_silent_is_closed_with_the_attempt_that_waited_in_vain() {
     for spoke in [false, true] {
         let (mut pool, _listener) = pool(limits());
-        pool.dispatch(0, sends(1, 2));
+        pool.send_attempts(0, sends(1, 2));
         pool.conns[&0].queue.begin(0);
         pool.conns[&0].queue.written();
         if spoke {
-            pool.hear(100, 0, answer("q1.1"));
+            pool.on_connection_event(100, 0, answer("q1.1"));
         }
         let outcomes = outcomes(&mut pool, SECOND);
-        pool.sweep(SECOND);
+        pool.close_expired_connections(SECOND);
         assert_eq!(outcomes.last(), Some(&Outcome::TimedOut));
-        assert_eq!(pool.open(), usize::from(spoke));
+        assert_eq!(pool.open_connections(), usize::from(spoke));
     }
 }
 
@@ -351,9 +354,9 @@
 #[test]
 fn a_connection_that_is_stuck_in_a_frame_ends_with_the_first_attempt_given_up() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 2));
+    pool.send_attempts(0, sends(1, 2));
     pool.conns[&0].queue.begin(0);
-    pool.give_up(
+    pool.cancel(
         SECOND / 2,
         AttemptId {
             query: QueryId(1),
@@ -365,7 +368,7 @@
         outcomes(&mut pool, SECOND / 2),
         [Outcome::Cancelled, Outcome::Unreachable]
     );
-    assert_eq!(pool.open(), 0);
+    assert_eq!(pool.open_connections(), 0);
 }
 
 /// A connected pair of sockets: ours, and the server's.
@@ -422,11 +425,11 @@
     let (ours, _server) = pair();
     while ours.get_ref().write(&[0; 4096]).is_ok() {}
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(
+    pool.send_attempts(
         0,
         sends(1, 1)
             .into_iter()
-            .map(|s| Send {
+            .map(|s| OutgoingAttempt {
                 until: 3600 * SECOND,
                 ..s
             })
@@ -435,7 +438,7 @@
     let queue = pool.conns[&0].queue.clone();
     poll_write(&ours, &queue);
     assert_eq!(
-        (outcomes(&mut pool, 3600 * SECOND), pool.open()),
+        (outcomes(&mut pool, 3600 * SECOND), pool.open_connections()),
         (vec![Outcome::Unreachable], 0)
     );
 }
@@ -468,7 +471,7 @@
 #[test]
 fn a_part_that_meets_the_closing_of_an_idle_connection_never_ran() {
     let (mut pool, listener) = pool(limits());
-    pool.dispatch(0, sends(1, 1));
+    pool.send_attempts(0, sends(1, 1));
     let (executor, event_queue, queue) = (
         pool.executor.clone(),
         pool.event_queue.clone(),
@@ -481,9 +484,9 @@
     }));
     let (mut server, _) = listener.accept().unwrap();
     assert!(server.read(&mut [0; 1024]).unwrap() > 0);
-    pool.hear(10, 0, answer("q1.0"));
+    pool.on_connection_event(10, 0, answer("q1.0"));
     assert_eq!(outcomes(&mut pool, 10), [Outcome::Served]);
-    pool.dispatch(20, sends(2, 1));
+    pool.send_attempts(20, sends(2, 1));
     drop(server);
     let news = async_io::block_on(executor.run(async {
         loop {
@@ -501,7 +504,7 @@
             event: ConnectionEvent::Closed(_)
         }]
     ));
-    pool.hear(30, 0, broken());
+    pool.on_connection_event(30, 0, broken());
     assert_eq!(outcomes(&mut pool, 30), [Outcome::NotSent]);
 }
 
@@ -509,7 +512,7 @@
 #[test]
 fn a_part_whose_time_was_over_before_it_was_written_blames_no_server() {
     let (mut pool, listener) = pool(limits());
-    pool.dispatch(0, sends(1, 1));
+    pool.send_attempts(0, sends(1, 1));
     let queue = pool.conns[&0].queue.clone();
     let executor = pool.executor.clone();
     let _server = async_io::block_on(executor.run(async {
@@ -518,9 +521,9 @@
         }
         listener.accept().unwrap()
     }));
-    pool.hear(10, 0, answer("q1.0"));
-    pool.take_ended(10);
-    pool.dispatch(20, sends(2, 1));
+    pool.on_connection_event(10, 0, answer("q1.0"));
+    pool.take_ended_attempts(10);
+    pool.send_attempts(20, sends(2, 1));
     assert!(queue.begin(SECOND).is_none());
     assert_eq!(outcomes(&mut pool, SECOND), [Outcome::NotSent]);
 }
@@ -529,11 +532,11 @@
 #[test]
 fn what_an_ended_query_has_not_begun_to_send_is_taken_back() {
     let (mut pool, _listener) = pool(limits());
-    pool.dispatch(0, sends(1, 2));
-    pool.dispatch(0, sends(2, 1));
+    pool.send_attempts(0, sends(1, 2));
+    pool.send_attempts(0, sends(2, 1));
     pool.conns[&1].queue.begin(0);
-    pool.take_back(10, QueryId(2), None);
-    pool.take_back(10, QueryId(1), None);
+    pool.cancel_unsent(10, QueryId(2), None);
+    pool.cancel_unsent(10, QueryId(1), None);
     assert_eq!(outcomes(&mut pool, 10), [Outcome::NotSent; 2]);
     assert!(
         pool.flights
@@ -549,19 +552,19 @@
     let expiring = |query| {
         sends(query, 1)
             .into_iter()
-            .map(|s| Send {
+            .map(|s| OutgoingAttempt {
                 expires: Some(SECOND / 2),
                 ..s
             })
             .collect()
     };
-    pool.dispatch(0, expiring(1));
-    pool.dispatch(0, expiring(2));
+    pool.send_attempts(0, expiring(1));
+    pool.send_attempts(0, expiring(2));
     pool.conns[&1].queue.begin(SECOND / 2 - 1);
-    assert_eq!(pool.due(), SECOND / 2);
+    assert_eq!(pool.next_deadline(), SECOND / 2);
     assert!(outcomes(&mut pool, SECOND / 2 - 1).is_empty());
     assert_eq!(outcomes(&mut pool, SECOND / 2), [Outcome::NotSent]);
-    assert_eq!(pool.due(), SECOND);
+    assert_eq!(pool.next_deadline(), SECOND);
     pool.conns[&1].queue.written();
     assert_eq!(outcomes(&mut pool, SECOND), [Outcome::TimedOut]);
     assert_eq!(pool.deadlines.len(), 0);
