--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -268,14 +268,14 @@
         let s = self.core.summary(now);
         info!(
             name: "decisions", held = self.core.in_flight(), open = self.upstream.open_connections(), serving = s.serving,
-            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = s.touched_rows,
-            unit = s.part_cost_ms, lag = s.forecast_error_ms
+            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = %s.touched_rows,
+            unit = %s.part_cost_ms, lag = %s.forecast_error_ms
         );
     }
 
     /// Takes news of the list: the decisions and the pools learn of it in the same turn.
     fn learn(&mut self, now: Micros, scope: ListScope, targets: &EndpointList) {
-        let servers = targets.servers(&self.zones, |ms| self.clock.of_unix_ms(ms));
+        let servers = targets.servers(&self.zones, |ms| self.clock.at_unix_ms(ms));
         if scope != ListScope::Delta {
             let named: BTreeSet<&NodeId> = servers.iter().map(|s| &s.name).collect();
             for name in self
