--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -7,7 +7,7 @@
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{RetrySafety, Settings};
-use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
 use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -106,11 +106,11 @@
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
             quota: ConnectionQuota::new(room),
-            register: IdempotencyRegister::new(
-                window.min().unwrap_or(NO_WINDOW),
-                keep.unwrap_or(0),
-                KEYS,
-            ),
+            register: IdempotencyRegister::new(RegisterLimits {
+                window: window.min().unwrap_or(NO_WINDOW),
+                retention: keep.unwrap_or(0),
+                max_keys: KEYS,
+            }),
             keyed: BTreeMap::new(),
             max_retry_after: settings.max_retry_after.map(millis),
         }
--- /dev/null
+++ b/crates/idempotency/src/key_state.rs
@@ -0,0 +1,123 @@
+//! What is known of one idempotency key and of the parts that were sent under it.
+
+use crate::register::{ExecutionEvidence, KeyAdmission};
+use broker_types::time::Micros;
+use std::collections::BTreeMap;
+
+/// What is known of one part under a key.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct PartState {
+    /// Time at which the first attempt that may have been executed was sent.
+    first_sent_at: Option<Micros>,
+    /// Number of attempts in flight.
+    in_flight: u32,
+    /// Number of ended attempts that were or may have been executed.
+    possibly_executed: u32,
+    /// Time until which an attempt may still be executed after it was cancelled.
+    busy_until: Micros,
+}
+
+impl PartState {
+    pub(crate) fn on_attempt_sent(&mut self, now: Micros, deadline: Micros) {
+        self.first_sent_at.get_or_insert(now);
+        self.in_flight += 1;
+        self.busy_until = self.busy_until.max(deadline);
+    }
+
+    fn on_attempt_ended(&mut self, now: Micros, evidence: ExecutionEvidence) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        match evidence {
+            ExecutionEvidence::NotExecuted => {}
+            ExecutionEvidence::Executed => {
+                self.possibly_executed += 1;
+                self.busy_until = now;
+            }
+            ExecutionEvidence::PossiblyExecuted => self.possibly_executed += 1,
+        }
+    }
+
+    /// Whether no attempt at the part is in flight or may have been executed.
+    fn is_untouched(&self) -> bool {
+        self.in_flight == 0 && self.possibly_executed == 0
+    }
+
+    /// Whether an attempt is in flight or may still be executed.
+    fn is_busy(&self, now: Micros) -> bool {
+        self.in_flight > 0 || self.busy_until > now
+    }
+
+    /// Time from which on the part may not be sent; `None` where no attempt may have been executed.
+    pub(crate) fn window_ends_at(&self, window: Micros) -> Option<Micros> {
+        self.first_sent_at.map(|sent_at| sent_at + window)
+    }
+
+    fn is_window_expired(&self, now: Micros, window: Micros) -> bool {
+        self.window_ends_at(window)
+            .is_some_and(|ends_at| now >= ends_at)
+    }
+
+    /// Whether the part may be sent now.
+    pub(crate) fn may_send(&self, now: Micros, window: Micros) -> bool {
+        self.in_flight == 0 && !self.is_window_expired(now, window)
+    }
+}
+
+/// What is known of one key.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct KeyState {
+    /// Deadline of the key's query, while one is in flight.
+    pub(crate) query_deadline: Option<Micros>,
+    /// The parts that were sent, by shard.
+    pub(crate) parts: BTreeMap<usize, PartState>,
+    /// Time at which the key may be forgotten; meaningful only while no query is in flight.
+    pub(crate) forget_at: Micros,
+}
+
+impl KeyState {
+    /// Whether another query of this key, with parts for these shards, may be served now.
+    pub(crate) fn admission(
+        &self,
+        now: Micros,
+        window: Micros,
+        shards: impl Iterator<Item = usize>,
+    ) -> KeyAdmission {
+        if let Some(deadline) = self.query_deadline {
+            return KeyAdmission::RetryAt(deadline);
+        }
+        let mut busy_until = None;
+        for part in shards.filter_map(|shard| self.parts.get(&shard)) {
+            if part.is_busy(now) {
+                busy_until = busy_until.max(Some(part.busy_until));
+            } else if part.is_window_expired(now, window) {
+                return KeyAdmission::WindowExpired;
+            }
+        }
+        busy_until.map_or(KeyAdmission::Admitted, KeyAdmission::RetryAt)
+    }
+
+    /// Records the end of an attempt. A part of which nothing may have been executed is forgotten at once.
+    pub(crate) fn on_attempt_ended(
+        &mut self,
+        now: Micros,
+        shard: usize,
+        evidence: ExecutionEvidence,
+    ) {
+        let Some(part) = self.parts.get_mut(&shard) else {
+            return;
+        };
+        part.on_attempt_ended(now, evidence);
+        if part.is_untouched() {
+            self.parts.remove(&shard);
+        }
+    }
+
+    pub(crate) fn has_attempt_in_flight(&self) -> bool {
+        self.parts.values().any(|part| part.in_flight > 0)
+    }
+
+    /// The latest time at which an attempt was sent first or may be executed; `now` where there are no parts.
+    pub(crate) fn latest_activity(&self, now: Micros) -> Micros {
+        let activity = |part: &PartState| part.first_sent_at.unwrap_or(now).max(part.busy_until);
+        self.parts.values().map(activity).max().unwrap_or(now)
+    }
+}
--- /dev/null
+++ b/crates/idempotency/tests/random_retries.rs
@@ -0,0 +1,179 @@
+//! Random retries under idempotency keys, checked against a model.
+
+use broker_types::time::{Micros, SECOND};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
+use proptest::prelude::*;
+use proptest::test_runner::TestCaseError;
+use std::rc::Rc;
+
+const WINDOW: Micros = 5 * SECOND;
+const KEYS: usize = 4;
+const SHARDS: usize = 2;
+/// One key less than clients use.
+const MAX_KEYS: usize = KEYS - 1;
+
+/// One step of clients, servers or time.
+#[derive(Clone, Copy, Debug)]
+enum Step {
+    Admit {
+        key: usize,
+    },
+    Send {
+        key: usize,
+        shard: usize,
+    },
+    EndAttempt {
+        key: usize,
+        shard: usize,
+        evidence: ExecutionEvidence,
+    },
+    /// The query ends without an answer: a client that has its answer does not use its key again.
+    EndQuery {
+        key: usize,
+    },
+    Wait(Micros),
+}
+
+fn steps() -> impl Strategy<Value = Vec<Step>> {
+    let evidence = prop::sample::select(vec![
+        ExecutionEvidence::Executed,
+        ExecutionEvidence::NotExecuted,
+        ExecutionEvidence::PossiblyExecuted,
+    ]);
+    let end_attempt =
+        (0..KEYS, 0..SHARDS, evidence).prop_map(|(key, shard, evidence)| Step::EndAttempt {
+            key,
+            shard,
+            evidence,
+        });
+    let step = prop_oneof![
+        (0..KEYS).prop_map(|key| Step::Admit { key }),
+        (0..KEYS, 0..SHARDS).prop_map(|(key, shard)| Step::Send { key, shard }),
+        end_attempt,
+        (0..KEYS).prop_map(|key| Step::EndQuery { key }),
+        (0..3 * SECOND).prop_map(Step::Wait),
+    ];
+    prop::collection::vec(step, 0..200)
+}
+
+fn name(key: usize) -> Rc<str> {
+    format!("k{key}").into()
+}
+
+/// What really happened to a part.
+#[derive(Clone, Copy, Debug, Default)]
+struct PartModel {
+    in_flight: u32,
+    /// Time at which the first attempt that may have been executed was sent.
+    first_sent_at: Option<Micros>,
+    possibly_executed: u32,
+}
+
+/// The register together with what really happened.
+struct Model {
+    register: IdempotencyRegister,
+    now: Micros,
+    has_query: [bool; KEYS],
+    parts: [[PartModel; SHARDS]; KEYS],
+}
+
+impl Model {
+    fn new() -> Self {
+        let limits = RegisterLimits {
+            window: WINDOW,
+            retention: WINDOW,
+            max_keys: MAX_KEYS,
+        };
+        Model {
+            register: IdempotencyRegister::new(limits),
+            now: 0,
+            has_query: [false; KEYS],
+            parts: Default::default(),
+        }
+    }
+
+    fn apply(&mut self, step: Step) -> Result<(), TestCaseError> {
+        match step {
+            Step::Admit { key } => self.admit(key)?,
+            Step::Send { key, shard } => self.send(key, shard)?,
+            Step::EndAttempt {
+                key,
+                shard,
+                evidence,
+            } => self.end_attempt(key, shard, evidence),
+            Step::EndQuery { key } => self.end_query(key),
+            Step::Wait(time) => self.now += time,
+        }
+        prop_assert!(self.register.len() <= MAX_KEYS);
+        Ok(())
+    }
+
+    fn admit(&mut self, key: usize) -> Result<(), TestCaseError> {
+        let deadline = self.now + 4 * SECOND;
+        let admission = self
+            .register
+            .admit(self.now, &name(key), 0..SHARDS, deadline);
+        if admission == KeyAdmission::Admitted {
+            prop_assert!(!self.has_query[key]);
+            prop_assert!(self.parts[key].iter().all(|part| part.in_flight == 0));
+            self.has_query[key] = true;
+        }
+        Ok(())
+    }
+
+    fn send(&mut self, key: usize, shard: usize) -> Result<(), TestCaseError> {
+        let now = self.now;
+        if !self.has_query[key] || !self.register.may_send(now, &name(key), shard) {
+            return Ok(());
+        }
+        let part = &mut self.parts[key][shard];
+        prop_assert_eq!(part.in_flight, 0);
+        if let Some(first_sent_at) = part.first_sent_at {
+            let is_within_window = now < first_sent_at + WINDOW;
+            let is_after_last_retry = now >= first_sent_at + 2 * WINDOW;
+            prop_assert!(is_within_window || is_after_last_retry);
+        }
+        if part.possibly_executed == 0 {
+            part.first_sent_at = Some(now);
+        }
+        part.in_flight += 1;
+        self.register
+            .on_attempt_sent(now, &name(key), shard, now + SECOND);
+        Ok(())
+    }
+
+    fn end_attempt(&mut self, key: usize, shard: usize, evidence: ExecutionEvidence) {
+        let part = &mut self.parts[key][shard];
+        if part.in_flight == 0 {
+            return;
+        }
+        part.in_flight -= 1;
+        if evidence != ExecutionEvidence::NotExecuted {
+            part.possibly_executed += 1;
+        }
+        if part.possibly_executed == 0 {
+            part.first_sent_at = None;
+        }
+        self.register
+            .on_attempt_ended(self.now, &name(key), shard, evidence);
+    }
+
+    fn end_query(&mut self, key: usize) {
+        if self.has_query[key] {
+            self.has_query[key] = false;
+            self.register.on_query_ended(self.now, &name(key), false);
+        }
+    }
+}
+
+proptest! {
+    /// Clients repeat keys at will, and attempts end in any way and order. No part is sent while another attempt at it
+    /// is in flight, and none that may have been executed after its window, for as long as clients may retry.
+    #[test]
+    fn no_part_is_sent_twice_at_once_or_after_its_window(steps in steps()) {
+        let mut model = Model::new();
+        for step in steps {
+            model.apply(step)?;
+        }
+    }
+}
--- /dev/null
+++ b/crates/idempotency/tests/register.rs
@@ -0,0 +1,110 @@
+//! Retries under idempotency keys, one case at a time.
+
+use broker_types::time::{Micros, SECOND};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
+use std::rc::Rc;
+
+const WINDOW: Micros = 5 * SECOND;
+
+fn register(max_keys: usize) -> IdempotencyRegister {
+    IdempotencyRegister::new(RegisterLimits {
+        window: WINDOW,
+        retention: WINDOW,
+        max_keys,
+    })
+}
+
+fn key(number: usize) -> Rc<str> {
+    format!("k{number}").into()
+}
+
+/// Asks for a query with parts for shards 0 and 1, whose client waits for four seconds.
+fn admit(register: &mut IdempotencyRegister, now: Micros, number: usize) -> KeyAdmission {
+    register.admit(now, &key(number), [0, 1].into_iter(), now + 4 * SECOND)
+}
+
+fn must_admit(register: &mut IdempotencyRegister, now: Micros, number: usize) {
+    assert_eq!(admit(register, now, number), KeyAdmission::Admitted);
+}
+
+#[test]
+fn key_with_a_query_in_flight_is_rejected() {
+    let mut register = register(100);
+    must_admit(&mut register, 0, 1);
+    let retry = admit(&mut register, SECOND, 1);
+    assert_eq!(retry, KeyAdmission::RetryAt(4 * SECOND));
+    must_admit(&mut register, SECOND, 2);
+}
+
+/// The client disconnects while an attempt is in flight: that may be executed until its deadline.
+#[test]
+fn retry_is_rejected_while_a_cancelled_attempt_may_be_executed() {
+    let mut register = register(100);
+    must_admit(&mut register, 0, 1);
+    register.on_attempt_sent(0, "k1", 0, 2 * SECOND);
+    register.on_query_ended(SECOND, &key(1), false);
+    let retry_at_deadline = KeyAdmission::RetryAt(2 * SECOND);
+    assert_eq!(admit(&mut register, SECOND, 1), retry_at_deadline);
+    register.on_attempt_ended(SECOND, "k1", 0, ExecutionEvidence::PossiblyExecuted);
+    assert_eq!(admit(&mut register, SECOND, 1), retry_at_deadline);
+    must_admit(&mut register, 2 * SECOND, 1);
+    assert!(register.may_send(WINDOW - 1, "k1", 0));
+    assert!(!register.may_send(WINDOW, "k1", 0));
+    assert!(
+        register.may_send(WINDOW, "k1", 1),
+        "a part that was never sent is no repetition"
+    );
+}
+
+/// Ends an attempt at shard 0 with the evidence, and the query without an answer; returns what a retry gets.
+fn retry_after_attempt(evidence: ExecutionEvidence, retry_at: Micros) -> KeyAdmission {
+    let mut register = register(100);
+    must_admit(&mut register, 0, 1);
+    register.on_attempt_sent(0, "k1", 0, 2 * SECOND);
+    register.on_attempt_ended(10, "k1", 0, evidence);
+    register.on_query_ended(10, &key(1), false);
+    admit(&mut register, retry_at, 1)
+}
+
+#[test]
+fn retry_within_the_window_is_admitted_once_execution_is_over_or_ruled_out() {
+    for evidence in [ExecutionEvidence::Executed, ExecutionEvidence::NotExecuted] {
+        let retry = retry_after_attempt(evidence, 20);
+        assert_eq!(retry, KeyAdmission::Admitted, "{evidence:?}");
+    }
+}
+
+#[test]
+fn retry_after_the_window_is_admitted_only_where_nothing_was_executed() {
+    for (evidence, expected) in [
+        (ExecutionEvidence::Executed, KeyAdmission::WindowExpired),
+        (
+            ExecutionEvidence::PossiblyExecuted,
+            KeyAdmission::WindowExpired,
+        ),
+        (ExecutionEvidence::NotExecuted, KeyAdmission::Admitted),
+    ] {
+        let retry = retry_after_attempt(evidence, WINDOW);
+        assert_eq!(retry, expected, "{evidence:?}");
+    }
+}
+
+/// A full register must not let a retry through by forgetting the key that it repeats.
+#[test]
+fn full_register_forgets_answered_keys_and_rejects_new_keys_otherwise() {
+    let mut register = register(2);
+    for number in 0..2 {
+        must_admit(&mut register, 0, number);
+        register.on_attempt_sent(0, &key(number), 0, SECOND);
+        register.on_attempt_ended(10, &key(number), 0, ExecutionEvidence::Executed);
+        register.on_query_ended(10, &key(number), number == 1);
+    }
+    must_admit(&mut register, 20, 2);
+    assert_eq!(
+        admit(&mut register, 20, 3),
+        KeyAdmission::RetryAt(10 + 2 * WINDOW)
+    );
+    assert_eq!(admit(&mut register, WINDOW, 0), KeyAdmission::WindowExpired);
+    assert_eq!(register.len(), 2);
+    must_admit(&mut register, 20 + 2 * WINDOW, 3);
+}
