--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -5,182 +5,299 @@
 use std::io::{self, BufRead, BufReader};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, Command, ExitStatus, Stdio};
+use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc::{Receiver, channel};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::thread;
 use std::time::{Duration, Instant};
 
-/// Far beyond what a slow machine needs for whatever is waited for.
-const BOUND: Duration = Duration::from_secs(30);
+/// Longest wait for a line of the log or the end of the process; a slow machine needs far less.
+const TIMEOUT: Duration = Duration::from_secs(30);
+/// Time between two looks at whether the process has ended.
+const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Words of the log line with the address of the HTTP/1.1 listener.
+const HTTP1_LISTENER_STARTED: &str = "event=started ";
+/// Words of the log line with the address of the HTTP/2 listener.
+const HTTP2_LISTENER_STARTED: &str = "event=started_http2 ";
+/// Setting of the operator's file that opens the HTTP/2 listener.
+const HTTP2_LISTENER_SETTING: &str = "listen-http2";
+const PLATFORM_FILE: &str = "config.json";
+const OPERATOR_FILE: &str = "query-broker.conf";
+/// Processor time that Linux counts in one clock tick (`USER_HZ` is 100).
+const CLOCK_TICK: Duration = Duration::from_millis(10);
 
-/// A running broker. Dropped, it is killed and its files are removed.
+/// Why a broker process could not be started, watched or stopped.
+#[derive(Debug, thiserror::Error)]
+pub enum BrokerProcessError {
+    /// The log does not hold the expected words in time.
+    #[error("no line with {words:?}; seen: {seen:?}")]
+    LogLineMissing {
+        /// The expected words.
+        words: String,
+        /// All lines until then.
+        seen: VecDeque<String>,
+    },
+    /// A log line does not hold the address of a listener.
+    #[error("no address in {0}")]
+    AddressMissing(String),
+    /// The signal could not be sent.
+    #[error("kill ended with {0}")]
+    SignalNotSent(ExitStatus),
+    /// The process does not end in time.
+    #[error("it runs on")]
+    StillRunning,
+    /// The system refused an operation on the process or its files.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+impl From<BrokerProcessError> for io::Error {
+    fn from(error: BrokerProcessError) -> Self {
+        match error {
+            BrokerProcessError::Io(error) => error,
+            other => io::Error::other(other),
+        }
+    }
+}
+
+/// A running broker. When it is dropped, the process is killed and its files are removed.
 pub struct BrokerProcess {
-    child: Child,
-    log: Receiver<String>,
-    seen: VecDeque<String>,
-    files: PathBuf,
-    /// Where it listens for HTTP/1.1.
+    process: ProcessWithFiles,
+    log: ProcessLog,
+    /// The address on which it listens for HTTP/1.1.
     pub http1: SocketAddr,
-    /// Where it listens for HTTP/2, if it does.
+    /// The address on which it listens for HTTP/2, if it does.
     pub http2: Option<SocketAddr>,
 }
 
 impl BrokerProcess {
     /// Starts a broker from its executable, with an operator's file of this text, and waits until it listens.
+    ///
+    /// # Errors
+    ///
+    /// If its files cannot be written, or the process does not start and listen in time.
     pub fn start(
-        exe: &Path,
+        executable: &Path,
         deployment: Deployment,
         fleet: &Fleet,
-        operator: &str,
-    ) -> io::Result<BrokerProcess> {
-        static NEXT: AtomicU64 = AtomicU64::new(0);
-        let number = NEXT.fetch_add(1, Ordering::Relaxed);
-        let files =
-            std::env::temp_dir().join(format!("query-broker-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&files)?;
-        std::fs::write(
-            files.join("config.json"),
-            deployment.configuration(fleet, "127.0.0.1:0").to_string(),
-        )?;
-        std::fs::write(files.join("query-broker.conf"), operator)?;
-        let mut child = Command::new(exe)
-            .args(["serve", "--config"])
-            .arg(files.join("query-broker.conf"))
-            .env("RELAY_CONFIG", files.join("config.json"))
-            .env_remove("RELAY_LISTEN")
-            .env_remove("RELAY_DISCOVERY")
-            .stdout(Stdio::null())
-            .stderr(Stdio::piped())
-            .spawn()?;
-        let (sender, log) = channel();
-        if let Some(stderr) = child.stderr.take() {
-            std::thread::spawn(move || {
-                for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-                    if sender.send(line).is_err() {
-                        return;
-                    }
-                }
-            });
-        }
-        let nowhere = SocketAddr::from(([0, 0, 0, 0], 0));
-        let mut program = BrokerProcess {
-            child,
-            log,
-            seen: VecDeque::new(),
-            files,
-            http1: nowhere,
-            http2: None,
+        operator_config: &str,
+    ) -> Result<BrokerProcess, BrokerProcessError> {
+        let directory = create_directory()?;
+        let configuration = deployment.configuration(fleet, "127.0.0.1:0");
+        std::fs::write(directory.join(PLATFORM_FILE), configuration.to_string())?;
+        std::fs::write(directory.join(OPERATOR_FILE), operator_config)?;
+        let mut child = spawn_broker(executable, &directory)?;
+        let mut log = ProcessLog::read(child.stderr.take());
+        let process = ProcessWithFiles { child, directory };
+        let http1 = log.wait_for_listener(HTTP1_LISTENER_STARTED)?;
+        let http2 = if operator_config.contains(HTTP2_LISTENER_SETTING) {
+            Some(log.wait_for_listener(HTTP2_LISTENER_STARTED)?)
+        } else {
+            None
         };
-        program.http1 = program.address("event=started ")?;
-        if operator.contains("listen-http2") {
-            program.http2 = Some(program.address("event=started_http2 ")?);
-        }
-        Ok(program)
+        Ok(BrokerProcess {
+            process,
+            log,
+            http1,
+            http2,
+        })
     }
 
-    fn address(&mut self, event: &str) -> io::Result<SocketAddr> {
-        let line = self.wait_for_log(event)?;
-        let word = line.split(' ').find_map(|w| w.strip_prefix("listen="));
-        word.and_then(|w| w.parse().ok())
-            .ok_or_else(|| io::Error::other(format!("no address in {line}")))
-    }
-
-    /// Waits for a line of the log that holds these words; those before it are kept for [`BrokerProcess::log_lines`].
-    pub fn wait_for_log(&mut self, words: &str) -> io::Result<String> {
-        let until = Instant::now() + BOUND;
-        loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let Ok(line) = self.log.recv_timeout(left) else {
-                return Err(io::Error::other(format!(
-                    "no line with {words:?}; seen: {:?}",
-                    self.seen
-                )));
-            };
-            self.seen.push_back(line.clone());
-            if line.contains(words) {
-                return Ok(line);
-            }
-        }
+    /// Waits for a line of the log that holds these words. The lines before it are kept for
+    /// [`BrokerProcess::log_lines`].
+    ///
+    /// # Errors
+    ///
+    /// If no such line comes in time.
+    pub fn wait_for_log(&mut self, words: &str) -> Result<String, BrokerProcessError> {
+        self.log.wait_for(words)
     }
 
     /// All lines of the log so far.
     pub fn log_lines(&mut self) -> &VecDeque<String> {
-        self.seen.extend(self.log.try_iter());
-        &self.seen
+        self.log.lines()
     }
 
     /// Sends a signal by its name.
-    pub fn signal(&self, name: &str) -> io::Result<()> {
+    ///
+    /// # Errors
+    ///
+    /// If the signal cannot be sent.
+    pub fn signal(&self, name: &str) -> Result<(), BrokerProcessError> {
         let status = Command::new("sh")
-            .args(["-c", &format!("kill -s {name} {}", self.child.id())])
+            .args(["-c", &format!("kill -s {name} {}", self.process.id())])
             .status()?;
         if status.success() {
             Ok(())
         } else {
-            Err(io::Error::other(format!("kill ended with {status}")))
+            Err(BrokerProcessError::SignalNotSent(status))
         }
     }
 
-    /// Replaces the operator's file, as an editor does: the new one is moved over it.
-    pub fn replace_operator_config(&self, text: &str) -> io::Result<()> {
-        let new = self.files.join("new");
+    /// Replaces the operator's file as editors do: a new file is moved over it.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be written.
+    pub fn replace_operator_config(&self, text: &str) -> Result<(), BrokerProcessError> {
+        let new = self.process.directory.join("new");
         std::fs::write(&new, text)?;
-        std::fs::rename(new, self.files.join("query-broker.conf"))
+        std::fs::rename(new, self.process.directory.join(OPERATOR_FILE))?;
+        Ok(())
     }
 
-    /// Waits for its end.
-    pub fn wait_for_exit(&mut self) -> io::Result<ExitStatus> {
-        let until = Instant::now() + BOUND;
+    /// Waits for the end of the process.
+    ///
+    /// # Errors
+    ///
+    /// If it does not end in time.
+    pub fn wait_for_exit(&mut self) -> Result<ExitStatus, BrokerProcessError> {
+        let deadline = Instant::now() + TIMEOUT;
         loop {
-            if let Some(status) = self.child.try_wait()? {
+            if let Some(status) = self.process.child.try_wait()? {
                 return Ok(status);
             }
-            if Instant::now() >= until {
-                return Err(io::Error::other("it runs on"));
+            if Instant::now() >= deadline {
+                return Err(BrokerProcessError::StillRunning);
             }
-            std::thread::sleep(Duration::from_millis(5));
+            thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 
-    /// Its processor time so far, from the system's own books, in clock ticks of a hundredth of a second.
-    pub fn cpu_time(&self) -> io::Result<Duration> {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id()))?;
-        // After the name, which ends with the last parenthesis: state is the third field, utime and stime the 14th
-        // and 15th (proc(5)).
-        let fields: Vec<&str> = stat
-            .rsplit(')')
-            .next()
-            .unwrap_or_default()
-            .split_whitespace()
-            .collect();
-        let ticks = |n: usize| {
-            fields
-                .get(n - 3)
-                .and_then(|f| f.parse::<u64>().ok())
-                .unwrap_or(0)
+    /// The processor time that the process has used, in user and system mode. Its resolution is a hundredth of a
+    /// second.
+    ///
+    /// # Errors
+    ///
+    /// If the entry of the process in `/proc` cannot be read.
+    pub fn cpu_time(&self) -> Result<Duration, BrokerProcessError> {
+        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id()))?;
+        // proc(5) counts from 1: the state, the first field after the name in parentheses, is field 3; utime and
+        // stime are 14 and 15.
+        let after_name = stat.rsplit(')').next().unwrap_or_default();
+        let fields: Vec<&str> = after_name.split_whitespace().collect();
+        let ticks = |number: usize| -> u32 {
+            let field = fields.get(number - 3);
+            field.and_then(|field| field.parse().ok()).unwrap_or(0)
         };
-        Ok(Duration::from_millis(10 * (ticks(14) + ticks(15))))
-    }
-
-    /// Its resident memory, in bytes.
-    pub fn resident_memory(&self) -> io::Result<u64> {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))?;
-        let kib = status.lines().find_map(|l| {
-            l.strip_prefix("VmRSS:")?
-                .trim()
-                .strip_suffix("kB")?
-                .trim()
-                .parse()
-                .ok()
-        });
-        Ok(1024 * kib.unwrap_or(0u64))
+        Ok(CLOCK_TICK * (ticks(14) + ticks(15)))
+    }
+
+    /// The resident memory of the process, in bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the entry of the process in `/proc` cannot be read.
+    pub fn resident_memory(&self) -> Result<u64, BrokerProcessError> {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id()))?;
+        let kib = status.lines().find_map(resident_kib).unwrap_or(0);
+        Ok(1024 * kib)
     }
 }
 
-impl Drop for BrokerProcess {
+/// Reads the line `VmRSS: 1234 kB` of `/proc/PID/status`.
+fn resident_kib(line: &str) -> Option<u64> {
+    let size = line.strip_prefix("VmRSS:")?.trim().strip_suffix("kB")?;
+    size.trim().parse().ok()
+}
+
+/// Creates a directory for the files of one process.
+fn create_directory() -> io::Result<PathBuf> {
+    static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
+    let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+    let name = format!("query-broker-{}-{number}", std::process::id());
+    let directory = std::env::temp_dir().join(name);
+    std::fs::create_dir_all(&directory)?;
+    Ok(directory)
+}
+
+fn spawn_broker(executable: &Path, directory: &Path) -> io::Result<Child> {
+    Command::new(executable)
+        .args(["serve", "--config"])
+        .arg(directory.join(OPERATOR_FILE))
+        .env("RELAY_CONFIG", directory.join(PLATFORM_FILE))
+        .env_remove("RELAY_LISTEN")
+        .env_remove("RELAY_DISCOVERY")
+        .stdout(Stdio::null())
+        .stderr(Stdio::piped())
+        .spawn()
+}
+
+/// The process and the directory with its files.
+struct ProcessWithFiles {
+    child: Child,
+    directory: PathBuf,
+}
+
+impl ProcessWithFiles {
+    fn id(&self) -> u32 {
+        self.child.id()
+    }
+}
+
+impl Drop for ProcessWithFiles {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.files);
+        let _ = std::fs::remove_dir_all(&self.directory);
+    }
+}
+
+/// The log of the process, read by a thread of its own.
+struct ProcessLog {
+    incoming: Receiver<String>,
+    lines: VecDeque<String>,
+}
+
+impl ProcessLog {
+    fn read(stderr: Option<ChildStderr>) -> Self {
+        let (sender, incoming) = channel();
+        if let Some(stderr) = stderr {
+            thread::spawn(move || forward_lines(stderr, &sender));
+        }
+        ProcessLog {
+            incoming,
+            lines: VecDeque::new(),
+        }
+    }
+
+    fn lines(&mut self) -> &VecDeque<String> {
+        self.lines.extend(self.incoming.try_iter());
+        &self.lines
+    }
+
+    fn wait_for(&mut self, words: &str) -> Result<String, BrokerProcessError> {
+        let deadline = Instant::now() + TIMEOUT;
+        loop {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Ok(line) = self.incoming.recv_timeout(remaining) else {
+                return Err(BrokerProcessError::LogLineMissing {
+                    words: words.to_owned(),
+                    seen: self.lines.clone(),
+                });
+            };
+            self.lines.push_back(line.clone());
+            if line.contains(words) {
+                return Ok(line);
+            }
+        }
+    }
+
+    fn wait_for_listener(&mut self, words: &str) -> Result<SocketAddr, BrokerProcessError> {
+        let line = self.wait_for(words)?;
+        let address = line
+            .split(' ')
+            .find_map(|pair| pair.strip_prefix("listen="));
+        address
+            .and_then(|address| address.parse().ok())
+            .ok_or(BrokerProcessError::AddressMissing(line))
+    }
+}
+
+fn forward_lines(stderr: ChildStderr, sender: &Sender<String>) {
+    for line in BufReader::new(stderr).lines().map_while(Result::ok) {
+        if sender.send(line).is_err() {
+            return;
+        }
     }
 }
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -1,159 +1,235 @@
-//! A stand-in discovery: the list of data servers, and watches of it.
+//! The fleet's discovery service: it publishes the endpoint list over HTTP/1.1, with watches.
 
-use async_channel::{Receiver, Sender};
+use crate::notifier::{Notifier, Subscription};
+use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
-use http::{Request, Response, Version};
-use http1_codec::{Limits, Progress, RequestDecoder, ResponseOptions, encode_response};
+use http::{Request, Response, StatusCode, Uri, Version};
+use http1_codec::{Limits, Message, Progress, RequestDecoder, ResponseOptions, encode_response};
 use serde_json::{Value, json};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
-use std::net::TcpStream;
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-const LIMITS: Limits = Limits {
+const REQUEST_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 64 * 1024,
 };
-/// The longest watch that is granted.
-const LONGEST_WAIT: u64 = 60_000;
+/// Bytes that are read at once.
+const READ_CHUNK: usize = 4096;
+const LIST_PATH: &str = "/api/targets";
+/// The longest watch that is granted, in milliseconds.
+const MAX_WATCH_MS: u64 = 60_000;
 
-/// The list, and who watches it.
+/// The state of a data server in the endpoint list.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum EndpointState {
+    Active,
+    Draining,
+}
+
+impl EndpointState {
+    fn as_str(self) -> &'static str {
+        match self {
+            EndpointState::Active => "active",
+            EndpointState::Draining => "leaving",
+        }
+    }
+}
+
+/// A data server in the endpoint list.
+#[derive(Clone, Debug)]
+pub(crate) struct Endpoint {
+    pub(crate) name: String,
+    pub(crate) address: SocketAddr,
+    pub(crate) cell: usize,
+    pub(crate) state: EndpointState,
+    /// When its process started, in Unix milliseconds.
+    pub(crate) started_at_ms: u64,
+}
+
+impl Endpoint {
+    fn to_json(&self) -> Value {
+        json!({"uid": self.name, "endpoint": self.address.to_string(), "az": "z", "model": "m",
+            "pod_group": self.cell, "state": self.state.as_str(), "capacity_hint": 1.0,
+            "boot_ms": self.started_at_ms})
+    }
+}
+
+/// The discovery service.
 pub(crate) struct Discovery {
     state: RefCell<State>,
+    /// Notified when the list changes or the service is silenced or resumed.
+    changed: Notifier,
 }
 
 struct State {
-    rev: u64,
-    /// Each entry with the version in which it last changed.
-    entries: BTreeMap<String, (u64, Value)>,
-    /// It takes calls and answers none.
+    revision: u64,
+    endpoints: BTreeMap<String, PublishedEndpoint>,
+    /// Whether the service accepts requests and answers none.
     silent: bool,
-    /// Closed, and replaced, when something changes.
-    changed: (Sender<()>, Receiver<()>),
+}
+
+struct PublishedEndpoint {
+    endpoint: Endpoint,
+    /// The revision of the list in which it last changed.
+    revision: u64,
+}
+
+/// The state of a watch at one moment.
+struct WatchState {
+    has_news: bool,
+    silent: bool,
+    changed: Subscription,
 }
 
 impl Discovery {
     pub(crate) fn new() -> Rc<Self> {
         let state = State {
-            rev: 1,
-            entries: BTreeMap::new(),
+            revision: 1,
+            endpoints: BTreeMap::new(),
             silent: false,
-            changed: async_channel::bounded(1),
         };
         Rc::new(Discovery {
             state: RefCell::new(state),
+            changed: Notifier::new(),
         })
     }
 
-    /// Changes an entry, and tells those who watch.
-    pub(crate) fn set(&self, entry: Value) {
+    /// Publishes an endpoint and notifies watches.
+    pub(crate) fn publish(&self, endpoint: Endpoint) {
         let mut state = self.state.borrow_mut();
-        state.rev += 1;
-        let name = entry["uid"].as_str().unwrap_or_default().to_owned();
-        let rev = state.rev;
-        state.entries.insert(name, (rev, entry));
-        state.changed = async_channel::bounded(1);
+        state.revision += 1;
+        let revision = state.revision;
+        let published = PublishedEndpoint { endpoint, revision };
+        state
+            .endpoints
+            .insert(published.endpoint.name.clone(), published);
+        self.changed.notify_all();
     }
 
-    /// Whether it answers.
+    /// Makes the service accept requests without answering them, or answer again.
     pub(crate) fn set_silent(&self, silent: bool) {
-        let mut state = self.state.borrow_mut();
-        state.silent = silent;
-        state.changed = async_channel::bounded(1);
+        self.state.borrow_mut().silent = silent;
+        self.changed.notify_all();
     }
 
-    /// The list, or what changed since a version.
-    pub(crate) fn list(&self, since: Option<u64>) -> Value {
+    /// The whole list, or what changed after a revision. A revision of the future is treated as none.
+    pub(crate) fn list(&self, after: Option<u64>) -> Value {
         let state = self.state.borrow();
-        let since = since.filter(|rev| *rev <= state.rev);
-        let changed = state
-            .entries
+        let after = after.filter(|revision| *revision <= state.revision);
+        let targets: Vec<Value> = state
+            .endpoints
             .values()
-            .filter(|(rev, _)| since.is_none_or(|since| *rev > since));
-        let gone = |entry: &Value| since.is_none() && entry["state"] == "left";
-        let targets: Vec<Value> = changed
-            .map(|(_, entry)| entry.clone())
-            .filter(|e| !gone(e))
+            .filter(|published| after.is_none_or(|after| published.revision > after))
+            .map(|published| published.endpoint.to_json())
             .collect();
-        json!({"rev": state.rev, "all": since.is_none(), "targets": targets})
+        json!({"rev": state.revision, "all": after.is_none(), "targets": targets})
     }
 
-    pub(crate) async fn connection(self: Rc<Self>, stream: Async<TcpStream>) {
-        let _ = self.serve(&stream).await;
+    /// Accepts connections until the task is dropped.
+    pub(crate) async fn accept_connections(
+        self: Rc<Self>,
+        listener: TcpListener,
+        executor: Rc<LocalExecutor<'static>>,
+    ) {
+        let Ok(listener) = Async::new(listener) else {
+            return;
+        };
+        while let Ok((stream, _)) = listener.accept().await {
+            let discovery = self.clone();
+            let connection = async move { _ = discovery.serve(&stream).await };
+            executor.spawn(connection).detach();
+        }
     }
 
     async fn serve(&self, mut stream: &Async<TcpStream>) -> io::Result<()> {
-        let mut decoder = RequestDecoder::new(LIMITS);
-        let (mut input, mut chunk) = (Vec::new(), vec![0; 4096]);
-        loop {
-            let message = loop {
-                match decoder.decode(&mut input).map_err(io::Error::other)? {
-                    Progress::Complete(message) => break message,
-                    Progress::Incomplete { .. } => match stream.read(&mut chunk).await? {
-                        0 => return Ok(()),
-                        n => input.extend_from_slice(&chunk[..n]),
-                    },
-                }
-            };
-            let response = self.answer(&message.value).await;
-            let reader = ResponseOptions {
+        let mut decoder = RequestDecoder::new(REQUEST_LIMITS);
+        let mut input = Vec::new();
+        while let Some(message) = read_request(stream, &mut decoder, &mut input).await? {
+            let response = self.respond(&message.value).await;
+            let options = ResponseOptions {
                 version: Version::HTTP_11,
                 head_only: false,
                 keep_alive: message.keep_alive,
             };
             stream
-                .write_all(&encode_response(&response, reader))
+                .write_all(&encode_response(&response, options))
                 .await?;
             if !message.keep_alive {
-                return Ok(());
+                break;
             }
         }
+        Ok(())
     }
 
-    async fn answer(&self, request: &Request<Vec<u8>>) -> Response<Vec<u8>> {
-        if request.uri().path() != "/api/targets" {
+    async fn respond(&self, request: &Request<Vec<u8>>) -> Response<Vec<u8>> {
+        if request.uri().path() != LIST_PATH {
             let mut response = Response::new(Vec::new());
-            *response.status_mut() = http::StatusCode::NOT_FOUND;
+            *response.status_mut() = StatusCode::NOT_FOUND;
             return response;
         }
-        let number = |name: &str| {
-            let pairs = request
-                .uri()
-                .query()
-                .unwrap_or_default()
-                .split('&')
-                .filter_map(|p| p.split_once('='));
-            pairs
-                .into_iter()
-                .find(|(key, _)| *key == name)
-                .and_then(|(_, n)| n.parse::<u64>().ok())
-        };
-        let index = number("index");
-        let until =
-            Instant::now() + Duration::from_millis(number("wait").unwrap_or(0).min(LONGEST_WAIT));
+        let known_revision = query_number(request.uri(), "index");
+        let watch_ms = query_number(request.uri(), "wait")
+            .unwrap_or(0)
+            .min(MAX_WATCH_MS);
+        self.watch(known_revision, Duration::from_millis(watch_ms))
+            .await;
+        Response::new(self.list(known_revision).to_string().into_bytes())
+    }
+
+    /// Waits until the list differs from the known revision, at most for this time. While the service is silent, it
+    /// waits for its end.
+    async fn watch(&self, known_revision: Option<u64>, duration: Duration) {
+        let deadline = Instant::now() + duration;
         loop {
-            let (news, silent, changed) = {
-                let state = self.state.borrow();
-                (
-                    index.is_none_or(|i| i != state.rev),
-                    state.silent,
-                    state.changed.1.clone(),
-                )
-            };
-            if !silent && (news || Instant::now() >= until) {
-                return Response::new(self.list(index).to_string().into_bytes());
+            let watch = self.watch_state(known_revision);
+            if !watch.silent && (watch.has_news || Instant::now() >= deadline) {
+                return;
             }
-            let changed = async { _ = changed.recv().await };
-            let late = async {
-                if silent {
-                    futures_lite::future::pending::<()>().await;
-                }
-                Timer::at(until).await;
-            };
-            changed.or(late).await;
+            if watch.silent {
+                watch.changed.notified().await;
+            } else {
+                let timeout = async { _ = Timer::at(deadline).await };
+                watch.changed.notified().or(timeout).await;
+            }
+        }
+    }
+
+    fn watch_state(&self, known_revision: Option<u64>) -> WatchState {
+        let state = self.state.borrow();
+        WatchState {
+            has_news: known_revision.is_none_or(|known| known != state.revision),
+            silent: state.silent,
+            changed: self.changed.subscribe(),
         }
     }
 }
+
+/// Reads the next request; `None` once the peer has closed the connection.
+async fn read_request(
+    mut stream: &Async<TcpStream>,
+    decoder: &mut RequestDecoder,
+    input: &mut Vec<u8>,
+) -> io::Result<Option<Message<Request<Vec<u8>>>>> {
+    let mut chunk = vec![0; READ_CHUNK];
+    loop {
+        match decoder.decode(input).map_err(io::Error::other)? {
+            Progress::Complete(message) => return Ok(Some(message)),
+            Progress::Incomplete { .. } => match stream.read(&mut chunk).await? {
+                0 => return Ok(None),
+                length => input.extend_from_slice(&chunk[..length]),
+            },
+        }
+    }
+}
+
+fn query_number(uri: &Uri, name: &str) -> Option<u64> {
+    let pairs = uri.query()?.split('&');
+    let mut values = pairs.filter_map(|pair| pair.split_once('='));
+    let (_, value) = values.find(|(key, _)| *key == name)?;
+    value.parse().ok()
+}
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -1,31 +1,30 @@
-//! A discovery and some data servers, on a thread of their own.
+//! A discovery service and some data servers, as tests see and control them.
+
+mod runtime;
 
 use crate::attempt_log::{AttemptLog, ReceivedCounts};
-use crate::discovery::Discovery;
-use crate::server::{Fault, FaultInjection, Server, accept};
+use crate::discovery::EndpointState;
+use crate::fault::{Fault, FaultInjection};
+use crate::server::lock;
 use async_channel::Sender;
-use async_executor::{LocalExecutor, Task};
-use async_io::Async;
-use serde_json::{Value, json};
-use std::cell::{Cell, RefCell};
-use std::collections::BTreeMap;
+use runtime::{FleetCommand, FleetRuntime, StartedServer};
+use serde_json::Value;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
-use std::rc::Rc;
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, mpsc};
 use std::thread::JoinHandle;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant};
 
-/// What a fleet is made of.
+/// The size and speed of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPlan {
-    /// Data servers; they take their places in the cells by turns.
+    /// Number of data servers; they are assigned to the cells in rotation.
     pub servers: usize,
-    /// Cells, each of which holds shards of its own.
+    /// Number of cells, each of which holds its own shards.
     pub cells: usize,
-    /// How long a part takes.
+    /// How long a data server takes for a part.
     pub part_duration: Duration,
-    /// After a start a server is warm after this time.
+    /// How long a restarted data server warms up.
     pub warm_up_duration: Duration,
 }
 
@@ -40,124 +39,62 @@
     }
 }
 
-/// Word to the thread.
-enum FleetCommand {
-    State(usize, &'static str),
-    Silent(bool),
-    Kill(usize),
-    Revive(usize),
-}
-
-/// A discovery and some data servers. Dropped, all of them end.
+/// A discovery service and some data servers on a thread of their own. They end when the fleet is dropped.
 pub struct Fleet {
-    /// Where discovery listens.
+    /// The address on which discovery listens.
     pub discovery: SocketAddr,
     servers: Vec<ServerHandle>,
     attempt_log: Arc<Mutex<AttemptLog>>,
-    words: Sender<FleetCommand>,
-    known: Value,
+    commands: Sender<FleetCommand>,
+    initial_endpoint_list: Value,
     thread: Option<JoinHandle<()>>,
 }
 
-/// One data server, as seen from outside.
+/// Access to one data server from outside the fleet's thread.
 #[derive(Clone)]
 pub struct ServerHandle {
-    /// Its name.
+    /// The server's name.
     pub name: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    switch: Arc<Mutex<FaultInjection>>,
-}
-
-struct Running {
-    server: Rc<Server>,
-    cell: usize,
-    address: SocketAddr,
-    listening: Option<Task<()>>,
-    boot_ms: u128,
-}
-
-fn unix_ms() -> u128 {
-    SystemTime::now()
-        .duration_since(UNIX_EPOCH)
-        .map_or(0, |d| d.as_millis())
-}
-
-impl Running {
-    fn entry(&self, state: &str) -> Value {
-        json!({"uid": self.server.name, "endpoint": self.address.to_string(), "az": "z", "model": "m",
-            "pod_group": self.cell, "state": state, "capacity_hint": 1.0, "boot_ms": self.boot_ms as u64})
-    }
+    fault_injection: Arc<Mutex<FaultInjection>>,
 }
 
 impl Fleet {
-    /// Starts all of it on loopback.
+    /// Starts a fleet on loopback.
+    ///
+    /// # Errors
+    ///
+    /// If the system grants no listener or thread.
     pub fn start(plan: FleetPlan) -> io::Result<Fleet> {
-        let loopback = || TcpListener::bind((Ipv4Addr::LOCALHOST, 0));
         let attempt_log = Arc::new(Mutex::new(AttemptLog::default()));
-        let discovery_listener = loopback()?;
+        let discovery_listener = listen_on_loopback()?;
         let discovery = discovery_listener.local_addr()?;
-        let listeners: Vec<TcpListener> = (0..plan.servers)
-            .map(|_| loopback())
-            .collect::<io::Result<_>>()?;
         let mut servers = Vec::new();
-        for (n, listener) in listeners.iter().enumerate() {
-            let switch = Arc::new(Mutex::new(FaultInjection {
-                part_duration: plan.part_duration,
-                ..FaultInjection::default()
-            }));
-            servers.push(ServerHandle {
-                name: format!("s{n}"),
-                address: listener.local_addr()?,
-                switch,
-            });
+        let mut started_servers = Vec::new();
+        for number in 0..plan.servers {
+            let listener = listen_on_loopback()?;
+            let handle = ServerHandle::new(number, &listener, plan)?;
+            servers.push(handle.clone());
+            started_servers.push(StartedServer { handle, listener });
         }
-        let (words, heard) = async_channel::unbounded();
-        let (ready, started) = std::sync::mpsc::channel();
-        let (handles, shared_log) = (servers.clone(), attempt_log.clone());
+        let (commands, received_commands) = async_channel::unbounded();
+        let (list_sender, initial_list) = mpsc::channel();
+        let shared_log = attempt_log.clone();
         let thread = std::thread::Builder::new()
-            .name("stand-ins".to_owned())
+            .name("test-fleet".to_owned())
             .spawn(move || {
-                let executor = Rc::new(LocalExecutor::new());
-                let list = Discovery::new();
-                let mut running: BTreeMap<usize, Running> = BTreeMap::new();
-                for (n, (handle, listener)) in handles.into_iter().zip(listeners).enumerate() {
-                    let server = Rc::new(Server {
-                        name: handle.name,
-                        switch: handle.switch,
-                        attempt_log: shared_log.clone(),
-                        held: Cell::new(0),
-                        count: Cell::new(0),
-                        alive: RefCell::new(async_channel::bounded(1)),
-                    });
-                    let task = executor.spawn(accept(server.clone(), listener, executor.clone()));
-                    let cell = n % plan.cells.max(1);
-                    let one = Running {
-                        server,
-                        cell,
-                        address: handle.address,
-                        listening: Some(task),
-                        boot_ms: 0,
-                    };
-                    list.set(one.entry("active"));
-                    running.insert(n, one);
-                }
-                let _ = ready.send(list.list(None));
-                let serve = serve_discovery(list.clone(), discovery_listener, executor.clone());
-                let _discovery = executor.spawn(serve);
-                async_io::block_on(executor.run(async {
-                    while let Ok(word) = heard.recv().await {
-                        obey(word, &mut running, &list, &executor, plan).await;
-                    }
-                }));
+                let runtime = FleetRuntime::start(plan, started_servers, &shared_log);
+                let _ = list_sender.send(runtime.endpoint_list());
+                runtime.run(discovery_listener, &received_commands);
             })?;
-        let known = started.recv().map_err(io::Error::other)?;
+        let initial_endpoint_list = initial_list.recv().map_err(io::Error::other)?;
         Ok(Fleet {
             discovery,
             servers,
             attempt_log,
-            words,
-            known,
+            commands,
+            initial_endpoint_list,
             thread: Some(thread),
         })
     }
@@ -168,137 +105,95 @@
         &self.servers
     }
 
-    /// The list as it was at the start, in discovery's form.
+    /// The endpoint list as it was at the start, in discovery's format.
     #[must_use]
-    pub fn known(&self) -> &Value {
-        &self.known
+    pub fn initial_endpoint_list(&self) -> &Value {
+        &self.initial_endpoint_list
     }
 
-    /// What came to the data servers.
+    /// Reads the log of the attempts that the data servers received.
     pub fn attempt_log<T>(&self, read: impl FnOnce(&AttemptLog) -> T) -> T {
-        // A thread that panicked while it held the lock has reported that itself.
-        let log = self
-            .attempt_log
-            .lock()
-            .unwrap_or_else(std::sync::PoisonError::into_inner);
-        read(&log)
+        read(&lock(&self.attempt_log))
     }
 
-    /// Parts and calls that came to the data servers.
+    /// Number of parts and calls that the data servers received.
     #[must_use]
     pub fn received_counts(&self) -> ReceivedCounts {
         self.attempt_log(AttemptLog::counts)
     }
 
-    fn say(&self, word: FleetCommand) {
-        let _ = self.words.try_send(word);
-    }
-
-    /// Tells that a server drains.
-    pub fn drain(&self, n: usize) {
-        self.servers[n].with(|s| s.drained = Some(Instant::now()));
-        self.say(FleetCommand::State(n, "leaving"));
+    /// Publishes that a server drains.
+    ///
+    /// # Panics
+    ///
+    /// If the fleet has no server of this number.
+    pub fn drain(&self, server: usize) {
+        self.servers[server].change(|injection| injection.draining_since = Some(Instant::now()));
+        self.send(FleetCommand::Publish(server, EndpointState::Draining));
     }
 
-    /// Ends a server's process: its connections are reset and new ones refused. The list knows nothing of it.
-    pub fn kill(&self, n: usize) {
-        self.servers[n].with(|s| s.fault = Fault::Down);
-        self.say(FleetCommand::Kill(n));
+    /// Ends a server's process: its connections are reset and new ones refused. The endpoint list does not change.
+    ///
+    /// # Panics
+    ///
+    /// If the fleet has no server of this number.
+    pub fn kill(&self, server: usize) {
+        self.servers[server].set_fault(Fault::Down);
+        self.send(FleetCommand::Kill(server));
     }
 
-    /// Starts a dead server again: cold, and told so by the list.
-    pub fn restart(&self, n: usize) {
-        self.say(FleetCommand::Revive(n));
+    /// Restarts a killed server; it warms up, and the endpoint list says when it started.
+    pub fn restart(&self, server: usize) {
+        self.send(FleetCommand::Restart(server));
     }
 
-    /// Whether discovery takes calls and answers none.
+    /// Makes discovery accept requests without answering them, or answer again.
     pub fn set_discovery_silent(&self, silent: bool) {
-        self.say(FleetCommand::Silent(silent));
+        self.send(FleetCommand::SetDiscoverySilent(silent));
     }
-}
 
-impl ServerHandle {
-    fn with(&self, change: impl FnOnce(&mut FaultInjection)) {
-        if let Ok(mut switch) = self.switch.lock() {
-            change(&mut switch);
-        }
-    }
-
-    /// Makes it faulty, or sound again; for its death see [`Fleet::kill`].
-    pub fn set_fault(&self, fault: Fault) {
-        self.with(|s| s.fault = fault);
-    }
-
-    /// How long a part takes from now on.
-    pub fn set_part_duration(&self, part_duration: Duration) {
-        self.with(|s| s.part_duration = part_duration);
+    fn send(&self, command: FleetCommand) {
+        let _ = self.commands.try_send(command);
     }
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        self.words.close();
+        self.commands.close();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
         }
     }
 }
 
-async fn obey(
-    word: FleetCommand,
-    running: &mut BTreeMap<usize, Running>,
-    list: &Discovery,
-    executor: &Rc<LocalExecutor<'static>>,
-    plan: FleetPlan,
-) {
-    match word {
-        FleetCommand::Silent(silent) => list.set_silent(silent),
-        FleetCommand::State(n, state) => {
-            if let Some(one) = running.get(&n) {
-                list.set(one.entry(state));
-            }
-        }
-        FleetCommand::Kill(n) => {
-            if let Some(one) = running.get_mut(&n) {
-                if let Some(task) = one.listening.take() {
-                    task.cancel().await;
-                }
-                *one.server.alive.borrow_mut() = async_channel::bounded(1);
-            }
-        }
-        FleetCommand::Revive(n) => {
-            let Some(one) = running.get_mut(&n) else {
-                return;
-            };
-            if one.listening.is_some() {
-                return;
-            }
-            // The address is its own: what still holds it is its connections of before, on their way out.
-            let Ok(listener) = TcpListener::bind(one.address) else {
-                return;
-            };
-            one.boot_ms = unix_ms();
-            if let Ok(mut switch) = one.server.switch.lock() {
-                switch.fault = Fault::None;
-                switch.cold = Some((Instant::now(), plan.warm_up_duration));
-                switch.drained = None;
-            }
-            one.listening =
-                Some(executor.spawn(accept(one.server.clone(), listener, executor.clone())));
-            list.set(one.entry("active"));
-        }
+impl ServerHandle {
+    fn new(number: usize, listener: &TcpListener, plan: FleetPlan) -> io::Result<Self> {
+        let fault_injection = FaultInjection {
+            part_duration: plan.part_duration,
+            ..FaultInjection::default()
+        };
+        Ok(ServerHandle {
+            name: format!("s{number}"),
+            address: listener.local_addr()?,
+            fault_injection: Arc::new(Mutex::new(fault_injection)),
+        })
     }
-}
 
-async fn serve_discovery(
-    list: Rc<Discovery>,
-    listener: TcpListener,
-    executor: Rc<LocalExecutor<'static>>,
-) {
-    let Ok(listener) = Async::new(listener) else {
-        return;
-    };
-    while let Ok((stream, _)) = listener.accept().await {
-        executor.spawn(list.clone().connection(stream)).detach();
+    /// Sets the server's fault, or removes it with [`Fault::None`]. Use [`Fleet::kill`] to stop its process.
+    pub fn set_fault(&self, fault: Fault) {
+        self.change(|injection| injection.fault = fault);
+    }
+
+    /// Sets how long a part takes from now on.
+    pub fn set_part_duration(&self, part_duration: Duration) {
+        self.change(|injection| injection.part_duration = part_duration);
     }
+
+    fn change(&self, change: impl FnOnce(&mut FaultInjection)) {
+        change(&mut lock(&self.fault_injection));
+    }
+}
+
+fn listen_on_loopback() -> io::Result<TcpListener> {
+    TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
 }
--- /dev/null
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -0,0 +1,186 @@
+//! The thread of a fleet: it runs discovery and the data servers, and carries out commands.
+
+use super::{FleetPlan, ServerHandle};
+use crate::attempt_log::AttemptLog;
+use crate::discovery::{Discovery, Endpoint, EndpointState};
+use crate::fault::{Fault, WarmUp};
+use crate::server::{Server, accept_connections};
+use async_channel::Receiver;
+use async_executor::{LocalExecutor, Task};
+use serde_json::Value;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use std::sync::{Arc, Mutex};
+use std::time::{Instant, SystemTime, UNIX_EPOCH};
+
+/// A command to the fleet's thread. Servers are given by number.
+pub(super) enum FleetCommand {
+    /// Publishes a server's state in the endpoint list.
+    Publish(usize, EndpointState),
+    /// Makes discovery accept requests without answering them, or answer again.
+    SetDiscoverySilent(bool),
+    /// Closes a server's listener and resets its connections.
+    Kill(usize),
+    /// Lets a killed server listen again.
+    Restart(usize),
+}
+
+/// A data server that listens and does not accept yet.
+pub(super) struct StartedServer {
+    pub(super) handle: ServerHandle,
+    pub(super) listener: TcpListener,
+}
+
+/// Discovery and the data servers, on the fleet's thread.
+pub(super) struct FleetRuntime {
+    plan: FleetPlan,
+    executor: Rc<LocalExecutor<'static>>,
+    discovery: Rc<Discovery>,
+    servers: Vec<RunningServer>,
+}
+
+struct RunningServer {
+    server: Rc<Server>,
+    cell: usize,
+    address: SocketAddr,
+    /// The task that accepts connections; `None` while the server is down.
+    accept_task: Option<Task<()>>,
+    started_at_ms: u64,
+}
+
+impl FleetRuntime {
+    pub(super) fn start(
+        plan: FleetPlan,
+        started_servers: Vec<StartedServer>,
+        attempt_log: &Arc<Mutex<AttemptLog>>,
+    ) -> Self {
+        let mut runtime = FleetRuntime {
+            plan,
+            executor: Rc::new(LocalExecutor::new()),
+            discovery: Discovery::new(),
+            servers: Vec::new(),
+        };
+        for StartedServer { handle, listener } in started_servers {
+            let server = Rc::new(Server::new(
+                handle.name,
+                handle.fault_injection,
+                attempt_log.clone(),
+            ));
+            let accept_task = runtime.spawn_accept_task(&server, listener);
+            runtime.servers.push(RunningServer {
+                server,
+                cell: runtime.servers.len() % plan.cells.max(1),
+                address: handle.address,
+                accept_task: Some(accept_task),
+                started_at_ms: 0,
+            });
+        }
+        for server in &runtime.servers {
+            runtime
+                .discovery
+                .publish(server.endpoint(EndpointState::Active));
+        }
+        runtime
+    }
+
+    pub(super) fn endpoint_list(&self) -> Value {
+        self.discovery.list(None)
+    }
+
+    /// Serves and carries out commands until the channel of commands is closed.
+    pub(super) fn run(
+        mut self,
+        discovery_listener: TcpListener,
+        commands: &Receiver<FleetCommand>,
+    ) {
+        let executor = self.executor.clone();
+        let discovery = self.discovery.clone();
+        let _discovery_task =
+            executor.spawn(discovery.accept_connections(discovery_listener, executor.clone()));
+        async_io::block_on(executor.run(async {
+            while let Ok(command) = commands.recv().await {
+                self.execute(command).await;
+            }
+        }));
+    }
+
+    fn spawn_accept_task(&self, server: &Rc<Server>, listener: TcpListener) -> Task<()> {
+        let accept = accept_connections(server.clone(), listener, self.executor.clone());
+        self.executor.spawn(accept)
+    }
+
+    async fn execute(&mut self, command: FleetCommand) {
+        match command {
+            FleetCommand::SetDiscoverySilent(silent) => self.discovery.set_silent(silent),
+            FleetCommand::Publish(number, state) => {
+                if let Some(server) = self.servers.get(number) {
+                    self.discovery.publish(server.endpoint(state));
+                }
+            }
+            FleetCommand::Kill(number) => {
+                if let Some(server) = self.servers.get_mut(number) {
+                    server.kill().await;
+                }
+            }
+            FleetCommand::Restart(number) => self.restart(number),
+        }
+    }
+
+    /// Restarts a server that is down, if its address can be bound again.
+    fn restart(&mut self, number: usize) {
+        let Some(down) = self
+            .servers
+            .get(number)
+            .filter(|server| server.accept_task.is_none())
+        else {
+            return;
+        };
+        // Only the server's own earlier connections, which are being closed, can still occupy the address.
+        let Ok(listener) = TcpListener::bind(down.address) else {
+            return;
+        };
+        let accept_task = self.spawn_accept_task(&down.server, listener);
+        let restarted = &mut self.servers[number];
+        restarted.started_at_ms = unix_time_ms();
+        restarted.reset_faults(self.plan);
+        restarted.accept_task = Some(accept_task);
+        self.discovery
+            .publish(restarted.endpoint(EndpointState::Active));
+    }
+}
+
+impl RunningServer {
+    fn endpoint(&self, state: EndpointState) -> Endpoint {
+        Endpoint {
+            name: self.server.name.clone(),
+            address: self.address,
+            cell: self.cell,
+            state,
+            started_at_ms: self.started_at_ms,
+        }
+    }
+
+    async fn kill(&mut self) {
+        if let Some(task) = self.accept_task.take() {
+            task.cancel().await;
+        }
+        self.server.reset_connections();
+    }
+
+    /// Makes the server faultless, warming up and not draining, as after a start of its process.
+    fn reset_faults(&self, plan: FleetPlan) {
+        let mut injection = self.server.fault_injection();
+        injection.fault = Fault::None;
+        injection.warm_up = Some(WarmUp {
+            started_at: Instant::now(),
+            duration: plan.warm_up_duration,
+        });
+        injection.draining_since = None;
+    }
+}
+
+fn unix_time_ms() -> u64 {
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |elapsed| elapsed.as_millis() as u64)
+}
--- /dev/null
+++ b/crates/test-fleet/src/server/connection.rs
@@ -0,0 +1,239 @@
+//! One connection of a broker to a data server.
+
+use super::{Server, reset};
+use crate::attempt_log::{Attempt, AttemptNumber, AttemptOutcome};
+use crate::fault::Fault;
+use crate::part_value;
+use async_channel::{Receiver, Sender};
+use async_io::{Async, Timer};
+use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
+use server_protocol::server::{
+    BrokerMessage, PartRequest, decode, encode_frame_rejection, encode_part_response,
+    encode_probe_response,
+};
+use server_protocol::{Decoded, PartStatus};
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::TcpStream;
+use std::time::Instant;
+
+/// Bytes that are read at once.
+const READ_CHUNK: usize = 16 * 1024;
+/// Bytes that are no frame of the protocol.
+const INVALID_FRAME: &[u8] = b"\xff\xff\xff\xff noise";
+
+/// When a part will be finished, and its attempt.
+type Schedule = BTreeMap<(Instant, AttemptNumber), PartRequest>;
+
+/// The state of one connection. It is bounded by what a broker sends on one connection.
+pub(super) struct Connection<'a> {
+    server: &'a Server,
+    stream: &'a Async<TcpStream>,
+    /// Attempts in flight, by the ids of their parts.
+    in_flight: RefCell<BTreeMap<String, AttemptNumber>>,
+    /// Parts that are being worked on, by when they are finished.
+    scheduled: RefCell<Schedule>,
+    /// Signalled after each message, as the schedule may have changed.
+    schedule_changed: (Sender<()>, Receiver<()>),
+}
+
+/// What the server does when a part is finished.
+enum Completion {
+    Send(Vec<u8>),
+    ResetConnection,
+}
+
+impl<'a> Connection<'a> {
+    pub(super) fn new(server: &'a Server, stream: &'a Async<TcpStream>) -> Self {
+        Connection {
+            server,
+            stream,
+            in_flight: RefCell::default(),
+            scheduled: RefCell::default(),
+            schedule_changed: async_channel::bounded(1),
+        }
+    }
+
+    /// Serves the connection until either side ends it, and records what was in flight as cancelled.
+    pub(super) async fn run(self) {
+        let reset_requested = self.server.reset_connections.subscribe();
+        let reset_requested = async {
+            reset_requested.notified().await;
+            Err(io::ErrorKind::ConnectionReset.into())
+        };
+        let end = self
+            .read_messages()
+            .or(self.answer_parts())
+            .or(reset_requested)
+            .await;
+        if end.is_err_and(|error| error.kind() == io::ErrorKind::ConnectionReset) {
+            reset(self.stream);
+        }
+        for (_, attempt) in self.in_flight.take() {
+            self.record_cancelled(attempt);
+        }
+    }
+
+    async fn read_messages(&self) -> io::Result<()> {
+        let mut stream = self.stream;
+        let mut input = Vec::new();
+        let mut chunk = vec![0; READ_CHUNK];
+        loop {
+            let mut decoded_len = 0;
+            loop {
+                match decode(&input[decoded_len..]) {
+                    Ok(None) => break,
+                    Ok(Some(Decoded { message, frame_len })) => {
+                        decoded_len += frame_len;
+                        self.on_message(message).await?;
+                        let _ = self.schedule_changed.0.try_send(());
+                    }
+                    Err(invalid) => {
+                        let rejection = encode_frame_rejection(&invalid.to_string());
+                        return stream.write_all(&rejection).await;
+                    }
+                }
+            }
+            input.drain(..decoded_len);
+            match stream.read(&mut chunk).await? {
+                0 => return Ok(()),
+                length => input.extend_from_slice(&chunk[..length]),
+            }
+        }
+    }
+
+    async fn on_message(&self, message: BrokerMessage) -> io::Result<()> {
+        match message {
+            BrokerMessage::Call(parts) => self.on_call(parts),
+            BrokerMessage::Cancel(part_id) => self.on_cancel(&part_id),
+            BrokerMessage::Probe(kind) => {
+                let response = encode_probe_response(kind, self.server.parts_in_flight.get());
+                let mut stream = self.stream;
+                stream.write_all(&response).await?;
+            }
+        }
+        Ok(())
+    }
+
+    fn on_call(&self, parts: Vec<PartRequest>) {
+        let now = Instant::now();
+        self.server.attempt_log().record_call();
+        for part in parts {
+            self.start_part(part, now);
+        }
+    }
+
+    fn start_part(&self, part: PartRequest, now: Instant) {
+        let (fault, duration, draining_since) = {
+            let injection = self.server.fault_injection();
+            (
+                injection.fault,
+                injection.part_duration_at(now),
+                injection.draining_since,
+            )
+        };
+        let number = self.server.attempt_log().record_attempt(Attempt {
+            server: self.server.name.clone(),
+            part_id: part.id.clone(),
+            shard: part.shard,
+            idempotency_key: part.idempotency_key.clone(),
+            received_at: now,
+            draining_since,
+            executed: fault != Fault::RejectAll,
+            end: None,
+        });
+        self.server.part_started();
+        self.in_flight.borrow_mut().insert(part.id.clone(), number);
+        if fault != Fault::Hang {
+            self.scheduled
+                .borrow_mut()
+                .insert((now + duration, number), part);
+        }
+    }
+
+    fn on_cancel(&self, part_id: &str) {
+        let attempt = self.in_flight.borrow_mut().remove(part_id);
+        if let Some(attempt) = attempt {
+            self.record_cancelled(attempt);
+        }
+    }
+
+    fn record_cancelled(&self, attempt: AttemptNumber) {
+        self.server.part_ended();
+        self.server
+            .attempt_log()
+            .record_end(attempt, AttemptOutcome::Cancelled, Instant::now());
+    }
+
+    /// Answers parts as they are finished. It ends with an error only.
+    async fn answer_parts(&self) -> io::Result<()> {
+        let mut stream = self.stream;
+        loop {
+            self.wait_for_finished_part().await;
+            let mut output = Vec::new();
+            while let Some((attempt, part)) = self.take_finished_part() {
+                let was_cancelled = self.in_flight.borrow_mut().remove(&part.id).is_none();
+                if was_cancelled {
+                    continue;
+                }
+                self.record_answered(attempt);
+                match self.complete(&part) {
+                    Completion::Send(bytes) => output.extend(bytes),
+                    Completion::ResetConnection => {
+                        return Err(io::ErrorKind::ConnectionReset.into());
+                    }
+                }
+            }
+            stream.write_all(&output).await?;
+        }
+    }
+
+    async fn wait_for_finished_part(&self) {
+        loop {
+            let next_finish = self.scheduled.borrow().keys().next().map(|(at, _)| *at);
+            let changed = async { _ = self.schedule_changed.1.recv().await };
+            match next_finish {
+                Some(at) if at <= Instant::now() => return,
+                Some(at) => changed.or(async { _ = Timer::at(at).await }).await,
+                None => changed.await,
+            }
+        }
+    }
+
+    fn take_finished_part(&self) -> Option<(AttemptNumber, PartRequest)> {
+        let mut scheduled = self.scheduled.borrow_mut();
+        let first = scheduled.first_entry()?;
+        let (finished_at, attempt) = *first.key();
+        (finished_at <= Instant::now()).then(|| (attempt, first.remove()))
+    }
+
+    fn record_answered(&self, attempt: AttemptNumber) {
+        self.server.part_ended();
+        self.server
+            .attempt_log()
+            .record_end(attempt, AttemptOutcome::Answered, Instant::now());
+    }
+
+    fn complete(&self, part: &PartRequest) -> Completion {
+        let number = self.server.next_finished_part();
+        let hits = |every: u32| every > 0 && number.is_multiple_of(every);
+        let fault = self.server.fault_injection().fault;
+        let status = match fault {
+            Fault::ResetEvery(every) if hits(every) => return Completion::ResetConnection,
+            Fault::GarbleEvery(every) if hits(every) => {
+                return Completion::Send(INVALID_FRAME.to_vec());
+            }
+            Fault::ErrorEvery(every) if hits(every) => PartStatus::Failed,
+            Fault::RejectAll => PartStatus::Rejected,
+            _ => PartStatus::Succeeded,
+        };
+        let value = if status == PartStatus::Succeeded {
+            part_value(part.shard, &part.text)
+        } else {
+            String::new()
+        };
+        let in_flight = self.server.parts_in_flight.get();
+        Completion::Send(encode_part_response(&part.id, status, in_flight, &value))
+    }
+}
