--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,12 +1,12 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
-use crate::upstream::{Ended, Send};
+use crate::upstream::{EndedAttempt, OutgoingAttempt};
 use admission::{ConnectionId, ConnectionQuota};
 use async_channel::Sender;
 use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest, ShardValue};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
-use fanout_policy::api::{Semantics, Settings};
+use fanout_policy::api::{RetrySafety, Settings};
 use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission};
 use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
@@ -90,11 +90,18 @@
 impl Queries {
     /// With room for so many queries and parts.
     pub(crate) fn new(settings: &Settings, room: usize) -> Self {
-        let window = settings.classes.iter().filter_map(|c| match c.semantics {
-            Semantics::Keyed { window } => Some(millis(window)),
-            _ => None,
-        });
-        let keep = settings.classes.iter().map(|c| millis(c.give_up)).max();
+        let window = settings
+            .classes
+            .iter()
+            .filter_map(|c| match c.retry_safety {
+                RetrySafety::IdempotencyKey { window } => Some(millis(window)),
+                _ => None,
+            });
+        let keep = settings
+            .classes
+            .iter()
+            .map(|c| millis(c.client_timeout))
+            .max();
         Queries {
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
@@ -264,7 +271,7 @@
     }
 
     /// A dispatch with all that its frame needs.
-    pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<Send, Held> {
+    pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<OutgoingAttempt, Held> {
         let pending = self.pending.get_mut(&d.attempt.query).ok_or(Held::Over)?;
         let part = pending.ask.parts.get(d.attempt.part.0).ok_or(Held::Over)?;
         let mut expires = None;
@@ -287,7 +294,7 @@
             ended: None,
         };
         pending.story.push(told);
-        Ok(Send {
+        Ok(OutgoingAttempt {
             attempt: d.attempt,
             server: d.server,
             until: d.deadline,
@@ -300,11 +307,11 @@
     }
 
     /// Takes the end of an attempt: its value stays here, with its query.
-    pub(crate) fn ended(&mut self, now: Micros, ended: &mut Ended) {
+    pub(crate) fn ended(&mut self, now: Micros, ended: &mut EndedAttempt) {
         if let Some((key, shard)) = self.keyed.remove(&ended.attempt) {
             let proof = match ended.outcome {
                 Outcome::Served | Outcome::Error => ExecutionEvidence::Executed,
-                Outcome::Full | Outcome::NoConnection | Outcome::NotSent => {
+                Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent => {
                     ExecutionEvidence::NotExecuted
                 }
                 Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
--- a/crates/server-protocol/src/part_status.rs
+++ b/crates/server-protocol/src/part_status.rs
@@ -44,7 +44,7 @@
         match status {
             PartStatus::Succeeded => Outcome::Served,
             PartStatus::Failed => Outcome::Error,
-            PartStatus::Rejected => Outcome::Full,
+            PartStatus::Rejected => Outcome::Overloaded,
         }
     }
 }
--- a/crates/fanout-policy/src/bin/simulator-adapter.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -9,20 +9,24 @@
 use std::io::{self, BufRead, BufWriter, Write};
 use std::process::ExitCode;
 
-fn request(m: &Message) -> Result<RequestId, String> {
-    Ok(RequestId(m.text("OpId")?.into()))
+fn query_id(m: &Message) -> Result<QueryId, String> {
+    Ok(QueryId(m.text("OpId")?.into()))
 }
 
-fn members(m: &Message) -> Result<Vec<Member>, String> {
+fn part_id(m: &Message) -> Result<PartId, String> {
+    Ok(PartId(m.text("OpId")?.into()))
+}
+
+fn members(m: &Message) -> Result<Vec<Endpoint>, String> {
     let mut members = Vec::new();
     for e in m.objects("MembersList")? {
         let state = match e.text("Mode")? {
-            "in_service" => NodeState::Serving,
-            "terminating" => NodeState::Draining,
-            "terminated" => NodeState::Gone,
+            "in_service" => ServingState::Serving,
+            "terminating" => ServingState::Draining,
+            "terminated" => ServingState::Removed,
             _ => return e.bad("Mode", "is unknown"),
         };
-        members.push(Member {
+        members.push(Endpoint {
             node: NodeId(e.text("Node")?.into()),
             cell: e.opt_whole("Position")?.unwrap_or(0) as usize,
             state,
@@ -42,43 +46,55 @@
     let group = m.whole("GroupNo")?;
     if shard < 0.0 {
         return Ok(Event::Query(Query {
-            id: request(m)?,
+            id: query_id(m)?,
             group,
             class: ClassIndex(class),
             tenant: TenantIndex(m.opt_whole("Team")?.unwrap_or(0) as usize),
-            give_up_at: m.number("GiveUpAt")?,
-            again: m.flag("AgainByClient")?,
+            client_deadline: m.number("GiveUpAt")?,
+            is_retry: m.flag("AgainByClient")?,
         }));
     }
     Ok(Event::Part(Part {
-        id: request(m)?,
+        id: part_id(m)?,
         group,
         shard: m.whole("Slice")? as usize,
         weight: m.number("Measure")?,
-        work_hint: m.opt_number("Effort")?,
+        cost_hint: m.opt_number("Effort")?,
     }))
 }
 
 /// The bytes of hex digits; none if they are not: such a message is dropped.
 fn bytes(hex: &str) -> Option<Vec<u8>> {
-    let digits: Option<Vec<u8>> = hex.chars().map(|c| c.to_digit(16).map(|d| d as u8)).collect();
+    let digits: Option<Vec<u8>> = hex
+        .chars()
+        .map(|c| c.to_digit(16).map(|d| d as u8))
+        .collect();
     let digits = digits.filter(|d| d.len() % 2 == 0)?;
-    Some(digits.chunks(2).map(|pair| pair[0] << 4 | pair[1]).collect())
+    Some(
+        digits
+            .chunks(2)
+            .map(|pair| pair[0] << 4 | pair[1])
+            .collect(),
+    )
 }
 
 /// Requests held by a server as its load report has it; a report that is odd is as none.
 fn held(m: &Message) -> Option<f64> {
     let report = m.get("Gauge")?.as_object()?;
-    report.get("rif").or_else(|| report.get("q"))?.as_f64().filter(|n| *n >= 0.0)
+    report
+        .get("rif")
+        .or_else(|| report.get("q"))?
+        .as_f64()
+        .filter(|n| *n >= 0.0)
 }
 
 fn outcome(m: &Message) -> Result<Outcome, String> {
     Ok(match m.text("Rc")? {
         "served" => Outcome::Served,
         "server_error" => Outcome::Error,
-        "turned_away" => Outcome::Full,
+        "turned_away" => Outcome::Overloaded,
         "no_answer" => Outcome::TimedOut,
-        "no_connection" => Outcome::NoConnection,
+        "no_connection" => Outcome::Unreachable,
         "connection_lost" => Outcome::ConnectionLost,
         "called_off" => Outcome::Cancelled,
         "not_sent" => Outcome::NotSent,
@@ -88,26 +104,30 @@
 
 fn action_line(instance: u64, action: &Action) -> Value {
     match action {
-        Action::Send { part, node, within } => {
-            json!({"t": "Issue", "I": instance, "OpId": &*part.0, "Within": within.unwrap_or(0.0), "Node": &*node.0})
+        Action::SendAttempt {
+            part,
+            node,
+            timeout,
+        } => {
+            json!({"t": "Issue", "I": instance, "OpId": &*part.0, "Within": timeout.unwrap_or(0.0), "Node": &*node.0})
         }
-        Action::Cancel { part, attempt } => {
+        Action::CancelAttempt { part, attempt } => {
             json!({"t": "AbortAttempt", "I": instance, "OpId": &*part.0, "Hop": attempt})
         }
-        Action::Answer { query, whole } => {
-            json!({"t": "Answer", "I": instance, "OpId": &*query.0, "Full": whole})
+        Action::Answer { query, complete } => {
+            json!({"t": "Answer", "I": instance, "OpId": &*query.0, "Full": complete})
         }
-        Action::Refuse { query, retry_after } => {
+        Action::Reject { query, retry_after } => {
             let back = retry_after.unwrap_or(0.0);
             json!({"t": "NotNow", "I": instance, "OpId": &*query.0, "ComeBack": back})
         }
         Action::Fail { query } => json!({"t": "FinishError", "I": instance, "OpId": &*query.0}),
-        Action::Tell { bytes } => {
+        Action::PublishLoad { bytes } => {
             let hex: String = bytes.iter().map(|b| format!("{b:02x}")).collect();
             json!({"t": "WritePeer", "I": instance, "Dst": "all", "Contents": hex})
         }
-        Action::Watch => json!({"t": "KeepInformed", "I": instance, "Full": true}),
-        Action::Wake { after } => json!({"t": "After", "I": instance, "Span": after, "Ref": 0}),
+        Action::PollEndpointList => json!({"t": "KeepInformed", "I": instance, "Full": true}),
+        Action::SetTimer { after } => json!({"t": "After", "I": instance, "Span": after, "Ref": 0}),
     }
 }
 
@@ -121,7 +141,7 @@
 #[derive(Default)]
 struct Adapter {
     instances: BTreeMap<u64, Instance>,
-    lists: BTreeMap<u64, Vec<Member>>,
+    lists: BTreeMap<u64, Vec<Endpoint>>,
     inbox: BTreeMap<u64, Vec<Event>>,
 }
 
@@ -136,7 +156,13 @@
             let settings = settings::decode(&m.inner("Env")?)?.settings;
             let classes = settings.classes.len();
             let aggregator = Aggregator::new(settings, m.whole("RngSeed")?);
-            self.instances.insert(number, Instance { aggregator, classes });
+            self.instances.insert(
+                number,
+                Instance {
+                    aggregator,
+                    classes,
+                },
+            );
             self.inbox.insert(number, Vec::new());
             return Ok(());
         }
@@ -151,34 +177,42 @@
             }
             "PeersKnown" => {
                 let kind = match m.text("Mode")? {
-                    "diff" => ListKind::Changes,
-                    "snapshot" => ListKind::Complete,
-                    "disk" => ListKind::Disk,
-                    "error" => ListKind::Error,
+                    "diff" => ListUpdate::Delta,
+                    "snapshot" => ListUpdate::Snapshot,
+                    "disk" => ListUpdate::Cached,
+                    "error" => ListUpdate::Failed,
                     _ => return m.bad("Mode", "is unknown"),
                 };
                 let members = match kind {
-                    ListKind::Error => Vec::new(),
+                    ListUpdate::Failed => Vec::new(),
                     _ => match self.lists.get(&m.whole("Slot")?) {
                         Some(members) => members.clone(),
                         None => return m.bad("Slot", "names a list that was never declared"),
                     },
                 };
-                Some(Event::List { kind, members })
+                Some(Event::EndpointList {
+                    update: kind,
+                    endpoints: members,
+                })
             }
             "Order" => Some(order(m, instance.classes)?),
-            "ReportBack" => Some(Event::Ended {
-                part: request(m)?,
+            "ReportBack" => Some(Event::AttemptEnded {
+                part: part_id(m)?,
                 attempt: m.whole("Hop")? as u32,
                 outcome: outcome(m)?,
                 elapsed: m.number("Rtt")?,
                 load: held(m),
             }),
-            "Dropped" => Some(Event::Gone(request(m)?)),
+            "Dropped" => Some(Event::ClientDisconnected(query_id(m)?)),
             "Memo" => bytes(m.text("Contents")?)
-                .map(|bytes| m.whole("Who").map(|from| Event::Message { from: from as usize, bytes }))
+                .map(|bytes| {
+                    m.whole("Who").map(|from| Event::Gossip {
+                        from: from as usize,
+                        bytes,
+                    })
+                })
                 .transpose()?,
-            "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::Woken))?,
+            "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::TimerFired))?,
             // Not asked for, but part of the wire.
             "Begun" | "Probed" => None,
             _ => return Err(format!("{}: the message is unknown", m.name())),
@@ -189,7 +223,9 @@
 
     fn reply(&mut self, now: Ms, batch: &Value, out: &mut impl Write) -> io::Result<()> {
         for (number, events) in std::mem::take(&mut self.inbox) {
-            let Some(instance) = self.instances.get_mut(&number) else { continue };
+            let Some(instance) = self.instances.get_mut(&number) else {
+                continue;
+            };
             for action in instance.aggregator.on_batch(now, events) {
                 writeln!(out, "{}", action_line(number, &action))?;
             }
@@ -216,25 +252,39 @@
             return Err(format!("{}: the message is not an object", place(&last)));
         };
         let Some(name) = fields.get("t").and_then(Value::as_str) else {
-            return Err(format!("{}: message: field t is missing or not a string", place(&last)));
+            return Err(format!(
+                "{}: message: field t is missing or not a string",
+                place(&last)
+            ));
         };
         let m = Message::new(name, fields);
         match name {
             "Tick" => {
                 last = json!(m.whole("n").map_err(|e| format!("{}: {e}", place(&last)))?);
-                let now = m.number("Moment").map_err(|e| format!("{}: {e}", place(&last)))?;
+                let now = m
+                    .number("Moment")
+                    .map_err(|e| format!("{}: {e}", place(&last)))?;
                 if open.replace((now, last.clone())).is_some() {
-                    return Err(format!("{}: Tick: the batch before is still open", place(&last)));
+                    return Err(format!(
+                        "{}: Tick: the batch before is still open",
+                        place(&last)
+                    ));
                 }
             }
             "EofBatch" => {
                 let Some((now, batch)) = open.take() else {
                     return Err(format!("{}: EofBatch: no batch is open", place(&last)));
                 };
-                adapter.reply(now, &batch, &mut out).map_err(|e| format!("{}: {e}", place(&last)))?;
+                adapter
+                    .reply(now, &batch, &mut out)
+                    .map_err(|e| format!("{}: {e}", place(&last)))?;
+            }
+            _ if open.is_none() => {
+                return Err(format!("{}: {name}: no batch is open", place(&last)));
             }
-            _ if open.is_none() => return Err(format!("{}: {name}: no batch is open", place(&last))),
-            _ => adapter.hear(&m).map_err(|e| format!("{}: {e}", place(&last)))?,
+            _ => adapter
+                .hear(&m)
+                .map_err(|e| format!("{}: {e}", place(&last)))?,
         }
     }
     Ok(())
