--- /dev/null
+++ b/crates/fanout-policy/tests/policy/answers.rs
@@ -0,0 +1,128 @@
+//! Final responses: complete, partial, and of queries with a second step.
+
+use crate::common::{
+    Harness, attempt_ended, class, complete_answer, final_responses, part_id, partial_answer, query_id,
+    rejected, ring, sent_attempts, served,
+};
+use fanout_policy::api::{Action, Class, Event, Outcome, Part, Settings};
+
+#[test]
+fn query_gets_one_final_response_before_the_client_deadline() {
+    let mut policy = Harness::new(ring(), 1);
+    let mut responses = Vec::new();
+    let events = policy.query_events("q", 0, &[0, 1], 1500.0);
+    responses.extend(final_responses(&policy.advance(5.0, events)));
+    let client_deadline = policy.now + 1500.0;
+    while policy.now + 5.0 < client_deadline {
+        responses.extend(final_responses(&policy.advance(5.0, vec![])));
+    }
+    assert_eq!(responses, vec![rejected("q")]);
+    let late_events =
+        vec![attempt_ended("q.0", 0, Outcome::Served, 1500.0), Event::ClientDisconnected(query_id("q"))];
+    let late = policy.advance(20.0, late_events);
+    assert!(final_responses(&late).is_empty() && sent_attempts(&late).is_empty());
+}
+
+#[test]
+fn partial_answer_is_marked_incomplete_and_counts_each_part_once() {
+    let class = Class { minimum_share: 0.5, late_weight: 0.0, ..class() };
+    let mut policy = Harness::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
+    policy.submit("q", &[0, 1, 2, 3]);
+    let first = policy.advance(10.0, vec![attempt_ended("q.0", 0, Outcome::Served, 10.0)]);
+    assert!(final_responses(&first).is_empty());
+    let repeated = policy.advance(10.0, vec![attempt_ended("q.0", 0, Outcome::Served, 10.0)]);
+    assert!(final_responses(&repeated).is_empty(), "a part counts once");
+    policy.advance(10.0, vec![attempt_ended("q.1", 0, Outcome::Served, 10.0)]);
+    let mut last = Vec::new();
+    for _ in 0..250 {
+        last.extend(policy.advance(5.0, vec![]));
+    }
+    assert_eq!(final_responses(&last), vec![partial_answer("q")]);
+}
+
+#[test]
+fn query_for_some_parts_sends_just_enough_and_the_rest_after_an_error() {
+    let class = Class { required_share: 0.67, minimum_share: 0.67, ..class() };
+    let mut policy = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
+    let sent = sent_attempts(&policy.submit("q", &[0, 1, 2, 3, 4, 5]));
+    assert_eq!(sent.len(), 5);
+    let error = attempt_ended(&sent[0].part, 0, Outcome::Error, 10.0);
+    let more = sent_attempts(&policy.advance(10.0, vec![error]));
+    assert_eq!(more.len(), 2, "the part that was left out, and a retry of the failed one");
+    let mut events = served(&sent[1..], 0, 20.0);
+    events.push(attempt_ended(&more[0].part, 0, Outcome::Served, 5.0));
+    let last = policy.advance(10.0, events);
+    assert_eq!(final_responses(&last), vec![complete_answer("q")]);
+    let cancels = last.iter().any(|action| matches!(action, Action::CancelAttempt { .. }));
+    assert!(cancels, "the attempt in flight is cancelled");
+}
+
+#[test]
+fn partial_answer_waits_for_parts_that_may_still_be_served() {
+    // One part of four uses up its attempts early; the others are only slower.
+    let class = Class { minimum_share: 0.5, late_weight: 0.0, ..class() };
+    let mut policy = Harness::new(Settings { classes: vec![class], max_attempts: 1, ..ring() }, 1);
+    policy.submit("q", &[0, 1, 2, 3]);
+    let served = |part: &str| attempt_ended(part, 0, Outcome::Served, 20.0);
+    let early = vec![attempt_ended("q.0", 0, Outcome::Error, 20.0), served("q.1"), served("q.2")];
+    assert!(final_responses(&policy.advance(20.0, early)).is_empty(), "the last part would add a quarter");
+    let last = policy.advance(100.0, vec![served("q.3")]);
+    assert_eq!(final_responses(&last), vec![partial_answer("q")]);
+}
+
+#[test]
+fn second_step_is_answered_after_all_its_parts() {
+    let class = Class { has_second_step: true, ..class() };
+    let mut policy = Harness::new(Settings { classes: vec![class], ..ring() }, 1);
+    policy.submit("q", &[0]);
+    let first_step = policy.advance(20.0, vec![attempt_ended("q.0", 0, Outcome::Served, 20.0)]);
+    assert_eq!(final_responses(&first_step), vec![complete_answer("q")]);
+    let parts = vec![second_step_part("x", 1, 0.5), second_step_part("y", 1, 0.5)];
+    assert_eq!(sent_attempts(&policy.advance(5.0, parts)).len(), 2);
+    let one_served = policy.advance(20.0, vec![attempt_ended("x", 0, Outcome::Served, 20.0)]);
+    assert!(final_responses(&one_served).is_empty());
+    let both_served = policy.advance(5.0, vec![attempt_ended("y", 0, Outcome::Served, 25.0)]);
+    assert_eq!(final_responses(&both_served), vec![complete_answer("q")]);
+}
+
+/// Settings with one class, which has a second step and may be answered from half of its parts.
+fn second_step_settings() -> Settings {
+    let class = Class { has_second_step: true, minimum_share: 0.5, ..class() };
+    Settings { classes: vec![class], hedging: false, ..ring() }
+}
+
+/// The arrival of a part of a second step.
+fn second_step_part(name: &str, group: u64, weight: f64) -> Event {
+    Event::Part(Part { id: part_id(name), group, shard: 0, weight, cost_hint: None })
+}
+
+#[test]
+fn second_step_is_not_ended_by_a_batch_before_its_parts() {
+    let mut policy = Harness::new(second_step_settings(), 1);
+    policy.submit("q", &[0]);
+    let first_step = policy.advance(20.0, vec![attempt_ended("q.0", 0, Outcome::Served, 20.0)]);
+    assert_eq!(final_responses(&first_step), vec![complete_answer("q")]);
+    let empty_batch = policy.advance(5.0, vec![]);
+    assert!(final_responses(&empty_batch).is_empty(), "its parts have not arrived yet");
+    let parts = vec![second_step_part("x", 1, 1.0)];
+    assert_eq!(sent_attempts(&policy.advance(5.0, parts)).len(), 1);
+}
+
+#[test]
+fn partial_first_answer_leaves_time_for_the_second_step() {
+    let mut policy = Harness::new(second_step_settings(), 1);
+    // Second steps take 300 ms of a latency objective of 1000 ms here.
+    for k in 1..30 {
+        let name = format!("u{k}");
+        policy.submit(&name, &[0]);
+        policy.advance(20.0, vec![attempt_ended(&format!("{name}.0"), 0, Outcome::Served, 20.0)]);
+        policy.advance(5.0, vec![second_step_part(&format!("{name}x"), k, 1.0)]);
+        policy.advance(295.0, vec![attempt_ended(&format!("{name}x"), 0, Outcome::Served, 295.0)]);
+    }
+    policy.submit("q", &[0, 1]);
+    let submitted = policy.now;
+    policy.advance(20.0, vec![attempt_ended("q.0", 0, Outcome::Served, 20.0)]);
+    while final_responses(&policy.advance(5.0, vec![])).is_empty() {}
+    let first_answer = policy.now - submitted;
+    assert!(first_answer > 600.0 && first_answer < 750.0, "partial answer after {first_answer} ms");
+}
--- /dev/null
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -0,0 +1,71 @@
+//! How long unreachable and overloaded servers are avoided.
+
+use crate::common::{Harness, answer_queries, attempt_ended, ring, sent_attempts, served};
+use fanout_policy::api::{Ms, Outcome};
+
+#[test]
+fn unreachable_server_is_avoided_immediately_and_longer_each_time() {
+    let mut policy = Harness::new(ring(), 1);
+    answer_queries(&mut policy, 12, 4000.0);
+    // Time until the next attempt after each refused connection, under continuous traffic.
+    let mut gaps = Vec::new();
+    let mut last_attempt = None;
+    for k in 0..1500 {
+        let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
+        let faulty = sent[0].node == "c1n0";
+        if faulty {
+            gaps.extend(last_attempt.map(|time: Ms| policy.now - time));
+            last_attempt = Some(policy.now);
+        }
+        let outcome = if faulty { Outcome::Unreachable } else { Outcome::Served };
+        let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
+        let events = served(&sent_attempts(&more), 1, 20.0);
+        policy.advance(0.0, events);
+    }
+    assert!(gaps.len() > 2 && gaps[0] > 300.0, "attempted again after {gaps:?}");
+    assert!(gaps[1] > gaps[0], "{gaps:?}");
+}
+
+/// For a broker that sends to a server every few seconds, a pause of 75 ms keeps no part from an overloaded server.
+#[test]
+fn overloaded_server_is_avoided_for_half_the_interval_between_its_parts() {
+    let mut policy = Harness::new(ring(), 1);
+    let first = sent_attempts(&policy.submit("q", &[0]));
+    let overloaded = first[0].node.clone();
+    policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Overloaded, 5.0)]);
+    for k in 0..12 {
+        let sent = sent_attempts(&policy.submit(&format!("n{k}"), &[0]));
+        let is_avoided = sent.iter().all(|attempt| attempt.node != overloaded);
+        assert!(is_avoided, "{overloaded} was called again after {} ms", 100 * k);
+        policy.advance(95.0, served(&sent, 0, 40.0));
+    }
+}
+
+/// In sev4209 brokers with an outdated endpoint list called the same dead servers for ten seconds: each pause of at
+/// most two seconds was over before their next part for that server.
+#[test]
+fn unreachable_server_is_avoided_for_the_interval_between_its_parts() {
+    let mut policy = Harness::new(ring(), 1);
+    policy.submit("q", &[0]);
+    policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)]);
+    let until = policy.aggregator.views(policy.now).iter().find_map(|view| view.ejected_until).unwrap();
+    // Two parts in 1.5 latency objectives over six servers: an interval of 4.5 objectives.
+    assert!(until - policy.now > 3000.0, "called again after {} ms", until - policy.now);
+}
+
+#[test]
+fn server_that_rejects_all_parts_is_avoided_longer_each_time() {
+    let mut policy = Harness::new(ring(), 1);
+    answer_queries(&mut policy, 12, 4000.0);
+    let mut attempt_times = Vec::new();
+    for k in 0..1500 {
+        let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
+        let faulty = sent[0].node == "c1n0";
+        attempt_times.extend(faulty.then_some(policy.now));
+        let outcome = if faulty { Outcome::Overloaded } else { Outcome::Served };
+        let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
+        policy.advance(0.0, served(&sent_attempts(&more), 1, 20.0));
+    }
+    let gaps: Vec<Ms> = attempt_times.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    assert!(gaps.len() > 3 && gaps[gaps.len() - 1] > 2000.0, "{gaps:?}");
+}
--- /dev/null
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -0,0 +1,52 @@
+//! Updates of the endpoint list.
+
+use crate::common::{Harness, SentAttempt, attempt_ended, endpoint, list_event, ring, sent_attempts};
+use fanout_policy::Aggregator;
+use fanout_policy::api::{Action, Endpoint, EndpointListSource, ListUpdate, Outcome, ServingState, Settings};
+
+#[test]
+fn nothing_is_sent_to_a_draining_or_removed_server() {
+    let mut policy = Harness::new(ring(), 1);
+    let endpoints = vec![Endpoint { state: ServingState::Draining, ..endpoint("c0n0", 0) }];
+    policy.advance(5.0, vec![list_event(ListUpdate::Delta, endpoints)]);
+    assert!(!policy.run_traffic(40, &[], Outcome::Served).contains_key("c0n0"));
+    let endpoints = vec![endpoint("c1n0", 1), endpoint("c3n0", 3)];
+    policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
+    let seen = policy.run_traffic(40, &[], Outcome::Served);
+    assert!(seen.keys().all(|n| n == "c1n0" || n == "c3n0"), "{seen:?}");
+}
+
+#[test]
+fn failed_poll_is_repeated_after_a_delay() {
+    let mut aggregator = Aggregator::new(Settings { list_source: EndpointListSource::Polled, ..ring() }, 3);
+    assert!(aggregator.on_batch(0.0, vec![]).contains(&Action::PollEndpointList));
+    assert!(!aggregator.on_batch(5.0, vec![]).contains(&Action::PollEndpointList));
+    let failed = vec![list_event(ListUpdate::Failed, vec![])];
+    assert!(!aggregator.on_batch(10.0, failed).contains(&Action::PollEndpointList), "not immediately");
+    let batch_times = (1..2000).map(|k| 10.0 + f64::from(k) * 5.0);
+    let batches = batch_times.map(|time| aggregator.on_batch(time, vec![]));
+    assert_eq!(batches.filter(|actions| actions.contains(&Action::PollEndpointList)).count(), 1);
+}
+
+/// Over time every server is replaced many times under new names: no state may grow with their number.
+#[test]
+fn removed_servers_are_forgotten_once_unreferenced() {
+    let mut policy = Harness::new(Settings { cells: 1, replica_cells: 1, ..ring() }, 0);
+    let list = |names: &[&str]| {
+        let endpoints = names.iter().map(|name| endpoint(name, 0)).collect();
+        vec![list_event(ListUpdate::Snapshot, endpoints)]
+    };
+    policy.advance(5.0, list(&["stays", "busy"]));
+    let in_flight: Vec<_> =
+        (0..8).flat_map(|n| sent_attempts(&policy.submit(&format!("q{n}"), &[0]))).collect();
+    for n in 0..100 {
+        policy.advance(1500.0, list(&["stays", &format!("new{n}")]));
+        policy.run_traffic(1, &[], Outcome::Served);
+    }
+    assert!(policy.aggregator.servers_known() < 15, "{}", policy.aggregator.servers_known());
+    // The late end of an attempt still finds its own server.
+    let timed_out = |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, Outcome::TimedOut, 4000.0);
+    let ends = in_flight.iter().map(timed_out).collect();
+    policy.advance(1500.0, ends);
+    assert_eq!(policy.run_traffic(20, &[], Outcome::Served).values().sum::<usize>(), 20);
+}
--- /dev/null
+++ b/crates/fanout-policy/tests/policy/load_reports.rs
@@ -0,0 +1,167 @@
+//! Load reports of servers and gossip between aggregators.
+
+use crate::common::{
+    Harness, SentAttempt, answer_queries, attempt_ended, endpoint, list_event, part_id, ring, sent_attempts,
+    servers_of,
+};
+use fanout_policy::api::{Action, Event, ListUpdate, MAX_GOSSIP_BYTES, Ms, Outcome, Settings};
+use std::collections::BTreeSet;
+
+/// The gossip of another aggregator with work in flight at servers, or with this outcome of its attempts there.
+fn gossip_of_a_peer(settings: &Settings, shards: &[usize], outcome: Option<Outcome>) -> Vec<u8> {
+    let mut peer = Harness::new(settings.clone(), 1);
+    let sent = sent_attempts(&peer.submit("other", shards));
+    let actions = match outcome {
+        Some(outcome) => {
+            let end = |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, outcome, 150.0);
+            peer.advance(150.0, sent.iter().map(end).collect())
+        }
+        None => peer.submit("o2", shards),
+    };
+    let mut message = Vec::new();
+    for action in actions {
+        if let Action::PublishLoad { bytes } = action {
+            message.extend(bytes);
+        }
+    }
+    message
+}
+
+#[test]
+fn work_reported_by_a_peer_moves_parts_to_idle_servers() {
+    let settings = Settings { gossip: true, cells: 1, replica_cells: 1, ..ring() };
+    let mut policy = Harness::new(settings.clone(), 2);
+    let gossip = gossip_of_a_peer(&settings, &[0], None);
+    assert!(!gossip.is_empty() && gossip.len() <= MAX_GOSSIP_BYTES && gossip[2] > 0);
+    // The server that the peer has loaded, whichever it is, is avoided here.
+    let bytes = vec![gossip[0], gossip[1], 200];
+    policy.advance(5.0, vec![Event::Gossip { from: 1, bytes }]);
+    let mut nodes = BTreeSet::new();
+    for k in 0..6 {
+        nodes.extend(servers_of(&policy.submit(&format!("n{k}"), &[0])));
+    }
+    assert_eq!(nodes.len(), 1, "all go to the idle server: {nodes:?}");
+}
+
+#[test]
+fn server_reported_unreachable_by_a_peer_is_avoided_until_it_answers_there() {
+    let settings = Settings { gossip: true, ..ring() };
+    let mut policy = Harness::new(settings.clone(), 1);
+    let gossip = gossip_of_a_peer(&settings, &[0], Some(Outcome::Unreachable));
+    assert_eq!(gossip.len() % 3, 0);
+    let unreachable: Vec<&[u8]> = gossip.chunks(3).filter(|entry| entry[2] == 255).collect();
+    assert_eq!(unreachable.len(), 1);
+    policy.advance(5.0, vec![Event::Gossip { from: 1, bytes: gossip.clone() }]);
+    let others = servers_of_queries(&mut policy, "q", 20);
+    assert!(others.len() < 3, "one of three replicas is avoided: {others:?}");
+    let recovered = vec![unreachable[0][0], unreachable[0][1], 0];
+    policy.advance(5.0, vec![Event::Gossip { from: 1, bytes: recovered }]);
+    let soon = servers_of_queries(&mut policy, "soon", 4);
+    assert!(soon.len() < 3, "it may be warming up, and the idle ones are faster");
+    policy.advance(6000.0, vec![]);
+    assert_eq!(servers_of_queries(&mut policy, "later", 60).len(), 3);
+}
+
+#[test]
+fn malformed_gossip_and_unknown_senders_are_ignored() {
+    let attempts_after = |gossip: Vec<Event>| {
+        let mut policy = Harness::new(Settings { gossip: true, ..ring() }, 1);
+        policy.advance(5.0, gossip);
+        (0..10).map(|k| sent_attempts(&policy.submit(&format!("q{k}"), &[0, 1]))).collect::<Vec<_>>()
+    };
+    let gossip_from = |from, bytes: &[u8]| Event::Gossip { from, bytes: bytes.to_vec() };
+    let settings = Settings { gossip: true, ..ring() };
+    let gossip = gossip_of_a_peer(&settings, &[0], Some(Outcome::Unreachable));
+    let truncated = &gossip[..gossip.len() - 1];
+    let without_gossip = attempts_after(vec![]);
+    let invalid = vec![gossip_from(1, &[]), gossip_from(1, truncated), gossip_from(99, &gossip)];
+    assert_eq!(without_gossip, attempts_after(invalid));
+    assert_ne!(without_gossip, attempts_after(vec![gossip_from(1, &gossip)]), "valid gossip has an effect");
+}
+
+#[test]
+fn no_gossip_is_sent_when_it_is_disabled() {
+    let mut policy = Harness::new(ring(), 1);
+    let actions = policy.submit("q", &[0, 1, 2]);
+    assert!(!actions.iter().any(|action| matches!(action, Action::PublishLoad { .. })));
+}
+
+#[test]
+fn load_report_moves_parts_to_the_idle_replica() {
+    let parts_after_report = |load: f64| {
+        let mut policy = Harness::new(Settings { cells: 1, replica_cells: 1, ..ring() }, 2);
+        answer_queries(&mut policy, 4, 4000.0);
+        let sent = sent_attempts(&policy.submit("q", &[0]))[0].clone();
+        policy.advance(20.0, vec![served_with_load(&sent.part, 20.0, load)]);
+        let soon = parts_sent_to(&sent.node, &mut policy, 3);
+        policy.advance(20_000.0, vec![]);
+        let later = parts_sent_to(&sent.node, &mut policy, 20);
+        PartsAfterReport { soon, later }
+    };
+    assert_eq!(parts_after_report(30.0).soon, 0, "thirty parts wait there");
+    assert!(parts_after_report(1e300).later > 0, "an absurd report counts for a limited time");
+    assert!(parts_after_report(f64::NAN).later > 0);
+}
+
+/// A server puts one report into many answers. A repeated report holds nothing new: the load in it decays with time.
+#[test]
+fn repeated_load_report_expires() {
+    let parts_sent_to_a = |repeated: bool| {
+        let mut policy =
+            Harness::new(Settings { cells: 1, replica_cells: 1, max_parts_per_call: 1, ..ring() }, 0);
+        let endpoints = vec![endpoint("a", 0), endpoint("b", 0)];
+        policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
+        let mut parts_sent = 0;
+        for n in 0..200 {
+            for SentAttempt { part, node, .. } in sent_attempts(&policy.submit(&format!("q{n}"), &[0])) {
+                parts_sent += usize::from(node == "a" && n > 20);
+                // The load of `a` is 9 in the same report each time, or slightly more in each new report.
+                let load_of_a = 9.0 + if repeated { 0.0 } else { n as f64 / 1000.0 };
+                let load = if node == "a" { load_of_a } else { 0.0 };
+                policy.advance(30.0, vec![served_with_load(&part, 30.0, load)]);
+            }
+        }
+        parts_sent
+    };
+    let (repeated, new) = (parts_sent_to_a(true), parts_sent_to_a(false));
+    assert!(repeated > new + 10, "{repeated} with a repeated report, {new} with new ones");
+}
+
+/// Submits one-part queries that are all answered and returns the servers that they were sent to.
+fn servers_of_queries(policy: &mut Harness, name: &str, count: usize) -> BTreeSet<String> {
+    let mut nodes = BTreeSet::new();
+    for k in 0..count {
+        let sent = sent_attempts(&policy.submit(&format!("{name}{k}"), &[0]));
+        nodes.insert(sent[0].node.clone());
+        policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)]);
+    }
+    nodes
+}
+
+/// Parts that a server receives within moments of its load report, and long after it.
+struct PartsAfterReport {
+    soon: usize,
+    later: usize,
+}
+
+/// Submits one-part queries that are all answered and counts those that were sent to this server.
+fn parts_sent_to(node: &str, policy: &mut Harness, queries: usize) -> usize {
+    let mut count = 0;
+    for k in 0..queries {
+        let sent = sent_attempts(&policy.submit(&format!("n{k}-{}", policy.now), &[0]));
+        policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)]);
+        count += usize::from(sent[0].node == node);
+    }
+    count
+}
+
+/// The end of a first attempt that was served, with the server's load report.
+fn served_with_load(part: &str, elapsed: Ms, load: f64) -> Event {
+    Event::AttemptEnded {
+        part: part_id(part),
+        attempt: 0,
+        outcome: Outcome::Served,
+        elapsed,
+        load: Some(load),
+    }
+}
--- /dev/null
+++ b/crates/fanout-policy/tests/policy/outlier_detection.rs
@@ -0,0 +1,147 @@
+//! Ejection of servers that fail or do not answer.
+
+use crate::common::{
+    Harness, SentAttempt, answer_queries, attempt_ended, class, complete_answer, endpoint, final_responses,
+    list_event, ring, sent_attempts, served, servers_of, sets,
+};
+use fanout_policy::api::{Endpoint, ListUpdate, Outcome, Settings};
+use std::collections::{BTreeMap, BTreeSet};
+
+#[test]
+fn silent_server_is_avoided_before_any_timeout() {
+    let mut policy = Harness::new(ring(), 1);
+    for k in 0..6 {
+        let sent = sent_attempts(&policy.submit(&format!("w{k}"), &[0]));
+        policy.advance(40.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 40.0)]);
+    }
+    let silent = sent_attempts(&policy.submit("stuck", &[0]))[0].node.clone();
+    policy.advance(800.0, vec![]);
+    for k in 0..10 {
+        let sent = sent_attempts(&policy.submit(&format!("n{k}"), &[0]));
+        assert!(sent.iter().all(|attempt| attempt.node != silent), "{silent} has not answered for long");
+        policy.advance(40.0, served(&sent, 0, 40.0));
+    }
+}
+
+#[test]
+fn server_with_fast_errors_is_ejected_and_used_again_later() {
+    let mut policy = Harness::new(ring(), 1);
+    let first = policy.run_traffic(60, &["c1n0"], Outcome::Error)["c1n0"];
+    assert!(first < 20, "{first} attempts of 60 queries at the failing server");
+    for _ in 0..100 {
+        policy.advance(100.0, vec![]);
+    }
+    let later = policy.run_traffic(60, &[], Outcome::Served);
+    assert!(later.get("c1n0").is_some_and(|n| *n > 3), "the recovered server is used again: {later:?}");
+}
+
+#[test]
+fn pause_of_the_aggregator_ejects_no_server() {
+    // The same outcomes, received in time or after a pause of the aggregator.
+    let attempts_after = |pause: bool| {
+        let mut policy = Harness::new(ring(), 1);
+        answer_queries(&mut policy, 10, 4000.0);
+        let sent = sent_attempts(&policy.submit("q", &[0, 6, 12, 18]));
+        let timed_out = |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, Outcome::TimedOut, 900.0);
+        let events = sent.iter().map(timed_out).collect();
+        let end = policy.now + 900.0;
+        if pause {
+            policy.run_batch(end, events);
+        } else {
+            policy.advance(900.0, events);
+        }
+        let timed_out_node = &sent[0].node;
+        let next_queries = (0..12).map(|k| policy.submit(&format!("n{k}"), &[0]));
+        next_queries.filter(|actions| servers_of(actions).contains(timed_out_node)).count()
+    };
+    assert!(attempts_after(true) > 0, "the aggregator paused, not the server");
+    assert_eq!(attempts_after(false), 0);
+}
+
+#[test]
+fn unreachable_zone_is_contacted_at_few_servers_only() {
+    // Each shard has two replicas: one in the unreachable zone, one in the other.
+    let attempts_there = |zones: bool| {
+        let mut policy = Harness::new(Settings { cells: 12, replica_cells: 1, aggregators: 1, ..ring() }, 0);
+        let zone = |z| zones.then_some(z);
+        let endpoints = (0..12).flat_map(|cell| {
+            let here = Endpoint { zone: zone(0), ..endpoint(&format!("here{cell}"), cell) };
+            let there = Endpoint { zone: zone(1), ..endpoint(&format!("there{cell}"), cell) };
+            [here, there]
+        });
+        policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints.collect())]);
+        let mut count = 0;
+        for k in 0..12 {
+            let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[k]));
+            let there = sent[0].node.starts_with("there");
+            count += usize::from(there);
+            let outcome = if there { Outcome::Unreachable } else { Outcome::Served };
+            let more = policy.advance(50.0, vec![attempt_ended(&sent[0].part, 0, outcome, 50.0)]);
+            policy.advance(50.0, served(&sent_attempts(&more), 1, 50.0));
+        }
+        count
+    };
+    let (with_zones, without_zones) = (attempts_there(true), attempts_there(false));
+    assert!(with_zones < without_zones, "{with_zones} and {without_zones}");
+}
+
+#[test]
+fn server_that_fails_one_class_is_avoided_by_that_class_only() {
+    let settings = Settings { classes: vec![class(), class()], hedging: false, ..ring() };
+    let mut policy = Harness::new(settings, 1);
+    let faulty = "c1n0";
+    let mut attempts_by_class = [0, 0];
+    for k in 0..200 {
+        let events = policy.query_events(&format!("q{k}"), k % 2, &[0], 4000.0);
+        let sent = sent_attempts(&policy.advance(5.0, events));
+        let is_faulty = sent[0].node == faulty;
+        attempts_by_class[k % 2] += usize::from(is_faulty && k > 40);
+        // Half of one class's parts fail there; all others are served, so that it never fails twice in a row.
+        let outcome = if is_faulty && k % 4 == 0 { Outcome::Error } else { Outcome::Served };
+        let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
+        policy.advance(20.0, served(&sent_attempts(&more), 1, 20.0));
+    }
+    let [failing, other] = attempts_by_class;
+    assert!(other > 10 && failing * 2 < other, "{failing} of the failing class, {other} of the other");
+}
+
+#[test]
+fn single_lost_part_does_not_eject_its_server() {
+    let settings = Settings { cells: 1, replica_cells: 1, hedging: false, ..ring() };
+    let mut policy = Harness::new(settings, 2);
+    // Each of the two servers leaves one part unanswered and answers all others.
+    let mut servers_with_lost_part = BTreeSet::new();
+    for k in 0..60 {
+        let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
+        assert_eq!(sent.len(), 1, "query {k} must not be rejected");
+        if !servers_with_lost_part.insert(sent[0].node.clone()) {
+            policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)]);
+        }
+    }
+}
+
+/// Servers close single connections at any time. A server that continues to answer is not avoided for that, and a
+/// query with two lost connections is retried.
+#[test]
+fn lost_connection_beside_answers_neither_ejects_the_server_nor_ends_the_query() {
+    let mut policy = Harness::new(Settings { hedging: false, ..sets() }, 1);
+    let mut retries_by_server = BTreeMap::new();
+    for n in 0..40 {
+        let beside = sent_attempts(&policy.submit(&format!("b{n}"), &[0, 1, 2, 3]));
+        let lost = sent_attempts(&policy.submit(&format!("q{n}"), &[0, 1]));
+        let mut events = served(&beside, 0, 10.0);
+        events.extend(
+            lost.iter().map(|SentAttempt { part, .. }| attempt_ended(part, 0, Outcome::ConnectionLost, 5.0)),
+        );
+        let actions = policy.advance(5.0, events);
+        let expected = complete_answer(&format!("b{n}"));
+        assert!(final_responses(&actions).iter().all(|response| *response == expected), "{actions:?}");
+        let mut retries = sent_attempts(&actions);
+        retries.extend(sent_attempts(&policy.advance(20.0, vec![])));
+        for SentAttempt { part, node, .. } in retries {
+            *retries_by_server.entry(node).or_insert(0) += 1;
+            policy.advance(5.0, vec![attempt_ended(&part, 1, Outcome::Served, 10.0)]);
+        }
+    }
+    assert_eq!(retries_by_server.values().sum::<i32>(), 80, "{retries_by_server:?}");
+}
--- /dev/null
+++ b/crates/fanout-policy/tests/policy/retries.rs
@@ -0,0 +1,84 @@
+//! Retries: their limits, the retry budget and queries that break servers.
+
+use crate::common::{Harness, SentAttempt, attempt_ended, final_responses, rejected, ring, sent_attempts};
+use fanout_policy::api::{Action, Ms, Outcome, RetryBudget, Settings};
+use std::collections::BTreeMap;
+
+#[test]
+fn query_is_rejected_immediately_after_its_last_attempt() {
+    let mut policy = Harness::new(ring(), 1);
+    let mut open = sent_attempts(&policy.submit("q", &[0]));
+    let mut attempts = 0;
+    let mut last = Vec::new();
+    while let Some(SentAttempt { part, .. }) = open.pop() {
+        last = policy.advance(10.0, vec![attempt_ended(&part, attempts, Outcome::Error, 10.0)]);
+        open.extend(sent_attempts(&last));
+        attempts += 1;
+    }
+    assert_eq!(attempts, 3);
+    assert_eq!(final_responses(&last), vec![rejected("q")]);
+}
+
+#[test]
+fn retry_budget_holds_in_every_window() {
+    let retry_budget = RetryBudget { free_attempts: 2.0, per_request: 0.1, window: 1000.0 };
+    let mut policy = Harness::new(Settings { retry_budget: Some(retry_budget), ..ring() }, 1);
+    let mut request_times: Vec<Ms> = Vec::new();
+    let mut retry_times: Vec<Ms> = Vec::new();
+    let mut attempts = BTreeMap::<String, u32>::new();
+    for k in 0..400 {
+        let actions = if k % 4 == 0 {
+            // The query and its part.
+            request_times.extend([policy.now + 5.0; 2]);
+            policy.submit(&format!("q{k}"), &[k % 6])
+        } else {
+            let error = |(part, count): (&String, &u32)| attempt_ended(part, count - 1, Outcome::Error, 5.0);
+            policy.advance(5.0, attempts.iter().map(error).collect())
+        };
+        for SentAttempt { part, .. } in sent_attempts(&actions) {
+            let count = attempts.entry(part).or_default();
+            *count += 1;
+            if *count == 1 {
+                continue;
+            }
+            retry_times.push(policy.now);
+            let window_start = policy.now - 1000.0;
+            let requests = request_times.iter().filter(|time| **time > window_start).count();
+            let retries = retry_times.iter().filter(|time| **time >= window_start).count();
+            let budget = 2.0 + 0.1 * requests as f64;
+            assert!(retries as f64 <= budget, "{retries} retries, budget for {budget}");
+        }
+    }
+    assert!(retry_times.len() > 5, "the budget must be used");
+}
+
+#[test]
+fn query_that_breaks_connections_is_not_retried() {
+    let mut policy = Harness::new(ring(), 1);
+    let sent = sent_attempts(&policy.submit("bad", &[0, 1, 2, 3]));
+    let connection_lost = |n: usize| attempt_ended(&sent[n].part, 0, Outcome::ConnectionLost, 20.0);
+    let first = policy.advance(20.0, vec![connection_lost(0), connection_lost(1)]);
+    assert!(sent_attempts(&first).is_empty(), "each retry may crash one more server");
+    assert_eq!(final_responses(&first), vec![rejected("bad")], "it ends immediately");
+    let cancelled = first.iter().filter(|action| matches!(action, Action::CancelAttempt { .. })).count();
+    assert_eq!(cancelled, 2, "the attempts that are still in flight are cancelled");
+}
+
+#[test]
+fn lost_connections_among_answers_are_retried() {
+    let mut policy = Harness::new(ring(), 1);
+    let sent = sent_attempts(&policy.submit("good", &[0, 1, 2, 3, 4, 5]));
+    let outcome = |n: usize| if n < 2 { Outcome::ConnectionLost } else { Outcome::Served };
+    let events = (0..6).map(|n| attempt_ended(&sent[n].part, 0, outcome(n), 20.0)).collect();
+    assert_eq!(sent_attempts(&policy.advance(20.0, events)).len(), 2);
+}
+
+/// Three attempts at overloaded servers within six milliseconds failed a query of 18 parts, 17 of them in flight.
+#[test]
+fn part_rejected_by_all_replicas_is_not_retried_immediately() {
+    let mut policy = Harness::new(Settings { replica_cells: 1, ..ring() }, 1);
+    policy.submit("q", &[0, 1]);
+    let actions = policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Overloaded, 5.0)]);
+    assert_eq!((sent_attempts(&actions), final_responses(&actions)), (vec![], vec![]));
+    assert_eq!(sent_attempts(&policy.advance(200.0, vec![])).len(), 1);
+}
