--- /dev/null
+++ b/crates/broker/src/listeners/http1/input.rs
@@ -0,0 +1,104 @@
+//! Reading requests from a connection.
+
+use crate::clock::limited;
+use crate::listeners::timeouts::{MESSAGE_TIMEOUT, SILENCE_TIMEOUT};
+use crate::net::read_some;
+use async_io::Async;
+use futures_lite::AsyncWriteExt;
+use futures_lite::future::yield_now;
+use http::Request;
+use http1_codec::{Limits, Message, ParseError, Progress, RequestDecoder};
+use query_api::{BODY_CAP, HEAD_CAP};
+use std::io;
+use std::net::TcpStream;
+use std::time::Instant;
+
+/// Largest request that is accepted.
+const REQUEST_LIMITS: Limits = Limits {
+    head_bytes: HEAD_CAP,
+    body_bytes: BODY_CAP,
+};
+/// Interim response to a client that waits before it sends a body (RFC 9110, section 15.2.1).
+const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
+
+/// Result of reading a request.
+pub(super) enum ReceivedRequest {
+    /// The request is complete.
+    Complete(Box<Message<Request<Vec<u8>>>>),
+    /// The request violates the protocol or a limit, and its end is unknown.
+    Invalid(ParseError),
+}
+
+/// The requests that arrive on a connection.
+pub(super) struct RequestInput<'a> {
+    stream: &'a Async<TcpStream>,
+    decoder: RequestDecoder,
+    /// Bytes that have been read and not decoded.
+    buffer: Vec<u8>,
+    /// When the buffer last grew: a complete request in it arrived no later.
+    last_read_at: Instant,
+}
+
+impl<'a> RequestInput<'a> {
+    pub(super) fn new(stream: &'a Async<TcpStream>) -> Self {
+        RequestInput {
+            stream,
+            decoder: RequestDecoder::new(REQUEST_LIMITS),
+            buffer: Vec::new(),
+            last_read_at: Instant::now(),
+        }
+    }
+
+    /// When bytes last arrived.
+    pub(super) fn last_read_at(&self) -> Instant {
+        self.last_read_at
+    }
+
+    /// Number of bytes that have been read and not decoded.
+    pub(super) fn buffered_bytes(&self) -> usize {
+        self.buffer.len()
+    }
+
+    /// Frees the buffer's memory if it is empty, so that an idle connection holds none.
+    pub(super) fn release_empty_buffer(&mut self) {
+        if self.buffer.is_empty() {
+            self.buffer = Vec::new();
+        }
+    }
+
+    /// Reads what has arrived, and waits until there is something. Returns 0 if the client has closed its side.
+    pub(super) async fn read(&mut self) -> io::Result<usize> {
+        let received = read_some(self.stream, &mut self.buffer).await?;
+        self.last_read_at = Instant::now();
+        Ok(received)
+    }
+
+    /// Reads until a request is complete or invalid.
+    ///
+    /// Fails with [`io::ErrorKind::TimedOut`] if no byte arrives for [`SILENCE_TIMEOUT`].
+    pub(super) async fn read_request(&mut self) -> io::Result<ReceivedRequest> {
+        let mut continue_sent = false;
+        loop {
+            let awaits_continue = match self.decoder.decode(&mut self.buffer) {
+                Err(error) => return Ok(ReceivedRequest::Invalid(error)),
+                Ok(Progress::Complete(message)) => {
+                    return Ok(ReceivedRequest::Complete(Box::new(message)));
+                }
+                Ok(Progress::Incomplete { awaits_continue }) => awaits_continue,
+            };
+            if awaits_continue && !continue_sent {
+                continue_sent = true;
+                write(self.stream, CONTINUE_RESPONSE).await?;
+            }
+            if limited(SILENCE_TIMEOUT, self.read()).await? == 0 {
+                return Err(io::ErrorKind::UnexpectedEof.into());
+            }
+            yield_now().await;
+        }
+    }
+}
+
+/// Writes bytes within [`MESSAGE_TIMEOUT`].
+pub(super) async fn write(mut stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<()> {
+    limited(MESSAGE_TIMEOUT, stream.write_all(bytes)).await
+}
--- /dev/null
+++ b/crates/broker/src/listeners/http1/mod.rs
@@ -0,0 +1,79 @@
+//! The listener for HTTP/1.1.
+
+mod connection;
+mod input;
+
+use super::accept::ConnectionHandler;
+use super::context::ListenerContext;
+use super::slots::{ConnectionSlots, Slot};
+use crate::net::{LINGER, linger};
+use async_io::Async;
+use connection::Http1Connection;
+use http::Version;
+use http1_codec::{ResponseOptions, encode_response};
+use std::io::{self, Write};
+use std::net::{Shutdown, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Options of a response after which its connection is closed, and whose request is unknown.
+pub(super) const CLOSING_RESPONSE: ResponseOptions = ResponseOptions {
+    version: Version::HTTP_11,
+    head_only: false,
+    keep_alive: false,
+};
+
+/// The listener for HTTP/1.1.
+pub(super) struct Http1Listener {
+    context: Rc<ListenerContext>,
+    slots: Rc<ConnectionSlots>,
+}
+
+impl ConnectionHandler for Http1Listener {
+    fn slots(&self) -> &Rc<ConnectionSlots> {
+        &self.slots
+    }
+
+    /// An I/O error closes the connection like an orderly end. If it is the client's disconnection, the query has been
+    /// cancelled by then.
+    async fn serve(self: Rc<Self>, stream: Async<TcpStream>, slot: Slot) {
+        let linger_time = self.serve_requests(&stream).await.unwrap_or(LINGER);
+        let _closing = slot.close();
+        let _ = linger(&stream, linger_time).await;
+    }
+
+    fn reject(&self, stream: &Async<TcpStream>) {
+        let response = self.context.with_date(self.context.rejection());
+        let encoded = encode_response(&response, CLOSING_RESPONSE);
+        let _ = stream.get_ref().write(&encoded);
+        let _ = stream.get_ref().shutdown(Shutdown::Write);
+    }
+}
+
+impl Http1Listener {
+    /// Creates a listener that holds at most `max_connections` connections.
+    pub(super) fn new(context: Rc<ListenerContext>, max_connections: usize) -> Self {
+        Http1Listener {
+            context,
+            slots: ConnectionSlots::new(max_connections),
+        }
+    }
+
+    /// Number of open connections.
+    pub(super) fn open_connections(&self) -> usize {
+        self.slots.open_connections()
+    }
+
+    /// Closes the connections that are idle.
+    pub(super) fn close_idle(&self) {
+        self.slots.close_idle();
+    }
+
+    /// Serves the requests of a connection. Returns the longest time for which closing it waits for the client.
+    async fn serve_requests(&self, stream: &Async<TcpStream>) -> io::Result<Duration> {
+        stream.get_ref().set_nodelay(true)?;
+        Http1Connection::new(&self.context, &self.slots, stream)
+            .serve()
+            .await
+    }
+}
--- /dev/null
+++ b/crates/broker/src/listeners/http2/guarded_socket.rs
@@ -0,0 +1,143 @@
+//! The socket of an HTTP/2 connection, adapted to the `h2` library, with the flood guard on its input.
+
+use crate::clock::Clock;
+use async_io::Async;
+use broker_types::time::Micros;
+use futures_lite::{AsyncRead as _, AsyncWrite as _};
+use http2_flood_guard::{FloodGuard, Violation};
+use std::cell::RefCell;
+use std::io;
+use std::net::TcpStream;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll, ready};
+use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
+
+/// The flood guard of a connection, and the violation that it reported.
+pub(super) struct GuardState {
+    guard: FloodGuard,
+    violation: Option<Violation>,
+}
+
+/// The guard, shared by the socket, which passes the input to it, and the connection, which reacts to violations.
+pub(super) type SharedGuard = Rc<RefCell<GuardState>>;
+
+impl GuardState {
+    pub(super) fn new(guard: FloodGuard) -> SharedGuard {
+        Rc::new(RefCell::new(GuardState {
+            guard,
+            violation: None,
+        }))
+    }
+
+    pub(super) fn violation(&self) -> Option<Violation> {
+        self.violation
+    }
+
+    pub(super) fn incomplete_since(&self) -> Option<Micros> {
+        self.guard.incomplete_since()
+    }
+
+    pub(super) fn on_response_sent(&mut self, body_bytes: usize) {
+        self.guard.on_response_sent(body_bytes);
+    }
+
+    /// Inspects received bytes. Returns whether they are free of violations.
+    fn inspect(&mut self, now: Micros, bytes: &[u8]) -> bool {
+        if let Err(violation) = self.guard.on_received(now, bytes) {
+            self.violation = Some(violation);
+        }
+        self.violation.is_none()
+    }
+}
+
+/// A socket whose input is inspected by the flood guard. After a violation nothing more is read, because the connection
+/// will be closed.
+pub(super) struct GuardedSocket {
+    stream: Rc<Async<TcpStream>>,
+    /// Bytes that were read before the `h2` library took over, and that it has not read yet.
+    read_before: Vec<u8>,
+    guard: SharedGuard,
+    clock: Clock,
+}
+
+impl GuardedSocket {
+    pub(super) fn new(
+        stream: Rc<Async<TcpStream>>,
+        read_before: Vec<u8>,
+        guard: SharedGuard,
+        clock: Clock,
+    ) -> Self {
+        GuardedSocket {
+            stream,
+            read_before,
+            guard,
+            clock,
+        }
+    }
+
+    fn inspect(&self, bytes: &[u8]) -> bool {
+        self.guard.borrow_mut().inspect(self.clock.now(), bytes)
+    }
+
+    /// Reads from the bytes that were read before.
+    fn poll_read_before(&mut self, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let length = self.read_before.len().min(buf.remaining());
+        let bytes: Vec<u8> = self.read_before.drain(..length).collect();
+        if !self.inspect(&bytes) {
+            return Poll::Pending;
+        }
+        buf.put_slice(&bytes);
+        Poll::Ready(Ok(()))
+    }
+
+    /// Reads from the socket.
+    fn poll_read_socket(
+        &mut self,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let unfilled = buf.initialize_unfilled();
+        let length = ready!(Pin::new(&mut &*self.stream).poll_read(cx, unfilled))?;
+        if !self.inspect(&unfilled[..length]) {
+            return Poll::Pending;
+        }
+        buf.advance(length);
+        Poll::Ready(Ok(()))
+    }
+}
+
+impl AsyncRead for GuardedSocket {
+    fn poll_read(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let has_violation = self.guard.borrow().violation().is_some();
+        if has_violation {
+            Poll::Pending
+        } else if self.read_before.is_empty() {
+            self.poll_read_socket(cx, buf)
+        } else {
+            self.poll_read_before(buf)
+        }
+    }
+}
+
+impl AsyncWrite for GuardedSocket {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut &*self.stream).poll_write(cx, bytes)
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut &*self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut &*self.stream).poll_close(cx)
+    }
+}
--- /dev/null
+++ b/crates/broker/src/listeners/http2/handshake.rs
@@ -0,0 +1,124 @@
+//! The start of an HTTP/2 connection: the client's preface, and the exchange of settings.
+
+use super::Http2Listener;
+use super::connection::Http2Connection;
+use super::guarded_socket::{GuardState, GuardedSocket};
+use super::shutdown::CLOSE_TIMEOUT;
+use crate::clock::{limited, span};
+use crate::listeners::http1::CLOSING_RESPONSE;
+use crate::listeners::request::error_reply;
+use crate::listeners::slots::EvictionPriority;
+use crate::listeners::timeouts::SILENCE_TIMEOUT;
+use crate::net::{LINGER, linger, read_some};
+use admission::ConnectionId;
+use async_io::{Async, Timer};
+use bytes::Bytes;
+use futures_lite::{AsyncWriteExt, FutureExt};
+use h2::server;
+use http1_codec::encode_response;
+use http2_flood_guard::{FloodGuard, FloodLimits, PREFACE, Violation};
+use query_api::BODY_CAP;
+use std::io;
+use std::net::TcpStream;
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+
+/// Part of [`STREAM_WINDOW_BYTES`] beyond the longest body, so that a body that is too long is detected.
+const STREAM_WINDOW_MARGIN_BYTES: u32 = 1024;
+/// Flow-control window of a stream, in bytes. The longest body fits without a window update.
+const STREAM_WINDOW_BYTES: u32 = BODY_CAP as u32 + STREAM_WINDOW_MARGIN_BYTES;
+/// Most bytes of a response that the `h2` library buffers for each stream.
+const SEND_BUFFER_BYTES: usize = 32 * 1024;
+/// Time for which the `h2` library remembers a stream that was reset, so that frames that the client sent before it
+/// received the reset are no error (RFC 9113, section 5.4.2).
+const RESET_STREAM_MEMORY: Duration = Duration::from_secs(1);
+/// Response to a client that speaks HTTP/1.
+const PRIOR_KNOWLEDGE_REQUIRED: &str =
+    "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)";
+
+/// Why the preface of a connection was not received.
+#[derive(Debug, Error)]
+pub(super) enum PrefaceError {
+    /// The client sent something else.
+    #[error(transparent)]
+    Violation(#[from] Violation),
+    /// The client disconnected or sent nothing in time, or the connection was evicted.
+    #[error("the connection was closed before its preface")]
+    Closed,
+}
+
+impl Http2Listener {
+    /// Reads at least the connection preface, and returns all bytes that were read.
+    pub(super) async fn read_preface(
+        &self,
+        stream: &Async<TcpStream>,
+    ) -> Result<Vec<u8>, PrefaceError> {
+        // This guard checks the preface alone, which costs no tokens.
+        let mut guard = FloodGuard::new(0, FloodLimits::new(1, 1));
+        let mut received = Vec::new();
+        let evictable = self.slots.evictable(EvictionPriority::Unused);
+        let read = async {
+            while received.len() < PREFACE.len() {
+                let inspected = received.len();
+                let read = read_some(stream, &mut received).await;
+                if read.map_err(|_| PrefaceError::Closed)? == 0 {
+                    return Err(PrefaceError::Closed);
+                }
+                let end = received.len().min(PREFACE.len());
+                guard.on_received(0, &received[inspected..end])?;
+            }
+            Ok(())
+        };
+        let closed = async {
+            let timeout = async { _ = Timer::after(SILENCE_TIMEOUT).await };
+            evictable.evicted().or(timeout).await;
+            Err(PrefaceError::Closed)
+        };
+        read.or(closed).await?;
+        Ok(received)
+    }
+
+    /// Closes a connection that does not speak HTTP/2. A client that speaks HTTP/1 gets a response.
+    pub(super) async fn reject_protocol(
+        &self,
+        stream: &Async<TcpStream>,
+        violation: Violation,
+    ) -> io::Result<()> {
+        if violation == Violation::Http1Request {
+            let reply = error_reply(400, PRIOR_KNOWLEDGE_REQUIRED);
+            let response = self.context.with_date(reply.response);
+            let encoded = encode_response(&response, CLOSING_RESPONSE);
+            limited(span(CLOSE_TIMEOUT), (&*stream).write_all(&encoded)).await?;
+        }
+        linger(stream, LINGER).await
+    }
+
+    /// Exchanges settings with the client. `received` are the bytes that were read before.
+    pub(super) async fn handshake(
+        &self,
+        id: ConnectionId,
+        stream: Rc<Async<TcpStream>>,
+        received: Vec<u8>,
+    ) -> Option<Http2Connection<'_>> {
+        let limits = self.limits.get();
+        let flood_limits = FloodLimits::new(limits.max_streams, limits.max_header_list);
+        let guard = GuardState::new(FloodGuard::new(self.clock.now(), flood_limits));
+        let _ = stream.get_ref().set_nodelay(true);
+        let socket = GuardedSocket::new(stream, received, guard.clone(), self.clock);
+        let max_streams = limits.max_streams as usize;
+        let handshake = server::Builder::new()
+            .initial_window_size(STREAM_WINDOW_BYTES)
+            .initial_connection_window_size(limits.connection_window)
+            .max_concurrent_streams(limits.max_streams)
+            .max_header_list_size(limits.max_header_list)
+            .max_send_buffer_size(SEND_BUFFER_BYTES)
+            .max_concurrent_reset_streams(max_streams)
+            .max_pending_accept_reset_streams(max_streams)
+            .reset_stream_duration(RESET_STREAM_MEMORY)
+            .handshake::<_, Bytes>(socket);
+        let handshake = async { handshake.await.map_err(io::Error::other) };
+        let h2 = limited(SILENCE_TIMEOUT, handshake).await.ok()?;
+        Some(Http2Connection::new(self, id, h2, guard))
+    }
+}
--- /dev/null
+++ b/crates/broker/src/listeners/http2/mod.rs
@@ -0,0 +1,83 @@
+//! The listener for HTTP/2 (RFC 9113) without TLS, by prior knowledge.
+//!
+//! One task drives each connection with all of its streams, so that they end together. `admission` limits the resources of
+//! connections, `http2_flood_guard` detects floods, and the `h2` library implements framing, flow control and header
+//! compression.
+
+mod connection;
+mod guarded_socket;
+mod handshake;
+mod request_body;
+mod shutdown;
+mod stream;
+
+use super::accept::ConnectionHandler;
+use super::context::ListenerContext;
+use super::slots::{ConnectionSlots, Slot};
+use crate::clock::Clock;
+use crate::net::{LINGER, linger};
+use admission::resource_limits::Http2Limits;
+use async_io::Async;
+use handshake::PrefaceError;
+use std::cell::Cell;
+use std::net::TcpStream;
+use std::rc::Rc;
+use tracing::warn;
+
+/// The listener for HTTP/2.
+pub(super) struct Http2Listener {
+    context: Rc<ListenerContext>,
+    slots: Rc<ConnectionSlots>,
+    limits: Cell<Http2Limits>,
+    clock: Clock,
+}
+
+impl ConnectionHandler for Http2Listener {
+    fn slots(&self) -> &Rc<ConnectionSlots> {
+        &self.slots
+    }
+
+    async fn serve(self: Rc<Self>, stream: Async<TcpStream>, _slot: Slot) {
+        let id = self.context.next_connection();
+        let stream = Rc::new(stream);
+        match self.read_preface(&stream).await {
+            Ok(received) => {
+                if let Some(mut connection) = self.handshake(id, stream.clone(), received).await {
+                    connection.run().await;
+                }
+                // Closing with unread data would reset the connection, and the client would lose the last frames.
+                let _ = linger(&stream, LINGER).await;
+            }
+            Err(PrefaceError::Violation(violation)) => {
+                warn!(name: "http2_connection_rejected", connection = id.0, reason = %violation);
+                let _ = self.reject_protocol(&stream, violation).await;
+            }
+            Err(PrefaceError::Closed) => {}
+        }
+    }
+
+    /// The connection is closed without a response, which HTTP/2 allows only after an exchange of frames.
+    fn reject(&self, _stream: &Async<TcpStream>) {}
+}
+
+impl Http2Listener {
+    /// Creates a listener with these limits.
+    pub(super) fn new(context: Rc<ListenerContext>, limits: Http2Limits, clock: Clock) -> Self {
+        Http2Listener {
+            context,
+            slots: ConnectionSlots::new(limits.max_connections),
+            limits: Cell::new(limits),
+            clock,
+        }
+    }
+
+    /// Number of open connections.
+    pub(super) fn open_connections(&self) -> usize {
+        self.slots.open_connections()
+    }
+
+    /// Applies other limits to future connections. The number of connections does not change.
+    pub(super) fn set_limits(&self, limits: Http2Limits) {
+        self.limits.set(limits);
+    }
+}
--- /dev/null
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -0,0 +1,201 @@
+//! One HTTP/2 stream: receives a request, submits its query, and sends the response.
+
+use super::request_body::{ReceivedBody, check_authority, receive_body};
+use crate::clock::{limited, span};
+use crate::listeners::context::ListenerContext;
+use crate::listeners::request::{Reply, RoutedRequest, error_reply, request_timeout_reply};
+use crate::listeners::timeouts::MESSAGE_TIMEOUT;
+use admission::ConnectionId;
+use async_io::Timer;
+use broker_types::query::QueryRequest;
+use bytes::Bytes;
+use futures_lite::FutureExt;
+use h2::server::SendResponse;
+use h2::{Reason, RecvStream, SendStream};
+use http::header::{CONTENT_LENGTH, HeaderValue};
+use http::request::Parts;
+use http::{Method, Request, Response};
+use std::future::poll_fn;
+use std::io;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use thiserror::Error;
+use tracing::warn;
+
+/// Shortest time for sending a response, also where the client's timeout has passed.
+const MIN_SEND_TIME: Duration = Duration::from_millis(250);
+/// Most bytes of a body that are passed to the `h2` library at once, so that it does not buffer a second copy of what a
+/// slow client has not read.
+const SEND_CHUNK_BYTES: usize = 16 * 1024;
+
+/// How a stream ended.
+#[derive(Debug, PartialEq, Eq)]
+pub(super) struct StreamOutcome {
+    /// Length of the body that was sent. `None` if the client cancelled the stream, or did not read the response in
+    /// time.
+    pub(super) sent_body_bytes: Option<usize>,
+    /// Whether the request was valid, as in [`Reply`].
+    pub(super) is_valid_request: bool,
+}
+
+impl StreamOutcome {
+    fn cancelled(is_valid_request: bool) -> Self {
+        StreamOutcome {
+            sent_body_bytes: None,
+            is_valid_request,
+        }
+    }
+}
+
+/// A reply that has to be sent.
+struct PendingReply {
+    reply: Reply,
+    /// When its client stops waiting.
+    deadline: Instant,
+}
+
+/// A stream whose response has not been sent.
+struct RequestStream<'a> {
+    context: &'a ListenerContext,
+    connection: ConnectionId,
+    respond: &'a mut SendResponse<Bytes>,
+    received_at: Instant,
+}
+
+/// Serves one stream until it ends.
+pub(super) async fn serve(
+    context: Rc<ListenerContext>,
+    connection: ConnectionId,
+    request: Request<RecvStream>,
+    mut respond: SendResponse<Bytes>,
+) -> StreamOutcome {
+    let (head, mut body) = request.into_parts();
+    let head_only = head.method == Method::HEAD;
+    let mut stream = RequestStream {
+        context: &context,
+        connection,
+        respond: &mut respond,
+        received_at: Instant::now(),
+    };
+    let PendingReply { reply, deadline } = match stream.reply_to(head, &mut body).await {
+        Ok(pending) => pending,
+        Err(outcome) => return outcome,
+    };
+    let is_valid_request = reply.is_valid_request;
+    let (head, bytes) = response_parts(context.with_date(reply.response), head_only);
+    let body_bytes = bytes.len();
+    let Ok(mut sender) = respond.send_response(head, bytes.is_empty()) else {
+        return StreamOutcome::cancelled(is_valid_request);
+    };
+    // The rest of the request, if any, is not needed (RFC 9113, section 8.1).
+    drop(body);
+    let deadline = deadline.max(Instant::now() + MIN_SEND_TIME);
+    match send_body(&mut sender, bytes, deadline).await {
+        Ok(()) => StreamOutcome {
+            sent_body_bytes: Some(body_bytes),
+            is_valid_request,
+        },
+        Err(SendError::DeadlineExceeded) => {
+            warn!(name: "http2_reader_stalled", connection = connection.0, body_bytes);
+            sender.send_reset(Reason::CANCEL);
+            StreamOutcome::cancelled(is_valid_request)
+        }
+        Err(SendError::StreamClosed) => StreamOutcome::cancelled(is_valid_request),
+    }
+}
+
+impl RequestStream<'_> {
+    /// Receives the request and waits for the reply to it. Fails if the client cancels the stream.
+    async fn reply_to(
+        &mut self,
+        head: Parts,
+        body: &mut RecvStream,
+    ) -> Result<PendingReply, StreamOutcome> {
+        let received = limited(MESSAGE_TIMEOUT, receive_body(body, &head.headers)).await;
+        let bytes = match received {
+            Ok(ReceivedBody::Complete(bytes)) => bytes,
+            Ok(ReceivedBody::TooLong) => {
+                return Ok(self.immediate(error_reply(413, "the body is too long")));
+            }
+            Err(error) if error.kind() == io::ErrorKind::TimedOut => {
+                return Ok(self.immediate(request_timeout_reply()));
+            }
+            Err(_) => return Err(StreamOutcome::cancelled(false)),
+        };
+        let request = Request::from_parts(head, bytes);
+        if let Err(error) = check_authority(&request) {
+            return Ok(self.immediate(error_reply(400, error.to_string())));
+        }
+        match self.context.route(&request) {
+            RoutedRequest::Replied(reply) => Ok(self.immediate(reply)),
+            RoutedRequest::Query(query) => self.submit(query).await,
+        }
+    }
+
+    /// Submits a query, and cancels it if the client resets the stream.
+    async fn submit(&mut self, query: QueryRequest) -> Result<PendingReply, StreamOutcome> {
+        let deadline = self.received_at + span(query.client_timeout);
+        let reset = poll_fn(|cx| self.respond.poll_reset(cx));
+        match self.context.submit(self.connection, query, reset).await {
+            Ok(reply) => Ok(PendingReply { reply, deadline }),
+            Err(_reset) => Err(StreamOutcome::cancelled(true)),
+        }
+    }
+
+    /// A reply without a query, to which the general time limit applies.
+    fn immediate(&self, reply: Reply) -> PendingReply {
+        PendingReply {
+            reply,
+            deadline: self.received_at + MESSAGE_TIMEOUT,
+        }
+    }
+}
+
+/// Splits a response into its head and the body that has to be sent, and declares the length of the body.
+fn response_parts(response: query_api::Response, head_only: bool) -> (Response<()>, Vec<u8>) {
+    let (mut head, bytes) = response.into_parts();
+    head.headers
+        .insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
+    let bytes = if head_only { Vec::new() } else { bytes };
+    (Response::from_parts(head, ()), bytes)
+}
+
+/// Why a body was not sent completely.
+#[derive(Debug, Error)]
+enum SendError {
+    /// The client did not open its flow-control window in time.
+    #[error("the client did not read the response in time")]
+    DeadlineExceeded,
+    /// The stream was reset, or the connection closed.
+    #[error("the stream was closed")]
+    StreamClosed,
+}
+
+/// Sends a body as the client's flow-control windows allow, until the deadline.
+async fn send_body(
+    sender: &mut SendStream<Bytes>,
+    bytes: Vec<u8>,
+    deadline: Instant,
+) -> Result<(), SendError> {
+    let mut rest = Bytes::from(bytes);
+    let sent = async {
+        while !rest.is_empty() {
+            sender.reserve_capacity(rest.len().min(SEND_CHUNK_BYTES));
+            let capacity = match poll_fn(|cx| sender.poll_capacity(cx)).await {
+                Some(Ok(capacity)) => capacity,
+                Some(Err(_)) | None => return Err(SendError::StreamClosed),
+            };
+            let chunk = rest.split_to(capacity.min(rest.len()));
+            let is_last = rest.is_empty();
+            sender
+                .send_data(chunk, is_last)
+                .map_err(|_| SendError::StreamClosed)?;
+        }
+        Ok(())
+    };
+    let expired = async {
+        Timer::at(deadline).await;
+        Err(SendError::DeadlineExceeded)
+    };
+    sent.or(expired).await
+}
--- /dev/null
+++ b/crates/broker/src/listeners/mod.rs
@@ -0,0 +1,154 @@
+//! Listeners for client connections over HTTP/1.1 and HTTP/2.
+//!
+//! `query_api` defines what a request means. The listeners read requests, submit queries to the
+//! [`EventQueue`](crate::event_queue::EventQueue), and write the one final response to each. They share a
+//! [`ListenerContext`].
+
+mod accept;
+mod context;
+mod http1;
+mod http2;
+mod lifecycle;
+mod request;
+mod slots;
+mod timeouts;
+
+pub use context::ListenerContext;
+
+use crate::clock::Clock;
+use accept::{ConnectionHandler, accept_backlog, accept_connections};
+use admission::resource_limits::ListenerLimits;
+use async_executor::{LocalExecutor, Task};
+use async_io::Async;
+use http1::Http1Listener;
+use http2::Http2Listener;
+use lifecycle::Phase;
+use std::net::TcpListener;
+use std::rc::Rc;
+
+/// Sockets and limits of the listeners.
+pub struct ListenerConfig {
+    /// Listening socket for HTTP/1.1.
+    pub http1: Async<TcpListener>,
+    /// Listening socket for HTTP/2, if that is enabled.
+    pub http2: Option<Async<TcpListener>>,
+    /// Limits on connections, streams and memory.
+    pub limits: ListenerLimits,
+}
+
+/// One listener with the task that accepts its connections.
+struct Listener<H> {
+    handler: Rc<H>,
+    /// `None` once the listener is closed, so that the system refuses new connections.
+    accepting: Option<Accepting>,
+}
+
+/// A listening socket and the task that accepts connections on it.
+struct Accepting {
+    task: Task<()>,
+    socket: Rc<Async<TcpListener>>,
+}
+
+impl<H: ConnectionHandler> Listener<H> {
+    fn start(
+        handler: H,
+        socket: Async<TcpListener>,
+        executor: &Rc<LocalExecutor<'static>>,
+    ) -> Self {
+        let handler = Rc::new(handler);
+        let socket = Rc::new(socket);
+        let task = executor.spawn(accept_connections(
+            handler.clone(),
+            socket.clone(),
+            executor.clone(),
+        ));
+        Listener {
+            handler,
+            accepting: Some(Accepting { task, socket }),
+        }
+    }
+
+    /// Closes the listening socket after accepting the connections of its backlog.
+    async fn close(&mut self, executor: &LocalExecutor<'static>) {
+        if let Some(Accepting { task, socket }) = self.accepting.take() {
+            task.cancel().await;
+            accept_backlog(&self.handler, &socket, executor);
+        }
+    }
+}
+
+/// The listeners for client connections.
+pub struct ClientListeners {
+    context: Rc<ListenerContext>,
+    executor: Rc<LocalExecutor<'static>>,
+    http1: Listener<Http1Listener>,
+    http2: Option<Listener<Http2Listener>>,
+}
+
+impl ClientListeners {
+    /// Starts to accept connections.
+    pub fn start(
+        context: Rc<ListenerContext>,
+        config: ListenerConfig,
+        clock: Clock,
+        executor: Rc<LocalExecutor<'static>>,
+    ) -> Self {
+        let http1 = Http1Listener::new(context.clone(), config.limits.max_http1_connections);
+        let http1 = Listener::start(http1, config.http1, &executor);
+        let http2 = config
+            .http2
+            .zip(config.limits.http2)
+            .map(|(socket, limits)| {
+                let handler = Http2Listener::new(context.clone(), limits, clock);
+                Listener::start(handler, socket, &executor)
+            });
+        ClientListeners {
+            context,
+            executor,
+            http1,
+            http2,
+        }
+    }
+
+    /// Applies the limits that can change at runtime: those of future HTTP/2 connections, except for their number.
+    pub fn set_limits(&self, limits: ListenerLimits) {
+        if let (Some(http2), Some(limits)) = (&self.http2, limits.http2) {
+            http2.handler.set_limits(limits);
+        }
+    }
+
+    /// Starts to drain: readiness checks fail and connections are closed after their requests, but requests that still
+    /// arrive are served.
+    pub fn start_draining(&self) {
+        self.context.lifecycle().set_phase(Phase::Draining);
+    }
+
+    /// Closes the listening sockets, after accepting the connections of their backlogs, and closes idle connections.
+    pub async fn close(&mut self) {
+        if self.is_closed() {
+            return;
+        }
+        self.http1.close(&self.executor).await;
+        if let Some(http2) = &mut self.http2 {
+            http2.close(&self.executor).await;
+        }
+        self.context.lifecycle().set_phase(Phase::Closing);
+        self.http1.handler.close_idle();
+    }
+
+    /// Whether new connections are refused.
+    #[must_use]
+    pub fn is_closed(&self) -> bool {
+        self.http1.accepting.is_none()
+    }
+
+    /// Number of open connections, including those that are being closed.
+    #[must_use]
+    pub fn open_connections(&self) -> usize {
+        let http2 = self.http2.as_ref();
+        self.http1.handler.open_connections() + http2.map_or(0, |h| h.handler.open_connections())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/broker/src/listeners/slots/tests.rs
@@ -0,0 +1,50 @@
+use super::*;
+
+/// Clients that send one request and never close their connection hold file descriptors on their side too, which run
+/// out before those of the broker and keep the clients from opening connections.
+#[test]
+fn idle_timeout_is_shorter_when_many_slots_are_in_use() {
+    let slots = ConnectionSlots::new(100);
+    let timeouts = [0, 25, 26, 100].map(|in_use| {
+        slots.in_use.set(in_use);
+        slots.idle_timeout()
+    });
+    assert_eq!(
+        timeouts,
+        [
+            IDLE_TIMEOUT,
+            IDLE_TIMEOUT,
+            SHORT_IDLE_TIMEOUT,
+            SHORT_IDLE_TIMEOUT
+        ]
+    );
+}
+
+/// A flood of silent connections must not evict those of ordinary clients, and incomplete requests must not hold all
+/// slots.
+#[test]
+fn connections_are_evicted_by_priority_then_age() {
+    let slots = ConnectionSlots::new(4);
+    let priorities = [
+        EvictionPriority::ReceivingFirstRequest,
+        EvictionPriority::Idle,
+        EvictionPriority::Unused,
+        EvictionPriority::Idle,
+    ];
+    let evictables = priorities.map(|priority| slots.evictable(priority));
+    let evicted = || evictables.each_ref().map(|e| e.evicted.is_closed());
+    let mut order = Vec::new();
+    while slots.evict_one() {
+        order.push(evicted());
+    }
+    let expected = [
+        [false, false, true, false],
+        [false, true, true, false],
+        [false, true, true, true],
+        [true, true, true, true],
+    ];
+    assert_eq!(order, expected);
+    let dropped = slots.evictable(EvictionPriority::Idle);
+    drop(dropped);
+    assert!(slots.evictable.borrow().is_empty());
+}
--- /dev/null
+++ b/crates/broker/src/listeners/tests.rs
@@ -0,0 +1,113 @@
+use super::accept::accept_connections;
+use super::slots::{ConnectionSlots, EvictionPriority};
+use super::*;
+use crate::clock::limited;
+use crate::net::read_some;
+use broker_types::query::Names;
+use fanout_policy::settings::{Message, decode};
+use futures_lite::future::yield_now;
+use std::io::{Read, Write};
+use std::net::TcpStream;
+use std::time::Duration;
+
+/// Time after which a test fails.
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
+
+fn context() -> Rc<ListenerContext> {
+    let settings: serde_json::Value =
+        serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
+    let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let names = Names {
+        classes: vec!["a".into()],
+        tenants: vec!["acme".into()],
+        zones: Vec::new(),
+    };
+    ListenerContext::new(Rc::default(), site.settings, names)
+}
+
+/// An evicted connection stays open if it received a request at the same moment. The listener used to wait for its end,
+/// and accepted no connections meanwhile.
+#[test]
+fn accepting_continues_when_evicted_connection_stays_open() {
+    let executor = Rc::new(LocalExecutor::new());
+    let listener = Rc::new(Http1Listener::new(context(), 2));
+    let slots: Rc<ConnectionSlots> = listener.slots().clone();
+    let kept_slot = slots.take();
+    let _staying = slots.evictable(EvictionPriority::Unused);
+    let (slots_of_leaving, slot) = (slots.clone(), slots.take());
+    let leaving = executor.spawn(async move {
+        let evictable = slots_of_leaving.evictable(EvictionPriority::Idle);
+        evictable.evicted().await;
+        drop(slot);
+    });
+    let socket = Rc::new(Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap());
+    let _client = TcpStream::connect(socket.get_ref().local_addr().unwrap()).unwrap();
+    let _accepting = executor.spawn(accept_connections(
+        listener.clone(),
+        socket,
+        executor.clone(),
+    ));
+    let accepted = async {
+        leaving.await;
+        while listener.open_connections() < 2 {
+            yield_now().await;
+        }
+        Ok(())
+    };
+    async_io::block_on(executor.run(limited(TEST_TIMEOUT, accepted))).unwrap();
+    drop(kept_slot);
+}
+
+/// Shutdown starts while a new connection waits for a slot, which used to be closed without a response.
+#[test]
+fn connection_waiting_for_slot_is_rejected_when_listener_closes() {
+    let executor = Rc::new(LocalExecutor::new());
+    let socket = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
+    let mut client = TcpStream::connect(socket.get_ref().local_addr().unwrap()).unwrap();
+    let mut listener = Listener::start(Http1Listener::new(context(), 1), socket, &executor);
+    let slots: Rc<ConnectionSlots> = listener.handler.slots().clone();
+    let _slot = slots.take();
+    let evictable = slots.evictable(EvictionPriority::Idle);
+    let closed = async {
+        evictable.evicted().await; // The connection stays open all the same.
+        listener.close(&executor).await;
+        Ok(())
+    };
+    async_io::block_on(executor.run(limited(TEST_TIMEOUT, closed))).unwrap();
+    let mut response = [0; 12];
+    client.read_exact(&mut response).unwrap();
+    assert_eq!(&response, b"HTTP/1.1 503");
+}
+
+/// The system has accepted a connection when the listener closes, and the request arrives a moment later. The connection
+/// used to be closed without a response.
+#[test]
+fn connection_from_backlog_gets_response_after_listener_closed() {
+    let executor = Rc::new(LocalExecutor::new());
+    let socket = Async::<TcpListener>::bind(([127, 0, 0, 1], 0)).unwrap();
+    let mut client = TcpStream::connect(socket.get_ref().local_addr().unwrap()).unwrap();
+    let context = context();
+    let mut listener = Listener::start(Http1Listener::new(context.clone(), 1), socket, &executor);
+    let body = r#"{"ranges":[{"range":0,"portion":1}],"predicate":""}"#;
+    let head = "POST /a HTTP/1.1\r\nHost: a\r\nX-Request-Id: b\r\nX-Tenant: acme\r\n";
+    let request = format!("{head}Content-Length: {}\r\n\r\n{body}", body.len());
+    let response = async {
+        listener.close(&executor).await;
+        context.lifecycle().set_phase(Phase::Closing);
+        // The connection's task finds no request, and waits.
+        for _ in 0..10 {
+            yield_now().await;
+        }
+        client.write_all(request.as_bytes())?;
+        let client = Async::new(client)?;
+        let mut response = Vec::new();
+        while read_some(&client, &mut response).await? > 0 {}
+        Ok(response)
+    };
+    let response = async_io::block_on(executor.run(limited(TEST_TIMEOUT, response))).unwrap();
+    assert!(
+        response.starts_with(b"HTTP/1.1 503"),
+        "{:?}",
+        String::from_utf8_lossy(&response)
+    );
+}
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::discovery::Discovery;
 use crate::event_queue::{Event, EventQueue};
-use crate::front::{Fronts, Plan, Shared};
+use crate::listeners::{ClientListeners, ListenerConfig, ListenerContext};
 use crate::operator::Operator;
 use crate::queries::{Held, Queries};
 use crate::upstream::{Ended, Send, Upstream};
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// After a request to end, new connections are taken for this long: fronts notice late.
+/// After a request to end, new connections are taken for this long: clients notice late.
 const LEAVING: Micros = 600_000;
 
 /// A configuration that cannot be read is read again after this: it may have been caught half written, and what it
@@ -50,7 +50,7 @@
     upstream: Upstream,
     discovery: Discovery,
     event_queue: Rc<EventQueue>,
-    fronts: Fronts,
+    listeners: ClientListeners,
     queries: Queries,
     /// The turn's dispatches: they go out together at its end.
     dispatches: BTreeMap<AttemptId, Dispatch>,
@@ -69,7 +69,7 @@
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// What the fronts may hold; the error names what does not fit.
+/// Limits of the listeners; the error names what does not fit.
 fn limits(clients: ClientResources, operator: &Operator) -> io::Result<ListenerLimits> {
     allocate(clients, operator.http2()).map_err(io::Error::other)
 }
@@ -109,12 +109,12 @@
             }
         })
         .detach();
-    let shared = Shared::new(
+    let listener_context = ListenerContext::new(
         event_queue.clone(),
         config.settings.clone(),
         config.names.clone(),
     );
-    let plan = Plan {
+    let listener_config = ListenerConfig {
         http1: listener,
         http2,
         limits,
@@ -139,7 +139,12 @@
             config.seed,
         ),
         event_queue,
-        fronts: Fronts::start(shared, plan, clock, executor.clone()),
+        listeners: ClientListeners::start(
+            listener_context,
+            listener_config,
+            clock,
+            executor.clone(),
+        ),
         dispatches: BTreeMap::new(),
         ended: Vec::new(),
         over: Vec::new(),
@@ -169,12 +174,12 @@
             self.turn(now);
             let leaving = self.leaving_since.map(|since| since + LEAVING);
             if leaving.is_some_and(|at| now >= at) {
-                self.fronts.close().await;
-                if self.fronts.open() == 0 && self.queries.is_empty() {
+                self.listeners.close().await;
+                if self.listeners.open_connections() == 0 && self.queries.is_empty() {
                     return;
                 }
             }
-            let closing = self.fronts.is_closing().then_some(now + self.tick);
+            let closing = self.listeners.is_closed().then_some(now + self.tick);
             let ended = (self.upstream.has_ended() || !self.ended.is_empty()).then_some(now);
             let due = [
                 Some(self.core.next_deadline()),
@@ -310,7 +315,7 @@
             Ok((discovery, settings, limits)) => {
                 self.operator.adopt(&settings);
                 self.batch_window = self.operator.batch_window(self.tick);
-                self.fronts.set_limits(limits);
+                self.listeners.set_limits(limits);
                 info!(name: "reloaded", discovery = %discovery);
                 self.discovery.move_to(discovery);
             }
@@ -325,7 +330,7 @@
         if self.leaving_since.is_none() {
             info!(name: "leaving", open_queries = self.queries.len());
             self.leaving_since = Some(now);
-            self.fronts.leave();
+            self.listeners.start_draining();
         }
     }
 
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -57,8 +57,8 @@
         std::thread::sleep(Duration::from_millis(1100));
         flood(&mut rig, what, |_| bytes.clone());
         rig.program
-            .wait_for_log(&format!("why=\"a flood of {what}\""))
-            .or_else(|_| rig.program.wait_for_log("event=http2_flood"))
+            .wait_for_log(&format!("reason=\"a flood of {what}\""))
+            .or_else(|_| rig.program.wait_for_log("event=http2_flood_detected"))
             .unwrap();
     }
 }
@@ -74,7 +74,9 @@
         ]
         .concat()
     });
-    rig.program.wait_for_log("event=http2_flood").unwrap();
+    rig.program
+        .wait_for_log("event=http2_flood_detected")
+        .unwrap();
     rig.check_books();
 }
 
@@ -169,7 +171,9 @@
     for raw in &mut raws {
         raw.frames_until_close(ENDED);
     }
-    rig.program.wait_for_log("event=http2_half_sent").unwrap();
+    rig.program
+        .wait_for_log("event=http2_request_stalled")
+        .unwrap();
 }
 
 /// More connections than there are slots: those that ask are served, those that say nothing make room.
