--- a/crates/broker/src/listeners/http1/connection.rs
+++ b/crates/broker/src/listeners/http1/connection.rs
@@ -2,7 +2,7 @@
 
 use super::CLOSING_RESPONSE;
 use super::input::{ReceivedRequest, RequestInput, write};
-use crate::clock::limited;
+use crate::clock::with_timeout;
 use crate::listeners::context::ListenerContext;
 use crate::listeners::lifecycle::Phase;
 use crate::listeners::request::{Reply, RoutedRequest, error_reply, request_timeout_reply};
@@ -123,7 +123,7 @@
 
     /// Receives a request that has started. The first one of a connection may be evicted.
     async fn receive_request(&mut self) -> io::Result<ReceivedRequest> {
-        let received = limited(MESSAGE_TIMEOUT, self.input.read_request());
+        let received = with_timeout(MESSAGE_TIMEOUT, self.input.read_request());
         if self.has_served {
             return received.await;
         }
--- a/crates/broker/src/listeners/http1/input.rs
+++ b/crates/broker/src/listeners/http1/input.rs
@@ -1,6 +1,6 @@
 //! Reading requests from a connection.
 
-use crate::clock::limited;
+use crate::clock::with_timeout;
 use crate::listeners::timeouts::{MESSAGE_TIMEOUT, SILENCE_TIMEOUT};
 use crate::net::read_some;
 use async_io::Async;
@@ -90,7 +90,7 @@
                 continue_sent = true;
                 write(self.stream, CONTINUE_RESPONSE).await?;
             }
-            if limited(SILENCE_TIMEOUT, self.read()).await? == 0 {
+            if with_timeout(SILENCE_TIMEOUT, self.read()).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             yield_now().await;
@@ -100,5 +100,5 @@
 
 /// Writes bytes within [`MESSAGE_TIMEOUT`].
 pub(super) async fn write(mut stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<()> {
-    limited(MESSAGE_TIMEOUT, stream.write_all(bytes)).await
+    with_timeout(MESSAGE_TIMEOUT, stream.write_all(bytes)).await
 }
--- a/crates/broker/src/listeners/http2/handshake.rs
+++ b/crates/broker/src/listeners/http2/handshake.rs
@@ -4,7 +4,7 @@
 use super::connection::Http2Connection;
 use super::guarded_socket::{GuardState, GuardedSocket};
 use super::shutdown::CLOSE_TIMEOUT;
-use crate::clock::{limited, span};
+use crate::clock::{to_duration, with_timeout};
 use crate::listeners::http1::CLOSING_RESPONSE;
 use crate::listeners::request::error_reply;
 use crate::listeners::slots::EvictionPriority;
@@ -89,7 +89,7 @@
             let reply = error_reply(400, PRIOR_KNOWLEDGE_REQUIRED);
             let response = self.context.with_date(reply.response);
             let encoded = encode_response(&response, CLOSING_RESPONSE);
-            limited(span(CLOSE_TIMEOUT), (&*stream).write_all(&encoded)).await?;
+            with_timeout(to_duration(CLOSE_TIMEOUT), (&*stream).write_all(&encoded)).await?;
         }
         linger(stream, LINGER).await
     }
@@ -118,7 +118,7 @@
             .reset_stream_duration(RESET_STREAM_MEMORY)
             .handshake::<_, Bytes>(socket);
         let handshake = async { handshake.await.map_err(io::Error::other) };
-        let h2 = limited(SILENCE_TIMEOUT, handshake).await.ok()?;
+        let h2 = with_timeout(SILENCE_TIMEOUT, handshake).await.ok()?;
         Some(Http2Connection::new(self, id, h2, guard))
     }
 }
--- a/crates/broker/src/listeners/http2/request_body.rs
+++ b/crates/broker/src/listeners/http2/request_body.rs
@@ -1,6 +1,6 @@
 //! Receiving the rest of a request whose head has been received.
 
-use crate::clock::limited;
+use crate::clock::with_timeout;
 use crate::listeners::timeouts::SILENCE_TIMEOUT;
 use h2::RecvStream;
 use http::header::{CONTENT_LENGTH, HOST};
@@ -29,7 +29,7 @@
         return Ok(ReceivedBody::TooLong);
     }
     let mut bytes = Vec::new();
-    while let Some(data) = limited(SILENCE_TIMEOUT, async {
+    while let Some(data) = with_timeout(SILENCE_TIMEOUT, async {
         body.data().await.transpose().map_err(io::Error::other)
     })
     .await?
@@ -40,7 +40,7 @@
         bytes.extend_from_slice(&data);
     }
     // Trailers are discarded, as over HTTP/1.1.
-    limited(SILENCE_TIMEOUT, async {
+    with_timeout(SILENCE_TIMEOUT, async {
         body.trailers().await.map_err(io::Error::other)
     })
     .await?;
--- a/crates/broker/src/listeners/http2/stream.rs
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -1,7 +1,7 @@
 //! One HTTP/2 stream: receives a request, submits its query, and sends the response.
 
 use super::request_body::{ReceivedBody, check_authority, receive_body};
-use crate::clock::{limited, span};
+use crate::clock::{to_duration, with_timeout};
 use crate::listeners::context::ListenerContext;
 use crate::listeners::request::{Reply, RoutedRequest, error_reply, request_timeout_reply};
 use crate::listeners::timeouts::MESSAGE_TIMEOUT;
@@ -111,7 +111,7 @@
         head: Parts,
         body: &mut RecvStream,
     ) -> Result<PendingReply, StreamOutcome> {
-        let received = limited(MESSAGE_TIMEOUT, receive_body(body, &head.headers)).await;
+        let received = with_timeout(MESSAGE_TIMEOUT, receive_body(body, &head.headers)).await;
         let bytes = match received {
             Ok(ReceivedBody::Complete(bytes)) => bytes,
             Ok(ReceivedBody::TooLong) => {
@@ -134,7 +134,7 @@
 
     /// Submits a query, and cancels it if the client resets the stream.
     async fn submit(&mut self, query: QueryRequest) -> Result<PendingReply, StreamOutcome> {
-        let deadline = self.received_at + span(query.client_timeout);
+        let deadline = self.received_at + to_duration(query.client_timeout);
         let reset = poll_fn(|cx| self.respond.poll_reset(cx));
         match self.context.submit(self.connection, query, reset).await {
             Ok(reply) => Ok(PendingReply { reply, deadline }),
--- a/crates/broker/src/listeners/tests.rs
+++ b/crates/broker/src/listeners/tests.rs
@@ -1,10 +1,11 @@
 use super::accept::accept_connections;
 use super::slots::{ConnectionSlots, EvictionPriority};
 use super::*;
-use crate::clock::limited;
+use crate::clock::with_timeout;
 use crate::net::read_some;
 use broker_types::query::Names;
-use fanout_policy::settings::{Message, decode};
+use fanout_policy::json::JsonObject;
+use fanout_policy::settings::decode;
 use futures_lite::future::yield_now;
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -16,7 +17,7 @@
 fn context() -> Rc<ListenerContext> {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
-    let site = decode(&Message::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
     let names = Names {
         classes: vec!["a".into()],
         tenants: vec!["acme".into()],
@@ -54,7 +55,7 @@
         }
         Ok(())
     };
-    async_io::block_on(executor.run(limited(TEST_TIMEOUT, accepted))).unwrap();
+    async_io::block_on(executor.run(with_timeout(TEST_TIMEOUT, accepted))).unwrap();
     drop(kept_slot);
 }
 
@@ -73,7 +74,7 @@
         listener.close(&executor).await;
         Ok(())
     };
-    async_io::block_on(executor.run(limited(TEST_TIMEOUT, closed))).unwrap();
+    async_io::block_on(executor.run(with_timeout(TEST_TIMEOUT, closed))).unwrap();
     let mut response = [0; 12];
     client.read_exact(&mut response).unwrap();
     assert_eq!(&response, b"HTTP/1.1 503");
@@ -104,7 +105,7 @@
         while read_some(&client, &mut response).await? > 0 {}
         Ok(response)
     };
-    let response = async_io::block_on(executor.run(limited(TEST_TIMEOUT, response))).unwrap();
+    let response = async_io::block_on(executor.run(with_timeout(TEST_TIMEOUT, response))).unwrap();
     assert!(
         response.starts_with(b"HTTP/1.1 503"),
         "{:?}",
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -6,7 +6,7 @@
 use crate::listeners::{ClientListeners, ListenerConfig, ListenerContext};
 use crate::operator::Operator;
 use crate::queries::{Held, Queries};
-use crate::upstream::{Ended, Send, Upstream};
+use crate::upstream::{EndedAttempt, OutgoingAttempt, ServerPools};
 use admission::resource_limits::{ClientResources, ListenerLimits, allocate};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -47,14 +47,14 @@
     /// What the platform gives to client connections.
     clients: ClientResources,
     core: PolicyEngine,
-    upstream: Upstream,
+    upstream: ServerPools,
     discovery: Discovery,
     event_queue: Rc<EventQueue>,
     listeners: ClientListeners,
     queries: Queries,
     /// The turn's dispatches: they go out together at its end.
     dispatches: BTreeMap<AttemptId, Dispatch>,
-    ended: Vec<Ended>,
+    ended: Vec<EndedAttempt>,
     /// Queries that ended in this turn, and parts that came in.
     over: Vec<(QueryId, Option<PartIndex>)>,
     leaving_since: Option<Micros>,
@@ -119,7 +119,7 @@
         http2,
         limits,
     };
-    let rev = config.known.revision;
+    let rev = config.cached_endpoints.revision;
     let tick = millis(config.settings.tick);
     let mut broker = Broker {
         clock,
@@ -128,9 +128,9 @@
         batch_window: operator.batch_window(tick),
         operator,
         clients: config.clients,
-        queries: Queries::new(&config.settings, config.max_open),
-        core: PolicyEngine::new(config.settings, config.max_open, config.seed),
-        upstream: Upstream::new(executor.clone(), event_queue.clone(), clock, config.pool),
+        queries: Queries::new(&config.settings, config.max_in_flight),
+        core: PolicyEngine::new(config.settings, config.max_in_flight, config.seed),
+        upstream: ServerPools::new(executor.clone(), event_queue.clone(), clock, config.pool),
         discovery: Discovery::start(
             executor.clone(),
             event_queue.clone(),
@@ -152,8 +152,8 @@
         reload_at: None,
         tell_at: 0,
     };
-    broker.learn(clock.now(), ListScope::Cached, &config.known);
-    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.known.endpoints.len());
+    broker.learn(clock.now(), ListScope::Cached, &config.cached_endpoints);
+    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.cached_endpoints.endpoints.len());
     if let (Some(listen), Some(held)) = (listen_http2, limits.http2) {
         let (connections, streams) = (held.max_connections, held.max_streams);
         info!(name: "started_http2", listen = %listen, connections, streams);
@@ -180,10 +180,11 @@
                 }
             }
             let closing = self.listeners.is_closed().then_some(now + self.tick);
-            let ended = (self.upstream.has_ended() || !self.ended.is_empty()).then_some(now);
+            let ended =
+                (self.upstream.has_ended_attempts() || !self.ended.is_empty()).then_some(now);
             let due = [
                 Some(self.core.next_deadline()),
-                Some(self.upstream.due()),
+                Some(self.upstream.next_deadline()),
                 leaving.filter(|at| now < *at),
                 self.reload_at,
                 closing,
@@ -230,7 +231,7 @@
                     self.over.push((id, None));
                 }
                 Event::ServerConnection { connection, event } => {
-                    self.upstream.hear(now, connection, event)
+                    self.upstream.on_connection_event(now, connection, event)
                 }
                 Event::EndpointsUpdated(targets) => self.learn(now, targets.scope(), &targets),
                 Event::ReloadRequested => self.reload_at = Some(now),
@@ -251,15 +252,15 @@
         let decisions = self.core.poll(now);
         self.carry_out(now, decisions);
         for (query, part) in std::mem::take(&mut self.over) {
-            self.upstream.take_back(now, query, part);
+            self.upstream.cancel_unsent(now, query, part);
         }
         let sends = std::mem::take(&mut self.dispatches);
         let sends = sends
             .into_values()
             .filter_map(|d| self.send(now, d))
             .collect();
-        self.upstream.dispatch(now, sends);
-        self.upstream.sweep(now);
+        self.upstream.send_attempts(now, sends);
+        self.upstream.close_expired_connections(now);
         self.tell(now);
     }
 
@@ -271,15 +272,15 @@
         self.tell_at = now + TELL_EVERY;
         let s = self.core.summary(now);
         info!(
-            name: "decisions", held = self.core.in_flight(), open = self.upstream.open(), serving = s.serving,
-            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = s.touched_rows,
-            unit = s.part_cost_ms, lag = s.forecast_error_ms
+            name: "decisions", held = self.core.in_flight(), open = self.upstream.open_connections(), serving = s.serving,
+            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = %s.touched_rows,
+            unit = %s.part_cost_ms, lag = %s.forecast_error_ms
         );
     }
 
     /// Takes news of the list: the decisions and the pools learn of it in the same turn.
     fn learn(&mut self, now: Micros, scope: ListScope, targets: &EndpointList) {
-        let servers = targets.servers(&self.zones, |ms| self.clock.of_unix_ms(ms));
+        let servers = targets.servers(&self.zones, |ms| self.clock.at_unix_ms(ms));
         if scope != ListScope::Delta {
             let named: BTreeSet<&NodeId> = servers.iter().map(|s| &s.name).collect();
             for name in self
@@ -288,14 +289,15 @@
                 .iter()
                 .filter(|name| !named.contains(name))
             {
-                self.upstream.learn(now, name.clone(), None);
+                self.upstream.set_endpoint(now, name.clone(), None);
             }
         }
         for (server, target) in servers.iter().zip(&targets.endpoints) {
             let endpoint = target
                 .address
                 .filter(|_| server.state == ServingState::Serving);
-            self.upstream.learn(now, server.name.clone(), endpoint);
+            self.upstream
+                .set_endpoint(now, server.name.clone(), endpoint);
         }
         self.core.update_endpoints(scope, servers);
     }
@@ -304,11 +306,11 @@
     /// faulty leaves all as it was: a slip of the pen must not end a broker that serves. It is read again later.
     fn reload(&mut self, now: Micros) {
         let read = || -> Result<_, String> {
-            let config = config::reread(config::environment)?;
+            let config = config::reload(config::environment).map_err(|error| error.to_string())?;
             let settings = self.operator.reread()?;
             let mut operator = self.operator.clone();
             operator.adopt_quietly(&settings);
-            let limits = allocate(self.clients, operator.http2())?;
+            let limits = allocate(self.clients, operator.http2()).map_err(|e| e.to_string())?;
             Ok((config.discovery, settings, limits))
         };
         match read() {
@@ -337,8 +339,8 @@
     /// What ended since the last turn, for the decisions; the values stay here, with their queries.
     fn take_reports(&mut self, now: Micros) -> Vec<AttemptReport> {
         let mut ended = std::mem::take(&mut self.ended);
-        ended.extend(self.upstream.take_ended(now));
-        let report = |mut e: Ended| {
+        ended.extend(self.upstream.take_ended_attempts(now));
+        let report = |mut e: EndedAttempt| {
             self.queries.ended(now, &mut e);
             if e.outcome == Outcome::Served {
                 self.over.push((e.attempt.query, Some(e.attempt.part)));
@@ -347,7 +349,7 @@
                 attempt: e.attempt,
                 outcome: e.outcome,
                 elapsed: e.elapsed,
-                load: e.load,
+                load: e.requests_in_flight,
             }
         };
         ended.into_iter().map(report).collect()
@@ -365,7 +367,7 @@
                 // Called off in the turn that asked for it.
                 self.ended.push(never_sent(attempt));
             } else {
-                self.upstream.give_up(now, attempt);
+                self.upstream.cancel(now, attempt);
             }
         }
         for FinishedQuery { query, outcome } in decisions.finished {
@@ -388,7 +390,7 @@
     }
 
     /// A dispatch with all that its frame needs. `None`: it does not go out.
-    fn send(&mut self, now: Micros, d: Dispatch) -> Option<Send> {
+    fn send(&mut self, now: Micros, d: Dispatch) -> Option<OutgoingAttempt> {
         let attempt = d.attempt;
         match self.queries.outgoing(now, d) {
             Ok(send) => return Some(send),
@@ -405,12 +407,12 @@
     }
 }
 
-fn never_sent(attempt: AttemptId) -> Ended {
-    Ended {
+fn never_sent(attempt: AttemptId) -> EndedAttempt {
+    EndedAttempt {
         attempt,
         outcome: Outcome::NotSent,
         elapsed: 0,
-        load: None,
+        requests_in_flight: None,
         value: None,
     }
 }
