--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -1,5 +1,6 @@
 //! Queue of events between the tasks that serve sockets and the event loop, which drains it once per iteration.
 
+use crate::upstream::ServerConnectionId;
 use admission::ConnectionId;
 use async_channel::{Receiver, Sender};
 use broker_types::query::{FinalResponse, QueryId, QueryRequest};
@@ -30,7 +31,7 @@
     /// Something happened on a connection to a data server.
     ServerConnection {
         /// Number of the connection.
-        connection: u64,
+        connection: ServerConnectionId,
         /// What happened.
         event: ConnectionEvent,
     },
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,6 +1,6 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
-use crate::upstream::{EndedAttempt, OutgoingAttempt};
+use crate::upstream::{EndedAttempt, OutgoingAttempt, OutgoingPart};
 use admission::{ConnectionId, ConnectionQuota};
 use async_channel::Sender;
 use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest, ShardValue};
@@ -297,12 +297,14 @@
         Ok(OutgoingAttempt {
             attempt: d.attempt,
             server: d.server,
-            until: d.deadline,
-            expires,
-            wire: format!("{}.{}", pending.ask.id, part.shard),
-            shard: part.shard,
-            key: pending.ask.idempotency_key.clone(),
-            text: pending.ask.payload.clone(),
+            part: OutgoingPart {
+                wire_id: format!("{}.{}", pending.ask.id, part.shard),
+                shard: part.shard,
+                deadline: d.deadline,
+                send_before: expires,
+                idempotency_key: pending.ask.idempotency_key.clone(),
+                text: pending.ask.payload.clone(),
+            },
         })
     }
 
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -360,7 +360,8 @@
         for attempt in decisions.cancellations {
             if self.dispatches.remove(&attempt).is_some() {
                 // Called off in the turn that asked for it.
-                self.ended.push(never_sent(attempt));
+                self.ended
+                    .push(EndedAttempt::unsent(attempt, Outcome::NotSent));
             } else {
                 self.upstream.cancel(now, attempt);
             }
@@ -397,17 +398,8 @@
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
             }
         }
-        self.ended.push(never_sent(attempt));
+        self.ended
+            .push(EndedAttempt::unsent(attempt, Outcome::NotSent));
         None
     }
 }
-
-fn never_sent(attempt: AttemptId) -> EndedAttempt {
-    EndedAttempt {
-        attempt,
-        outcome: Outcome::NotSent,
-        elapsed: 0,
-        requests_in_flight: None,
-        value: None,
-    }
-}
--- /dev/null
+++ b/crates/broker/src/upstream/send_queue.rs
@@ -0,0 +1,198 @@
+//! The frames that wait to be written to one connection.
+
+use super::attempt::OutgoingPart;
+use async_channel::{Receiver, Sender};
+use broker_types::time::{MILLI, Micros};
+use server_protocol::broker::{PartRequest, encode_call, encode_cancel};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeSet, VecDeque};
+
+/// A frame to be written to a connection.
+pub(super) enum OutgoingFrame {
+    /// One call with its parts.
+    Call(Vec<OutgoingPart>),
+    /// The cancellation of the part with this id.
+    Cancel(String),
+}
+
+impl OutgoingFrame {
+    /// The parts of a call; a cancellation has none.
+    fn parts(&self) -> &[OutgoingPart] {
+        match self {
+            OutgoingFrame::Call(parts) => parts,
+            OutgoingFrame::Cancel(_) => &[],
+        }
+    }
+
+    /// Encodes the frame. The time that a call states for each part is the time left now.
+    fn encode(&self, now: Micros) -> Vec<u8> {
+        match self {
+            OutgoingFrame::Cancel(wire_id) => encode_cancel(wire_id),
+            OutgoingFrame::Call(parts) => encode_call(parts.iter().map(|part| PartRequest {
+                id: &part.wire_id,
+                shard: part.shard,
+                wait_ms: part.deadline.saturating_sub(now) / MILLI,
+                idempotency_key: part.idempotency_key.as_deref(),
+                text: &part.text,
+            })),
+        }
+    }
+}
+
+/// A frame that is being written.
+pub(super) struct StartedFrame {
+    /// The frame, in case that the socket accepts none of its bytes.
+    pub(super) frame: OutgoingFrame,
+    /// Its encoding.
+    pub(super) bytes: Vec<u8>,
+}
+
+/// The frames that wait to be written to one connection. A part can be withdrawn until the socket has accepted the
+/// first byte of its frame. The queue is bounded by the attempts that may be in flight.
+pub(super) struct SendQueue {
+    frames: RefCell<VecDeque<OutgoingFrame>>,
+    /// Ids of parts that expired before they could be written.
+    expired: RefCell<BTreeSet<String>>,
+    /// Ids of the parts of the frame that is being written, while there is one.
+    writing: RefCell<Option<Vec<String>>>,
+    /// Whether the socket accepts nothing at present.
+    is_socket_full: Cell<bool>,
+    /// Whether the connection has been established.
+    is_connected: Cell<bool>,
+    wake_sender: Sender<()>,
+    wake_receiver: Receiver<()>,
+}
+
+impl Default for SendQueue {
+    fn default() -> Self {
+        let (wake_sender, wake_receiver) = async_channel::bounded(1);
+        SendQueue {
+            frames: RefCell::default(),
+            expired: RefCell::default(),
+            writing: RefCell::default(),
+            is_socket_full: Cell::new(false),
+            is_connected: Cell::new(false),
+            wake_sender,
+            wake_receiver,
+        }
+    }
+}
+
+impl SendQueue {
+    /// Appends a frame and wakes the socket task.
+    pub(super) fn push(&self, frame: OutgoingFrame) {
+        self.frames.borrow_mut().push_back(frame);
+        // A full channel means that the socket task has been woken already.
+        let _ = self.wake_sender.try_send(());
+    }
+
+    /// Removes a part of which no byte was written. False: it is too late, or the part is not here.
+    pub(super) fn withdraw(&self, wire_id: &str) -> bool {
+        let mut is_withdrawn = self.expired.borrow_mut().remove(wire_id);
+        self.frames.borrow_mut().retain_mut(|frame| {
+            let OutgoingFrame::Call(parts) = frame else {
+                return true;
+            };
+            let parts_before = parts.len();
+            parts.retain(|part| part.wire_id != wire_id);
+            is_withdrawn |= parts.len() < parts_before;
+            !parts.is_empty()
+        });
+        is_withdrawn
+    }
+
+    /// Removes all parts of which no byte was written, and returns their ids.
+    pub(super) fn withdraw_all(&self) -> Vec<String> {
+        let expired = std::mem::take(&mut *self.expired.borrow_mut());
+        let mut withdrawn: Vec<String> = expired.into_iter().collect();
+        self.frames.borrow_mut().retain_mut(|frame| {
+            let OutgoingFrame::Call(parts) = frame else {
+                return true;
+            };
+            withdrawn.extend(parts.drain(..).map(|part| part.wire_id));
+            false
+        });
+        withdrawn
+    }
+
+    /// Ids of the parts whose frames were not written completely.
+    pub(super) fn unwritten_parts(&self) -> BTreeSet<String> {
+        let frames = self.frames.borrow();
+        let queued = frames.iter().flat_map(OutgoingFrame::parts);
+        let (writing, expired) = (self.writing.borrow(), self.expired.borrow());
+        queued
+            .map(|part| &part.wire_id)
+            .chain(writing.iter().flatten())
+            .chain(expired.iter())
+            .cloned()
+            .collect()
+    }
+
+    /// Notes that the connection is established.
+    pub(super) fn set_connected(&self) {
+        self.is_connected.set(true);
+    }
+
+    /// Whether the connection had been established.
+    pub(super) fn was_connected(&self) -> bool {
+        self.is_connected.get()
+    }
+
+    /// Notes whether the socket accepts nothing at present.
+    pub(super) fn set_socket_full(&self, is_full: bool) {
+        self.is_socket_full.set(is_full);
+    }
+
+    /// Whether the socket does not accept the frames that wait for it. The socket task runs between the iterations
+    /// of the event loop, so a frame that is still being written in one is held up.
+    pub(super) fn is_blocked(&self) -> bool {
+        self.is_socket_full.get() || self.writing.borrow().is_some()
+    }
+
+    /// Waits until the queue holds a frame.
+    pub(super) async fn wait_for_frame(&self) {
+        while self.frames.borrow().is_empty() {
+            let _ = self.wake_receiver.recv().await;
+        }
+    }
+
+    /// Takes the next frame and encodes it as of now. Expired parts are left out, and a call is skipped if all of
+    /// its parts have expired. `None`: there is no frame left.
+    pub(super) fn start_frame(&self, now: Micros) -> Option<StartedFrame> {
+        loop {
+            let mut frame = self.frames.borrow_mut().pop_front()?;
+            if let OutgoingFrame::Call(parts) = &mut frame {
+                self.remove_expired(now, parts);
+                if parts.is_empty() {
+                    continue;
+                }
+            }
+            let bytes = frame.encode(now);
+            let wire_ids = frame.parts().iter().map(|part| part.wire_id.clone());
+            *self.writing.borrow_mut() = Some(wire_ids.collect());
+            return Some(StartedFrame { frame, bytes });
+        }
+    }
+
+    /// Removes the parts of a call that must not be sent any more or have less than a millisecond left, the unit of
+    /// the time in the frame.
+    fn remove_expired(&self, now: Micros, parts: &mut Vec<OutgoingPart>) {
+        let is_expired = |part: &mut OutgoingPart| {
+            part.deadline < now + MILLI || part.send_before.is_some_and(|at| at <= now)
+        };
+        let expired = parts.extract_if(.., is_expired);
+        let expired_ids = expired.map(|part| part.wire_id);
+        self.expired.borrow_mut().extend(expired_ids);
+    }
+
+    /// Notes that the started frame was written completely.
+    pub(super) fn finish_frame(&self) {
+        *self.writing.borrow_mut() = None;
+    }
+
+    /// Puts the started frame back to the front because the socket has accepted none of its bytes.
+    pub(super) fn requeue(&self, frame: OutgoingFrame) {
+        *self.writing.borrow_mut() = None;
+        self.frames.borrow_mut().push_front(frame);
+    }
+}
--- /dev/null
+++ b/crates/broker/src/upstream/tests/send_queue.rs
@@ -0,0 +1,52 @@
+//! The send queue of one connection.
+
+use super::super::send_queue::OutgoingFrame;
+use super::*;
+use broker_types::time::MILLI;
+use std::io::{Read, Write};
+use std::net::Shutdown;
+
+/// A call with one part.
+fn call(wire_id: &str, deadline: Micros) -> OutgoingFrame {
+    OutgoingFrame::Call(vec![outgoing_part(wire_id, deadline)])
+}
+
+/// A part counts as sent from its first byte on: until the socket accepts that, the part can be withdrawn.
+#[test]
+fn part_can_be_withdrawn_while_the_socket_is_full() {
+    let (broker, mut server) = socket_pair();
+    let mut filled = 0;
+    while let Ok(written) = broker.get_ref().write(&[0; 4096]) {
+        filled += written;
+    }
+    let send_queue = SendQueue::default();
+    send_queue.push(call("q1.0", HOUR));
+    poll_write(&broker, &send_queue);
+    assert!(send_queue.is_blocked() && send_queue.withdraw("q1.0"));
+    let mut received = vec![0; filled];
+    server.read_exact(&mut received).unwrap();
+    poll_write(&broker, &send_queue);
+    broker.get_ref().shutdown(Shutdown::Write).unwrap();
+    assert_eq!(server.read(&mut received).unwrap(), 0);
+}
+
+/// The time that a part spent in the queue is not available to the server, and a part without time is not sent.
+#[test]
+fn frame_states_the_time_left_when_it_is_written() {
+    let send_queue = SendQueue::default();
+    let write_payload = |now| {
+        let started = send_queue.start_frame(now)?;
+        send_queue.finish_frame();
+        Some(String::from_utf8_lossy(&started.bytes[5..]).into_owned())
+    };
+    send_queue.push(call("q1.0", SECOND));
+    let payload = write_payload(250 * MILLI);
+    assert_eq!(payload.as_deref(), Some("q1.0 0 d=750 8\nc41e77d0"));
+    send_queue.push(call("q2.0", SECOND));
+    send_queue.push(call("q3.0", 2 * SECOND));
+    let payload = write_payload(SECOND);
+    assert_eq!(payload.as_deref(), Some("q3.0 0 d=1000 8\nc41e77d0"));
+    assert_eq!(write_payload(SECOND), None);
+    assert!(send_queue.unwritten_parts().contains("q2.0"));
+    assert!(send_queue.withdraw("q2.0") && !send_queue.withdraw("q2.0"));
+}
