--- a/crates/http2-flood-guard/src/frame_scanner.rs
+++ b/crates/http2-flood-guard/src/frame_scanner.rs
@@ -9,11 +9,11 @@
 const FRAME_HEADER_BYTES: usize = 9;
 /// Most bytes that are searched for the end of an HTTP/1 method. No registered method is nearly as long.
 const MAX_METHOD_BYTES: usize = 64;
-/// END_STREAM of DATA and HEADERS (RFC 9113, sections 6.1 and 6.2).
+/// `END_STREAM` of DATA and HEADERS (RFC 9113, sections 6.1 and 6.2).
 const FLAG_END_STREAM: u8 = 0x1;
 /// ACK of SETTINGS and PING (RFC 9113, sections 6.5 and 6.7).
 const FLAG_ACK: u8 = 0x1;
-/// END_HEADERS of HEADERS and CONTINUATION (RFC 9113, sections 6.2 and 6.10).
+/// `END_HEADERS` of HEADERS and CONTINUATION (RFC 9113, sections 6.2 and 6.10).
 const FLAG_END_HEADERS: u8 = 0x4;
 
 /// Type of a frame (RFC 9113, section 6).
@@ -25,7 +25,7 @@
     Headers,
     /// PRIORITY (section 6.3).
     Priority,
-    /// RST_STREAM (section 6.4).
+    /// `RST_STREAM` (section 6.4).
     ResetStream,
     /// SETTINGS (section 6.5).
     Settings,
@@ -33,11 +33,11 @@
     Ping,
     /// GOAWAY (section 6.8).
     GoAway,
-    /// WINDOW_UPDATE (section 6.9).
+    /// `WINDOW_UPDATE` (section 6.9).
     WindowUpdate,
     /// CONTINUATION (section 6.10).
     Continuation,
-    /// An unknown type, which a receiver ignores (section 5.5), or PUSH_PROMISE, which a client must not send
+    /// An unknown type, which a receiver ignores (section 5.5), or `PUSH_PROMISE`, which a client must not send
     /// (section 8.4).
     Other,
 }
--- a/crates/http2-flood-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -11,10 +11,31 @@
 };
 const SECOND: u64 = 1_000_000;
 
-fn frame(kind: u8, flags: u8, length: usize) -> Vec<u8> {
-    let mut bytes = (length as u32).to_be_bytes()[1..].to_vec();
-    bytes.extend([kind, flags, 0, 0, 0, 1]);
-    bytes.resize(9 + length, 0);
+// Frame types (RFC 9113, section 6).
+const DATA: u8 = 0;
+const HEADERS: u8 = 1;
+const PRIORITY: u8 = 2;
+const RST_STREAM: u8 = 3;
+const SETTINGS: u8 = 4;
+const PING: u8 = 6;
+const WINDOW_UPDATE: u8 = 8;
+const CONTINUATION: u8 = 9;
+const UNKNOWN: u8 = 77;
+
+// Flags of frames.
+const NO_FLAGS: u8 = 0;
+const ACK: u8 = 0x1;
+const END_STREAM: u8 = 0x1;
+const END_HEADERS: u8 = 0x4;
+
+/// Length of a frame header, in bytes.
+const FRAME_HEADER_BYTES: usize = 9;
+
+/// A frame on stream 1 with a payload of zeros.
+fn frame(frame_type: u8, flags: u8, payload_bytes: usize) -> Vec<u8> {
+    let mut bytes = (payload_bytes as u32).to_be_bytes()[1..].to_vec();
+    bytes.extend([frame_type, flags, 0, 0, 0, 1]);
+    bytes.resize(FRAME_HEADER_BYTES + payload_bytes, 0);
     bytes
 }
 
@@ -22,45 +43,65 @@
 fn guard_after_settings() -> FloodGuard {
     let mut guard = FloodGuard::new(0, LIMITS);
     guard
-        .on_received(0, &[&PREFACE[..], &frame(4, 0, 6)].concat())
+        .on_received(0, &[&PREFACE[..], &frame(SETTINGS, NO_FLAGS, 6)].concat())
         .unwrap();
     guard
 }
 
+/// A violation after a number of frames.
+#[derive(Debug, PartialEq, Eq)]
+struct Rejected {
+    accepted_before: usize,
+    violation: Violation,
+}
+
+impl Rejected {
+    fn flood(accepted_before: usize, kind: FrameKind) -> Self {
+        Rejected {
+            accepted_before,
+            violation: Violation::Flood(kind),
+        }
+    }
+}
+
+/// Passes the same bytes to a guard, up to `times` times.
 fn send_repeatedly(
     guard: &mut FloodGuard,
     now: u64,
-    frame: &[u8],
+    bytes: &[u8],
     times: usize,
-) -> Result<usize, (usize, Violation)> {
-    (0..times).try_fold(0, |n, _| {
+) -> Result<(), Rejected> {
+    for accepted_before in 0..times {
         guard
-            .on_received(now, frame)
-            .map(|()| n + 1)
-            .map_err(|v| (n, v))
-    })
+            .on_received(now, bytes)
+            .map_err(|violation| Rejected {
+                accepted_before,
+                violation,
+            })?;
+    }
+    Ok(())
 }
 
 /// The initial SETTINGS frame costs the first of the ten tokens.
 #[test]
 fn frames_without_request_data_are_limited_by_tokens() {
     for (bytes, kind) in [
-        (frame(6, 0, 8), FrameKind::Ping),
-        (frame(4, 0, 0), FrameKind::Settings),
-        (frame(2, 0, 5), FrameKind::Priority),
-        (frame(3, 0, 4), FrameKind::ResetStream),
-        (frame(0, 0, 0), FrameKind::Data),
-        (frame(8, 0, 4), FrameKind::WindowUpdate),
-        (frame(77, 0, 3), FrameKind::Other),
+        (frame(PING, NO_FLAGS, 8), FrameKind::Ping),
+        (frame(SETTINGS, NO_FLAGS, 0), FrameKind::Settings),
+        (frame(PRIORITY, NO_FLAGS, 5), FrameKind::Priority),
+        (frame(RST_STREAM, NO_FLAGS, 4), FrameKind::ResetStream),
+        (frame(DATA, NO_FLAGS, 0), FrameKind::Data),
+        (frame(WINDOW_UPDATE, NO_FLAGS, 4), FrameKind::WindowUpdate),
+        (frame(UNKNOWN, NO_FLAGS, 3), FrameKind::Other),
     ] {
         let mut guard = guard_after_settings();
         assert_eq!(
             send_repeatedly(&mut guard, 0, &bytes, 1000),
-            Err((9, Violation::Flood(kind)))
+            Err(Rejected::flood(9, kind))
         );
         let mut slow = guard_after_settings();
         assert!(
-            (1..1000).all(|s| send_repeatedly(&mut slow, s * SECOND, &bytes, 5) == Ok(5)),
+            (1..1000).all(|s| send_repeatedly(&mut slow, s * SECOND, &bytes, 5).is_ok()),
             "{kind} at a slow rate"
         );
     }
@@ -70,24 +111,28 @@
 fn acknowledgements_and_data_cost_no_tokens() {
     let mut guard = guard_after_settings();
     for bytes in [
-        frame(6, 1, 8),
-        frame(4, 1, 0),
-        frame(0, 0, 50),
-        frame(0, 1, 0),
-        frame(1, 5, 20),
+        frame(PING, ACK, 8),
+        frame(SETTINGS, ACK, 0),
+        frame(DATA, NO_FLAGS, 50),
+        frame(DATA, END_STREAM, 0),
+        frame(HEADERS, END_STREAM | END_HEADERS, 20),
     ] {
-        assert_eq!(send_repeatedly(&mut guard, 0, &bytes, 1000), Ok(1000));
+        assert_eq!(send_repeatedly(&mut guard, 0, &bytes, 1000), Ok(()));
     }
 }
 
 /// Rapid reset: requests that are cancelled at once. A client that also gets responses may cancel as many requests.
 #[test]
 fn resets_are_limited_by_responses() {
-    let request_and_reset = [frame(1, 5, 20), frame(3, 0, 4)].concat();
-    assert!(matches!(
+    let request_and_reset = [
+        frame(HEADERS, END_STREAM | END_HEADERS, 20),
+        frame(RST_STREAM, NO_FLAGS, 4),
+    ]
+    .concat();
+    assert_eq!(
         send_repeatedly(&mut guard_after_settings(), 0, &request_and_reset, 1000),
-        Err((9, Violation::Flood(FrameKind::ResetStream)))
-    ));
+        Err(Rejected::flood(9, FrameKind::ResetStream))
+    );
     let mut ordinary = guard_after_settings();
     for _ in 0..1000 {
         ordinary.on_received(0, &request_and_reset).unwrap();
@@ -98,16 +143,20 @@
 #[test]
 fn header_block_without_end_is_reported() {
     let mut guard = guard_after_settings();
-    guard.on_received(0, &frame(1, 1, 60)).unwrap();
+    guard
+        .on_received(0, &frame(HEADERS, END_STREAM, 60))
+        .unwrap();
     assert_eq!(
-        guard.on_received(0, &frame(9, 0, 60)),
+        guard.on_received(0, &frame(CONTINUATION, NO_FLAGS, 60)),
         Err(Violation::HeaderBlockTooLong)
     );
     let mut guard = guard_after_settings();
-    guard.on_received(0, &frame(1, 1, 1)).unwrap();
+    guard
+        .on_received(0, &frame(HEADERS, END_STREAM, 1))
+        .unwrap();
     assert_eq!(
-        send_repeatedly(&mut guard, 0, &frame(9, 0, 0), 1000),
-        Err((9, Violation::Flood(FrameKind::Continuation)))
+        send_repeatedly(&mut guard, 0, &frame(CONTINUATION, NO_FLAGS, 0), 1000),
+        Err(Rejected::flood(9, FrameKind::Continuation))
     );
 }
 
@@ -129,7 +178,7 @@
     }
     let mut guard = FloodGuard::new(0, LIMITS);
     assert_eq!(
-        guard.on_received(0, &[&PREFACE[..], &frame(6, 0, 8)].concat()),
+        guard.on_received(0, &[&PREFACE[..], &frame(PING, NO_FLAGS, 8)].concat()),
         Err(Violation::MissingSettings)
     );
 }
@@ -147,12 +196,12 @@
         Some(5),
         "silence after the preface"
     );
-    guard.on_received(7, &frame(4, 0, 0)).unwrap();
+    guard.on_received(7, &frame(SETTINGS, NO_FLAGS, 0)).unwrap();
     assert_eq!(
         (guard.incomplete_since(), guard.has_received_settings()),
         (None, true)
     );
-    let headers = frame(1, 0, 20);
+    let headers = frame(HEADERS, NO_FLAGS, 20);
     guard.on_received(8, &headers[..12]).unwrap();
     guard.on_received(9, &headers[12..]).unwrap();
     assert_eq!(
@@ -160,7 +209,9 @@
         Some(8),
         "the block has no end yet"
     );
-    guard.on_received(10, &frame(9, 4, 0)).unwrap();
+    guard
+        .on_received(10, &frame(CONTINUATION, END_HEADERS, 0))
+        .unwrap();
     assert_eq!(guard.incomplete_since(), None);
 }
 
@@ -168,7 +219,7 @@
     /// The result does not depend on the reads in which the bytes arrive.
     #[test]
     fn result_is_independent_of_read_boundaries(kinds in prop::collection::vec((0u8..12, any::<u8>(), 0usize..30), 0..40), read_lengths in prop::collection::vec(1usize..20, 1..6)) {
-        let mut bytes = [&PREFACE[..], &frame(4, 0, 6)].concat();
+        let mut bytes = [&PREFACE[..], &frame(SETTINGS, NO_FLAGS, 6)].concat();
         for (kind, flags, length) in kinds { bytes.extend(frame(kind, flags, length)); }
         let at_once = FloodGuard::new(0, LIMITS).on_received(0, &bytes);
         let mut guard = FloodGuard::new(0, LIMITS);
