--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -90,7 +90,7 @@
             Ok(()) => continue, // closed between two answers, as a server may
             Err(error) => error,
         };
-        warn!(name: "discovery_failed", error = %error);
+        warn!(name: "discovery_watch_failed", error = %error);
         // Those whom one failure met must not come back in step.
         Timer::after(back_off.mul_f64(1.0 - chance.f64() / 2.0)).await;
         back_off = (back_off * 2).min(BACK_OFF.1);
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -68,10 +68,10 @@
         self.adopt_quietly(new);
         self.set_log();
         if !changes.effective.is_empty() {
-            info!(name: "operator_file", changed = changes.effective.join(","));
+            info!(name: "operator_config_changed", changed = changes.effective.join(","));
         }
         if !changes.restart_required.is_empty() {
-            warn!(name: "restart_needed", changed = changes.restart_required.join(","));
+            warn!(name: "restart_required", changed = changes.restart_required.join(","));
         }
     }
 
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -149,7 +149,7 @@
         }
         let units = 1 + ask.parts.len();
         if !self.quota.try_acquire(connection, units) {
-            info!(name: "share_full", connection = connection.0, held = self.quota.in_use());
+            info!(name: "connection_quota_exceeded", connection = connection.0, in_use = self.quota.in_use());
             return answered(FinalResponse::Rejected {
                 retry_after: self.max_retry_after,
             });
@@ -160,7 +160,7 @@
             let verdict = self.register.admit(now, key, shards, give_up_at);
             if verdict != KeyAdmission::Admitted {
                 self.quota.release(connection, units);
-                info!(name: "key_repeated", connection = connection.0, id = %ask.id, verdict = ?verdict);
+                info!(name: "idempotency_key_repeated", connection = connection.0, id = %ask.id, admission = ?verdict);
             }
             match verdict {
                 KeyAdmission::Admitted => {}
@@ -182,7 +182,9 @@
             parts: ask.parts.clone(),
         };
         let span = debug_span!("query", query = id.0, connection = connection.0, id = %ask.id);
-        span.in_scope(|| debug!(name: "query_taken", class = ask.class, parts = ask.parts.len()));
+        span.in_scope(
+            || debug!(name: "query_accepted", class = ask.class, parts = ask.parts.len()),
+        );
         self.ids.insert(ask.id.clone());
         let values = vec![None; ask.parts.len()];
         self.pending.insert(
@@ -205,7 +207,7 @@
         if let Some(pending) = self.close(now, query, false) {
             pending
                 .span
-                .in_scope(|| debug!(name: "query_gone", query = query.0));
+                .in_scope(|| debug!(name: "query_abandoned", query = query.0));
         }
     }
 
@@ -220,7 +222,7 @@
             return;
         };
         let values = std::mem::take(&mut pending.values);
-        let parts_in = values.iter().flatten().count();
+        let answered_parts = values.iter().flatten().count();
         let shards = pending.ask.parts.iter().map(|p| p.shard);
         let reply = reply(
             shards
@@ -237,12 +239,12 @@
         else {
             return;
         };
-        pending
-            .span
-            .in_scope(|| debug!(name: "query_ended", reply = ?std::mem::discriminant(&reply)));
+        pending.span.in_scope(
+            || debug!(name: "query_finished", response = ?std::mem::discriminant(&reply)),
+        );
         if !matches!(reply, FinalResponse::Answered { .. }) {
-            let refused = matches!(reply, FinalResponse::Rejected { .. });
-            let after_ms = now.saturating_sub(pending.taken) / MILLI;
+            let rejected = matches!(reply, FinalResponse::Rejected { .. });
+            let elapsed_ms = now.saturating_sub(pending.taken) / MILLI;
             let QueryRequest {
                 id,
                 class,
@@ -251,9 +253,10 @@
                 is_retry,
                 ..
             } = &pending.ask;
-            let (parts, patience_ms) = (parts.len(), client_timeout / MILLI);
-            let (attempts, bad) = (pending.story.len(), told(pending.taken, &pending.story));
-            info!(name: "query_unserved", id = %id, class, is_retry, refused, after_ms, patience_ms, parts, parts_in, attempts, bad);
+            let (parts, client_timeout_ms) = (parts.len(), client_timeout / MILLI);
+            let (attempts, unserved_attempts) =
+                (pending.story.len(), told(pending.taken, &pending.story));
+            info!(name: "query_unserved", id = %id, class, is_retry, rejected, elapsed_ms, client_timeout_ms, parts, answered_parts, attempts, unserved_attempts);
         }
         // A client that has just gone needs none.
         let _ = pending.reply.try_send(reply);
@@ -285,7 +288,7 @@
             self.keyed.insert(d.attempt, (key.clone(), part.shard));
         }
         pending.span.in_scope(
-            || debug!(name: "part_sent", shard = part.shard, attempt = d.attempt.attempt, server = %d.server.0),
+            || debug!(name: "attempt_sent", shard = part.shard, attempt = d.attempt.attempt, server = %d.server.0),
         );
         let told = Told {
             attempt: d.attempt,
@@ -324,7 +327,7 @@
             return;
         };
         pending.span.in_scope(
-            || debug!(name: "part_ended", part = ended.attempt.part.0, outcome = ?ended.outcome),
+            || debug!(name: "attempt_ended", part = ended.attempt.part.0, outcome = ?ended.outcome),
         );
         if let Some(told) = pending
             .story
--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -148,16 +148,16 @@
         tell_at: 0,
     };
     broker.learn(clock.now(), ListScope::Cached, &config.known);
-    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.known.endpoints.len());
+    info!(name: "broker_started", name = %config.name, listen = %listen, revision = rev, servers = config.known.endpoints.len());
     if let (Some(listen), Some(held)) = (listen_http2, limits.http2) {
-        let (connections, streams) = (held.max_connections, held.max_streams);
-        info!(name: "started_http2", listen = %listen, connections, streams);
+        let (max_connections, max_streams) = (held.max_connections, held.max_streams);
+        info!(name: "http2_listener_started", listen = %listen, max_connections, max_streams);
     }
     started(listen, listen_http2);
     async_io::block_on(executor.run(async {
         broker.turns().await;
     }));
-    info!(name: "stopped", name = %config.name);
+    info!(name: "broker_stopped", name = %config.name);
     Ok(())
 }
 
@@ -266,9 +266,9 @@
         self.tell_at = now + TELL_EVERY;
         let s = self.core.summary(now);
         info!(
-            name: "decisions", held = self.core.in_flight(), open = self.upstream.open(), serving = s.serving,
-            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = %s.touched_rows,
-            unit = %s.part_cost_ms, lag = %s.forecast_error_ms
+            name: "policy_state_reported", in_flight = self.core.in_flight(), server_connections = self.upstream.open(), serving = s.serving,
+            ejected = s.ejected, warming_up = s.warming_up, latency_per_work = s.latency_per_work, slow = s.slow, touched_rows = %s.touched_rows,
+            part_cost_ms = %s.part_cost_ms, forecast_error_ms = %s.forecast_error_ms
         );
     }
 
@@ -311,7 +311,7 @@
                 self.operator.adopt(&settings);
                 self.batch_window = self.operator.batch_window(self.tick);
                 self.fronts.set_limits(limits);
-                info!(name: "reloaded", discovery = %discovery);
+                info!(name: "configuration_reloaded", discovery = %discovery);
                 self.discovery.move_to(discovery);
             }
             Err(error) => {
@@ -323,7 +323,7 @@
 
     fn terminate(&mut self, now: Micros) {
         if self.leaving_since.is_none() {
-            info!(name: "leaving", open_queries = self.queries.len());
+            info!(name: "shutdown_started", queries_in_flight = self.queries.len());
             self.leaving_since = Some(now);
             self.fronts.leave();
         }
@@ -350,10 +350,10 @@
 
     fn carry_out(&mut self, now: Micros, decisions: Decisions) {
         if decisions.over_capacity > 0 {
-            warn!(name: "no_room", queries = decisions.over_capacity, held = self.core.in_flight());
+            warn!(name: "capacity_exhausted", queries = decisions.over_capacity, in_flight = self.core.in_flight());
         }
         if decisions.expired > 0 {
-            warn!(name: "overdue", queries = decisions.expired);
+            warn!(name: "queries_expired", queries = decisions.expired);
         }
         for attempt in decisions.cancellations {
             if self.dispatches.remove(&attempt).is_some() {
--- a/crates/query-broker/tests/http2/chaos.rs
+++ b/crates/query-broker/tests/http2/chaos.rs
@@ -170,7 +170,7 @@
         !rig.program
             .log_lines()
             .iter()
-            .any(|l| l.contains("event=overdue")),
+            .any(|l| l.contains("event=queries_expired")),
         "{:?}",
         rig.program.log_lines()
     );
--- a/crates/query-broker/tests/http2/drain.rs
+++ b/crates/query-broker/tests/http2/drain.rs
@@ -106,7 +106,7 @@
         .unwrap();
     rig.program.signal("HUP").unwrap();
     rig.program
-        .wait_for_log("event=operator_file changed=log-level,http2-streams")
+        .wait_for_log("event=operator_config_changed changed=log-level,http2-streams")
         .unwrap();
     assert_eq!(streams(&rig), 7);
     for (text, words) in [
@@ -120,7 +120,7 @@
         ),
         (
             "listen-http2 127.0.0.1:9\nhttp2-streams 7\nlog-level debug\n",
-            "event=restart_needed changed=listen-http2",
+            "event=restart_required changed=listen-http2",
         ),
     ] {
         // An event has one line a second.
--- a/crates/query-broker/tests/scenarios.rs
+++ b/crates/query-broker/tests/scenarios.rs
@@ -401,7 +401,7 @@
             listen,
             file,
         });
-        self.logged(&["event=started"]);
+        self.logged(&["event=broker_started"]);
         let started = self.seen.pop_back().unwrap();
         let listen = started
             .split(' ')
--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -71,9 +71,9 @@
             http1: nowhere,
             http2: None,
         };
-        program.http1 = program.address("event=started ")?;
+        program.http1 = program.address("event=broker_started ")?;
         if operator.contains("listen-http2") {
-            program.http2 = Some(program.address("event=started_http2 ")?);
+            program.http2 = Some(program.address("event=http2_listener_started ")?);
         }
         Ok(program)
     }
