--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,13 +1,13 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
-use crate::upstream::{Ended, Send};
+use crate::upstream::{EndedAttempt, OutgoingAttempt};
 use admission::{ConnectionId, ConnectionQuota};
 use async_channel::Sender;
 use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest, ShardValue};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{RetrySafety, Settings};
-use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
 use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -106,11 +106,11 @@
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
             quota: ConnectionQuota::new(room),
-            register: IdempotencyRegister::new(
-                window.min().unwrap_or(NO_WINDOW),
-                keep.unwrap_or(0),
-                KEYS,
-            ),
+            register: IdempotencyRegister::new(RegisterLimits {
+                window: window.min().unwrap_or(NO_WINDOW),
+                retention: keep.unwrap_or(0),
+                max_keys: KEYS,
+            }),
             keyed: BTreeMap::new(),
             max_retry_after: settings.max_retry_after.map(millis),
         }
@@ -274,7 +274,7 @@
     }
 
     /// A dispatch with all that its frame needs.
-    pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<Send, Held> {
+    pub(crate) fn outgoing(&mut self, now: Micros, d: Dispatch) -> Result<OutgoingAttempt, Held> {
         let pending = self.pending.get_mut(&d.attempt.query).ok_or(Held::Over)?;
         let part = pending.ask.parts.get(d.attempt.part.0).ok_or(Held::Over)?;
         let mut expires = None;
@@ -297,7 +297,7 @@
             ended: None,
         };
         pending.story.push(told);
-        Ok(Send {
+        Ok(OutgoingAttempt {
             attempt: d.attempt,
             server: d.server,
             until: d.deadline,
@@ -310,7 +310,7 @@
     }
 
     /// Takes the end of an attempt: its value stays here, with its query.
-    pub(crate) fn ended(&mut self, now: Micros, ended: &mut Ended) {
+    pub(crate) fn ended(&mut self, now: Micros, ended: &mut EndedAttempt) {
         if let Some((key, shard)) = self.keyed.remove(&ended.attempt) {
             let proof = match ended.outcome {
                 Outcome::Served | Outcome::Error => ExecutionEvidence::Executed,
