--- a/crates/broker-types/src/lib.rs
+++ b/crates/broker-types/src/lib.rs
@@ -1,7 +1,8 @@
-//! The plain values that all packages of the broker share. Nothing here does I/O, reads a clock or decides.
+//! The plain values that the packages of the broker share. Nothing here does I/O, reads a clock or makes decisions.
 //!
-//! [`time`] counts whole microseconds; [`query`] is what a client asks and how that ends; [`server`] is the list of
-//! data servers as discovery sends it and as the decisions see it; [`limits`] bounds what the sockets hold.
+//! [`time`] counts whole microseconds; [`query`] holds what a client requests, its parts and attempts, and the final
+//! response; [`server`] holds the list of data servers as discovery sends it and as the policy takes it; [`limits`]
+//! bounds the connections to data servers.
 
 pub mod limits;
 pub mod query;
--- a/crates/broker-types/src/limits.rs
+++ b/crates/broker-types/src/limits.rs
@@ -1,17 +1,17 @@
-//! What bounds the sockets.
+//! Limits of the connections to data servers.
 
 use crate::time::Micros;
 
-/// Limits for connections to data servers.
+/// Limits of the connection pool to the data servers.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Most connections.
+    /// Limit of connections to all servers together.
     pub max_connections: usize,
-    /// Most parts in a call.
+    /// Limit of parts in a call.
     pub max_parts_per_call: usize,
-    /// Most parts on a connection.
+    /// Limit of parts in flight on a connection.
     pub max_parts_per_connection: usize,
-    /// A connection must be up within this time.
+    /// Time within which a connection has to be established.
     pub dial_timeout: Micros,
     /// Time after which a server closes an idle connection.
     pub idle_timeout: Micros,
--- a/crates/broker-types/src/query.rs
+++ b/crates/broker-types/src/query.rs
@@ -1,4 +1,4 @@
-//! A query: what a client asks, its parts and attempts, and the one final answer.
+//! Queries: what a client requests, their parts and attempts, and the one final response.
 
 use crate::time::Micros;
 use std::fmt;
@@ -27,43 +27,43 @@
 /// One attempt at a part of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The query.
+    /// The query of the part.
     pub query: QueryId,
-    /// The part.
+    /// The part of the query.
     pub part: PartIndex,
-    /// Which attempt at the part, from 0.
+    /// Number of the attempt among those at the part, from 0.
     pub attempt: u32,
 }
 
-/// What the decisions need to know of a part.
+/// One part of a query, as the policy sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartSpec {
-    /// Its shard.
+    /// Index of the shard that the part is for.
     pub shard: usize,
-    /// Its share of the whole answer.
+    /// Share of the complete answer, from 0 to 1; the weights of a query add up to 1.
     pub weight: f64,
-    /// A guess at the work in it.
+    /// The client's estimate of the work in the part, if it gave one.
     pub work_hint: Option<Micros>,
 }
 
-/// What a client asks.
+/// A client's request for a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
-    /// The request's id, on the wire to data servers too.
+    /// Id of the request, which data servers see too.
     pub id: Rc<str>,
-    /// Index of the class.
+    /// Index of the query's class in the settings.
     pub class: usize,
-    /// Index of the tenant.
+    /// Index of the query's tenant in the settings.
     pub tenant: usize,
-    /// How long the client will wait.
+    /// Time that the client waits for the response.
     pub client_timeout: Micros,
-    /// Whether the client marked it as a repeat.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// The idempotency key, in a keyed class.
+    /// The idempotency key, where the class uses them.
     pub idempotency_key: Option<Rc<str>>,
-    /// The parts.
+    /// The parts of the query.
     pub parts: Vec<PartSpec>,
-    /// What each part has to carry.
+    /// The predicate that is sent to the servers with each part.
     pub payload: Rc<str>,
 }
 
@@ -76,39 +76,39 @@
     pub value: String,
 }
 
-/// The final answer to a client.
+/// The one final response to a client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
-    /// Served.
+    /// The query was served.
     Answered {
-        /// Whether it is whole.
+        /// Whether the answer is complete.
         is_complete: bool,
-        /// Value of each part that was answered.
+        /// The values of the parts that were served.
         values: Vec<ShardValue>,
     },
-    /// Not served; trying again is harmless.
+    /// The query was not served and had no effect, so that the client may retry.
     Rejected {
-        /// When to come back.
+        /// Time after which the client should retry.
         retry_after: Option<Micros>,
     },
-    /// Not served, promising nothing.
+    /// The query was not served; whether it had an effect is unknown.
     Failed,
-    /// The request itself cannot be used.
+    /// The request is malformed or asks for something that does not exist.
     Invalid {
-        /// Status of the answer.
+        /// HTTP status code of the response.
         status: u16,
-        /// What is wrong.
+        /// What is wrong with the request, in words for the client.
         reason: String,
     },
 }
 
-/// Names that requests use for what the settings number.
+/// The names behind the indices of the settings.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// The classes.
+    /// Name of each class.
     pub classes: Vec<String>,
-    /// The tenants.
+    /// Name of each tenant; empty where the deployment has none.
     pub tenants: Vec<String>,
-    /// The zones.
+    /// Name of each zone.
     pub zones: Vec<String>,
 }
