--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::discovery::Discovery;
 use crate::event_queue::{Event, EventQueue};
-use crate::front::{Fronts, Plan, Shared};
+use crate::listeners::{ClientListeners, ListenerConfig, ListenerContext};
 use crate::operator::Operator;
 use crate::queries::{Held, Queries};
 use crate::upstream::{EndedAttempt, OutgoingAttempt, ServerPools};
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// After a request to end, new connections are taken for this long: fronts notice late.
+/// After a request to end, new connections are taken for this long: clients notice late.
 const LEAVING: Micros = 600_000;
 
 /// A configuration that cannot be read is read again after this: it may have been caught half written, and what it
@@ -50,7 +50,7 @@
     upstream: ServerPools,
     discovery: Discovery,
     event_queue: Rc<EventQueue>,
-    fronts: Fronts,
+    listeners: ClientListeners,
     queries: Queries,
     /// The turn's dispatches: they go out together at its end.
     dispatches: BTreeMap<AttemptId, Dispatch>,
@@ -69,7 +69,7 @@
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// What the fronts may hold; the error names what does not fit.
+/// Limits of the listeners; the error names what does not fit.
 fn limits(clients: ClientResources, operator: &Operator) -> io::Result<ListenerLimits> {
     allocate(clients, operator.http2()).map_err(io::Error::other)
 }
@@ -109,17 +109,17 @@
             }
         })
         .detach();
-    let shared = Shared::new(
+    let listener_context = ListenerContext::new(
         event_queue.clone(),
         config.settings.clone(),
         config.names.clone(),
     );
-    let plan = Plan {
+    let listener_config = ListenerConfig {
         http1: listener,
         http2,
         limits,
     };
-    let rev = config.known.revision;
+    let rev = config.cached_endpoints.revision;
     let tick = millis(config.settings.tick);
     let mut broker = Broker {
         clock,
@@ -128,8 +128,8 @@
         batch_window: operator.batch_window(tick),
         operator,
         clients: config.clients,
-        queries: Queries::new(&config.settings, config.max_open),
-        core: PolicyEngine::new(config.settings, config.max_open, config.seed),
+        queries: Queries::new(&config.settings, config.max_in_flight),
+        core: PolicyEngine::new(config.settings, config.max_in_flight, config.seed),
         upstream: ServerPools::new(executor.clone(), event_queue.clone(), clock, config.pool),
         discovery: Discovery::start(
             executor.clone(),
@@ -139,7 +139,12 @@
             config.seed,
         ),
         event_queue,
-        fronts: Fronts::start(shared, plan, clock, executor.clone()),
+        listeners: ClientListeners::start(
+            listener_context,
+            listener_config,
+            clock,
+            executor.clone(),
+        ),
         dispatches: BTreeMap::new(),
         ended: Vec::new(),
         over: Vec::new(),
@@ -147,8 +152,8 @@
         reload_at: None,
         tell_at: 0,
     };
-    broker.learn(clock.now(), ListScope::Cached, &config.known);
-    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.known.endpoints.len());
+    broker.learn(clock.now(), ListScope::Cached, &config.cached_endpoints);
+    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.cached_endpoints.endpoints.len());
     if let (Some(listen), Some(held)) = (listen_http2, limits.http2) {
         let (connections, streams) = (held.max_connections, held.max_streams);
         info!(name: "started_http2", listen = %listen, connections, streams);
@@ -169,12 +174,12 @@
             self.turn(now);
             let leaving = self.leaving_since.map(|since| since + LEAVING);
             if leaving.is_some_and(|at| now >= at) {
-                self.fronts.close().await;
-                if self.fronts.open() == 0 && self.queries.is_empty() {
+                self.listeners.close().await;
+                if self.listeners.open_connections() == 0 && self.queries.is_empty() {
                     return;
                 }
             }
-            let closing = self.fronts.is_closing().then_some(now + self.tick);
+            let closing = self.listeners.is_closed().then_some(now + self.tick);
             let ended =
                 (self.upstream.has_ended_attempts() || !self.ended.is_empty()).then_some(now);
             let due = [
@@ -301,7 +306,7 @@
     /// faulty leaves all as it was: a slip of the pen must not end a broker that serves. It is read again later.
     fn reload(&mut self, now: Micros) {
         let read = || -> Result<_, String> {
-            let config = config::reread(config::environment)?;
+            let config = config::reload(config::environment).map_err(|error| error.to_string())?;
             let settings = self.operator.reread()?;
             let mut operator = self.operator.clone();
             operator.adopt_quietly(&settings);
@@ -312,7 +317,7 @@
             Ok((discovery, settings, limits)) => {
                 self.operator.adopt(&settings);
                 self.batch_window = self.operator.batch_window(self.tick);
-                self.fronts.set_limits(limits);
+                self.listeners.set_limits(limits);
                 info!(name: "reloaded", discovery = %discovery);
                 self.discovery.move_to(discovery);
             }
@@ -327,7 +332,7 @@
         if self.leaving_since.is_none() {
             info!(name: "leaving", open_queries = self.queries.len());
             self.leaving_since = Some(now);
-            self.fronts.leave();
+            self.listeners.start_draining();
         }
     }
 
@@ -360,7 +365,8 @@
         for attempt in decisions.cancellations {
             if self.dispatches.remove(&attempt).is_some() {
                 // Called off in the turn that asked for it.
-                self.ended.push(never_sent(attempt));
+                self.ended
+                    .push(EndedAttempt::unsent(attempt, Outcome::NotSent));
             } else {
                 self.upstream.cancel(now, attempt);
             }
@@ -397,17 +403,8 @@
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
             }
         }
-        self.ended.push(never_sent(attempt));
+        self.ended
+            .push(EndedAttempt::unsent(attempt, Outcome::NotSent));
         None
     }
 }
-
-fn never_sent(attempt: AttemptId) -> EndedAttempt {
-    EndedAttempt {
-        attempt,
-        outcome: Outcome::NotSent,
-        elapsed: 0,
-        requests_in_flight: None,
-        value: None,
-    }
-}
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -138,9 +138,15 @@
         let rest = async {
             rig.attempts(10).await;
             let asks: Vec<_> = (0..5).map(|n| lookup(&format!("o{n}"), &[n])).collect();
-            let over_http2 = join_all(others.iter().zip(&asks).map(|(c, ask)| c.ask(ask))).await;
-            let over_http1 = old.send(&lookup("old", &[6]).request()).await.unwrap();
-            (over_http2, QueryOutcome::from_response(&over_http1))
+            let over_http2 = join_all(others.iter().zip(&asks).map(|(c, ask)| c.ask(ask)));
+            // Sent with the others: an unused connection is closed after 2 s.
+            let request = lookup("old", &[6]).request();
+            let (over_http2, over_http1) =
+                futures_lite::future::zip(over_http2, old.send(&request)).await;
+            (
+                over_http2,
+                QueryOutcome::from_response(&over_http1.unwrap()),
+            )
         };
         let (taken, (over_http2, over_http1)) = futures_lite::future::zip(taken, rest).await;
         for (n, answer) in over_http2.iter().enumerate() {
