--- a/crates/query-broker/tests/scenarios/broker_process.rs
+++ b/crates/query-broker/tests/scenarios/broker_process.rs
@@ -56,7 +56,7 @@
 
     /// Waits for the line that says where the program listens.
     fn wait_until_started(&mut self) -> SocketAddr {
-        self.expect_log_line(&["event=started"]);
+        self.expect_log_line(&["event=broker_started"]);
         let line = self.seen.back().expect("a line was just seen");
         line.split(' ')
             .find_map(|pair| pair.strip_prefix("listen="))
