--- a/crates/broker/src/turns.rs
+++ b/crates/broker/src/turns.rs
@@ -3,7 +3,7 @@
 use crate::clock::Clock;
 use crate::discovery::Discovery;
 use crate::event_queue::{Event, EventQueue};
-use crate::front::{Fronts, Plan, Shared};
+use crate::listeners::{ClientListeners, ListenerConfig, ListenerContext};
 use crate::operator::Operator;
 use crate::queries::{Held, Queries};
 use crate::upstream::{EndedAttempt, OutgoingAttempt, ServerPools};
@@ -27,7 +27,7 @@
 use std::rc::Rc;
 use tracing::{info, warn};
 
-/// After a request to end, new connections are taken for this long: fronts notice late.
+/// After a request to end, new connections are taken for this long: clients notice late.
 const LEAVING: Micros = 600_000;
 
 /// A configuration that cannot be read is read again after this: it may have been caught half written, and what it
@@ -50,7 +50,7 @@
     upstream: ServerPools,
     discovery: Discovery,
     event_queue: Rc<EventQueue>,
-    fronts: Fronts,
+    listeners: ClientListeners,
     queries: Queries,
     /// The turn's dispatches: they go out together at its end.
     dispatches: BTreeMap<AttemptId, Dispatch>,
@@ -69,7 +69,7 @@
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// What the fronts may hold; the error names what does not fit.
+/// Limits of the listeners; the error names what does not fit.
 fn limits(clients: ClientResources, operator: &Operator) -> io::Result<ListenerLimits> {
     allocate(clients, operator.http2()).map_err(io::Error::other)
 }
@@ -109,12 +109,12 @@
             }
         })
         .detach();
-    let shared = Shared::new(
+    let listener_context = ListenerContext::new(
         event_queue.clone(),
         config.settings.clone(),
         config.names.clone(),
     );
-    let plan = Plan {
+    let listener_config = ListenerConfig {
         http1: listener,
         http2,
         limits,
@@ -139,7 +139,12 @@
             config.seed,
         ),
         event_queue,
-        fronts: Fronts::start(shared, plan, clock, executor.clone()),
+        listeners: ClientListeners::start(
+            listener_context,
+            listener_config,
+            clock,
+            executor.clone(),
+        ),
         dispatches: BTreeMap::new(),
         ended: Vec::new(),
         over: Vec::new(),
@@ -148,16 +153,16 @@
         tell_at: 0,
     };
     broker.learn(clock.now(), ListScope::Cached, &config.cached_endpoints);
-    info!(name: "started", name = %config.name, listen = %listen, rev, servers = config.cached_endpoints.endpoints.len());
+    info!(name: "broker_started", name = %config.name, listen = %listen, revision = rev, servers = config.cached_endpoints.endpoints.len());
     if let (Some(listen), Some(held)) = (listen_http2, limits.http2) {
-        let (connections, streams) = (held.max_connections, held.max_streams);
-        info!(name: "started_http2", listen = %listen, connections, streams);
+        let (max_connections, max_streams) = (held.max_connections, held.max_streams);
+        info!(name: "http2_listener_started", listen = %listen, max_connections, max_streams);
     }
     started(listen, listen_http2);
     async_io::block_on(executor.run(async {
         broker.turns().await;
     }));
-    info!(name: "stopped", name = %config.name);
+    info!(name: "broker_stopped", name = %config.name);
     Ok(())
 }
 
@@ -169,12 +174,12 @@
             self.turn(now);
             let leaving = self.leaving_since.map(|since| since + LEAVING);
             if leaving.is_some_and(|at| now >= at) {
-                self.fronts.close().await;
-                if self.fronts.open() == 0 && self.queries.is_empty() {
+                self.listeners.close().await;
+                if self.listeners.open_connections() == 0 && self.queries.is_empty() {
                     return;
                 }
             }
-            let closing = self.fronts.is_closing().then_some(now + self.tick);
+            let closing = self.listeners.is_closed().then_some(now + self.tick);
             let ended =
                 (self.upstream.has_ended_attempts() || !self.ended.is_empty()).then_some(now);
             let due = [
@@ -267,9 +272,9 @@
         self.tell_at = now + TELL_EVERY;
         let s = self.core.summary(now);
         info!(
-            name: "decisions", held = self.core.in_flight(), open = self.upstream.open_connections(), serving = s.serving,
-            passed_over = s.ejected, cold = s.warming_up, pace = s.latency_per_work, slow = s.slow, rows = %s.touched_rows,
-            unit = %s.part_cost_ms, lag = %s.forecast_error_ms
+            name: "policy_state_reported", in_flight = self.core.in_flight(), server_connections = self.upstream.open_connections(), serving = s.serving,
+            ejected = s.ejected, warming_up = s.warming_up, latency_per_work = s.latency_per_work, slow = s.slow, touched_rows = %s.touched_rows,
+            part_cost_ms = %s.part_cost_ms, forecast_error_ms = %s.forecast_error_ms
         );
     }
 
@@ -312,8 +317,8 @@
             Ok((discovery, settings, limits)) => {
                 self.operator.adopt(&settings);
                 self.batch_window = self.operator.batch_window(self.tick);
-                self.fronts.set_limits(limits);
-                info!(name: "reloaded", discovery = %discovery);
+                self.listeners.set_limits(limits);
+                info!(name: "configuration_reloaded", discovery = %discovery);
                 self.discovery.move_to(discovery);
             }
             Err(error) => {
@@ -325,9 +330,9 @@
 
     fn terminate(&mut self, now: Micros) {
         if self.leaving_since.is_none() {
-            info!(name: "leaving", open_queries = self.queries.len());
+            info!(name: "shutdown_started", queries_in_flight = self.queries.len());
             self.leaving_since = Some(now);
-            self.fronts.leave();
+            self.listeners.start_draining();
         }
     }
 
@@ -352,15 +357,16 @@
 
     fn carry_out(&mut self, now: Micros, decisions: Decisions) {
         if decisions.over_capacity > 0 {
-            warn!(name: "no_room", queries = decisions.over_capacity, held = self.core.in_flight());
+            warn!(name: "capacity_exhausted", queries = decisions.over_capacity, in_flight = self.core.in_flight());
         }
         if decisions.expired > 0 {
-            warn!(name: "overdue", queries = decisions.expired);
+            warn!(name: "queries_expired", queries = decisions.expired);
         }
         for attempt in decisions.cancellations {
             if self.dispatches.remove(&attempt).is_some() {
                 // Called off in the turn that asked for it.
-                self.ended.push(never_sent(attempt));
+                self.ended
+                    .push(EndedAttempt::unsent(attempt, Outcome::NotSent));
             } else {
                 self.upstream.cancel(now, attempt);
             }
@@ -397,17 +403,8 @@
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
             }
         }
-        self.ended.push(never_sent(attempt));
+        self.ended
+            .push(EndedAttempt::unsent(attempt, Outcome::NotSent));
         None
     }
 }
-
-fn never_sent(attempt: AttemptId) -> EndedAttempt {
-    EndedAttempt {
-        attempt,
-        outcome: Outcome::NotSent,
-        elapsed: 0,
-        requests_in_flight: None,
-        value: None,
-    }
-}
