--- a/crates/load-generator/src/direct.rs
+++ b/crates/load-generator/src/direct.rs
@@ -1,72 +1,113 @@
-//! A connection to a data server, as a broker has it.
+//! A connection to a data server over the servers' own protocol, as a broker has it.
 
 use crate::query::{LoadQuery, QUERY_TEXT, QueryOutcome, ShardValue};
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
-use server_protocol::Decoded;
-use server_protocol::broker::{PartRequest, ServerMessage, decode, encode_call};
+use server_protocol::broker::{PartRequest, PartResponse, ServerMessage, decode, encode_call};
+use server_protocol::{Decoded, InvalidFrame};
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// A connection.
-pub(crate) struct Direct {
+/// Bytes that are read at once.
+const READ_CHUNK: usize = 4096;
+
+/// Why a query to a data server failed.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum DirectError {
+    /// The server sent something that is no frame of the protocol.
+    #[error(transparent)]
+    InvalidFrame(#[from] InvalidFrame),
+    /// The server rejected the call, for this reason.
+    #[error("{0}")]
+    CallRejected(String),
+    /// The server answered a part that the call does not hold.
+    #[error("an answer to part {0}, which was not asked for")]
+    UnknownPart(String),
+    /// The connection failed or ended.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// A connection that carries one query at a time.
+pub(crate) struct DirectClient {
     stream: Async<TcpStream>,
     input: Vec<u8>,
 }
 
-impl Direct {
-    pub(crate) async fn connect(to: SocketAddr) -> io::Result<Self> {
-        let stream = Async::<TcpStream>::connect(to).await?;
+impl DirectClient {
+    pub(crate) async fn connect(address: SocketAddr) -> io::Result<Self> {
+        let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
-        Ok(Direct {
+        Ok(DirectClient {
             stream,
             input: Vec::new(),
         })
     }
 
-    /// Sends all parts in one call and waits for their answers.
-    pub(crate) async fn ask(&mut self, ask: &LoadQuery) -> io::Result<QueryOutcome> {
-        let ids: Vec<String> = ask
+    /// Sends all parts of a query in one call and waits for their responses.
+    pub(crate) async fn send_query(
+        &mut self,
+        query: &LoadQuery,
+    ) -> Result<QueryOutcome, DirectError> {
+        let part_ids: Vec<String> = query
             .shards
             .iter()
-            .map(|s| format!("{}.{s}", ask.id))
+            .map(|shard| format!("{}.{shard}", query.id))
             .collect();
-        let wait_ms = ask.client_timeout.as_millis() as u64;
-        let parts = ids.iter().zip(&ask.shards);
-        let bytes = encode_call(parts.map(|(id, shard)| PartRequest {
-            id,
-            shard: *shard,
-            wait_ms,
-            idempotency_key: None,
-            text: QUERY_TEXT,
-        }));
-        self.stream.write_all(&bytes).await?;
-        let (mut values, mut chunk) = (Vec::new(), [0; 4096]);
-        while values.len() < ids.len() {
-            match decode(&self.input).map_err(io::Error::other)? {
+        self.send_call(query, &part_ids).await?;
+        let mut values = Vec::new();
+        while values.len() < part_ids.len() {
+            let response = self.read_response().await?;
+            let Some(part) = part_ids.iter().position(|id| *id == response.id) else {
+                return Err(DirectError::UnknownPart(response.id));
+            };
+            values.push(ShardValue {
+                shard: query.shards[part],
+                value: response.value,
+            });
+        }
+        Ok(QueryOutcome::Answered {
+            complete: true,
+            values,
+        })
+    }
+
+    async fn send_call(&mut self, query: &LoadQuery, part_ids: &[String]) -> io::Result<()> {
+        let wait_ms = query.client_timeout.as_millis() as u64;
+        let parts = part_ids
+            .iter()
+            .zip(&query.shards)
+            .map(|(id, shard)| PartRequest {
+                id,
+                shard: *shard,
+                wait_ms,
+                idempotency_key: None,
+                text: QUERY_TEXT,
+            });
+        let call = encode_call(parts);
+        self.stream.write_all(&call).await
+    }
+
+    async fn read_response(&mut self) -> Result<PartResponse, DirectError> {
+        let mut chunk = [0; READ_CHUNK];
+        loop {
+            match decode(&self.input)? {
                 Some(Decoded {
                     message: ServerMessage::PartResponse(response),
                     frame_len,
                 }) => {
                     self.input.drain(..frame_len);
-                    values.push(ShardValue {
-                        shard: values.len(),
-                        value: response.value,
-                    });
+                    return Ok(response);
                 }
                 Some(Decoded {
                     message: ServerMessage::FrameRejected(reason),
                     ..
-                }) => return Err(io::Error::other(reason)),
+                }) => return Err(DirectError::CallRejected(reason)),
                 None => match self.stream.read(&mut chunk).await? {
-                    0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-                    n => self.input.extend_from_slice(&chunk[..n]),
+                    0 => return Err(io::Error::from(io::ErrorKind::UnexpectedEof).into()),
+                    length => self.input.extend_from_slice(&chunk[..length]),
                 },
             }
         }
-        Ok(QueryOutcome::Answered {
-            complete: true,
-            values,
-        })
     }
 }
--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -1,4 +1,4 @@
-//! An HTTP/1.1 connection of a client: one request at a time.
+//! A client's HTTP/1.1 connection, which carries one request at a time.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -8,12 +8,14 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-const LIMITS: Limits = Limits {
+const RESPONSE_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 1 << 20,
 };
+/// Bytes that are read at once.
+const READ_CHUNK: usize = 16 * 1024;
 
-/// A connection.
+/// An HTTP/1.1 connection.
 pub struct Http1Client {
     stream: Async<TcpStream>,
     decoder: ResponseDecoder,
@@ -23,60 +25,76 @@
 
 impl Http1Client {
     /// Connects.
-    pub async fn connect(to: SocketAddr) -> io::Result<Self> {
-        let stream = Async::<TcpStream>::connect(to).await?;
+    ///
+    /// # Errors
+    ///
+    /// If the connection cannot be made.
+    pub async fn connect(address: SocketAddr) -> io::Result<Self> {
+        let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         Ok(Http1Client {
             stream,
-            decoder: ResponseDecoder::new(LIMITS),
+            decoder: ResponseDecoder::new(RESPONSE_LIMITS),
             input: Vec::new(),
-            chunk: vec![0; 16 * 1024],
+            chunk: vec![0; READ_CHUNK],
         })
     }
 
-    /// The same; where the broker closed an idle connection as the request was on its way, it is sent once more on a
-    /// new one (RFC 9112, section 9.3.1: nothing came back, and the broker had not read it).
+    /// Sends a request and waits for its response. If the connection ends before any byte of the response, the request
+    /// is sent once more on a new one: the broker may have closed an idle connection while the request was on its way
+    /// (RFC 9112, section 9.3.1).
+    ///
+    /// # Errors
+    ///
+    /// If the connection fails or the response is malformed.
     pub async fn send_or_reconnect(
         &mut self,
         request: &Request<Vec<u8>>,
     ) -> io::Result<Response<Vec<u8>>> {
         match self.send(request).await {
             Err(_) if self.input.is_empty() => {
-                *self = Http1Client::connect(self.stream.get_ref().peer_addr()?).await?;
+                let address = self.stream.get_ref().peer_addr()?;
+                *self = Http1Client::connect(address).await?;
                 self.send(request).await
             }
-            answer => answer,
+            result => result,
         }
     }
 
-    /// Sends the head of a request; its body never comes.
-    pub async fn send_half(&mut self, request: &Request<Vec<u8>>) -> io::Result<()> {
-        self.stream.write_all(&head(request)).await
+    /// Sends the head of a request, and never its body.
+    ///
+    /// # Errors
+    ///
+    /// If the connection fails.
+    pub async fn send_head(&mut self, request: &Request<Vec<u8>>) -> io::Result<()> {
+        self.stream.write_all(&encode_head(request)).await
     }
 
     /// Sends a request and waits for its response.
+    ///
+    /// # Errors
+    ///
+    /// If the connection fails or the response is malformed.
     pub async fn send(&mut self, request: &Request<Vec<u8>>) -> io::Result<Response<Vec<u8>>> {
-        let bytes = [&head(request)[..], request.body()].concat();
+        let bytes = [&encode_head(request)[..], request.body()].concat();
         self.stream.write_all(&bytes).await?;
         loop {
-            match self
-                .decoder
-                .decode(&mut self.input)
-                .map_err(io::Error::other)?
-            {
+            let progress = self.decoder.decode(&mut self.input);
+            match progress.map_err(io::Error::other)? {
                 Progress::Complete(message) => return Ok(message.value),
                 Progress::Incomplete { .. } => match self.stream.read(&mut self.chunk).await? {
                     0 => return Err(io::ErrorKind::UnexpectedEof.into()),
-                    n => self.input.extend_from_slice(&self.chunk[..n]),
+                    length => self.input.extend_from_slice(&self.chunk[..length]),
                 },
             }
         }
     }
 }
 
-fn head(request: &Request<Vec<u8>>) -> Vec<u8> {
-    let target = request.uri().path_and_query().map_or("/", |p| p.as_str());
-    let host = request.uri().authority().map_or("", |a| a.as_str());
+fn encode_head(request: &Request<Vec<u8>>) -> Vec<u8> {
+    let uri = request.uri();
+    let target = uri.path_and_query().map_or("/", |path| path.as_str());
+    let host = uri.authority().map_or("", |authority| authority.as_str());
     let mut head = format!("{} {target} HTTP/1.1\r\nHost: {host}\r\n", request.method());
     for (name, value) in request.headers() {
         let _ = write!(head, "{name}: {}\r\n", value.to_str().unwrap_or_default());
--- a/crates/load-generator/src/http2.rs
+++ b/crates/load-generator/src/http2.rs
@@ -1,4 +1,4 @@
-//! An HTTP/2 connection of a client, by prior knowledge: many requests at once.
+//! A client's HTTP/2 connection by prior knowledge, which carries many requests at once.
 
 use crate::query::{LoadQuery, QueryOutcome};
 use async_executor::{LocalExecutor, Task};
@@ -7,36 +7,46 @@
 use h2::client::{Builder, ResponseFuture, SendRequest};
 use h2::{Reason, SendStream};
 use http::{Request, Response};
-use std::future::poll_fn;
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-/// A connection; dropped, it ends.
+/// An HTTP/2 connection. It ends when it is dropped.
 pub struct Http2Client {
     sender: SendRequest<Bytes>,
     _driver: Task<()>,
 }
 
-/// A request on its way.
+/// A request in flight.
 pub struct Http2Stream {
     response: ResponseFuture,
     body: SendStream<Bytes>,
 }
 
 impl Http2Client {
-    /// Connects, with windows of the usual size.
-    pub async fn connect(to: SocketAddr, executor: &LocalExecutor<'static>) -> io::Result<Self> {
-        Self::connect_with(to, executor, &Builder::new()).await
+    /// Connects with the library's default settings.
+    ///
+    /// # Errors
+    ///
+    /// If the connection cannot be made.
+    pub async fn connect(
+        address: SocketAddr,
+        executor: &LocalExecutor<'static>,
+    ) -> io::Result<Self> {
+        Self::connect_with(address, executor, &Builder::new()).await
     }
 
-    /// Connects with settings of its own.
+    /// Connects with these settings.
+    ///
+    /// # Errors
+    ///
+    /// If the connection cannot be made.
     pub async fn connect_with(
-        to: SocketAddr,
+        address: SocketAddr,
         executor: &LocalExecutor<'static>,
         builder: &Builder,
     ) -> io::Result<Self> {
-        let stream = Async::<TcpStream>::connect(to).await?;
+        let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
         let (sender, connection) = builder
             .handshake(stream.compat())
@@ -55,37 +65,56 @@
         self.sender.current_max_send_streams()
     }
 
-    /// Opens a stream with a whole request, once the other side allows one more.
+    /// Opens a stream with a whole request, once the peer allows another stream.
+    ///
+    /// # Errors
+    ///
+    /// If the connection has ended or the request cannot be sent.
     pub async fn open(&self, request: &Request<Vec<u8>>) -> Result<Http2Stream, h2::Error> {
-        let mut sender = self.sender.clone().ready().await?;
         let (head, body) = request.clone().into_parts();
-        let (response, mut stream) =
-            sender.send_request(Request::from_parts(head, ()), body.is_empty())?;
+        let mut stream = self.open_with_head(head, body.is_empty()).await?;
         if !body.is_empty() {
-            stream.send_data(Bytes::from(body), true)?;
+            stream.body.send_data(Bytes::from(body), true)?;
         }
-        Ok(Http2Stream {
-            response,
-            body: stream,
-        })
+        Ok(stream)
     }
 
-    /// Opens a stream with the head of a request; its body never comes.
-    pub async fn open_half(&self, request: &Request<Vec<u8>>) -> Result<Http2Stream, h2::Error> {
-        let mut sender = self.sender.clone().ready().await?;
+    /// Opens a stream with the head of a request, whose body is never sent.
+    ///
+    /// # Errors
+    ///
+    /// If the connection has ended or the head cannot be sent.
+    pub async fn open_without_body(
+        &self,
+        request: &Request<Vec<u8>>,
+    ) -> Result<Http2Stream, h2::Error> {
         let (head, _) = request.clone().into_parts();
-        let (response, body) = sender.send_request(Request::from_parts(head, ()), false)?;
+        self.open_with_head(head, false).await
+    }
+
+    async fn open_with_head(
+        &self,
+        head: http::request::Parts,
+        end_of_stream: bool,
+    ) -> Result<Http2Stream, h2::Error> {
+        let mut sender = self.sender.clone().ready().await?;
+        let request = Request::from_parts(head, ());
+        let (response, body) = sender.send_request(request, end_of_stream)?;
         Ok(Http2Stream { response, body })
     }
 
     /// Sends a request and waits for its response.
+    ///
+    /// # Errors
+    ///
+    /// If the connection ends or the stream is reset.
     pub async fn send(&self, request: &Request<Vec<u8>>) -> Result<Response<Vec<u8>>, h2::Error> {
         self.open(request).await?.response().await
     }
 
-    /// Asks, and says how that was answered.
-    pub async fn ask(&self, ask: &LoadQuery) -> QueryOutcome {
-        match self.send(&ask.request()).await {
+    /// Sends a query and waits for its outcome.
+    pub async fn send_query(&self, query: &LoadQuery) -> QueryOutcome {
+        match self.send(&query.request()).await {
             Ok(response) => QueryOutcome::from_response(&response),
             Err(error) => QueryOutcome::Aborted(error.to_string()),
         }
@@ -94,6 +123,10 @@
 
 impl Http2Stream {
     /// Waits for the response.
+    ///
+    /// # Errors
+    ///
+    /// If the connection ends or the stream is reset.
     pub async fn response(self) -> Result<Response<Vec<u8>>, h2::Error> {
         let (head, mut body) = self.response.await?.into_parts();
         let mut bytes = Vec::new();
@@ -105,18 +138,8 @@
         Ok(Response::from_parts(head, bytes))
     }
 
-    /// Waits for the head of the response and leaves its body unread.
-    pub async fn head(&mut self) -> Result<Response<h2::RecvStream>, h2::Error> {
-        (&mut self.response).await
-    }
-
-    /// Gives the request up.
+    /// Cancels the request.
     pub fn reset(mut self) {
         self.body.send_reset(Reason::CANCEL);
     }
-
-    /// Waits until the other side gives it up, and says why.
-    pub async fn is_reset(&mut self) -> Result<Reason, h2::Error> {
-        poll_fn(|cx| self.body.poll_reset(cx)).await
-    }
 }
--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -1,212 +1,173 @@
-//! Load at a rate, whatever comes back.
+//! Load at a given rate, whatever is answered.
 
-use crate::direct::Direct;
-use crate::http1::Http1Client;
-use crate::http2::Http2Client;
-use crate::query::{LoadQuery, QueryOutcome};
+mod arrivals;
+mod recorder;
+mod transport;
+
+use crate::query::LoadQuery;
+use arrivals::Arrivals;
+use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::Timer;
+use futures_lite::FutureExt;
 use hdrhistogram::Histogram;
-use rand::{Rng, RngExt, SeedableRng};
+use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use std::cell::{Cell, RefCell};
+use recorder::Recorder;
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
+use transport::Transport;
+
+/// How long after the end of the load an answer still counts.
+const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
-/// Where the load goes.
+/// Where the load is sent.
 #[derive(Clone, Copy, Debug)]
 pub enum Target {
-    /// Over so many HTTP/1.1 connections.
-    Http1(SocketAddr, usize),
-    /// Over so many HTTP/2 connections.
-    Http2(SocketAddr, usize),
-    /// Straight to a data server, with calls of its own protocol: what there is without a broker.
+    /// To a broker over HTTP/1.1.
+    Http1 {
+        /// The broker's address.
+        address: SocketAddr,
+        /// Number of connections that are opened at the start.
+        connections: usize,
+    },
+    /// To a broker over HTTP/2.
+    Http2 {
+        /// The broker's address.
+        address: SocketAddr,
+        /// Number of connections, which are used in rotation.
+        connections: usize,
+    },
+    /// To a data server in its own protocol, as a baseline without a broker.
     Direct(SocketAddr),
 }
 
-/// The load.
+/// What load is sent.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Queries a second; `None`: as fast as so many at once are answered.
+    /// Queries a second; `None` sends a query as soon as fewer than [`LoadProfile::max_concurrent`] are in flight.
     pub rate: Option<f64>,
-    /// Most queries at once. One that is due while so many are out waits, and is charged for it.
+    /// Largest number of queries in flight. A query that is due while so many are in flight waits, and its latency
+    /// includes that wait.
     pub max_concurrent: usize,
-    /// How long queries come.
+    /// How long queries are sent.
     pub duration: Duration,
-    /// Time at the beginning that does not count.
+    /// Time at the start whose queries are not counted.
     pub warm_up: Duration,
-    /// Seed of the arrivals.
+    /// Seed of the arrival times and request ids.
     pub seed: u64,
-    /// The class, and the parts of a query.
+    /// The class of each query.
     pub class: String,
-    /// Shards of each query.
+    /// The shards of each query.
     pub shards: Vec<usize>,
 }
 
-/// What came of it.
-#[derive(Debug)]
+/// The result of a load.
+#[derive(Clone, Debug)]
 pub struct LoadReport {
-    /// Latency from when a query was due, in microseconds.
+    /// Latency of served queries from when they were due, in microseconds.
     pub latency: Histogram<u64>,
-    /// Queries that were served, in the time that counts.
+    /// Queries that were answered, without those of the warm-up.
     pub served: u64,
-    /// Queries that were not.
+    /// Queries that were not answered, without those of the warm-up.
     pub unserved: u64,
-    /// The time that counts.
+    /// The duration of the load without the warm-up.
     pub measured_duration: Duration,
 }
 
-enum Way {
-    Http1(RefCell<Vec<Http1Client>>, SocketAddr),
-    Http2(Vec<Http2Client>, Cell<usize>),
-    Direct(RefCell<Option<Direct>>),
-}
-
-impl Way {
-    async fn open(target: Target, executor: &LocalExecutor<'static>) -> io::Result<Way> {
-        match target {
-            Target::Http1(to, n) => {
-                let mut connections = Vec::with_capacity(n);
-                for _ in 0..n {
-                    connections.push(Http1Client::connect(to).await?);
-                }
-                Ok(Way::Http1(RefCell::new(connections), to))
-            }
-            Target::Http2(to, n) => {
-                let mut connections = Vec::with_capacity(n);
-                for _ in 0..n {
-                    connections.push(Http2Client::connect(to, executor).await?);
-                }
-                Ok(Way::Http2(connections, Cell::new(0)))
-            }
-            Target::Direct(to) => Ok(Way::Direct(RefCell::new(Some(Direct::connect(to).await?)))),
-        }
-    }
-
-    async fn ask(&self, ask: &LoadQuery) -> QueryOutcome {
-        match self {
-            Way::Http1(idle, to) => {
-                let idle_one = idle.borrow_mut().pop();
-                let connection = match idle_one {
-                    Some(connection) => Ok(connection),
-                    None => Http1Client::connect(*to).await,
-                };
-                let answer = async {
-                    let mut connection = connection?;
-                    let response = connection.send_or_reconnect(&ask.request()).await?;
-                    io::Result::Ok((connection, response))
-                };
-                match answer.await {
-                    Ok((connection, response)) => {
-                        idle.borrow_mut().push(connection);
-                        QueryOutcome::from_response(&response)
-                    }
-                    Err(error) => QueryOutcome::Aborted(error.to_string()),
-                }
-            }
-            Way::Http2(connections, next) => {
-                next.set((next.get() + 1) % connections.len());
-                connections[next.get()].ask(ask).await
-            }
-            Way::Direct(idle) => {
-                let Some(mut direct) = idle.take() else {
-                    return QueryOutcome::Aborted("one at a time".to_owned());
-                };
-                let answer = direct.ask(ask).await;
-                idle.replace(Some(direct));
-                answer.unwrap_or_else(|e| QueryOutcome::Aborted(e.to_string()))
-            }
-        }
-    }
-}
-
-/// Runs a load to its end, on this thread.
-pub fn open_loop(target: Target, load: &LoadProfile) -> io::Result<LoadReport> {
+/// Sends a load to its end, on this thread.
+///
+/// # Errors
+///
+/// If a connection cannot be made at the start.
+pub fn open_loop(target: Target, profile: &LoadProfile) -> io::Result<LoadReport> {
     let executor = Rc::new(LocalExecutor::new());
-    async_io::block_on(executor.run(run(target, load, executor.clone())))
+    async_io::block_on(executor.run(run(target, profile, executor.clone())))
 }
 
 async fn run(
     target: Target,
-    load: &LoadProfile,
+    profile: &LoadProfile,
     executor: Rc<LocalExecutor<'static>>,
 ) -> io::Result<LoadReport> {
-    let way = Rc::new(Way::open(target, &executor).await?);
-    let mut random = Pcg64Mcg::seed_from_u64(load.seed);
-    let latency = Histogram::new_with_bounds(1, 60_000_000, 3).map_err(io::Error::other)?;
-    let outcome = Rc::new(RefCell::new(LoadReport {
-        latency,
-        served: 0,
-        unserved: 0,
-        measured_duration: load.duration - load.warm_up,
-    }));
-    let (permits, permit) = async_channel::bounded(load.max_concurrent);
-    for _ in 0..load.max_concurrent {
-        let _ = permits.try_send(());
-    }
-    let begun = Instant::now();
-    let (counts, end) = (begun + load.warm_up, begun + load.duration);
-    let prefix: u32 = random.next_u32();
-    let mut due = begun;
-    for n in 0u64.. {
-        match load.rate {
-            // Exponential gaps: arrivals that know nothing of each other.
-            Some(rate) => {
-                due += Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / rate);
-            }
-            None => due = Instant::now(),
-        }
+    let transport = Rc::new(Transport::open(target, &executor).await?);
+    let mut random = Pcg64Mcg::seed_from_u64(profile.seed);
+    let slots = QuerySlots::new(profile.max_concurrent);
+    let start = Instant::now();
+    let end = start + profile.duration;
+    let recorder = Rc::new(Recorder::new(profile, start)?);
+    let id_prefix: u32 = random.next_u32();
+    let mut arrivals = Arrivals::new(profile.rate, start, random);
+    for number in 0u64.. {
+        let mut due = arrivals.next_due();
         if due >= end {
             break;
         }
         if due > Instant::now() {
             Timer::at(due).await;
         }
-        if permit.recv().await.is_err() {
-            break;
-        }
-        if load.rate.is_none() {
+        slots.acquire().await;
+        if profile.rate.is_none() {
             due = Instant::now();
         }
-        let ask = LoadQuery::new(format!("{prefix:08x}{n:08x}"), &load.class, &load.shards);
-        let (way, outcome, permits, due) = (way.clone(), outcome.clone(), permits.clone(), due);
+        let id = format!("{id_prefix:08x}{number:08x}");
+        let query = LoadQuery::new(id, &profile.class, &profile.shards);
+        let (transport, recorder, slots) = (transport.clone(), recorder.clone(), slots.clone());
         executor
             .spawn(async move {
-                let answer = way.ask(&ask).await;
-                if due >= counts && Instant::now() <= end + Duration::from_secs(5) {
-                    let mut outcome = outcome.borrow_mut();
-                    if matches!(answer, QueryOutcome::Answered { .. }) {
-                        outcome.served += 1;
-                        outcome
-                            .latency
-                            .saturating_record(due.elapsed().as_micros() as u64);
-                    } else {
-                        outcome.unserved += 1;
-                    }
-                }
-                let _ = permits.try_send(());
+                let outcome = transport.send_query(&query).await;
+                recorder.record(due, &outcome);
+                slots.release();
             })
             .detach();
     }
-    for _ in 0..load.max_concurrent {
-        let late = async {
-            Timer::after(Duration::from_secs(5)).await;
-            Err(async_channel::RecvError)
-        };
-        if futures_lite::FutureExt::or(permit.recv(), late)
-            .await
-            .is_err()
-        {
-            break;
+    slots.wait_until_free(profile.max_concurrent).await;
+    Ok(recorder.report())
+}
+
+/// Limits the queries in flight: each takes a slot and gives it back.
+#[derive(Clone)]
+struct QuerySlots {
+    /// Holds a message for each free slot.
+    free: Receiver<()>,
+    released: Sender<()>,
+}
+
+impl QuerySlots {
+    fn new(count: usize) -> Self {
+        let (released, free) = async_channel::bounded(count);
+        let slots = QuerySlots { free, released };
+        for _ in 0..count {
+            slots.release();
+        }
+        slots
+    }
+
+    async fn acquire(&self) {
+        let slot = self.free.recv().await;
+        slot.expect("the channel is open: this value holds a sender");
+    }
+
+    fn release(&self) {
+        let _ = self.released.try_send(());
+    }
+
+    /// Waits until so many slots are free, for each of them no longer than [`ANSWER_GRACE`].
+    async fn wait_until_free(&self, count: usize) {
+        for _ in 0..count {
+            let acquired = async {
+                self.acquire().await;
+                true
+            };
+            let timeout = async {
+                Timer::after(ANSWER_GRACE).await;
+                false
+            };
+            if !acquired.or(timeout).await {
+                return;
+            }
         }
     }
-    let done = outcome.replace(LoadReport {
-        latency: Histogram::new(3).map_err(io::Error::other)?,
-        served: 0,
-        unserved: 0,
-        measured_duration: Duration::ZERO,
-    });
-    Ok(done)
 }
--- /dev/null
+++ b/crates/load-generator/src/raw_http2/fields.rs
@@ -0,0 +1,114 @@
+//! Field blocks: as much of HPACK (RFC 7541) as a test client needs.
+
+use super::Frame;
+
+/// Longest string whose length fits into one byte of HPACK (section 5.1).
+const MAX_STRING_LEN: usize = 126;
+/// First byte of a literal without indexing whose name is a literal too (section 6.2.2).
+const LITERAL_WITH_NEW_NAME: u8 = 0;
+/// Flag of a string's length: the string is Huffman coded (section 5.2).
+const HUFFMAN_FLAG: u8 = 0x80;
+/// The Huffman codes of the digits, 0 first (appendix B).
+const HUFFMAN_DIGITS: [&str; 10] = [
+    "00000", "00001", "00010", "011001", "011010", "011011", "011100", "011101", "011110", "011111",
+];
+
+/// Encodes fields as literals without indexing.
+///
+/// # Panics
+///
+/// If a name or a value is longer than 126 bytes.
+#[must_use]
+pub fn encode_fields(pairs: &[(&str, &str)]) -> Vec<u8> {
+    let mut block = Vec::new();
+    for (name, value) in pairs {
+        block.push(LITERAL_WITH_NEW_NAME);
+        for string in [name, value] {
+            assert!(string.len() <= MAX_STRING_LEN);
+            block.push(string.len() as u8);
+            block.extend(string.as_bytes());
+        }
+    }
+    block
+}
+
+/// Encodes the fields of a query. A change with the name of a usual field replaces its value, or leaves the field out
+/// if the new value is empty; other changes are appended.
+///
+/// # Panics
+///
+/// If a name or a value is longer than 126 bytes.
+#[must_use]
+pub fn query_fields(request_id: &str, changes: &[(&str, &str)]) -> Vec<u8> {
+    let usual_fields = [
+        (":method", "POST"),
+        (":scheme", "http"),
+        (":path", "/lookup"),
+        (":authority", "broker.svc"),
+        ("x-request-id", request_id),
+        ("x-tenant", "public-site"),
+    ];
+    let is_usual = |name: &str| usual_fields.iter().any(|(usual, _)| *usual == name);
+    let replacement = |name: &str| {
+        let change = changes.iter().find(|(changed, _)| *changed == name);
+        change.map(|(_, value)| *value)
+    };
+    let mut fields: Vec<(&str, &str)> = usual_fields
+        .iter()
+        .map(|(name, value)| (*name, replacement(name).unwrap_or(value)))
+        .collect();
+    fields.extend(changes.iter().filter(|(name, _)| !is_usual(name)));
+    fields.retain(|(_, value)| !value.is_empty());
+    encode_fields(&fields)
+}
+
+/// Decodes the status from HEADERS of a response, where it is the first field.
+///
+/// # Panics
+///
+/// If the field block does not begin with a status that this decoder knows.
+#[must_use]
+pub fn response_status(headers: &Frame) -> u16 {
+    // Updates of the dynamic table's size may come first (section 6.3).
+    let is_size_update = |byte: &&u8| **byte & 0xe0 == 0x20;
+    let size_updates = headers.payload.iter().take_while(is_size_update).count();
+    let field = &headers.payload[size_updates..];
+    // Indexed fields of the static table (appendix A).
+    match field[0] {
+        0x88 => 200,
+        0x89 => 204,
+        0x8b => 304,
+        0x8c => 400,
+        0x8d => 404,
+        0x8e => 500,
+        _ => literal_status(&field[1..]),
+    }
+}
+
+/// Decodes a status that is a literal string.
+fn literal_status(string: &[u8]) -> u16 {
+    let length = usize::from(string[0] & !HUFFMAN_FLAG);
+    let bytes = &string[1..=length];
+    let digits = if string[0] & HUFFMAN_FLAG == 0 {
+        String::from_utf8_lossy(bytes).into_owned()
+    } else {
+        decode_huffman_digits(bytes, 3)
+    };
+    digits.parse().expect("a status is a number")
+}
+
+/// Decodes so many Huffman coded digits.
+fn decode_huffman_digits(bytes: &[u8], count: usize) -> String {
+    let bits: String = bytes.iter().map(|byte| format!("{byte:08b}")).collect();
+    let mut rest = bits.as_str();
+    let mut digits = String::new();
+    for _ in 0..count {
+        let digit = HUFFMAN_DIGITS
+            .iter()
+            .position(|code| rest.starts_with(code))
+            .expect("a status consists of digits");
+        digits += &digit.to_string();
+        rest = &rest[HUFFMAN_DIGITS[digit].len()..];
+    }
+    digits
+}
--- /dev/null
+++ b/crates/load-generator/src/raw_http2/frame.rs
@@ -0,0 +1,92 @@
+//! Frames of HTTP/2 (RFC 9113, section 4.1).
+
+/// Type of DATA frames.
+pub const DATA: u8 = 0;
+/// Type of HEADERS frames.
+pub const HEADERS: u8 = 1;
+/// Type of `RST_STREAM` frames.
+pub const RST_STREAM: u8 = 3;
+/// Type of SETTINGS frames.
+pub const SETTINGS: u8 = 4;
+/// Type of PING frames.
+pub const PING: u8 = 6;
+/// Type of GOAWAY frames.
+pub const GOAWAY: u8 = 7;
+/// Type of `WINDOW_UPDATE` frames.
+pub const WINDOW_UPDATE: u8 = 8;
+/// Type of CONTINUATION frames.
+pub const CONTINUATION: u8 = 9;
+/// Flag of DATA and HEADERS: the last frame of the stream in this direction.
+pub const END_STREAM: u8 = 1;
+/// Flag of HEADERS and CONTINUATION: the last frame of the field block.
+pub const END_HEADERS: u8 = 4;
+
+/// Length of a frame's header: three bytes of length, the type, the flags, and four bytes of stream id.
+const HEADER_LEN: usize = 9;
+
+/// A received frame.
+#[derive(Clone, Debug, PartialEq)]
+pub struct Frame {
+    /// The type, for instance [`DATA`].
+    pub frame_type: u8,
+    /// The flags, for instance [`END_STREAM`].
+    pub flags: u8,
+    /// The stream; 0 is the connection.
+    pub stream_id: u32,
+    /// What follows the header.
+    pub payload: Vec<u8>,
+}
+
+impl Frame {
+    /// Takes the first frame from received bytes, if it is there whole.
+    pub(super) fn take_from(input: &mut Vec<u8>) -> Option<Frame> {
+        let header: [u8; HEADER_LEN] = input.get(..HEADER_LEN)?.try_into().ok()?;
+        let [length_0, length_1, length_2, frame_type, flags, id @ ..] = header;
+        let payload_len = u32::from_be_bytes([0, length_0, length_1, length_2]) as usize;
+        let payload = input.get(HEADER_LEN..HEADER_LEN + payload_len)?.to_vec();
+        input.drain(..HEADER_LEN + payload_len);
+        Some(Frame {
+            frame_type,
+            flags,
+            stream_id: u32::from_be_bytes(id),
+            payload,
+        })
+    }
+
+    /// The error code of `RST_STREAM` or GOAWAY.
+    ///
+    /// # Panics
+    ///
+    /// If the payload is too short for one.
+    #[must_use]
+    pub fn error_code(&self) -> u32 {
+        // In GOAWAY the last stream id comes first.
+        let offset = if self.frame_type == GOAWAY { 4 } else { 0 };
+        self.payload_u32(offset)
+    }
+
+    /// The last stream id of GOAWAY.
+    ///
+    /// # Panics
+    ///
+    /// If the payload is too short for one.
+    #[must_use]
+    pub fn last_stream_id(&self) -> u32 {
+        self.payload_u32(0)
+    }
+
+    fn payload_u32(&self, offset: usize) -> u32 {
+        let bytes = self.payload.get(offset..).and_then(<[u8]>::first_chunk);
+        u32::from_be_bytes(*bytes.expect("the frame is of a type that carries this number"))
+    }
+}
+
+/// Encodes a frame.
+#[must_use]
+pub fn encode_frame(frame_type: u8, flags: u8, stream_id: u32, payload: &[u8]) -> Vec<u8> {
+    let mut bytes = (payload.len() as u32).to_be_bytes()[1..].to_vec();
+    bytes.extend([frame_type, flags]);
+    bytes.extend(stream_id.to_be_bytes());
+    bytes.extend(payload);
+    bytes
+}
--- a/crates/query-broker/src/bench/floods.rs
+++ b/crates/query-broker/src/bench/floods.rs
@@ -82,7 +82,13 @@
         class: "lookup".to_owned(),
         shards: vec![0, 1],
     };
-    let outcome = open_loop(Target::Http2(to, 2), &load);
+    let outcome = open_loop(
+        Target::Http2 {
+            address: to,
+            connections: 2,
+        },
+        &load,
+    );
     stop.store(true, Ordering::Relaxed);
     let (ended, longest) = attacker
         .join()
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -44,14 +44,14 @@
                     }
                     streams.push(
                         new[n / STREAMS]
-                            .open_half(&request)
+                            .open_without_body(&request)
                             .await
                             .map_err(io::Error::other)?,
                     );
                 }
                 None => {
                     let mut connection = Http1Client::connect(program.http1).await?;
-                    connection.send_half(&request).await?;
+                    connection.send_head(&request).await?;
                     old.push(connection);
                 }
             }
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -223,8 +223,14 @@
     let (fleet, program) = build.start(plan, matches!(m.turns, Turns::Gather))?;
     let target = match m.front {
         Front::Direct => Target::Direct(fleet.servers()[0].address),
-        Front::Http1(n) => Target::Http1(program.http1, n),
-        Front::Http2(n) => Target::Http2(http2(&program)?, n),
+        Front::Http1(n) => Target::Http1 {
+            address: program.http1,
+            connections: n,
+        },
+        Front::Http2(n) => Target::Http2 {
+            address: http2(&program)?,
+            connections: n,
+        },
     };
     let warm_up = seconds.mul_f64(0.2);
     let mut load = LoadProfile {
--- a/crates/query-broker/tests/http2/any_frames.rs
+++ b/crates/query-broker/tests/http2/any_frames.rs
@@ -64,7 +64,9 @@
         rig.run(async {
             let http2 = rig.connect().await;
             assert_eq!(
-                http2.ask(&lookup(&format!("serves{n}"), &[n % 8])).await,
+                http2
+                    .send_query(&lookup(&format!("serves{n}"), &[n % 8]))
+                    .await,
                 whole(&[n % 8])
             );
         });
--- a/crates/query-broker/tests/http2/drain.rs
+++ b/crates/query-broker/tests/http2/drain.rs
@@ -74,7 +74,7 @@
     let served = rig.run(async {
         let http2 = rig.connect().await;
         let asks: Vec<_> = (0..4).map(|n| lookup(&format!("q{n}"), &[n])).collect();
-        let answers = join_all(asks.iter().map(|a| http2.ask(a))).await;
+        let answers = join_all(asks.iter().map(|a| http2.send_query(a))).await;
         assert_eq!(answers[3], whole(&[3]));
         http2
     });
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -34,7 +34,7 @@
     let after = rig.run(async {
         rig.connect()
             .await
-            .ask(&lookup(&format!("after {what}").replace(' ', "-"), &[1]))
+            .send_query(&lookup(&format!("after {what}").replace(' ', "-"), &[1]))
             .await
     });
     assert_eq!(after, whole(&[1]), "{what}");
@@ -138,7 +138,7 @@
             .attempt_log(|log| !log.attempts().iter().any(|a| a.part_id.starts_with("bomb"))),
         "it was served"
     );
-    let after = rig.run(async { rig.connect().await.ask(&lookup("after", &[1])).await });
+    let after = rig.run(async { rig.connect().await.send_query(&lookup("after", &[1])).await });
     assert_eq!(after, whole(&[1]));
 }
 
@@ -190,7 +190,7 @@
             assert_eq!(
                 rig.connect()
                     .await
-                    .ask(&lookup(&format!("q{n}"), &[n]))
+                    .send_query(&lookup(&format!("q{n}"), &[n]))
                     .await,
                 whole(&[n])
             );
--- a/crates/query-broker/tests/http2/keys.rs
+++ b/crates/query-broker/tests/http2/keys.rs
@@ -29,7 +29,7 @@
             .unwrap();
         rig.attempts(1).await;
         first.reset();
-        let QueryOutcome::Rejected(Some(after)) = http2.ask(&save("b", "k1")).await else {
+        let QueryOutcome::Rejected(Some(after)) = http2.send_query(&save("b", "k1")).await else {
             panic!("it was not put off")
         };
         assert!(after > 0.0 && after <= 1.5, "{after}");
@@ -38,11 +38,11 @@
             .iter()
             .for_each(|s| s.set_fault(Fault::None));
         // Another key is none of its business.
-        assert_eq!(http2.ask(&save("c", "k2")).await, whole(&[0]));
+        assert_eq!(http2.send_query(&save("c", "k2")).await, whole(&[0]));
         let mut n = 0;
         loop {
             n += 1;
-            match http2.ask(&save(&format!("d{n}"), "k1")).await {
+            match http2.send_query(&save(&format!("d{n}"), "k1")).await {
                 QueryOutcome::Rejected(Some(after)) => {
                     async_io::Timer::after(Duration::from_secs_f64(after)).await;
                 }
@@ -79,7 +79,10 @@
             .iter()
             .for_each(|s| s.set_fault(Fault::None));
         async_io::Timer::after(Duration::from_millis(5100)).await;
-        assert_eq!(http2.ask(&save("b", "k1")).await, QueryOutcome::Failed(502));
+        assert_eq!(
+            http2.send_query(&save("b", "k1")).await,
+            QueryOutcome::Failed(502)
+        );
         assert_eq!(rig.fleet.attempt_log(|log| log.attempts().len()), sent);
     });
     rig.check_books();
--- a/crates/query-broker/tests/http2/requests.rs
+++ b/crates/query-broker/tests/http2/requests.rs
@@ -17,7 +17,10 @@
     rig.run(async {
         let http2 = rig.connect().await;
         let mut http1 = rig.connect_http1().await;
-        assert_eq!(http2.ask(&lookup("a", &[0, 3, 5])).await, whole(&[0, 3, 5]));
+        assert_eq!(
+            http2.send_query(&lookup("a", &[0, 3, 5])).await,
+            whole(&[0, 3, 5])
+        );
         let response = http1
             .send(&lookup("b", &[0, 3, 5]).request())
             .await
@@ -61,7 +64,7 @@
         let first = http2.open(&lookup("same", &[0]).request()).await.unwrap();
         rig.attempts(1).await;
         assert_eq!(
-            http2.ask(&lookup("same", &[0])).await,
+            http2.send_query(&lookup("same", &[0])).await,
             QueryOutcome::Failed(400)
         );
         let response = http1.send(&lookup("same", &[0]).request()).await.unwrap();
@@ -70,7 +73,7 @@
             QueryOutcome::from_response(&first.response().await.unwrap()),
             whole(&[0])
         );
-        assert_eq!(http2.ask(&lookup("same", &[0])).await, whole(&[0]));
+        assert_eq!(http2.send_query(&lookup("same", &[0])).await, whole(&[0]));
     });
 }
 
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -21,7 +21,7 @@
         let asks: Vec<_> = (0..300)
             .map(|n| lookup(&format!("q{n}"), &[n % 8]))
             .collect();
-        let answers = join_all(asks.iter().map(|ask| http2.ask(ask))).await;
+        let answers = join_all(asks.iter().map(|ask| http2.send_query(ask))).await;
         for (n, answer) in answers.iter().enumerate() {
             assert_eq!(*answer, whole(&[n % 8]), "query {n}");
         }
@@ -134,11 +134,12 @@
         let asks: Vec<_> = (0..100)
             .map(|n| lookup(&format!("g{n}"), &[n % 8]))
             .collect();
-        let taken = join_all(asks.iter().map(|ask| greedy.ask(ask)));
+        let taken = join_all(asks.iter().map(|ask| greedy.send_query(ask)));
         let rest = async {
             rig.attempts(10).await;
             let asks: Vec<_> = (0..5).map(|n| lookup(&format!("o{n}"), &[n])).collect();
-            let over_http2 = join_all(others.iter().zip(&asks).map(|(c, ask)| c.ask(ask))).await;
+            let over_http2 =
+                join_all(others.iter().zip(&asks).map(|(c, ask)| c.send_query(ask))).await;
             let over_http1 = old.send(&lookup("old", &[6]).request()).await.unwrap();
             (over_http2, QueryOutcome::from_response(&over_http1))
         };
@@ -194,7 +195,7 @@
         rig.settle(&http2).await;
         assert_eq!(http2.peer_stream_limit(), 2);
         let asks: Vec<_> = (0..6).map(|n| lookup(&format!("k{n}"), &[n])).collect();
-        let answers = join_all(asks.iter().map(|ask| http2.ask(ask))).await;
+        let answers = join_all(asks.iter().map(|ask| http2.send_query(ask))).await;
         assert!(
             answers
                 .iter()
