--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,13 +1,13 @@
 //! The queries in hand: whose they are, what came for them, and what may go out in their name.
 
-use crate::upstream::{EndedAttempt, OutgoingAttempt};
+use crate::upstream::{EndedAttempt, OutgoingAttempt, OutgoingPart};
 use admission::{ConnectionId, ConnectionQuota};
 use async_channel::Sender;
 use broker_types::query::{AttemptId, FinalResponse, QueryId, QueryRequest, ShardValue};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::{MILLI, Micros, millis};
 use fanout_policy::api::{RetrySafety, Settings};
-use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
 use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -106,11 +106,11 @@
             pending: BTreeMap::new(),
             ids: BTreeSet::new(),
             quota: ConnectionQuota::new(room),
-            register: IdempotencyRegister::new(
-                window.min().unwrap_or(NO_WINDOW),
-                keep.unwrap_or(0),
-                KEYS,
-            ),
+            register: IdempotencyRegister::new(RegisterLimits {
+                window: window.min().unwrap_or(NO_WINDOW),
+                retention: keep.unwrap_or(0),
+                max_keys: KEYS,
+            }),
             keyed: BTreeMap::new(),
             max_retry_after: settings.max_retry_after.map(millis),
         }
@@ -297,12 +297,14 @@
         Ok(OutgoingAttempt {
             attempt: d.attempt,
             server: d.server,
-            until: d.deadline,
-            expires,
-            wire: format!("{}.{}", pending.ask.id, part.shard),
-            shard: part.shard,
-            key: pending.ask.idempotency_key.clone(),
-            text: pending.ask.payload.clone(),
+            part: OutgoingPart {
+                wire_id: format!("{}.{}", pending.ask.id, part.shard),
+                shard: part.shard,
+                deadline: d.deadline,
+                send_before: expires,
+                idempotency_key: pending.ask.idempotency_key.clone(),
+                text: pending.ask.payload.clone(),
+            },
         })
     }
 
