--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -95,7 +95,7 @@
             LogLevel::Debug => Level::DEBUG,
             LogLevel::Trace => Level::TRACE,
         };
-        logging::set(format, level);
+        logging::reconfigure(format, level);
     }
 
     /// How turns are spaced, where the settings' tick is given.
--- a/crates/logging/src/limiter.rs
+++ b/crates/logging/src/limiter.rs
@@ -1,45 +1,46 @@
-//! One line of an event in a second.
+//! Limits each event to one line a second.
+
+#[cfg(test)]
+mod tests;
 
 use std::collections::BTreeMap;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// One line of an event in this time; the start and the end of the program are logged whatever came before.
-pub(crate) const EVERY: Duration = Duration::from_secs(1);
+/// Shortest time between two lines of an event.
+pub(crate) const MIN_LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// When each event last had a line, and how many were left out since. Its size is bounded by the number of events
-/// in the program's text.
+/// The state of the limit for each event name. Its size is bounded by the number of events in the program's source.
 #[derive(Default)]
-pub(crate) struct Limiter(Mutex<BTreeMap<&'static str, (Instant, u64)>>);
+pub(crate) struct Limiter {
+    events: Mutex<BTreeMap<&'static str, EventLines>>,
+}
+
+/// The lines of one event.
+struct EventLines {
+    last_line_at: Instant,
+    /// Lines that were left out since the last line.
+    suppressed: u64,
+}
 
 impl Limiter {
-    /// Whether a line of this event may go out; if so, how many did not since the last.
+    /// Returns how many lines of this event were left out since its last line, or `None` if this line has to be left
+    /// out too.
     pub(crate) fn admit(&self, event: &'static str, now: Instant) -> Option<u64> {
-        let mut seen = self.0.lock().ok()?;
-        match seen.get_mut(event) {
-            Some((last, left_out)) if now.saturating_duration_since(*last) < EVERY => {
-                *left_out += 1;
-                None
-            }
-            _ => Some(
-                seen.insert(event, (now, 0))
-                    .map_or(0, |(_, left_out)| left_out),
-            ),
+        let mut events = self.events.lock().ok()?;
+        let Some(lines) = events.get_mut(event) else {
+            let first_line = EventLines {
+                last_line_at: now,
+                suppressed: 0,
+            };
+            events.insert(event, first_line);
+            return Some(0);
+        };
+        if now.saturating_duration_since(lines.last_line_at) < MIN_LINE_INTERVAL {
+            lines.suppressed += 1;
+            return None;
         }
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn repeats_within_a_second_are_counted_not_printed() {
-        let limiter = Limiter::default();
-        let start = Instant::now();
-        assert_eq!(limiter.admit("limit", start), Some(0));
-        assert_eq!(limiter.admit("limit", start + EVERY / 2), None);
-        assert_eq!(limiter.admit("other", start + EVERY / 2), Some(0));
-        assert_eq!(limiter.admit("limit", start + EVERY), Some(1));
+        lines.last_line_at = now;
+        Some(std::mem::take(&mut lines.suppressed))
     }
 }
--- a/crates/logging/src/line.rs
+++ b/crates/logging/src/line.rs
@@ -1,115 +1,127 @@
-//! One line of the log.
+//! The text of one line of the log.
 
 use serde_json::{Map, Value};
 use std::fmt::{Debug, Write};
 use tracing::Level;
 use tracing::field::{Field, Visit};
 
-/// Longest value; what is beyond it is cut off.
-const VALUE: usize = 512;
+/// Longest text of a field, in bytes; longer ones are cut off and end in an ellipsis.
+const MAX_TEXT_LEN: usize = 512;
+/// Key of [`Line::suppressed`].
+const SUPPRESSED_KEY: &str = "left_out";
+const ELLIPSIS: char = '\u{2026}';
 
-/// The fields of an event or span.
+/// The fields of an event or a span, in the order in which they were recorded.
 #[derive(Default)]
-pub(crate) struct Pairs(Vec<(&'static str, Value)>);
+pub(crate) struct Fields(Vec<(&'static str, Value)>);
 
-impl Pairs {
-    /// Adds those of an outer span; inner ones go first.
-    pub(crate) fn extend(&mut self, outer: &Pairs) {
-        for (key, value) in &outer.0 {
-            if !self.0.iter().any(|(k, _)| k == key) {
+impl Fields {
+    /// Adds the fields of an enclosing span that are not there yet.
+    pub(crate) fn add_missing(&mut self, span_fields: &Fields) {
+        for (key, value) in &span_fields.0 {
+            if !self.0.iter().any(|(present, _)| present == key) {
                 self.0.push((key, value.clone()));
             }
         }
     }
 
-    fn put(&mut self, field: &Field, value: Value) {
+    fn set(&mut self, field: &Field, value: Value) {
         match self.0.iter_mut().find(|(key, _)| *key == field.name()) {
-            Some((_, old)) => *old = value,
+            Some((_, present)) => *present = value,
             None => self.0.push((field.name(), value)),
         }
     }
 
-    fn put_text(&mut self, field: &Field, mut text: String) {
-        if text.len() > VALUE {
-            text.truncate(text.floor_char_boundary(VALUE));
-            text.push('\u{2026}');
+    fn set_text(&mut self, field: &Field, mut text: String) {
+        if text.len() > MAX_TEXT_LEN {
+            text.truncate(text.floor_char_boundary(MAX_TEXT_LEN));
+            text.push(ELLIPSIS);
         }
-        self.put(field, Value::String(text));
+        self.set(field, Value::String(text));
     }
 }
 
-impl Visit for Pairs {
+impl Visit for Fields {
     fn record_debug(&mut self, field: &Field, value: &dyn Debug) {
-        self.put_text(field, format!("{value:?}"));
+        self.set_text(field, format!("{value:?}"));
     }
+
     fn record_str(&mut self, field: &Field, value: &str) {
-        self.put_text(field, value.to_owned());
+        self.set_text(field, value.to_owned());
     }
+
     fn record_u64(&mut self, field: &Field, value: u64) {
-        self.put(field, value.into());
+        self.set(field, value.into());
     }
+
     fn record_i64(&mut self, field: &Field, value: i64) {
-        self.put(field, value.into());
+        self.set(field, value.into());
     }
+
     fn record_f64(&mut self, field: &Field, value: f64) {
-        self.put(field, value.into());
+        self.set(field, value.into());
     }
+
     fn record_bool(&mut self, field: &Field, value: bool) {
-        self.put(field, value.into());
+        self.set(field, value.into());
     }
 }
 
-/// What a line says.
+/// The content of a line.
 pub(crate) struct Line<'a> {
     pub(crate) level: &'a Level,
     pub(crate) event: &'a str,
-    pub(crate) pairs: &'a Pairs,
-    pub(crate) left_out: u64,
+    pub(crate) fields: &'a Fields,
+    /// Lines of this event that were left out since its last line.
+    pub(crate) suppressed: u64,
 }
 
 impl Line<'_> {
-    fn level(&self) -> &'static str {
-        match *self.level {
-            Level::ERROR => "error",
-            Level::WARN => "warn",
-            Level::INFO => "info",
-            Level::DEBUG => "debug",
-            Level::TRACE => "trace",
-        }
-    }
-
-    pub(crate) fn logfmt(&self) -> String {
-        let mut line = format!("level={} event={}", self.level(), self.event);
-        for (key, value) in &self.pairs.0 {
+    pub(crate) fn to_logfmt(&self) -> String {
+        let mut line = format!("level={} event={}", level_name(*self.level), self.event);
+        for (key, value) in &self.fields.0 {
             let text = match value {
                 Value::String(text) => text.clone(),
                 other => other.to_string(),
             };
-            // Words from outside are quoted, so that they cannot forge a pair or a line.
-            let plain = |b: u8| b.is_ascii_graphic() && b != b'"' && b != b'=' && b != b'\\';
-            let plain = !text.is_empty() && text.bytes().all(plain);
-            let _ = if plain {
+            let _ = if is_safe_unquoted(&text) {
                 write!(line, " {key}={text}")
             } else {
                 write!(line, " {key}={text:?}")
             };
         }
-        if self.left_out > 0 {
-            let _ = write!(line, " left_out={}", self.left_out);
+        if self.suppressed > 0 {
+            let _ = write!(line, " {SUPPRESSED_KEY}={}", self.suppressed);
         }
         line + "\n"
     }
 
-    pub(crate) fn json(&self) -> String {
+    pub(crate) fn to_json(&self) -> String {
         let mut object = Map::new();
-        object.insert("level".into(), self.level().into());
+        object.insert("level".into(), level_name(*self.level).into());
         object.insert("event".into(), self.event.into());
-        for (key, value) in &self.pairs.0 {
+        for (key, value) in &self.fields.0 {
             object.insert((*key).to_owned(), value.clone());
         }
-        if self.left_out > 0 {
-            object.insert("left_out".into(), self.left_out.into());
+        if self.suppressed > 0 {
+            object.insert(SUPPRESSED_KEY.into(), self.suppressed.into());
         }
         Value::Object(object).to_string() + "\n"
     }
 }
+
+/// Whether a text can stand in logfmt without quotes. Quotes keep text from outside from forging a field or a line.
+fn is_safe_unquoted(text: &str) -> bool {
+    let is_safe = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'"' | b'=' | b'\\');
+    !text.is_empty() && text.bytes().all(is_safe)
+}
+
+fn level_name(level: Level) -> &'static str {
+    match level {
+        Level::ERROR => "error",
+        Level::WARN => "warn",
+        Level::INFO => "info",
+        Level::DEBUG => "debug",
+        Level::TRACE => "trace",
+    }
+}
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -1,13 +1,16 @@
-//! The lines as they leave the process: this test runs itself with the log on and reads what it wrote.
+//! The lines as they leave the process: the tests run this program again with the log on, and read what it writes.
 
-use logging::{Format, init, set};
+use logging::{Format, init, reconfigure};
 use std::process::{Command, Stdio};
 use tracing::{Level, debug, debug_span, error, info, warn};
 
-/// Not a test by itself: what the child of the tests below logs.
+/// Environment variable that turns the log on in the child process.
+const FORMAT_VARIABLE: &str = "LOGGING_TEST_FORMAT";
+
+/// No test by itself: what the child process of the tests below logs.
 #[test]
 fn child() {
-    let Ok(format) = std::env::var("PLOVER_TEST_LOG") else {
+    let Ok(format) = std::env::var(FORMAT_VARIABLE) else {
         return;
     };
     let format = if format == "json" {
@@ -20,22 +23,23 @@
     warn!(name: "forged", target: "broker::test", words = "x\nlevel=error event=fire a=\"b\"");
     debug!(name: "below", target: "broker::test", n = 1);
     (0..3).for_each(|n| error!(name: "often", target: "broker::test", n));
-    set(format, Level::DEBUG);
+    reconfigure(format, Level::DEBUG);
     let span = debug_span!(target: "broker::test", "query", query = 7, conn = 2);
     span.in_scope(|| debug!(name: "sent", target: "broker::test", conn = 9, part = 1));
     warn!(name: "foreign", target: "h2::proto", n = 1);
     info!(name: "long", target: "broker::test", words = "\u{e9}".repeat(600));
 }
 
-fn logged(format: &str) -> Vec<String> {
-    let out = Command::new(std::env::current_exe().unwrap())
+/// The lines that the child process writes in this format.
+fn child_lines(format: &str) -> Vec<String> {
+    let output = Command::new(std::env::current_exe().unwrap())
         .args(["--exact", "child", "--nocapture", "--test-threads=1"])
-        .env("PLOVER_TEST_LOG", format)
+        .env(FORMAT_VARIABLE, format)
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .output()
         .unwrap();
-    String::from_utf8(out.stderr)
+    String::from_utf8(output.stderr)
         .unwrap()
         .lines()
         .map(str::to_owned)
@@ -43,8 +47,8 @@
 }
 
 #[test]
-fn logfmt_lines_hold_what_was_said_and_cannot_be_forged() {
-    let lines = logged("logfmt");
+fn logfmt_lines_hold_all_fields_and_cannot_be_forged() {
+    let lines = child_lines("logfmt");
     let expected = [
         "level=info event=plain count=3 words=two server=s1",
         "level=warn event=forged words=\"x\\nlevel=error event=fire a=\\\"b\\\"\"",
@@ -59,11 +63,11 @@
 }
 
 #[test]
-fn json_lines_hold_the_same() {
-    let lines = logged("json");
+fn json_lines_hold_the_same_fields_as_logfmt() {
+    let lines = child_lines("json");
     let values: Vec<serde_json::Value> = lines
         .iter()
-        .map(|l| serde_json::from_str(l).unwrap())
+        .map(|line| serde_json::from_str(line).unwrap())
         .collect();
     assert_eq!(values[0]["count"], 3);
     assert_eq!(values[1]["words"], "x\nlevel=error event=fire a=\"b\"");
