--- a/crates/broker/src/listeners/http1/connection.rs
+++ b/crates/broker/src/listeners/http1/connection.rs
@@ -16,14 +16,14 @@
 use futures_lite::future::yield_now;
 use http::{Method, Request};
 use http1_codec::{Message, ResponseOptions, encode_response};
-use query_api::HEAD_CAP;
+use query_api::MAX_HEAD_BYTES;
 use std::io;
 use std::net::TcpStream;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// Most bytes of pipelined requests that are read while a response is outstanding.
-const MAX_READ_AHEAD_BYTES: usize = HEAD_CAP;
+const MAX_READ_AHEAD_BYTES: usize = MAX_HEAD_BYTES;
 /// Interval at which a connection with [`MAX_READ_AHEAD_BYTES`] buffered is checked for the client's disconnection, which
 /// reading can no longer detect.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
--- a/crates/broker/src/listeners/http1/input.rs
+++ b/crates/broker/src/listeners/http1/input.rs
@@ -8,15 +8,15 @@
 use futures_lite::future::yield_now;
 use http::Request;
 use http1_codec::{Limits, Message, ParseError, Progress, RequestDecoder};
-use query_api::{BODY_CAP, HEAD_CAP};
+use query_api::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 use std::io;
 use std::net::TcpStream;
 use std::time::Instant;
 
 /// Largest request that is accepted.
 const REQUEST_LIMITS: Limits = Limits {
-    head_bytes: HEAD_CAP,
-    body_bytes: BODY_CAP,
+    head_bytes: MAX_HEAD_BYTES,
+    body_bytes: MAX_BODY_BYTES,
 };
 /// Interim response to a client that waits before it sends a body (RFC 9110, section 15.2.1).
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
--- a/crates/broker/src/listeners/http2/handshake.rs
+++ b/crates/broker/src/listeners/http2/handshake.rs
@@ -17,7 +17,7 @@
 use h2::server;
 use http1_codec::encode_response;
 use http2_flood_guard::{FloodGuard, FloodLimits, PREFACE, Violation};
-use query_api::BODY_CAP;
+use query_api::MAX_BODY_BYTES;
 use std::io;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -27,7 +27,7 @@
 /// Part of [`STREAM_WINDOW_BYTES`] beyond the longest body, so that a body that is too long is detected.
 const STREAM_WINDOW_MARGIN_BYTES: u32 = 1024;
 /// Flow-control window of a stream, in bytes. The longest body fits without a window update.
-const STREAM_WINDOW_BYTES: u32 = BODY_CAP as u32 + STREAM_WINDOW_MARGIN_BYTES;
+const STREAM_WINDOW_BYTES: u32 = MAX_BODY_BYTES as u32 + STREAM_WINDOW_MARGIN_BYTES;
 /// Most bytes of a response that the `h2` library buffers for each stream.
 const SEND_BUFFER_BYTES: usize = 32 * 1024;
 /// Time for which the `h2` library remembers a stream that was reset, so that frames that the client sent before it
--- a/crates/broker/src/listeners/http2/request_body.rs
+++ b/crates/broker/src/listeners/http2/request_body.rs
@@ -5,7 +5,7 @@
 use h2::RecvStream;
 use http::header::{CONTENT_LENGTH, HOST};
 use http::{HeaderMap, Request};
-use query_api::BODY_CAP;
+use query_api::MAX_BODY_BYTES;
 use std::io;
 use thiserror::Error;
 
@@ -13,7 +13,7 @@
 pub(super) enum ReceivedBody {
     /// The body is complete.
     Complete(Vec<u8>),
-    /// The body is longer than [`BODY_CAP`].
+    /// The body is longer than [`MAX_BODY_BYTES`].
     TooLong,
 }
 
@@ -25,7 +25,7 @@
     body: &mut RecvStream,
     headers: &HeaderMap,
 ) -> io::Result<ReceivedBody> {
-    if declared_length(headers).is_some_and(|length| length > BODY_CAP as u64) {
+    if declared_length(headers).is_some_and(|length| length > MAX_BODY_BYTES as u64) {
         return Ok(ReceivedBody::TooLong);
     }
     let mut bytes = Vec::new();
@@ -34,7 +34,7 @@
     })
     .await?
     {
-        if bytes.len() + data.len() > BODY_CAP {
+        if bytes.len() + data.len() > MAX_BODY_BYTES {
             return Ok(ReceivedBody::TooLong);
         }
         bytes.extend_from_slice(&data);
--- a/crates/broker/src/listeners/request.rs
+++ b/crates/broker/src/listeners/request.rs
@@ -8,7 +8,9 @@
 use futures_lite::FutureExt;
 use http::Request;
 use http::header::{DATE, HeaderValue};
-use query_api::{Response, Routed, date, final_answer, refuse_connection, route};
+use query_api::{
+    Response, Routed, connection_rejected, date_header_value, encode_final_response, route,
+};
 use std::cell::RefCell;
 use std::time::{Duration, Instant, SystemTime};
 
@@ -42,9 +44,12 @@
                 is_valid_request: true,
             }),
             Routed::Query(query) => RoutedRequest::Query(query),
-            Routed::Answered { response, usable } => RoutedRequest::Replied(Reply {
+            Routed::Immediate {
                 response,
-                is_valid_request: usable,
+                is_valid_request,
+            } => RoutedRequest::Replied(Reply {
+                response,
+                is_valid_request,
             }),
         }
     }
@@ -63,7 +68,7 @@
             let final_response = handle.response().await;
             Ok(Reply {
                 is_valid_request: !matches!(final_response, FinalResponse::Invalid { .. }),
-                response: final_answer(&final_response),
+                response: encode_final_response(&final_response),
             })
         };
         let cancelled = async { Err(client_disconnected.await) };
@@ -72,7 +77,7 @@
 
     /// The response to a client for which there is no capacity.
     pub(super) fn rejection(&self) -> Response {
-        refuse_connection(&self.settings)
+        connection_rejected(&self.settings)
     }
 
     /// Adds the `Date` field, which holds the time at which a response was generated (RFC 9110, section 6.6.1).
@@ -86,7 +91,7 @@
 pub(super) fn error_reply(status: u16, reason: impl Into<String>) -> Reply {
     let reason = reason.into();
     Reply {
-        response: final_answer(&FinalResponse::Invalid { status, reason }),
+        response: encode_final_response(&FinalResponse::Invalid { status, reason }),
         is_valid_request: false,
     }
 }
@@ -110,7 +115,7 @@
     fn new() -> Self {
         CachedDate {
             formatted_at: Instant::now(),
-            value: date(SystemTime::now()),
+            value: date_header_value(SystemTime::now()),
         }
     }
 }
--- /dev/null
+++ b/crates/query-api/src/deadline/tests.rs
@@ -0,0 +1,28 @@
+use super::*;
+
+#[test]
+fn deadline_with_a_unit_is_parsed() {
+    assert_eq!(parse_deadline("480m"), Some(480_000));
+    assert_eq!(parse_deadline("1.5m"), Some(1500));
+    assert_eq!(parse_deadline("480u"), Some(480));
+    assert_eq!(parse_deadline("3600000m"), Some(MAX_CLIENT_TIMEOUT));
+}
+
+#[test]
+fn deadline_of_any_other_form_is_refused() {
+    for text in [
+        "",
+        "m",
+        "480",
+        "480s",
+        "-1m",
+        "+1m",
+        "1e3m",
+        "NaNm",
+        "infm",
+        "4\u{e9}",
+        "9999999999999m",
+    ] {
+        assert_eq!(parse_deadline(text), None, "{text}");
+    }
+}
--- /dev/null
+++ b/crates/query-api/src/decode.rs
@@ -0,0 +1,144 @@
+//! Decoding of a query from an HTTP request.
+
+use crate::deadline::parse_deadline;
+use crate::invalid_request::InvalidRequest;
+use crate::parts::{Body, check_parts};
+use crate::route::is_standard_method;
+use broker_types::query::{Names, QueryRequest};
+use broker_types::time::{Micros, millis};
+use fanout_policy::api::{RetrySafety, Settings};
+use http::{HeaderMap, Method, Request, Uri};
+use std::rc::Rc;
+
+/// Longest request id and longest idempotency key, in bytes: both are part of each frame to a server.
+const MAX_TOKEN_BYTES: usize = 256;
+/// Longest time that a client may ask the broker to take: one hour.
+pub(crate) const MAX_CLIENT_TIMEOUT: Micros = 3_600_000_000;
+
+const CLASS_HEADER: &str = "x-class";
+const TENANT_HEADER: &str = "x-tenant";
+const DEADLINE_HEADER: &str = "x-deadline";
+const RETRY_HEADER: &str = "x-retry";
+const REQUEST_ID_HEADER: &str = "x-request-id";
+const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
+
+/// Decodes a query.
+///
+/// # Errors
+///
+/// [`InvalidRequest`] where the request is not a valid query of one of the classes.
+pub fn decode(
+    request: &Request<Vec<u8>>,
+    names: &Names,
+    settings: &Settings,
+) -> Result<QueryRequest, InvalidRequest> {
+    let headers = request.headers();
+    let class = class_index(request.uri(), names)?;
+    check_method(request.method())?;
+    check_class_header(headers, &names.classes[class])?;
+    let id = token(headers, REQUEST_ID_HEADER)?.ok_or(InvalidRequest::RequestIdMissing)?;
+    let tenant = tenant_index(headers, names)?;
+    let idempotency_key = idempotency_key(headers, settings.classes[class].retry_safety)?;
+    let max_timeout = millis(settings.classes[class].client_timeout);
+    let client_timeout = client_timeout(headers, max_timeout)?;
+    let body: Body = serde_json::from_slice(request.body())?;
+    Ok(QueryRequest {
+        id,
+        class,
+        tenant,
+        client_timeout,
+        is_retry: headers.get(RETRY_HEADER).is_some_and(|value| value == "1"),
+        idempotency_key,
+        parts: check_parts(body.parts, settings.shards)?,
+        payload: body.predicate.into(),
+    })
+}
+
+/// The class that the first segment of the path names.
+fn class_index(uri: &Uri, names: &Names) -> Result<usize, InvalidRequest> {
+    let path = uri.path().trim_start_matches('/');
+    let segment = path.split('/').next().unwrap_or_default();
+    names
+        .classes
+        .iter()
+        .position(|class| class == segment)
+        .ok_or(InvalidRequest::UnknownClass)
+}
+
+fn check_method(method: &Method) -> Result<(), InvalidRequest> {
+    if method == Method::POST {
+        Ok(())
+    } else if is_standard_method(method) {
+        Err(InvalidRequest::MethodNotAllowed)
+    } else {
+        Err(InvalidRequest::MethodNotImplemented)
+    }
+}
+
+/// Checks that the header, if there is one, names the class of the path.
+fn check_class_header(headers: &HeaderMap, class: &str) -> Result<(), InvalidRequest> {
+    match headers.get(CLASS_HEADER) {
+        Some(value) if value.as_bytes() != class.as_bytes() => Err(InvalidRequest::ClassMismatch),
+        _ => Ok(()),
+    }
+}
+
+/// The tenant that the header names; 0 where the deployment has no tenants.
+fn tenant_index(headers: &HeaderMap, names: &Names) -> Result<usize, InvalidRequest> {
+    if names.tenants.is_empty() {
+        return Ok(0);
+    }
+    let name = headers
+        .get(TENANT_HEADER)
+        .ok_or(InvalidRequest::TenantMissing)?;
+    names
+        .tenants
+        .iter()
+        .position(|tenant| tenant.as_bytes() == name.as_bytes())
+        .ok_or(InvalidRequest::UnknownTenant)
+}
+
+/// The idempotency key. It is required where the class uses them, and ignored where retries are harmless anyway.
+fn idempotency_key(
+    headers: &HeaderMap,
+    retry_safety: RetrySafety,
+) -> Result<Option<Rc<str>>, InvalidRequest> {
+    let key = token(headers, IDEMPOTENCY_KEY_HEADER)?;
+    match retry_safety {
+        RetrySafety::Idempotent => Ok(None),
+        RetrySafety::IdempotencyKey { .. } => {
+            key.map(Some).ok_or(InvalidRequest::IdempotencyKeyMissing)
+        }
+        RetrySafety::NotIdempotent => Ok(key),
+    }
+}
+
+/// The time that the client waits: what the header says, up to the class's own limit.
+fn client_timeout(headers: &HeaderMap, max_timeout: Micros) -> Result<Micros, InvalidRequest> {
+    let Some(value) = headers.get(DEADLINE_HEADER) else {
+        return Ok(max_timeout);
+    };
+    let requested = value.to_str().ok().and_then(parse_deadline);
+    let requested = requested.ok_or(InvalidRequest::MalformedDeadline)?;
+    Ok(requested.min(max_timeout))
+}
+
+/// A header whose value becomes part of frames: a space, a comma or a line break in it would forge another field there.
+fn token(headers: &HeaderMap, header: &'static str) -> Result<Option<Rc<str>>, InvalidRequest> {
+    let mut values = headers.get_all(header).iter();
+    let Some(value) = values.next() else {
+        return Ok(None);
+    };
+    // Where there are two values, a proxy in front of the broker may have taken the other one.
+    let is_repeated = values.next().is_some();
+    let token = value.to_str().ok().filter(|token| is_plain_token(token));
+    match token {
+        Some(token) if !is_repeated => Ok(Some(token.into())),
+        _ => Err(InvalidRequest::MalformedToken { header }),
+    }
+}
+
+fn is_plain_token(token: &str) -> bool {
+    let is_plain = |b: u8| b.is_ascii_graphic() && b != b',';
+    (1..=MAX_TOKEN_BYTES).contains(&token.len()) && token.bytes().all(is_plain)
+}
--- /dev/null
+++ b/crates/query-api/src/response.rs
@@ -0,0 +1,138 @@
+//! Encoding of final responses.
+
+use broker_types::query::{FinalResponse, ShardValue};
+use broker_types::time::{Micros, SECOND, millis};
+use fanout_policy::api::Settings;
+use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
+use http::{HeaderMap, StatusCode};
+use serde::Serialize;
+use std::time::SystemTime;
+
+/// Retry-after advice for a client whose connection is rejected: by then the idle connections and the incomplete
+/// requests of others have been ended.
+const CONNECTION_RETRY_AFTER: Micros = 2 * SECOND;
+
+/// Methods of the broker as a whole, for `OPTIONS *`.
+const ALL_METHODS: &str = "GET, HEAD, OPTIONS, POST";
+/// Method of a query.
+const QUERY_METHOD: &str = "POST";
+
+/// A response with its complete body.
+pub type Response = http::Response<Vec<u8>>;
+
+/// The body of an answer.
+#[derive(Serialize)]
+struct AnswerBody<'a> {
+    #[serde(rename = "total")]
+    is_complete: bool,
+    #[serde(rename = "answers")]
+    values: Vec<ValueBody<'a>>,
+}
+
+/// The value of one shard in the body of an answer.
+#[derive(Serialize)]
+struct ValueBody<'a> {
+    #[serde(rename = "range")]
+    shard: usize,
+    #[serde(rename = "blob")]
+    value: &'a str,
+}
+
+impl<'a> From<&'a ShardValue> for ValueBody<'a> {
+    fn from(value: &'a ShardValue) -> Self {
+        ValueBody {
+            shard: value.shard,
+            value: &value.value,
+        }
+    }
+}
+
+/// Encodes the final response to a query.
+#[must_use]
+pub fn encode_final_response(response: &FinalResponse) -> Response {
+    match response {
+        FinalResponse::Answered {
+            is_complete,
+            values,
+        } => answer_response(*is_complete, values),
+        FinalResponse::Rejected { retry_after } => rejected_response(*retry_after),
+        FinalResponse::Failed => error_response(502, "", "failed"),
+        FinalResponse::Invalid { status, reason } => {
+            let allowed_methods = if *status == 405 { QUERY_METHOD } else { "" };
+            error_response(*status, allowed_methods, reason)
+        }
+    }
+}
+
+/// The response to a client whose connection is rejected because there are too many.
+#[must_use]
+pub fn connection_rejected(settings: &Settings) -> Response {
+    let max_retry_after = settings.max_retry_after.map(millis);
+    rejected_response(max_retry_after.map(|max| max.min(CONNECTION_RETRY_AFTER)))
+}
+
+/// The value of a `Date` header at this time (RFC 9110, section 5.6.7).
+#[must_use]
+pub fn date_header_value(now: SystemTime) -> HeaderValue {
+    HeaderValue::try_from(httpdate::fmt_http_date(now)).unwrap_or(HeaderValue::from_static(""))
+}
+
+/// The response to `OPTIONS *`, which asks about the broker as a whole.
+pub(crate) fn options_response() -> Response {
+    error_response(204, ALL_METHODS, "")
+}
+
+/// The response to the question whether the broker accepts queries.
+pub(crate) fn readiness_response(is_ready: bool) -> Response {
+    response(if is_ready { 200 } else { 503 }, Vec::new())
+}
+
+/// A response with a reason as its body, and with the methods that are allowed instead; both may be empty.
+pub(crate) fn error_response(status: u16, allowed_methods: &'static str, reason: &str) -> Response {
+    let body = if reason.is_empty() {
+        Vec::new()
+    } else {
+        format!("{reason}\n").into_bytes()
+    };
+    let mut response = response(status, body);
+    if !allowed_methods.is_empty() {
+        let allow = HeaderValue::from_static(allowed_methods);
+        response.headers_mut().insert(ALLOW, allow);
+    }
+    response
+}
+
+fn answer_response(is_complete: bool, values: &[ShardValue]) -> Response {
+    let body = AnswerBody {
+        is_complete,
+        values: values.iter().map(ValueBody::from).collect(),
+    };
+    let body = serde_json::to_vec(&body).expect("an answer's body has no map and cannot fail");
+    let mut response = response(200, body);
+    let json = HeaderValue::from_static("application/json");
+    response.headers_mut().insert(CONTENT_TYPE, json);
+    response
+}
+
+fn rejected_response(retry_after: Option<Micros>) -> Response {
+    let mut response = error_response(503, "", "refused: trying again is harmless");
+    if let Some(retry_after) = retry_after {
+        insert_retry_after(response.headers_mut(), retry_after);
+    }
+    response
+}
+
+/// Inserts the `Retry-After` header. It is in seconds with three decimals: clients of this protocol take fractions.
+fn insert_retry_after(headers: &mut HeaderMap, retry_after: Micros) {
+    let seconds = format!("{:.3}", retry_after as f64 / SECOND as f64);
+    if let Ok(value) = HeaderValue::try_from(seconds) {
+        headers.insert(RETRY_AFTER, value);
+    }
+}
+
+fn response(status: u16, body: Vec<u8>) -> Response {
+    let mut response = http::Response::new(body);
+    *response.status_mut() =
+        StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    response
+}
--- /dev/null
+++ b/crates/query-api/tests/invalid_request.rs
@@ -0,0 +1,135 @@
+//! Texts and status codes of invalid requests, which clients see.
+
+use broker_types::query::{FinalResponse, Names, QueryRequest};
+use fanout_policy::json::JsonObject;
+use fanout_policy::settings::decode as decode_settings;
+use http::Request;
+use query_api::{InvalidRequest, decode};
+use serde_json::Value;
+
+const BODY: &str = r#"{"ranges":[{"range":0,"portion":1}],"predicate":"p"}"#;
+
+fn decode_request(request: &Request<Vec<u8>>) -> Result<QueryRequest, InvalidRequest> {
+    let settings: Value =
+        serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
+    let fields = settings.as_object().unwrap();
+    let site = decode_settings(&JsonObject::new("settings", fields)).unwrap();
+    let names = Names {
+        classes: site.class_names,
+        tenants: site.tenant_names,
+        zones: site.zone_names,
+    };
+    decode(request, &names, &site.settings)
+}
+
+fn request(path: &str, headers: &[(&str, &str)], body: &str) -> Request<Vec<u8>> {
+    let mut request = Request::post(path);
+    for (name, value) in headers {
+        request = request.header(*name, *value);
+    }
+    request.body(body.as_bytes().to_vec()).unwrap()
+}
+
+const HEADERS: [(&str, &str); 2] = [("x-request-id", "r1"), ("x-tenant", "acme")];
+
+#[track_caller]
+fn assert_invalid(request: &Request<Vec<u8>>, status: u16, reason: &str) {
+    let error = decode_request(request).unwrap_err();
+    let expected = FinalResponse::Invalid {
+        status,
+        reason: reason.to_owned(),
+    };
+    assert_eq!(FinalResponse::from(error), expected);
+}
+
+#[test]
+fn valid_query_is_decoded() {
+    let query = decode_request(&request("/lookup", &HEADERS, BODY)).unwrap();
+    assert_eq!((query.class, query.tenant, query.parts.len()), (0, 0, 1));
+    assert_eq!((&*query.id, &*query.payload), ("r1", "p"));
+}
+
+#[test]
+fn request_with_an_invalid_path_or_method_is_refused() {
+    assert_invalid(
+        &request("/none", &HEADERS, BODY),
+        404,
+        "the path names no class",
+    );
+    for (method, status) in [("PUT", 405), ("BREW", 501)] {
+        let mut request = request("/lookup", &HEADERS, BODY);
+        *request.method_mut() = method.parse().unwrap();
+        assert_invalid(&request, status, "a query is a POST");
+    }
+}
+
+#[test]
+fn request_with_an_invalid_header_is_refused() {
+    let id = HEADERS[0];
+    let tenant = HEADERS[1];
+    for (path, headers, reason) in [
+        ("/lookup", vec![tenant], "X-Request-Id is missing"),
+        (
+            "/lookup",
+            vec![("x-request-id", "a,b"), tenant],
+            "x-request-id is malformed",
+        ),
+        ("/lookup", vec![id, id, tenant], "x-request-id is malformed"),
+        ("/lookup", vec![id], "X-Tenant is missing"),
+        (
+            "/lookup",
+            vec![id, ("x-tenant", "x")],
+            "X-Tenant names no tenant",
+        ),
+        (
+            "/lookup",
+            vec![id, tenant, ("x-class", "save")],
+            "X-Class is not the path's class",
+        ),
+        ("/save", vec![id, tenant], "Idempotency-Key is missing"),
+        (
+            "/lookup",
+            vec![id, tenant, ("x-deadline", "1s")],
+            "X-Deadline is not a number with the unit m or u",
+        ),
+    ] {
+        assert_invalid(&request(path, &headers, BODY), 400, reason);
+    }
+}
+
+#[test]
+fn request_with_an_invalid_body_is_refused() {
+    for (body, reason) in [
+        (r#"{"ranges":[],"predicate":""}"#, "ranges is empty"),
+        (
+            r#"{"ranges":[{"range":9,"portion":1}],"predicate":""}"#,
+            "a range is out of bounds",
+        ),
+        (
+            r#"{"ranges":[{"range":0,"portion":0.5},{"range":0,"portion":0.5}],"predicate":""}"#,
+            "a range is given twice",
+        ),
+        (
+            r#"{"ranges":[{"range":0,"portion":2}],"predicate":""}"#,
+            "a portion is out of bounds",
+        ),
+        (
+            r#"{"ranges":[{"range":0,"portion":1,"price":-1}],"predicate":""}"#,
+            "a price is out of bounds",
+        ),
+        (
+            r#"{"ranges":[{"range":0,"portion":0.5}],"predicate":""}"#,
+            "the portions do not add up to 1",
+        ),
+        (
+            r#"{"predicate":""}"#,
+            "the body is malformed: missing field `ranges` at line 1 column 16",
+        ),
+        (
+            "5",
+            "the body is malformed: invalid type: integer `5`, expected struct Body at line 1 column 1",
+        ),
+    ] {
+        assert_invalid(&request("/lookup", &HEADERS, body), 400, reason);
+    }
+}
