--- /dev/null
+++ b/crates/simulator-adapter/tests/adapter/main.rs
@@ -0,0 +1,7 @@
+//! Tests of the adapter with hand-written input.
+
+mod batches;
+mod gossip;
+mod invalid_input;
+mod load_reports;
+mod script;
