--- a/crates/query-broker/tests/http2/drain.rs
+++ b/crates/query-broker/tests/http2/drain.rs
@@ -75,7 +75,7 @@
     let served = rig.run(async {
         let http2 = rig.connect().await;
         let asks: Vec<_> = (0..4).map(|n| lookup(&format!("q{n}"), &[n])).collect();
-        let answers = join_all(asks.iter().map(|a| http2.ask(a))).await;
+        let answers = join_all(asks.iter().map(|a| http2.send_query(a))).await;
         assert_eq!(answers[3], whole(&[3]));
         http2
     });
@@ -107,7 +107,7 @@
         .unwrap();
     rig.program.signal("HUP").unwrap();
     rig.program
-        .wait_for_log("event=operator_file changed=log-level,http2-streams")
+        .wait_for_log("event=operator_config_changed changed=log-level,http2-streams")
         .unwrap();
     assert_eq!(streams(&rig), 7);
     for (text, words) in [
@@ -121,7 +121,7 @@
         ),
         (
             "listen-http2 127.0.0.1:9\nhttp2-streams 7\nlog-level debug\n",
-            "event=restart_needed changed=listen-http2",
+            "event=restart_required changed=listen-http2",
         ),
     ] {
         // An event has one line a second.
--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -16,9 +16,9 @@
 /// Time between two looks at whether the process has ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Words of the log line with the address of the HTTP/1.1 listener.
-const HTTP1_LISTENER_STARTED: &str = "event=started ";
+const HTTP1_LISTENER_STARTED: &str = "event=broker_started ";
 /// Words of the log line with the address of the HTTP/2 listener.
-const HTTP2_LISTENER_STARTED: &str = "event=started_http2 ";
+const HTTP2_LISTENER_STARTED: &str = "event=http2_listener_started ";
 /// Setting of the operator's file that opens the HTTP/2 listener.
 const HTTP2_LISTENER_SETTING: &str = "listen-http2";
 const PLATFORM_FILE: &str = "config.json";
