--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -1,284 +1,195 @@
-//! Who may have requests out at a cold server.
+//! Leases on the requests in flight at a server that is warming up.
 //!
-//! A lease lets one proxy have so many requests out at one server. It is handed to the proxy as a limit on that server's
-//! cluster with a time to live, so that a proxy that is cut off stops by itself. Here a lease counts until its proxy can
-//! no longer act on it. That is not when the time to live is over since it was handed out: the proxy counts that time
-//! from when it *reads* the word, which may lie in its socket while it stands still. So a word that is not acknowledged
-//! counts without end; acknowledged, it counts for the time to live from then (the proxy began to count before); and when
-//! its stream has ended without an acknowledgement, for as long as a proxy may stand still, and the time to live. In each
-//! case what it sent in the last moment has to run out too. What counts together never passes what the server may have
-//! out, whatever the order of grants, of words that are late or lost, and of proxies that vanish: see
-//! `tests/lease_model.rs`, which goes through all orders of a small case.
+//! A lease allows one proxy, its holder, a number of requests in flight (units) at one server. The proxy receives it as
+//! a limit on the server's cluster with a time to live, so that a proxy that is cut off stops by itself. The units of a
+//! lease stay reserved until its holder can no longer use them. That is later than the time to live after the lease was
+//! sent, since the proxy counts the time to live from when it *reads* the message, which may wait in its socket while
+//! the proxy is paused:
+//!
+//! - a message that is not acknowledged keeps the lease without end;
+//! - once it is acknowledged, the lease lasts for the time to live from then, as the proxy began to count before;
+//! - if the stream ends without an acknowledgement, the lease lasts for the longest pause of a proxy and the time to
+//!   live.
+//!
+//! In each case the requests that the holder sent last have to end too. The reserved units of a server never exceed its
+//! limit, whatever the order of grants, late or lost messages, and proxies that disappear: `tests/lease_model.rs` checks
+//! all orders of a small case.
 
-use crate::Proxy;
-use crate::cold::Rule;
+use crate::ProxyName;
+use crate::slow_start::SlowStartRule;
 use broker_types::server::NodeId;
 use broker_types::time::Micros;
 use std::collections::BTreeMap;
 
 /// Time limits of leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Times {
-    /// A proxy acts on a lease for so long after it read of it.
+pub struct LeaseTimes {
+    /// How long a proxy uses a lease after it has read of it.
     pub time_to_live: Micros,
-    /// The longest that a request is out at a server: what was sent in a lease's last moment ends by then.
-    pub longest_request: Micros,
-    /// The longest that a proxy stands still and then reads what was sent to it before.
-    pub longest_pause: Micros,
+    /// The longest time that a request is in flight at a server.
+    pub max_request_duration: Micros,
+    /// The longest time that a proxy is paused before it reads what was sent to it.
+    pub max_pause: Micros,
+}
+
+/// A request for a lease.
+#[derive(Clone, Copy, Debug)]
+pub struct LeaseRequest<'a> {
+    /// The server.
+    pub server: &'a NodeId,
+    /// The proxy that will hold the lease.
+    pub holder: &'a ProxyName,
+    /// Units that the holder is to have.
+    pub wanted_units: u32,
+    /// Units at the server that this control instance may grant to all holders together.
+    pub server_limit: u32,
 }
 
-/// Where a lease is in its life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Stage {
-    /// Word of it is on its way, and not acknowledged.
-    Handed,
-    /// The proxy may act on it until this moment at the latest, if it hears no more.
-    Held(Micros),
-    /// It no longer acts on it; what it sent has run out by this moment.
-    Ending(Micros),
+enum LeaseState {
+    /// The last message about the lease is not acknowledged.
+    Unacknowledged,
+    /// The holder uses the lease until this moment at the latest.
+    Active { until: Micros },
+    /// The holder no longer uses the lease; its last requests have ended by this moment.
+    Draining { until: Micros },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Lease {
     units: u32,
-    stage: Stage,
+    state: LeaseState,
+}
+
+impl Lease {
+    fn is_draining(&self) -> bool {
+        matches!(self.state, LeaseState::Draining { .. })
+    }
 }
 
-/// All leases that count, by server and proxy. Its size is bounded by what servers may have out.
+/// All leases whose units are reserved, by server and holder. Its size is bounded by the limits of the servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Leases {
-    times: Times,
-    by_server: BTreeMap<NodeId, BTreeMap<Proxy, Lease>>,
+pub struct LeaseTable {
+    times: LeaseTimes,
+    by_server: BTreeMap<NodeId, BTreeMap<ProxyName, Lease>>,
 }
 
-impl Leases {
-    /// None yet.
+impl LeaseTable {
+    /// A table without leases.
     #[must_use]
-    pub fn new(times: Times) -> Self {
-        Leases {
+    pub fn new(times: LeaseTimes) -> Self {
+        LeaseTable {
             times,
             by_server: BTreeMap::new(),
         }
     }
 
-    /// Hands a proxy as many units at a server as are free, up to `wanted`, or prolongs the lease that it has; the number
-    /// is what it may have out from now on, 0: nothing. Word of it has to go out, and [`Leases::acknowledged`] or
-    /// [`Leases::stream_ended`] to follow. `most` is this instance's part of what the server may have out.
-    pub fn grant(
-        &mut self,
-        now: Micros,
-        server: &NodeId,
-        proxy: &Proxy,
-        wanted: u32,
-        most: u32,
-    ) -> u32 {
+    /// Grants a lease on the wanted units or on those that are free, or renews the holder's lease. Returns the units
+    /// that the holder may use from now on, which may be none. If there are any, a message to the holder has to follow,
+    /// and later [`LeaseTable::on_acknowledged`] or [`LeaseTable::on_stream_ended`].
+    pub fn grant(&mut self, now: Micros, request: LeaseRequest<'_>) -> u32 {
         self.expire(now);
-        let free = most.saturating_sub(self.counted(server));
-        let leases = self.by_server.entry(server.clone()).or_default();
-        match leases.get_mut(proxy) {
-            // One that ends is counted until it has.
-            Some(Lease {
-                stage: Stage::Ending(_),
-                ..
-            }) => 0,
+        let reserved = self.reserved_units(request.server);
+        let free = request.server_limit.saturating_sub(reserved);
+        let leases = self.by_server.entry(request.server.clone()).or_default();
+        match leases.get_mut(request.holder) {
+            Some(lease) if lease.is_draining() => 0,
             Some(lease) => {
-                // A lease grows and never shrinks: a proxy that has not heard would keep to the larger one.
-                lease.units += free.min(wanted.saturating_sub(lease.units));
-                lease.stage = Stage::Handed;
+                // A renewal never takes units back: a holder that has not read of it would use the earlier number.
+                let missing = request.wanted_units.saturating_sub(lease.units);
+                lease.units += free.min(missing);
+                lease.state = LeaseState::Unacknowledged;
                 lease.units
             }
             None => {
-                let units = free.min(wanted);
+                let units = free.min(request.wanted_units);
                 if units > 0 {
-                    leases.insert(
-                        proxy.clone(),
-                        Lease {
-                            units,
-                            stage: Stage::Handed,
-                        },
-                    );
+                    let state = LeaseState::Unacknowledged;
+                    leases.insert(request.holder.clone(), Lease { units, state });
                 }
                 units
             }
         }
     }
 
-    fn change(&mut self, proxy: &Proxy, change: impl Fn(Stage) -> Stage) {
-        for lease in self
-            .by_server
-            .values_mut()
-            .filter_map(|leases| leases.get_mut(proxy))
-        {
-            lease.stage = change(lease.stage);
-        }
+    /// The holder has acknowledged the last message about its leases.
+    pub fn on_acknowledged(&mut self, now: Micros, holder: &ProxyName) {
+        self.end_unacknowledged_at(now + self.times.time_to_live, holder);
     }
 
-    /// The proxy acknowledged the last word of its leases.
-    pub fn acknowledged(&mut self, now: Micros, proxy: &Proxy) {
-        let until = now + self.times.time_to_live;
-        self.change(proxy, |stage| {
-            if stage == Stage::Handed {
-                Stage::Held(until)
-            } else {
-                stage
-            }
-        });
+    /// The stream of the holder has ended. It may still read messages that it has not acknowledged.
+    pub fn on_stream_ended(&mut self, now: Micros, holder: &ProxyName) {
+        let until = now + self.times.max_pause + self.times.time_to_live;
+        self.end_unacknowledged_at(until, holder);
     }
 
-    /// The proxy's stream has ended. What was not acknowledged may still be read.
-    pub fn stream_ended(&mut self, now: Micros, proxy: &Proxy) {
-        let until = now + self.times.longest_pause + self.times.time_to_live;
-        self.change(proxy, |stage| {
-            if stage == Stage::Handed {
-                Stage::Held(until)
-            } else {
-                stage
+    fn end_unacknowledged_at(&mut self, until: Micros, holder: &ProxyName) {
+        for leases in self.by_server.values_mut() {
+            if let Some(lease) = leases.get_mut(holder)
+                && lease.state == LeaseState::Unacknowledged
+            {
+                lease.state = LeaseState::Active { until };
             }
-        });
+        }
     }
 
-    /// The proxy acknowledged a state in which it has no lease at this server.
-    pub fn released(&mut self, now: Micros, server: &NodeId, proxy: &Proxy) {
-        let end = now + self.times.longest_request;
-        if let Some(lease) = self
-            .by_server
-            .get_mut(server)
-            .and_then(|leases| leases.get_mut(proxy))
-            && !matches!(lease.stage, Stage::Ending(_))
+    /// The proxy has acknowledged that it holds no lease on the server.
+    pub fn on_released(&mut self, now: Micros, server: &NodeId, holder: &ProxyName) {
+        let until = now + self.times.max_request_duration;
+        let leases = self.by_server.get_mut(server);
+        if let Some(lease) = leases.and_then(|leases| leases.get_mut(holder))
+            && !lease.is_draining()
         {
-            lease.stage = Stage::Ending(end);
+            lease.state = LeaseState::Draining { until };
         }
     }
 
-    /// The server is no longer cold, or gone: what is out there is no matter of leases any more.
-    pub fn forget(&mut self, server: &NodeId) {
+    /// Removes the leases on a server that has warmed up or is gone, and no longer needs them.
+    pub fn remove_server(&mut self, server: &NodeId) {
         self.by_server.remove(server);
     }
 
-    /// What this proxy may have out at the server.
+    /// Units that the proxy holds at the server.
     #[must_use]
-    pub fn held(&self, server: &NodeId, proxy: &Proxy) -> u32 {
-        let lease = self
-            .by_server
-            .get(server)
-            .and_then(|leases| leases.get(proxy));
-        lease
-            .filter(|l| !matches!(l.stage, Stage::Ending(_)))
-            .map_or(0, |l| l.units)
+    pub fn held_units(&self, server: &NodeId, holder: &ProxyName) -> u32 {
+        let leases = self.by_server.get(server);
+        leases
+            .and_then(|leases| leases.get(holder))
+            .filter(|lease| !lease.is_draining())
+            .map_or(0, |lease| lease.units)
     }
 
-    /// Units that count at this server.
+    /// Units that are reserved at the server, for all leases that are held or draining.
     #[must_use]
-    pub fn counted(&self, server: &NodeId) -> u32 {
-        self.by_server
-            .get(server)
-            .map_or(0, |leases| leases.values().map(|l| l.units).sum())
+    pub fn reserved_units(&self, server: &NodeId) -> u32 {
+        let leases = self.by_server.get(server);
+        leases.map_or(0, |leases| leases.values().map(|lease| lease.units).sum())
     }
 
-    /// Ends what has run out by now.
+    /// Moves leases that have run out by now to draining, and removes those that have drained.
     pub fn expire(&mut self, now: Micros) {
-        let longest = self.times.longest_request;
+        let max_request_duration = self.times.max_request_duration;
         for leases in self.by_server.values_mut() {
             for lease in leases.values_mut() {
-                if let Stage::Held(until) = lease.stage
+                if let LeaseState::Active { until } = lease.state
                     && until <= now
                 {
-                    lease.stage = Stage::Ending(until + longest);
+                    lease.state = LeaseState::Draining {
+                        until: until + max_request_duration,
+                    };
                 }
             }
-            leases.retain(|_, l| !matches!(l.stage, Stage::Ending(at) if at <= now));
+            leases.retain(
+                |_, lease| !matches!(lease.state, LeaseState::Draining { until } if until <= now),
+            );
         }
         self.by_server.retain(|_, leases| !leases.is_empty());
     }
 }
 
-/// How many units each of so many proxies is to want: as few as give the server its due, at least one.
+/// The units that each of so many proxies requests at a server of this age: an even share of its limit, at least one.
 #[must_use]
-pub fn fair_units(rule: &Rule, age: Micros, proxies: usize) -> u32 {
-    rule.most_out(age).div_ceil(proxies.max(1) as u32).max(1)
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-    use broker_types::time::SECOND;
-
-    const TIMES: Times = Times {
-        time_to_live: 2 * SECOND,
-        longest_request: 4 * SECOND,
-        longest_pause: 10 * SECOND,
-    };
-
-    fn server() -> NodeId {
-        NodeId("s".into())
-    }
-
-    fn proxy(n: usize) -> Proxy {
-        format!("p{n}").into()
-    }
-
-    #[test]
-    fn no_more_is_handed_out_than_there_is() {
-        let mut leases = Leases::new(TIMES);
-        let granted: Vec<u32> = (0..5)
-            .map(|n| leases.grant(0, &server(), &proxy(n), 2, 5))
-            .collect();
-        assert_eq!(
-            (granted, leases.counted(&server())),
-            (vec![2, 2, 1, 0, 0], 5)
-        );
-        assert_eq!(
-            leases.grant(0, &server(), &proxy(2), 2, 6),
-            2,
-            "it grows with the server"
-        );
-    }
-
-    /// A proxy that is cut off acts on its lease until the time to live is over, and its last request is out for longer.
-    #[test]
-    fn a_lease_counts_until_its_proxy_cannot_act_on_it() {
-        let mut leases = Leases::new(TIMES);
-        leases.grant(0, &server(), &proxy(0), 3, 3);
-        leases.acknowledged(SECOND, &proxy(0));
-        assert_eq!(
-            leases.grant(3 * SECOND, &server(), &proxy(1), 3, 3),
-            0,
-            "the time to live has just run out"
-        );
-        assert_eq!(
-            leases.grant(7 * SECOND - 1, &server(), &proxy(1), 3, 3),
-            0,
-            "its last request may be out"
-        );
-        assert_eq!(leases.grant(7 * SECOND, &server(), &proxy(1), 3, 3), 3);
-        leases.released(8 * SECOND, &server(), &proxy(1));
-        assert_eq!(leases.grant(12 * SECOND - 1, &server(), &proxy(0), 3, 3), 0);
-        assert_eq!(leases.grant(12 * SECOND, &server(), &proxy(0), 3, 3), 3);
-    }
-
-    /// Word that was not acknowledged may be read late: it counts until its stream has ended for as long as a proxy may
-    /// stand still.
-    #[test]
-    fn what_is_not_acknowledged_counts_without_end() {
-        let mut leases = Leases::new(TIMES);
-        leases.grant(0, &server(), &proxy(0), 3, 3);
-        assert_eq!(leases.grant(1000 * SECOND, &server(), &proxy(1), 3, 3), 0);
-        leases.stream_ended(1000 * SECOND, &proxy(0));
-        assert_eq!(
-            leases.grant(1016 * SECOND - 1, &server(), &proxy(1), 3, 3),
-            0
-        );
-        assert_eq!(leases.grant(1016 * SECOND, &server(), &proxy(1), 3, 3), 3);
-    }
-
-    #[test]
-    fn a_lease_that_is_prolonged_goes_on_and_one_that_ends_is_not_begun_anew() {
-        let mut leases = Leases::new(TIMES);
-        for s in 0..10 {
-            assert_eq!(leases.grant(s * SECOND, &server(), &proxy(0), 1, 1), 1);
-            leases.acknowledged(s * SECOND, &proxy(0));
-        }
-        leases.released(10 * SECOND, &server(), &proxy(0));
-        assert_eq!(leases.grant(11 * SECOND, &server(), &proxy(0), 1, 1), 0);
-    }
+pub fn fair_units(rule: &SlowStartRule, age: Micros, proxies: usize) -> u32 {
+    let limit = rule.max_in_flight(age);
+    limit.div_ceil(proxies.max(1) as u32).max(1)
 }
--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -1,43 +1,44 @@
-//! What other proxies are told of the data servers, without I/O or clock.
+//! Assigns data servers to many proxies as clusters and endpoints, without I/O or a clock.
 //!
-//! Whether a server is sound, ejected, draining or cold is decided by the module; this package turns those views into
-//! something that many proxies can act on while each of them may be late, cut off, or carry most of the traffic:
+//! The fan-out policy decides whether a server is healthy, ejected, draining or warming up. This package turns those
+//! views into assignments that stay safe although each proxy may be late, cut off, or carry most of the traffic:
 //!
-//! - [`cold`] says how many requests a cold server may have out from everybody together;
-//! - [`leases`] deals those out to proxies, and counts each until its proxy can no longer act on it;
-//! - [`quorum`] lets the views of several proxies, and never of one, take a server out, and not too many of them;
-//! - [`assign`] makes the clusters and endpoints that one proxy is told of.
+//! - [`slow_start`] limits the requests that a server which is warming up may have in flight from all proxies together;
+//! - [`leases`] divides that limit among proxies, and reserves each part until its holder can no longer use it;
+//! - [`ejection_quorum`] ejects a server on the reports of several proxies, never of one, and limits how many servers
+//!   are ejected;
+//! - [`endpoint_assignment`] makes the clusters and endpoints of the proxies.
 
-pub mod assign;
-pub mod cold;
+pub mod ejection_quorum;
+pub mod endpoint_assignment;
 pub mod leases;
-pub mod quorum;
+pub mod slow_start;
 
 use broker_types::server::{NodeId, ServingState};
 use broker_types::time::Micros;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Name of a proxy, the same over its streams.
-pub type Proxy = Arc<str>;
+/// Name of a proxy, which stays the same over all of its streams.
+pub type ProxyName = Arc<str>;
 
-/// A server as the module sees it, and where it listens.
+/// A server as the fan-out policy sees it, and its address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct View {
-    /// Its name.
+pub struct ServerView {
+    /// Name of the server.
     pub name: NodeId,
-    /// Where it listens.
-    pub endpoint: SocketAddr,
-    /// Its cell: servers of one cell hold the same shards.
+    /// Address on which it listens.
+    pub address: SocketAddr,
+    /// Index of its cell; the servers of a cell hold the same shards.
     pub cell: usize,
     /// Index of its zone.
     pub zone: Option<usize>,
-    /// Its state in the list.
+    /// Its state in the endpoint list.
     pub state: ServingState,
-    /// Until when it is passed over for its failures.
+    /// When its ejection ends, if the policy has ejected it.
     pub ejected_until: Option<Micros>,
-    /// When its process started, if it may still be cold.
-    pub cold_since: Option<Micros>,
-    /// Time until an answer per work out there, against the fleet's: 1 is usual, 2 half as fast.
-    pub pace: f64,
+    /// When its process started, if it may still be warming up.
+    pub started_at: Option<Micros>,
+    /// Its latency per unit of outstanding work, relative to the fleet's: 1 is usual, 2 is half as fast.
+    pub relative_latency: f64,
 }
--- /dev/null
+++ b/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
@@ -0,0 +1,206 @@
+//! Which reports eject a server, and for how long.
+
+use broker_types::server::NodeId;
+use broker_types::time::{Micros, SECOND};
+use endpoint_control::ProxyName;
+use endpoint_control::ejection_quorum::{
+    EjectionQuorum, EjectionRule, ServerLocation, ServerReport,
+};
+use proptest::prelude::*;
+
+const CONNECTED_PROXIES: usize = 4;
+const RULE: EjectionRule = EjectionRule {
+    min_votes: 2,
+    min_vote_share: 0.5,
+    min_failure_share: 0.5,
+    min_requests: 5,
+    report_lifetime: 10 * SECOND,
+    first_duration: 2 * SECOND,
+    max_duration: 30 * SECOND,
+    forget_after: 60 * SECOND,
+    max_ejected_share: 0.5,
+    partition_share: 0.8,
+};
+const FAILING: ServerReport = ServerReport {
+    succeeded: 1,
+    failed: 9,
+    unanswered: 0,
+};
+const UNREACHABLE: ServerReport = ServerReport {
+    succeeded: 0,
+    failed: 0,
+    unanswered: 9,
+};
+const HEALTHY: ServerReport = ServerReport {
+    succeeded: 9,
+    failed: 0,
+    unanswered: 0,
+};
+
+fn server(number: usize) -> NodeId {
+    NodeId(format!("s{number}").into())
+}
+
+fn proxy(number: usize) -> ProxyName {
+    format!("p{number}").into()
+}
+
+/// Four servers of one cell, two in each zone.
+fn locations() -> Vec<ServerLocation> {
+    (0..4)
+        .map(|number| ServerLocation {
+            server: server(number),
+            cell: 0,
+            zone: Some(number / 2),
+        })
+        .collect()
+}
+
+/// The same report of a server from proxies 0 to `proxies` - 1.
+fn report_from_all(
+    quorum: &mut EjectionQuorum,
+    now: Micros,
+    proxies: usize,
+    reported_server: usize,
+    report: ServerReport,
+) {
+    for number in 0..proxies {
+        quorum.on_report(now, &proxy(number), &server(reported_server), report);
+    }
+}
+
+fn ejected(quorum: &mut EjectionQuorum, now: Micros) -> Vec<NodeId> {
+    quorum
+        .evaluate(now, &locations(), CONNECTED_PROXIES)
+        .into_keys()
+        .collect()
+}
+
+#[test]
+fn one_vote_ejects_no_server_unless_it_is_from_the_only_proxy() {
+    let mut quorum = EjectionQuorum::new(RULE);
+    quorum.on_report(0, &proxy(0), &server(0), FAILING);
+    for number in 1..4 {
+        quorum.on_report(0, &proxy(number), &server(0), HEALTHY);
+    }
+    assert_eq!(ejected(&mut quorum, 1), []);
+    quorum.on_report(2, &proxy(1), &server(0), FAILING);
+    assert_eq!(ejected(&mut quorum, 3), [server(0)]);
+    let mut single_report = EjectionQuorum::new(RULE);
+    single_report.on_report(0, &proxy(0), &server(0), FAILING);
+    assert_eq!(
+        ejected(&mut single_report, 1),
+        [],
+        "other proxies are connected, though they send nothing to this server"
+    );
+    assert_eq!(
+        single_report.evaluate(2, &locations(), 1).len(),
+        1,
+        "it is the only proxy"
+    );
+}
+
+#[test]
+fn ejections_stop_at_the_cap_of_the_cell() {
+    let mut quorum = EjectionQuorum::new(RULE);
+    for number in 0..4 {
+        report_from_all(&mut quorum, 0, 3, number, FAILING);
+    }
+    assert_eq!(ejected(&mut quorum, 1).len(), 2);
+}
+
+#[test]
+fn servers_of_a_partitioned_zone_are_not_ejected_as_unreachable() {
+    let mut quorum = EjectionQuorum::new(RULE);
+    for number in 0..2 {
+        report_from_all(&mut quorum, 0, 3, number, UNREACHABLE);
+    }
+    for number in 2..4 {
+        report_from_all(&mut quorum, 0, 3, number, HEALTHY);
+    }
+    assert_eq!(ejected(&mut quorum, 1), []);
+    // One unreachable server beside a healthy one of its zone has failed.
+    report_from_all(&mut quorum, 2, 3, 1, HEALTHY);
+    assert_eq!(ejected(&mut quorum, 3), [server(0)]);
+}
+
+#[test]
+fn repeated_ejections_last_longer_and_outdated_reports_are_dropped() {
+    let mut quorum = EjectionQuorum::new(RULE);
+    let mut durations_s = Vec::new();
+    let mut now = 0;
+    for _ in 0..4 {
+        report_from_all(&mut quorum, now, 2, 0, FAILING);
+        let ends_at = quorum.evaluate(now, &locations(), CONNECTED_PROXIES)[&server(0)];
+        durations_s.push((ends_at - now) / SECOND);
+        now = ends_at;
+        assert_eq!(ejected(&mut quorum, now), [], "the server is readmitted");
+    }
+    assert_eq!(durations_s, [2, 4, 8, 16]);
+    report_from_all(&mut quorum, now, 2, 1, FAILING);
+    assert_eq!(ejected(&mut quorum, now + RULE.report_lifetime), []);
+}
+
+/// A report of any content about one of the four servers.
+#[derive(Clone, Debug)]
+struct AnyReport {
+    proxy: usize,
+    server: usize,
+    report: ServerReport,
+    /// Time since the report before.
+    delay: Micros,
+}
+
+fn any_report() -> impl Strategy<Value = AnyReport> {
+    let counts = (0u64..20, 0u64..20, 0u64..20);
+    (0usize..5, 0usize..4, counts, 0u64..3 * SECOND).prop_map(
+        |(proxy, server, (succeeded, failed, unanswered), delay)| AnyReport {
+            proxy,
+            server,
+            report: ServerReport {
+                succeeded,
+                failed,
+                unanswered,
+            },
+            delay,
+        },
+    )
+}
+
+/// A report without a success about one of the four servers.
+fn false_report() -> impl Strategy<Value = (usize, ServerReport)> {
+    (0usize..4, 0u64..50, 0u64..50).prop_map(|(server, failed, unanswered)| {
+        let report = ServerReport {
+            succeeded: 0,
+            failed,
+            unanswered,
+        };
+        (server, report)
+    })
+}
+
+proptest! {
+    #[test]
+    fn any_reports_keep_the_cap_and_one_false_reporter_ejects_nothing(
+        reports in prop::collection::vec(any_report(), 0..80),
+        false_reports in prop::collection::vec(false_report(), 0..20),
+    ) {
+        let mut quorum = EjectionQuorum::new(RULE);
+        let mut now = 0;
+        for AnyReport { proxy: from, server: about, report, delay } in reports {
+            now += delay;
+            quorum.on_report(now, &proxy(from), &server(about), report);
+            prop_assert!(ejected(&mut quorum, now).len() <= 2);
+        }
+        let mut healthy = EjectionQuorum::new(RULE);
+        for about in 0..4 {
+            for from in 1..4 {
+                healthy.on_report(0, &proxy(from), &server(about), HEALTHY);
+            }
+        }
+        for (about, report) in false_reports {
+            healthy.on_report(1, &proxy(0), &server(about), report);
+            prop_assert_eq!(ejected(&mut healthy, 2), []);
+        }
+    }
+}
--- /dev/null
+++ b/crates/endpoint-control/tests/endpoint_control/endpoint_assignment.rs
@@ -0,0 +1,168 @@
+//! The clusters and endpoints that proxies receive.
+
+use crate::figures::{LEASE_TIMES, SLOW_START_RULE};
+use broker_types::server::{NodeId, ServingState};
+use broker_types::time::{Micros, SECOND};
+use endpoint_control::endpoint_assignment::{
+    CellCluster, Health, SlowStartEndpoint, assign_clusters, assign_slow_start_endpoints,
+};
+use endpoint_control::leases::LeaseTable;
+use endpoint_control::slow_start::ControlInstance;
+use endpoint_control::{ProxyName, ServerView};
+use proptest::prelude::*;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+
+fn view(number: usize) -> ServerView {
+    ServerView {
+        name: NodeId(format!("s{number:02}").into()),
+        address: SocketAddr::from(([127, 0, 0, 1], 9000 + number as u16)),
+        cell: number % 2,
+        zone: Some(number % 3),
+        state: ServingState::Serving,
+        ejected_until: None,
+        started_at: None,
+        relative_latency: 1.0,
+    }
+}
+
+/// The clusters at this moment without ejections by a quorum.
+fn clusters(now: Micros, views: &[ServerView]) -> Vec<CellCluster> {
+    assign_clusters(now, views, &BTreeMap::new(), &SLOW_START_RULE)
+}
+
+/// Row and health of each endpoint of a cell.
+fn health(clusters: &[CellCluster], cell: usize) -> Vec<(usize, Health)> {
+    clusters[cell]
+        .endpoints
+        .iter()
+        .map(|endpoint| (endpoint.row, endpoint.health))
+        .collect()
+}
+
+#[test]
+fn cells_become_clusters_whose_rows_do_not_change_with_health() {
+    let mut views: Vec<ServerView> = (0..6).map(view).collect();
+    views[2].state = ServingState::Draining;
+    views[4].ejected_until = Some(10);
+    assert_eq!(
+        health(&clusters(5, &views), 0),
+        [
+            (0, Health::Healthy),
+            (1, Health::Draining),
+            (2, Health::Unhealthy)
+        ]
+    );
+    assert_eq!(health(&clusters(10, &views), 0)[2].1, Health::Healthy);
+    let ejected_until = BTreeMap::from([(views[1].name.clone(), 20)]);
+    let clusters = assign_clusters(10, &views, &ejected_until, &SLOW_START_RULE);
+    assert_eq!(health(&clusters, 1)[0].1, Health::Unhealthy);
+}
+
+#[test]
+fn cell_whose_servers_are_all_ejected_is_assigned_as_healthy() {
+    let mut views: Vec<ServerView> = (0..4).map(view).collect();
+    for ejected in &mut views[..3] {
+        ejected.ejected_until = Some(10);
+    }
+    let clusters = clusters(5, &views);
+    assert_eq!(
+        health(&clusters, 0),
+        [(0, Health::Healthy), (1, Health::Healthy)]
+    );
+    assert_eq!(
+        health(&clusters, 1),
+        [(0, Health::Unhealthy), (1, Health::Healthy)]
+    );
+}
+
+#[test]
+fn weight_decreases_in_steps_with_latency() {
+    let weight = |relative_latency: f64| {
+        let view = ServerView {
+            relative_latency,
+            ..view(0)
+        };
+        clusters(0, &[view])[0].endpoints[0].weight
+    };
+    assert_eq!(
+        [0.1, 0.5, 1.0, 1.1, 2.0, 100.0, f64::NAN, -1.0].map(weight),
+        [128, 128, 64, 64, 32, 16, 64, 64]
+    );
+}
+
+#[test]
+fn server_that_is_warming_up_is_assigned_only_to_lease_holders() {
+    let mut views: Vec<ServerView> = (0..4).map(view).collect();
+    views[0].started_at = Some(0);
+    let proxies: Vec<ProxyName> = (0..10).map(|number| format!("p{number}").into()).collect();
+    let mut leases = LeaseTable::new(LEASE_TIMES);
+    let only_instance = ControlInstance {
+        number: 0,
+        count: 1,
+    };
+    let mut assign = |now: Micros| -> BTreeMap<ProxyName, Vec<SlowStartEndpoint>> {
+        assign_slow_start_endpoints(
+            now,
+            &views,
+            &proxies,
+            &SLOW_START_RULE,
+            &mut leases,
+            only_instance,
+        )
+    };
+    assert_eq!(health(&clusters(0, &views), 0), [(1, Health::Healthy)]);
+    let first = assign(0);
+    let endpoints = first.values().flatten();
+    assert_eq!(
+        endpoints
+            .map(|endpoint| endpoint.max_in_flight)
+            .sum::<u32>(),
+        SLOW_START_RULE.max_in_flight(0)
+    );
+    let second = assign(SECOND);
+    assert!(
+        first.keys().all(|proxy| second.contains_key(proxy)),
+        "holders keep their leases"
+    );
+    let warmed_up = 16 * SECOND;
+    assert!(assign(warmed_up).is_empty());
+    assert_eq!(health(&clusters(warmed_up, &views), 0).len(), 2);
+}
+
+proptest! {
+    #[test]
+    fn all_instances_together_keep_to_the_limit_of_a_server(
+        proxies in 0usize..40,
+        instances in 1u32..6,
+        ages in prop::collection::vec(0u64..16 * SECOND, 1..20),
+    ) {
+        let mut started = view(0);
+        started.started_at = Some(0);
+        let mut ages = ages;
+        ages.sort_unstable();
+        let mut tables: Vec<LeaseTable> =
+            (0..instances).map(|_| LeaseTable::new(LEASE_TIMES)).collect();
+        for now in ages {
+            for (number, leases) in tables.iter_mut().enumerate() {
+                let own_proxies: Vec<ProxyName> = (0..proxies)
+                    .map(|proxy| format!("i{number}p{proxy}").into())
+                    .collect();
+                let instance = ControlInstance { number: number as u32, count: instances };
+                assign_slow_start_endpoints(
+                    now,
+                    std::slice::from_ref(&started),
+                    &own_proxies,
+                    &SLOW_START_RULE,
+                    leases,
+                    instance,
+                );
+            }
+            let reserved: u32 = tables
+                .iter()
+                .map(|leases| leases.reserved_units(&started.name))
+                .sum();
+            prop_assert!(reserved <= SLOW_START_RULE.max_in_flight(now));
+        }
+    }
+}
--- /dev/null
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -0,0 +1,91 @@
+//! How long the units of a lease stay reserved.
+
+use crate::figures::LEASE_TIMES;
+use broker_types::server::NodeId;
+use broker_types::time::{Micros, SECOND};
+use endpoint_control::ProxyName;
+use endpoint_control::leases::{LeaseRequest, LeaseTable};
+
+fn server() -> NodeId {
+    NodeId("s".into())
+}
+
+fn proxy(number: usize) -> ProxyName {
+    format!("p{number}").into()
+}
+
+/// Requests a lease for a proxy and returns the granted units.
+fn grant(
+    leases: &mut LeaseTable,
+    now: Micros,
+    holder: usize,
+    wanted_units: u32,
+    server_limit: u32,
+) -> u32 {
+    let request = LeaseRequest {
+        server: &server(),
+        holder: &proxy(holder),
+        wanted_units,
+        server_limit,
+    };
+    leases.grant(now, request)
+}
+
+#[test]
+fn grants_never_exceed_the_limit_of_the_server() {
+    let mut leases = LeaseTable::new(LEASE_TIMES);
+    let granted: Vec<u32> = (0..5)
+        .map(|holder| grant(&mut leases, 0, holder, 2, 5))
+        .collect();
+    assert_eq!(granted, [2, 2, 1, 0, 0]);
+    assert_eq!(leases.reserved_units(&server()), 5);
+    assert_eq!(
+        grant(&mut leases, 0, 2, 2, 6),
+        2,
+        "a lease grows with the limit"
+    );
+}
+
+/// A proxy that is cut off uses its lease until the end of the time to live, and its last request lasts longer.
+#[test]
+fn lease_stays_reserved_until_its_holder_cannot_use_it() {
+    let mut leases = LeaseTable::new(LEASE_TIMES);
+    grant(&mut leases, 0, 0, 3, 3);
+    leases.on_acknowledged(SECOND, &proxy(0));
+    assert_eq!(
+        grant(&mut leases, 3 * SECOND, 1, 3, 3),
+        0,
+        "the time to live has just ended"
+    );
+    assert_eq!(
+        grant(&mut leases, 7 * SECOND - 1, 1, 3, 3),
+        0,
+        "the last request may be in flight"
+    );
+    assert_eq!(grant(&mut leases, 7 * SECOND, 1, 3, 3), 3);
+    leases.on_released(8 * SECOND, &server(), &proxy(1));
+    assert_eq!(grant(&mut leases, 12 * SECOND - 1, 0, 3, 3), 0);
+    assert_eq!(grant(&mut leases, 12 * SECOND, 0, 3, 3), 3);
+}
+
+/// A message that is not acknowledged may be read late: until the longest pause of a proxy after the end of its stream.
+#[test]
+fn unacknowledged_lease_stays_reserved_until_its_stream_has_ended() {
+    let mut leases = LeaseTable::new(LEASE_TIMES);
+    grant(&mut leases, 0, 0, 3, 3);
+    assert_eq!(grant(&mut leases, 1000 * SECOND, 1, 3, 3), 0);
+    leases.on_stream_ended(1000 * SECOND, &proxy(0));
+    assert_eq!(grant(&mut leases, 1016 * SECOND - 1, 1, 3, 3), 0);
+    assert_eq!(grant(&mut leases, 1016 * SECOND, 1, 3, 3), 3);
+}
+
+#[test]
+fn renewed_lease_continues_and_draining_lease_is_not_renewed() {
+    let mut leases = LeaseTable::new(LEASE_TIMES);
+    for second in 0..10 {
+        assert_eq!(grant(&mut leases, second * SECOND, 0, 1, 1), 1);
+        leases.on_acknowledged(second * SECOND, &proxy(0));
+    }
+    leases.on_released(10 * SECOND, &server(), &proxy(0));
+    assert_eq!(grant(&mut leases, 11 * SECOND, 0, 1, 1), 0);
+}
--- /dev/null
+++ b/crates/endpoint-control/tests/endpoint_control/slow_start.rs
@@ -0,0 +1,90 @@
+//! The limit of requests in flight at a server that is warming up.
+
+use crate::figures::SLOW_START_RULE;
+use broker_types::time::{Micros, SECOND};
+use endpoint_control::slow_start::ControlInstance;
+use proptest::prelude::*;
+
+#[test]
+fn limit_starts_low_and_grows_until_the_server_has_warmed_up() {
+    let limits = [0, 4, 8, 12, 16].map(|seconds| SLOW_START_RULE.max_in_flight(seconds * SECOND));
+    assert_eq!(limits, [3, 6, 10, 14, 17]);
+    assert!(!SLOW_START_RULE.is_warmed_up(16 * SECOND - 1));
+    assert!(SLOW_START_RULE.is_warmed_up(16 * SECOND));
+}
+
+/// A request that was sent to the server.
+struct SentRequest {
+    at: Micros,
+    work: f64,
+}
+
+/// Clients that always have as many requests in flight as the limit allows, which is the worst case, and a server that
+/// does as much as its present capacity allows.
+fn requests_of_saturating_clients() -> Vec<SentRequest> {
+    const STEP: Micros = 1000;
+    let rule = SLOW_START_RULE;
+    let mut requests = Vec::new();
+    let (mut in_flight, mut remaining_work) = (0u32, 0.0f64);
+    let outstanding = |remaining_work: f64| (remaining_work / rule.request_work).ceil() as u32;
+    let mut now = 0;
+    while now < rule.warm_up_duration {
+        while in_flight < rule.max_in_flight(now) {
+            requests.push(SentRequest {
+                at: now,
+                work: rule.request_work,
+            });
+            in_flight += 1;
+            remaining_work += rule.request_work;
+        }
+        let outstanding_before = outstanding(remaining_work);
+        let work_done = rule.capacity * rule.capacity_share(now) * STEP as f64 / 1e6;
+        remaining_work = (remaining_work - work_done).max(0.0);
+        in_flight -= outstanding_before - outstanding(remaining_work);
+        now += STEP;
+    }
+    requests
+}
+
+#[test]
+fn saturating_clients_do_not_overload_the_server_in_any_window() {
+    let rule = SLOW_START_RULE;
+    let requests = requests_of_saturating_clients();
+    for first in &requests {
+        let window_end = first.at + rule.overload_window;
+        let sent_work: f64 = requests
+            .iter()
+            .filter(|request| request.at >= first.at && request.at < window_end)
+            .map(|request| request.work)
+            .sum();
+        let capacity = rule.capacity * rule.capacity_share(first.at);
+        let max_work = rule.overload_multiple * capacity * rule.overload_window as f64 / 1e6;
+        assert!(
+            sent_work <= max_work,
+            "{sent_work} of {max_work} from {}",
+            first.at
+        );
+    }
+    assert!(requests.len() > 100);
+}
+
+proptest! {
+    #[test]
+    fn shares_of_all_instances_add_up_to_the_limit(
+        limit in 0u32..500, count in 1u32..20, server in "[a-z0-9]{1,8}",
+    ) {
+        let shares: Vec<u32> = (0..count)
+            .map(|number| ControlInstance { number, count }.share_of_limit(limit, &server))
+            .collect();
+        prop_assert_eq!(shares.iter().sum::<u32>(), limit);
+        prop_assert!(shares.iter().max().unwrap() - shares.iter().min().unwrap() <= 1);
+    }
+
+    #[test]
+    fn limit_never_decreases_with_age(a in 0u64..30 * SECOND, b in 0u64..30 * SECOND) {
+        let (younger, older) = (a.min(b), a.max(b));
+        prop_assert!(
+            SLOW_START_RULE.max_in_flight(younger) <= SLOW_START_RULE.max_in_flight(older)
+        );
+    }
+}
