--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -1,49 +1,251 @@
-//! The state of one aggregator and its bookkeeping.
+//! The state of one aggregator and the dispatch of its events.
+//!
+//! What it decides is in [`crate::policy`]; this module only applies and records it.
 
-use crate::api::{Action, Ms, Part, Settings};
-use crate::state::{Desk, Dice, Fleet, Learned, Piece};
-use std::collections::VecDeque;
+use crate::api::{
+    Action, Class, Endpoint, EndpointListSource, Event, ListUpdate, Ms, Part, Query, ServingState, Settings,
+};
+use crate::policy::tuning::{CONTROL_INTERVAL, INITIAL_LATENCY_PER_WORK, INITIAL_PART_COST};
+use crate::state::{ClassState, FanoutWidth, Fleet, InFlightQuery, QueryTable, RandomSource, SlidingWindow};
+use std::collections::BTreeSet;
 
-/// The decisions of one aggregator.
+/// The policy of one aggregator.
 pub struct Aggregator {
-    pub(crate) set: Settings,
-    pub(crate) dice: Dice,
+    pub(crate) settings: Settings,
+    pub(crate) random: RandomSource,
+    /// Time of the current batch.
     pub(crate) now: Ms,
-    pub(crate) out: Vec<Action>,
+    /// Actions of the current batch so far.
+    pub(crate) actions: Vec<Action>,
     pub(crate) fleet: Fleet,
-    pub(crate) desk: Desk,
-    pub(crate) learned: Vec<Learned>,
-    pub(crate) fleet_pace: f64,
-    pub(crate) next_second: Ms,
-    pub(crate) tenant_taken: Vec<VecDeque<Ms>>,
-    pub(crate) ask_at: Option<Ms>,
-    pub(crate) ask_wait: Ms,
-    /// When the next batch is due.
-    pub(crate) wake_at: Ms,
-    pub(crate) told_at: Ms,
+    pub(crate) queries: QueryTable,
+    /// What is learned about each class.
+    pub(crate) classes: Vec<ClassState>,
+    /// Median latency per outstanding work over the fleet.
+    pub(crate) fleet_latency_per_work: f64,
+    /// Queries and parts accepted.
+    pub(crate) accepted: SlidingWindow,
+    /// Retries and hedged requests sent.
+    pub(crate) retries: SlidingWindow,
+    /// Queries accepted, by tenant.
+    pub(crate) tenant_queries: Vec<SlidingWindow>,
+    /// Highest weight per work of any query so far.
+    pub(crate) highest_density: f64,
+    /// Work served in the current control interval.
+    pub(crate) served_work: Ms,
+    /// Work served per warm server and millisecond, smoothed.
+    pub(crate) served_rate: f64,
+    /// Servers whose outstanding work has changed since it was last published.
+    pub(crate) unpublished: BTreeSet<usize>,
+    /// Earliest time of the next gossip message.
+    pub(crate) next_publish_at: Ms,
+    /// When gossip last arrived.
+    pub(crate) gossip_received_at: Ms,
+    /// Whether this aggregator was paused before the current batch.
+    pub(crate) was_paused: bool,
+    /// Start of the next control interval.
+    pub(crate) next_interval_at: Ms,
+    /// When to poll for the endpoint list next.
+    pub(crate) poll_at: Option<Ms>,
+    /// Current delay before the list is polled again after a failure.
+    pub(crate) poll_backoff: Ms,
+    /// When the timer fires; infinite while none is set.
+    pub(crate) timer_at: Ms,
 }
 
 impl Aggregator {
-    pub(crate) fn take_part(&mut self, p: Part) {
-        self.desk.taken.push_back(self.now);
-        let Some(id) = self.desk.groups.get(&p.group) else { return };
-        let Some(query) = self.desk.queries.get_mut(id) else { return };
-        self.desk.part_of.insert(p.id.clone(), (id.clone(), query.pieces.len()));
-        query.planned = false;
-        query.pieces.push(Piece {
-            id: p.id,
-            shard: p.shard,
-            weight: if p.weight.is_finite() { p.weight.max(0.0) } else { 0.0 },
-            hint: p.cost_hint.filter(|w| w.is_finite() && *w > 0.0),
-            row_holder: None,
-            tries: Vec::new(),
-            served: false,
-            reserve: false,
-        });
-    }
-
-    /// How many servers it holds records of.
+    /// An aggregator that knows nothing but its settings. The same seed and events lead to the same actions.
+    #[must_use]
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let part_cost = settings.call_cost.max(1.0) * INITIAL_PART_COST;
+        let class = ClassState {
+            fanout: FanoutWidth {
+                rows: settings.replica_cells.max(1) as f64,
+                ..FanoutWidth::default()
+            },
+            part_cost,
+            second_step_duration: part_cost,
+            ..ClassState::default()
+        };
+        let is_polled = settings.list_source == EndpointListSource::Polled;
+        let mut aggregator = Aggregator {
+            random: RandomSource::new(seed),
+            now: 0.0,
+            actions: Vec::new(),
+            fleet: Fleet::default(),
+            queries: QueryTable::default(),
+            classes: vec![class; settings.classes.len()],
+            fleet_latency_per_work: INITIAL_LATENCY_PER_WORK,
+            accepted: SlidingWindow::default(),
+            retries: SlidingWindow::default(),
+            tenant_queries: vec![SlidingWindow::default(); settings.tenants.len()],
+            highest_density: 0.0,
+            served_work: 0.0,
+            served_rate: 0.0,
+            unpublished: BTreeSet::new(),
+            next_publish_at: 0.0,
+            gossip_received_at: f64::NEG_INFINITY,
+            was_paused: false,
+            next_interval_at: f64::NEG_INFINITY,
+            poll_at: is_polled.then_some(f64::NEG_INFINITY),
+            poll_backoff: 0.0,
+            timer_at: f64::INFINITY,
+            settings,
+        };
+        aggregator.poll_backoff = aggregator.initial_poll_backoff();
+        aggregator
+    }
+
+    /// Processes all events of one point in time and returns the actions to carry out, in order. Attempts are
+    /// decided after all events, so that parts for one server share calls.
+    pub fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
+        self.now = now;
+        self.was_paused = self.is_late_batch(now);
+        for server in &mut self.fleet.servers {
+            server.parts_in_batch = 0;
+        }
+        for event in events {
+            self.handle_event(event);
+        }
+        if self.poll_at.take_if(|at| now >= *at).is_some() {
+            self.actions.push(Action::PollEndpointList);
+        }
+        if now >= self.next_interval_at {
+            self.next_interval_at = now + CONTROL_INTERVAL;
+            self.run_control_loops();
+        }
+        for id in self.queries.ids() {
+            if let Some(mut query) = self.queries.take(&id)
+                && !self.advance_query(&id, &mut query)
+            {
+                self.queries.put_back(id, query);
+            }
+        }
+        self.publish_load();
+        if self.timer_at == f64::INFINITY {
+            let after = self.batch_interval();
+            self.actions.push(Action::SetTimer { after });
+            self.timer_at = now + after;
+        }
+        std::mem::take(&mut self.actions)
+    }
+
+    /// Number of servers of which records are held.
+    #[must_use]
     pub fn servers_known(&self) -> usize {
         self.fleet.servers.len()
     }
+
+    /// Applies one event.
+    fn handle_event(&mut self, event: Event) {
+        match event {
+            Event::EndpointList { update, endpoints } => self.on_endpoint_list(update, endpoints),
+            Event::Query(query) => self.on_query(query),
+            Event::Part(part) => self.on_part(part),
+            Event::AttemptEnded {
+                part,
+                attempt,
+                outcome,
+                elapsed,
+                load,
+            } => {
+                if let Some(attempt) = self.queries.take_attempt(&part, attempt) {
+                    self.on_outcome(&attempt, outcome, elapsed);
+                    if let Some(load) = load {
+                        self.on_load_report(&attempt, load);
+                    }
+                }
+                self.queries.record_outcome(&part, attempt, outcome);
+            }
+            Event::ClientDisconnected(id) => {
+                if let Some(query) = self.queries.take(&id) {
+                    self.finish(&query);
+                }
+            }
+            Event::Gossip { from, bytes } => self.on_gossip(from, &bytes),
+            Event::TimerFired => self.timer_at = f64::INFINITY,
+        }
+    }
+
+    fn on_query(&mut self, query: Query) {
+        if self.settings.classes.is_empty() {
+            return self.actions.push(Action::Fail { query: query.id });
+        }
+        self.accepted.record(self.now);
+        if let Some(queries) = self.tenant_queries.get_mut(query.tenant.0) {
+            queries.record(self.now);
+        }
+        let class = query.class.0.min(self.settings.classes.len() - 1);
+        let in_flight = InFlightQuery {
+            class,
+            tenant: query.tenant.0,
+            group: query.group,
+            arrived_at: self.now,
+            first_sent_at: self.first_sent_at(class, &query),
+            client_deadline: query.client_deadline,
+            ..InFlightQuery::default()
+        };
+        self.queries.add(query.id, in_flight);
+    }
+
+    fn on_part(&mut self, part: Part) {
+        self.accepted.record(self.now);
+        self.queries.add_part(part);
+    }
+
+    fn on_endpoint_list(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
+        if update == ListUpdate::Failed {
+            return self.back_off_polling();
+        }
+        if update != ListUpdate::Cached {
+            self.poll_backoff = self.initial_poll_backoff();
+        }
+        if update != ListUpdate::Delta {
+            for server in &mut self.fleet.servers {
+                server.state = ServingState::Removed;
+            }
+        }
+        for endpoint in endpoints {
+            self.update_server(endpoint);
+        }
+        self.fleet
+            .rebuild_rows(self.settings.cells, self.settings.replica_cells);
+    }
+
+    /// Takes over the entry of a server in an endpoint list.
+    fn update_server(&mut self, endpoint: Endpoint) {
+        let server = self
+            .fleet
+            .server_or_new(endpoint.node, self.fleet_latency_per_work);
+        server.cell = endpoint.cell;
+        server.state = endpoint.state;
+        server.zone = endpoint.zone;
+        if let Some(started) = endpoint.started
+            && started + self.settings.warm_up.duration > self.now
+            && server.warming_since.is_none_or(|since| since < started)
+        {
+            server.warming_since = Some(started);
+        }
+    }
+
+    /// Class of a query in flight.
+    pub(crate) fn class_of(&self, query: &InFlightQuery) -> &Class {
+        &self.settings.classes[query.class]
+    }
+
+    /// Latency objective of the class of a query.
+    pub(crate) fn objective(&self, query: &InFlightQuery) -> Ms {
+        self.class_of(query).latency_objective
+    }
+
+    /// When the latency objective of a query ends.
+    pub(crate) fn objective_end(&self, query: &InFlightQuery) -> Ms {
+        query.first_sent_at + self.objective(query)
+    }
+
+    /// Shortest latency objective of all classes; a large finite time if there are none.
+    pub(crate) fn shortest_objective(&self) -> Ms {
+        let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
+        objectives.fold(f64::INFINITY, f64::min).min(1e9)
+    }
 }
--- a/crates/fanout-policy/src/api.rs
+++ b/crates/fanout-policy/src/api.rs
@@ -1,4 +1,5 @@
-//! Public interface of the policy: the settings it starts with, the events it takes and the actions it returns.
+//! Public interface of the policy: the settings it starts with, the events it takes and the actions it
+//! returns.
 //!
 //! The types here carry no decisions. All times are milliseconds on the caller's clock.
 
@@ -272,8 +273,8 @@
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: Ms,
-        /// Number of requests that the server reported as waiting or in execution, if it did. The report may be
-        /// late or wrong.
+        /// Number of requests that the server reported as waiting or in execution, if it did. The report may
+        /// be late or wrong.
         load: Option<f64>,
     },
     /// The client has disconnected; the query needs no answer.
--- a/crates/fanout-policy/src/bin/simulator-adapter.rs
+++ b/crates/fanout-policy/src/bin/simulator-adapter.rs
@@ -73,7 +73,11 @@
 /// Requests held by a server as its load report has it; a report that is odd is as none.
 fn held(m: &Message) -> Option<f64> {
     let report = m.get("Gauge")?.as_object()?;
-    report.get("rif").or_else(|| report.get("q"))?.as_f64().filter(|n| *n >= 0.0)
+    report
+        .get("rif")
+        .or_else(|| report.get("q"))?
+        .as_f64()
+        .filter(|n| *n >= 0.0)
 }
 
 fn outcome(m: &Message) -> Result<Outcome, String> {
@@ -168,7 +172,10 @@
                         None => return m.bad("Slot", "names a list that was never declared"),
                     },
                 };
-                Some(Event::EndpointList { update: kind, endpoints: members })
+                Some(Event::EndpointList {
+                    update: kind,
+                    endpoints: members,
+                })
             }
             "Order" => Some(order(m, instance.classes)?),
             "ReportBack" => Some(Event::AttemptEnded {
@@ -180,7 +187,12 @@
             }),
             "Dropped" => Some(Event::ClientDisconnected(query_id(m)?)),
             "Memo" => bytes(m.text("Contents")?)
-                .map(|bytes| m.whole("Who").map(|from| Event::Gossip { from: from as usize, bytes }))
+                .map(|bytes| {
+                    m.whole("Who").map(|from| Event::Gossip {
+                        from: from as usize,
+                        bytes,
+                    })
+                })
                 .transpose()?,
             "DeadlineHit" => m.whole("Ref").map(|_| Some(Event::TimerFired))?,
             // Not asked for, but part of the wire.
@@ -193,7 +205,9 @@
 
     fn reply(&mut self, now: Ms, batch: &Value, out: &mut impl Write) -> io::Result<()> {
         for (number, events) in std::mem::take(&mut self.inbox) {
-            let Some(instance) = self.instances.get_mut(&number) else { continue };
+            let Some(instance) = self.instances.get_mut(&number) else {
+                continue;
+            };
             for action in instance.aggregator.on_batch(now, events) {
                 writeln!(out, "{}", action_line(number, &action))?;
             }
@@ -220,7 +234,10 @@
             return Err(format!("{}: the message is not an object", place(&last)));
         };
         let Some(name) = fields.get("t").and_then(Value::as_str) else {
-            return Err(format!("{}: message: field t is missing or not a string", place(&last)));
+            return Err(format!(
+                "{}: message: field t is missing or not a string",
+                place(&last)
+            ));
         };
         let m = Message::new(name, fields);
         match name {
@@ -235,7 +252,9 @@
                 let Some((now, batch)) = open.take() else {
                     return Err(format!("{}: EofBatch: no batch is open", place(&last)));
                 };
-                adapter.reply(now, &batch, &mut out).map_err(|e| format!("{}: {e}", place(&last)))?;
+                adapter
+                    .reply(now, &batch, &mut out)
+                    .map_err(|e| format!("{}: {e}", place(&last)))?;
             }
             _ if open.is_none() => return Err(format!("{}: {name}: no batch is open", place(&last))),
             _ => adapter.hear(&m).map_err(|e| format!("{}: {e}", place(&last)))?,
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -1,11 +1,12 @@
 //! Decisions of an aggregator that answers each query from many shards.
 //!
-//! For each query the policy selects how many complete replica rows to contact, distributes the parts of the query
-//! over those rows and batches the parts for one server into one call. From the outcomes of its own attempts it detects
-//! failing and slow servers, retries and hedges within a budget, answers, and rejects queries that cannot be answered
-//! in time.
+//! For each query the policy selects how many complete replica rows to contact, distributes the parts of the
+//! query over those rows and batches the parts for one server into one call. From the outcomes of its own
+//! attempts it detects failing and slow servers, retries and hedges within a budget, answers, and rejects
+//! queries that cannot be answered in time.
 //!
-//! The crate performs no input or output: the caller passes events in and carries out the actions that come back.
+//! The crate performs no input or output: the caller passes events in and carries out the actions that come
+//! back.
 //!
 //! ```
 //! use fanout_policy::Aggregator;
@@ -86,10 +87,14 @@
 
 mod aggregator;
 pub mod api;
-pub mod choice;
-pub mod room;
+mod attempt_statistics;
+mod control_interval;
+mod gossip_exchange;
+mod policy;
+mod query_lifecycle;
 pub mod settings;
 mod state;
 pub mod view;
 
 pub use aggregator::Aggregator;
+pub use policy::over_capacity_retry_after;
--- a/crates/fanout-policy/src/settings.rs
+++ b/crates/fanout-policy/src/settings.rs
@@ -115,7 +115,11 @@
     pub fn numbers(&self, field: &str) -> Result<Vec<f64>, String> {
         let list = self.list(field)?;
         let numbers: Vec<f64> = list.iter().filter_map(Value::as_f64).collect();
-        if numbers.len() == list.len() { Ok(numbers) } else { self.bad(field, "is not a list of numbers") }
+        if numbers.len() == list.len() {
+            Ok(numbers)
+        } else {
+            self.bad(field, "is not a list of numbers")
+        }
     }
     /// An object inside this one.
     pub fn inner<'b>(&'b self, field: &'b str) -> Result<Message<'b>, String> {
@@ -141,7 +145,8 @@
 }
 
 fn whole(n: Option<f64>) -> Option<u64> {
-    n.filter(|n| n.fract() == 0.0 && *n >= 0.0 && *n < 9.3e18).map(|n| n as u64)
+    n.filter(|n| n.fract() == 0.0 && *n >= 0.0 && *n < 9.3e18)
+        .map(|n| n as u64)
 }
 
 fn nth(list: &[f64], index: usize, m: &Message, field: &str) -> Result<f64, String> {
@@ -160,7 +165,9 @@
     for (i, c) in env.objects("Services")?.iter().enumerate() {
         let retry_safety = match c.text("Semantics")? {
             "repeatable" => RetrySafety::Idempotent,
-            "by_key" => RetrySafety::IdempotencyKey { window: c.number("MemorySpan")? },
+            "by_key" => RetrySafety::IdempotencyKey {
+                window: c.number("MemorySpan")?,
+            },
             "once" => RetrySafety::NotIdempotent,
             _ => return c.bad("Semantics", "is unknown"),
         };
@@ -187,7 +194,9 @@
     let mut tenants = Vec::new();
     if env.get("Projects").is_some() {
         for t in env.objects("Projects")? {
-            tenants.push(Tenant { quota_per_s: t.number("QuotaPerS")? });
+            tenants.push(Tenant {
+                quota_per_s: t.number("QuotaPerS")?,
+            });
         }
     }
     let retry_budget = match (
@@ -248,7 +257,11 @@
         class_names: names(env, "Services")?,
         tenant_names: names(env, "Projects")?,
         zones: match env.get("Zones") {
-            Some(_) => env.list("Zones")?.iter().map(|z| z.as_str().unwrap_or_default().to_owned()).collect(),
+            Some(_) => env
+                .list("Zones")?
+                .iter()
+                .map(|z| z.as_str().unwrap_or_default().to_owned())
+                .collect(),
             None => Vec::new(),
         },
         max_open: allowed.opt_whole("MaxOpen")?,
@@ -264,6 +277,11 @@
     if env.get(field).is_none() {
         return Ok(Vec::new());
     }
-    let name = |m: &Message| Ok(m.get("Name").and_then(Value::as_str).unwrap_or_default().to_owned());
+    let name = |m: &Message| {
+        Ok(m.get("Name")
+            .and_then(Value::as_str)
+            .unwrap_or_default()
+            .to_owned())
+    };
     env.objects(field)?.iter().map(name).collect()
 }
--- /dev/null
+++ b/crates/fanout-policy/src/state/class.rs
@@ -0,0 +1,66 @@
+//! What is learned about each class of queries.
+
+use crate::api::Ms;
+use crate::policy::tuning::{CLIENT_TIMEOUT_DISSENT, CLIENT_TIMEOUT_TOLERANCE, CLIENT_TIMEOUT_VOTES};
+
+/// Estimate of the timeout that the clients of a class usually set, kept by votes.
+#[derive(Clone, Default)]
+pub(crate) struct ClientTimeoutEstimate {
+    /// The estimated timeout.
+    pub(crate) timeout: Ms,
+    /// Votes for the estimate.
+    pub(crate) votes: f64,
+}
+
+/// State of the fan-out width controller of a class.
+#[derive(Clone, Default)]
+pub(crate) struct FanoutWidth {
+    /// Replica rows to contact.
+    pub(crate) rows: f64,
+    /// Attempts that ended in the current control interval.
+    pub(crate) ended: u32,
+    /// Of these, the attempts that were rejected or timed out.
+    pub(crate) failed: u32,
+    /// Relative error of the last control interval.
+    pub(crate) last_error: f64,
+}
+
+/// What is learned about one class.
+#[derive(Clone, Default)]
+pub(crate) struct ClassState {
+    /// Its fan-out width controller.
+    pub(crate) fanout: FanoutWidth,
+    /// Estimated cost of one part.
+    pub(crate) part_cost: Ms,
+    /// How much longer than forecast queries take, smoothed.
+    pub(crate) forecast_error: Ms,
+    /// Duration of the second step, smoothed.
+    pub(crate) second_step_duration: Ms,
+    /// The usual timeout of its clients.
+    pub(crate) client_timeout: ClientTimeoutEstimate,
+}
+
+impl ClientTimeoutEstimate {
+    /// Counts a query with this time left as a vote for the estimate if the two are equal within the
+    /// tolerance, and against it if not. An outvoted estimate is replaced.
+    pub(crate) fn vote(&mut self, time_left: Ms) {
+        let tolerance = (1.0 - CLIENT_TIMEOUT_TOLERANCE) * self.timeout;
+        let is_same = (time_left - self.timeout).abs() <= tolerance;
+        let vote = if is_same { 1.0 } else { -CLIENT_TIMEOUT_DISSENT };
+        self.votes = (self.votes + vote).min(CLIENT_TIMEOUT_VOTES * 2.0);
+        if self.votes < 0.0 {
+            *self = ClientTimeoutEstimate {
+                timeout: time_left,
+                votes: 1.0,
+            };
+        }
+    }
+}
+
+impl FanoutWidth {
+    /// Counts an attempt that has ended.
+    pub(crate) fn record_end(&mut self, has_failed: bool) {
+        self.ended += 1;
+        self.failed += u32::from(has_failed);
+    }
+}
--- /dev/null
+++ b/crates/fanout-policy/src/state/gossip_codec.rs
@@ -0,0 +1,69 @@
+//! Codec of gossip messages: three bytes for each server, its short name and its status.
+
+use crate::api::{MAX_GOSSIP_BYTES, NodeId};
+
+/// Size of an encoded entry.
+const ENTRY_BYTES: usize = 3;
+/// Status byte of a server at which attempts have just failed.
+const FAILING: u8 = 255;
+/// Largest status byte that states work.
+const MAX_WORK_STEPS: f64 = 254.0;
+
+/// What a gossip entry says about a server.
+pub(crate) enum GossipStatus {
+    /// The sender's attempts have just failed there.
+    Failing,
+    /// The sender's outstanding work there, in steps.
+    Work {
+        /// Number of steps.
+        steps: f64,
+    },
+}
+
+/// One entry of a gossip message.
+pub(crate) struct GossipEntry {
+    /// Short name of the server, see [`GossipEntry::short_name`].
+    pub(crate) server: [u8; 2],
+    /// What the sender says about it.
+    pub(crate) status: GossipStatus,
+}
+
+impl GossipEntry {
+    /// A short name for a server. Two servers may share one, which only makes the information less precise.
+    pub(crate) fn short_name(node: &NodeId) -> [u8; 2] {
+        let mix = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
+        let hash = node.0.bytes().fold(0x811c_9dc5, mix);
+        ((hash >> 16) as u16 ^ hash as u16).to_be_bytes()
+    }
+
+    /// The entries as messages of at most [`MAX_GOSSIP_BYTES`].
+    pub(crate) fn encode(entries: &[GossipEntry]) -> Vec<Vec<u8>> {
+        let mut bytes = Vec::new();
+        for entry in entries {
+            bytes.extend(entry.server);
+            bytes.push(match entry.status {
+                GossipStatus::Failing => FAILING,
+                GossipStatus::Work { steps } => steps.round().min(MAX_WORK_STEPS) as u8,
+            });
+        }
+        let message_bytes = MAX_GOSSIP_BYTES / ENTRY_BYTES * ENTRY_BYTES;
+        bytes.chunks(message_bytes).map(<[u8]>::to_vec).collect()
+    }
+
+    /// The entries of a message; `None` if it is malformed.
+    pub(crate) fn decode(bytes: &[u8]) -> Option<Vec<GossipEntry>> {
+        if bytes.is_empty() || !bytes.len().is_multiple_of(ENTRY_BYTES) {
+            return None;
+        }
+        let entry = |entry: &[u8]| GossipEntry {
+            server: [entry[0], entry[1]],
+            status: match entry[2] {
+                FAILING => GossipStatus::Failing,
+                steps => GossipStatus::Work {
+                    steps: f64::from(steps),
+                },
+            },
+        };
+        Some(bytes.chunks(ENTRY_BYTES).map(entry).collect())
+    }
+}
--- /dev/null
+++ b/crates/fanout-policy/src/state/mod.rs
@@ -0,0 +1,29 @@
+//! Plain state of an aggregator: records, indexes, moving averages and windows. Nothing here decides or is
+//! tuned.
+
+mod average;
+mod class;
+mod fleet;
+mod gossip_codec;
+mod query;
+mod query_table;
+mod random;
+mod replica_rows;
+mod server;
+mod sliding_window;
+
+pub(crate) use average::{decay, smooth};
+pub(crate) use class::{ClassState, FanoutWidth};
+pub(crate) use fleet::Fleet;
+pub(crate) use gossip_codec::{GossipEntry, GossipStatus};
+pub(crate) use query::{
+    Attempt, Candidate, InFlightAttempt, InFlightQuery, PartForecast, PartState, QueryForecast, StepProgress,
+};
+pub(crate) use query_table::QueryTable;
+pub(crate) use random::RandomSource;
+pub(crate) use replica_rows::ReplicaRows;
+pub(crate) use server::{PeerLoadReport, Server};
+pub(crate) use sliding_window::SlidingWindow;
+
+/// Milliseconds in a second.
+pub(crate) const MS_PER_SECOND: f64 = 1000.0;
--- /dev/null
+++ b/crates/fanout-policy/src/state/replica_rows.rs
@@ -0,0 +1,56 @@
+//! The replica rows: which servers hold each shard, in row order.
+
+use super::PartState;
+use std::collections::BTreeSet;
+
+/// The holders of each shard, rebuilt with each endpoint list: by distance of their cell, then by server
+/// name.
+#[derive(Default)]
+pub(crate) struct ReplicaRows(Vec<Vec<usize>>);
+
+impl ReplicaRows {
+    /// Rows of the serving servers, given in order of name, each with its cell.
+    pub(crate) fn new(
+        cells: usize,
+        replica_cells: usize,
+        serving: impl Iterator<Item = (usize, usize)>,
+    ) -> Self {
+        let mut servers_by_cell = vec![Vec::new(); cells];
+        for (cell, server) in serving {
+            if let Some(servers) = servers_by_cell.get_mut(cell) {
+                servers.push(server);
+            }
+        }
+        let row = |home: usize| {
+            (0..replica_cells.min(cells))
+                .flat_map(|distance| servers_by_cell[(home + distance) % cells].clone())
+                .collect()
+        };
+        ReplicaRows((0..cells).map(row).collect())
+    }
+
+    /// Servers that hold the shard.
+    pub(crate) fn holders(&self, shard: usize) -> &[usize] {
+        if self.0.is_empty() {
+            &[]
+        } else {
+            &self.0[shard % self.0.len()]
+        }
+    }
+
+    /// Largest number of holders of any of these parts' shards, at least 1.
+    pub(crate) fn rows_for(&self, parts: &[PartState]) -> usize {
+        let holders = parts.iter().map(|part| self.holders(part.shard).len());
+        holders.max().unwrap_or(0).max(1)
+    }
+
+    /// Number of different servers.
+    pub(crate) fn server_count(&self) -> usize {
+        self.0.iter().flatten().collect::<BTreeSet<_>>().len()
+    }
+
+    /// Largest number of holders of any shard.
+    pub(crate) fn max_holders(&self) -> usize {
+        self.0.iter().map(Vec::len).max().unwrap_or(0)
+    }
+}
--- a/crates/fanout-policy/tests/adapter.rs
+++ b/crates/fanout-policy/tests/adapter.rs
@@ -47,7 +47,10 @@
 const END: &str = r#"{"t":"EofBatch"}"#;
 
 fn out(o: &Output) -> Vec<serde_json::Value> {
-    String::from_utf8_lossy(&o.stdout).lines().map(|l| serde_json::from_str(l).unwrap()).collect()
+    String::from_utf8_lossy(&o.stdout)
+        .lines()
+        .map(|l| serde_json::from_str(l).unwrap())
+        .collect()
 }
 
 #[test]
@@ -74,12 +77,17 @@
     let (l, k, q, p) = (launch(4), known(4), order(4, "t/q", -1), order(4, "t/p", 0));
     let (l5, k5) = (launch(5), known(5));
     let (a, b, c) = (tick(1, 100.0), tick(2, 105.0), tick(3, 4200.0));
-    let o = run(&[&a, &l, LEDGER, &k, &l5, &k5, END, &b, &q, &p, END, &c, destroy, &l, &k, END]);
+    let o = run(&[
+        &a, &l, LEDGER, &k, &l5, &k5, END, &b, &q, &p, END, &c, destroy, &l, &k, END,
+    ]);
     assert!(o.status.success(), "{}", String::from_utf8_lossy(&o.stderr));
     let lines = out(&o);
     let issues: Vec<_> = lines.iter().filter(|l| l["t"] == "Issue").collect();
     assert!(issues.len() == 1 && issues[0]["I"] == 4);
-    assert!(lines.iter().all(|l| l["t"] != "NotNow"), "what the killed one held is forgotten");
+    assert!(
+        lines.iter().all(|l| l["t"] != "NotNow"),
+        "what the killed one held is forgotten"
+    );
 }
 
 #[test]
@@ -102,12 +110,24 @@
     let cases: Vec<(Vec<&str>, Vec<&str>)> = vec![
         (vec![&t, "{nonsense"], vec!["batch 12", "not JSON"]),
         (vec![&t, "[1]"], vec!["batch 12", "not an object"]),
-        (vec![&t, r#"{"t":"Surprise","I":4}"#], vec!["batch 12", "Surprise", "I"]),
-        (vec![&t, &l, r#"{"t":"Surprise","I":4}"#], vec!["batch 12", "Surprise", "unknown"]),
-        (vec![&t, r#"{"t":"Dropped","I":4,"OpId":"t/q"}"#], vec!["Dropped", "field I", "never launched"]),
+        (
+            vec![&t, r#"{"t":"Surprise","I":4}"#],
+            vec!["batch 12", "Surprise", "I"],
+        ),
+        (
+            vec![&t, &l, r#"{"t":"Surprise","I":4}"#],
+            vec!["batch 12", "Surprise", "unknown"],
+        ),
+        (
+            vec![&t, r#"{"t":"Dropped","I":4,"OpId":"t/q"}"#],
+            vec!["Dropped", "field I", "never launched"],
+        ),
         (vec![&t, &l, &k], vec!["PeersKnown", "Slot", "never declared"]),
         (vec![&t, &no_aim], vec!["batch 12", "Aim", "missing"]),
-        (vec![&t, &bad_seed], vec!["Launch", "RngSeed", "not a whole number"]),
+        (
+            vec![&t, &bad_seed],
+            vec!["Launch", "RngSeed", "not a whole number"],
+        ),
         (vec![&t, &l, &no_slice], vec!["Order", "Slice", "missing"]),
         (vec![&t, &l, &class], vec!["Order", "Service"]),
         (vec![r#"{"t":"EofBatch"}"#], vec!["EofBatch", "no batch"]),
@@ -118,7 +138,10 @@
         let err = String::from_utf8_lossy(&o.stderr).to_string();
         assert_eq!(o.status.code(), Some(1), "{err}");
         assert_eq!(err.lines().count(), 1, "{err}");
-        assert!(words.iter().all(|w| err.contains(w)), "{err} lacks one of {words:?}");
+        assert!(
+            words.iter().all(|w| err.contains(w)),
+            "{err} lacks one of {words:?}"
+        );
         assert!(o.stdout.is_empty());
     }
 }
@@ -140,15 +163,26 @@
     };
     let (to, hex) = told(&[&a, &peers, LEDGER, &k, END, &b, &q, &p, END]).expect("work sent is told");
     assert_eq!(to, "all");
-    assert!(hex.len() == 6 && hex.chars().all(|c| c.is_ascii_hexdigit()), "{hex}");
+    assert!(
+        hex.len() == 6 && hex.chars().all(|c| c.is_ascii_hexdigit()),
+        "{hex}"
+    );
     // What does not parse is dropped; without leave nothing is told.
     let (odd, not_hex, right) = (memo("abc"), memo("xyzxyz"), memo(&hex));
-    assert!(told(&[&a, &peers, LEDGER, &k, END, &b, &odd, &not_hex, &right, &q, &p, END, &c, END]).is_some());
+    assert!(
+        told(&[
+            &a, &peers, LEDGER, &k, END, &b, &odd, &not_hex, &right, &q, &p, END, &c, END
+        ])
+        .is_some()
+    );
     assert!(told(&[&a, &launch(4), LEDGER, &k, END, &b, &right, &q, &p, END]).is_none());
     // A message without bytes is bad input like any other.
     let o = run(&[&a, &peers, r#"{"t":"Memo","I":4,"Who":1}"#]);
     let err = String::from_utf8_lossy(&o.stderr).to_string();
-    assert!(!o.status.success() && err.contains("Memo") && err.contains("Contents"), "{err}");
+    assert!(
+        !o.status.success() && err.contains("Memo") && err.contains("Contents"),
+        "{err}"
+    );
 }
 
 #[test]
@@ -157,30 +191,53 @@
     let met = |gauge: &str| {
         let (l, k) = (launch(4), known(4));
         let mut lines = vec![tick(1, 100.0), l, LEDGER.to_string(), k, END.to_string()];
-        lines.extend([tick(2, 105.0), order(4, "t/q", -1), order(4, "t/p", 0), END.to_string()]);
+        lines.extend([
+            tick(2, 105.0),
+            order(4, "t/q", -1),
+            order(4, "t/p", 0),
+            END.to_string(),
+        ]);
         let texts: Vec<&str> = lines.iter().map(String::as_str).collect();
         let first = out(&run(&texts)).into_iter().find(|l| l["t"] == "Issue").unwrap();
         let node = first["Node"].as_str().unwrap().to_string();
         let head = format!(r#""I":4,"OpId":"t/p","Hop":0,"Node":"{node}","Rc":"served","Rtt":30.0"#);
-        lines.extend([tick(3, 140.0), format!(r#"{{"t":"ReportBack",{head}{gauge}}}"#), END.to_string()]);
+        lines.extend([
+            tick(3, 140.0),
+            format!(r#"{{"t":"ReportBack",{head}{gauge}}}"#),
+            END.to_string(),
+        ]);
         lines.push(tick(4, 145.0));
         for n in 2..10 {
             let group = |line: String| line.replace("\"GroupNo\":1", &format!("\"GroupNo\":{n}"));
-            lines.extend([group(order(4, &format!("t/q{n}"), -1)), group(order(4, &format!("t/p{n}"), 0))]);
+            lines.extend([
+                group(order(4, &format!("t/q{n}"), -1)),
+                group(order(4, &format!("t/p{n}"), 0)),
+            ]);
         }
         lines.push(END.to_string());
         let texts: Vec<&str> = lines.iter().map(String::as_str).collect();
         let o = run(&texts);
         assert!(o.status.success(), "{}", String::from_utf8_lossy(&o.stderr));
-        out(&o).iter().filter(|l| l["t"] == "Issue" && l["Node"] == node.as_str()).count() - 1
+        out(&o)
+            .iter()
+            .filter(|l| l["t"] == "Issue" && l["Node"] == node.as_str())
+            .count()
+            - 1
     };
     let none = met("");
     assert!(none > 0);
     assert_eq!(met(r#","Gauge":{"rif":40,"q":38}"#), 0);
-    assert_eq!(met(r#","Gauge":{"q":38}"#), 0, "parts waiting stand in for requests held");
-    for odd in
-        [r#","Gauge":{"rif":"many"}"#, r#","Gauge":{"rif":-5}"#, r#","Gauge":[1]"#, r#","Gauge":{"rate":99}"#]
-    {
+    assert_eq!(
+        met(r#","Gauge":{"q":38}"#),
+        0,
+        "parts waiting stand in for requests held"
+    );
+    for odd in [
+        r#","Gauge":{"rif":"many"}"#,
+        r#","Gauge":{"rif":-5}"#,
+        r#","Gauge":[1]"#,
+        r#","Gauge":{"rate":99}"#,
+    ] {
         assert_eq!(met(odd), none, "{odd}");
     }
 }
--- a/crates/fanout-policy/tests/common/mod.rs
+++ b/crates/fanout-policy/tests/common/mod.rs
@@ -53,7 +53,12 @@
 
 /// Two sets of three servers.
 pub fn sets() -> Settings {
-    Settings { cells: 2, replica_cells: 1, shards: 6, ..ring() }
+    Settings {
+        cells: 2,
+        replica_cells: 1,
+        shards: 6,
+        ..ring()
+    }
 }
 
 pub fn node(name: &str) -> NodeId {
@@ -69,7 +74,13 @@
 }
 
 pub fn member(name: &str, cell: usize) -> Endpoint {
-    Endpoint { node: node(name), cell, state: ServingState::Serving, zone: None, started: None }
+    Endpoint {
+        node: node(name),
+        cell,
+        state: ServingState::Serving,
+        zone: None,
+        started: None,
+    }
 }
 
 pub struct Stand {
@@ -85,8 +96,19 @@
         let names = (0..settings.cells).flat_map(|c| (0..per_cell).map(move |n| (format!("c{c}n{n}"), c)));
         let members = names.map(|(name, cell)| member(&name, cell)).collect();
         let a = Aggregator::new(settings, 11);
-        let mut stand = Stand { a, now: 0.0, wake_at: f64::INFINITY, group: 0 };
-        stand.batch(0.0, vec![Event::EndpointList { update: ListUpdate::Cached, endpoints: members }]);
+        let mut stand = Stand {
+            a,
+            now: 0.0,
+            wake_at: f64::INFINITY,
+            group: 0,
+        };
+        stand.batch(
+            0.0,
+            vec![Event::EndpointList {
+                update: ListUpdate::Cached,
+                endpoints: members,
+            }],
+        );
         stand
     }
 
@@ -122,13 +144,25 @@
         self.group += 1;
         let client_deadline = self.now + 5.0 + patience;
         let (class, tenant) = (ClassIndex(class), TenantIndex(0));
-        let q =
-            Query { id: query_id(name), group: self.group, class, tenant, client_deadline, is_retry: false };
+        let q = Query {
+            id: query_id(name),
+            group: self.group,
+            class,
+            tenant,
+            client_deadline,
+            is_retry: false,
+        };
         let mut events = vec![Event::Query(q)];
         let weight = 1.0 / shards.len() as f64;
         for &shard in shards {
             let id = part_id(&format!("{name}.{shard}"));
-            events.push(Event::Part(Part { id, group: self.group, shard, weight, cost_hint: None }));
+            events.push(Event::Part(Part {
+                id,
+                group: self.group,
+                shard,
+                weight,
+                cost_hint: None,
+            }));
         }
         events
     }
@@ -154,8 +188,14 @@
             let mut attempt = 0;
             while let Some((part, node, _)) = open.pop() {
                 *seen.entry(node.clone()).or_default() += 1;
-                let outcome = if sick.contains(&node.as_str()) { how } else { Outcome::Served };
-                open.extend(sends(&self.step(30.0, vec![ended(&part, attempt, outcome, 30.0)])));
+                let outcome = if sick.contains(&node.as_str()) {
+                    how
+                } else {
+                    Outcome::Served
+                };
+                open.extend(sends(
+                    &self.step(30.0, vec![ended(&part, attempt, outcome, 30.0)]),
+                ));
                 attempt += 1;
             }
         }
@@ -164,15 +204,23 @@
 }
 
 pub fn ended(part: &str, attempt: u32, outcome: Outcome, elapsed: Ms) -> Event {
-    Event::AttemptEnded { part: part_id(part), attempt, outcome, elapsed, load: None }
+    Event::AttemptEnded {
+        part: part_id(part),
+        attempt,
+        outcome,
+        elapsed,
+        load: None,
+    }
 }
 
 /// Part, server and time-out of each send.
 pub fn sends(actions: &[Action]) -> Vec<(String, String, Option<Ms>)> {
     let pick = |a: &Action| match a {
-        Action::SendAttempt { part, node, timeout: within } => {
-            Some((part.0.to_string(), node.0.to_string(), *within))
-        }
+        Action::SendAttempt {
+            part,
+            node,
+            timeout: within,
+        } => Some((part.0.to_string(), node.0.to_string(), *within)),
         _ => None,
     };
     actions.iter().filter_map(pick).collect()
@@ -180,6 +228,11 @@
 
 /// The final answers among the actions.
 pub fn finals(actions: &[Action]) -> Vec<Action> {
-    let is = |a: &&Action| matches!(a, Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. });
+    let is = |a: &&Action| {
+        matches!(
+            a,
+            Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. }
+        )
+    };
     actions.iter().filter(is).cloned().collect()
 }
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -12,7 +12,7 @@
     Action, ClassIndex, Endpoint, Event, ListUpdate, Part, PartId, ServingState, Settings,
     TenantIndex,
 };
-use fanout_policy::room::no_room_advice;
+use fanout_policy::over_capacity_retry_after;
 use fanout_policy::view::ClassView;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -212,7 +212,7 @@
         for q in queries {
             let needs = 1 + q.parts.len();
             if self.in_flight + needs > self.max_in_flight {
-                let retry_after = no_room_advice(&self.settings, q.class).map(millis);
+                let retry_after = over_capacity_retry_after(&self.settings, q.class).map(millis);
                 refused.push(FinishedQuery {
                     query: q.id,
                     outcome: QueryOutcome::Rejected { retry_after },
