--- a/crates/platform-config/src/tests.rs
+++ b/crates/platform-config/src/tests.rs
@@ -77,3 +77,73 @@
     let error = load(|_| None).unwrap_err().to_string();
     assert!(error.contains("RELAY_CONFIG"));
 }
+
+/// The text is what the operator sees in the log.
+#[test]
+fn error_text_says_what_is_wrong() {
+    for (pointer, value, text) in [
+        (
+            "/seed",
+            json!("xyz"),
+            "RELAY_CONFIG: field seed is not 16 hex digits",
+        ),
+        ("/name", json!(null), "RELAY_CONFIG: field name is missing"),
+        (
+            "/listen",
+            json!("nowhere"),
+            "RELAY_LISTEN (field listen): \"nowhere\" is not an address with a port",
+        ),
+        (
+            "/known",
+            json!(null),
+            "RELAY_CONFIG: field known is missing",
+        ),
+        (
+            "/limits/sockets",
+            json!(10),
+            "limits: field sockets is too small to serve with",
+        ),
+        (
+            "/limits/memory_mb",
+            json!(0),
+            "limits: field memory_mb is too small to serve with",
+        ),
+        (
+            "/settings/Tick",
+            json!(0),
+            "settings: field Tick is out of bounds",
+        ),
+        (
+            "/settings/FamilyInfo/Shards",
+            json!(0),
+            "FamilyInfo: field Shards is out of bounds",
+        ),
+        (
+            "/settings/FamilyInfo/FetchParts",
+            json!([0, 2, 0]),
+            "settings: field FamilyInfo asks for a second step (FetchParts), which the protocol cannot carry",
+        ),
+        (
+            "/settings/Services/0/Name",
+            json!(null),
+            "settings: field Services is empty or holds a class without a name",
+        ),
+    ] {
+        let mut config = config();
+        *config.pointer_mut(pointer).unwrap() = value;
+        let error = from_json(&config, |_| None).expect_err(pointer);
+        assert_eq!(error.to_string(), text, "{pointer}");
+    }
+    assert_eq!(
+        load(|_| None).unwrap_err().to_string(),
+        "RELAY_CONFIG is not set"
+    );
+    let missing_file = load(|_| Some("/nonexistent/config".to_owned())).unwrap_err();
+    let expected = "RELAY_CONFIG: /nonexistent/config cannot be read: ";
+    assert!(
+        missing_file.to_string().starts_with(expected),
+        "{missing_file}"
+    );
+    let list = from_json(&json!([]), |_| None).unwrap_err();
+    assert_eq!(list.to_string(), "RELAY_CONFIG: it is not an object");
+}
