--- /dev/null
+++ b/crates/broker/src/event_loop/startup.rs
@@ -0,0 +1,196 @@
+//! Start of the broker: sockets, signals, and the parts of the event loop.
+
+use super::EventLoop;
+use crate::clock::Clock;
+use crate::discovery::Discovery;
+use crate::event_queue::{Event, EventQueue};
+use crate::listeners::{ClientListeners, ListenerConfig, ListenerContext};
+use crate::operator::OperatorConfig;
+use crate::queries::QueryTable;
+use crate::upstream::ServerPools;
+use admission::resource_limits::{AllocationError, ListenerLimits, allocate};
+use async_executor::LocalExecutor;
+use async_io::Async;
+use async_signal::{Signal, Signals};
+use broker_types::server::ListScope;
+use broker_types::time::millis;
+use futures_lite::StreamExt;
+use platform_config::Config;
+use policy_engine::PolicyEngine;
+use std::collections::BTreeMap;
+use std::io;
+use std::net::{SocketAddr, TcpListener};
+use std::rc::Rc;
+use thiserror::Error;
+use tracing::info;
+
+/// Addresses that the broker listens at.
+#[derive(Clone, Copy, Debug)]
+pub struct ListenAddresses {
+    /// Address for HTTP/1.1.
+    pub http1: SocketAddr,
+    /// Address for HTTP/2, if the operator configures one.
+    pub http2: Option<SocketAddr>,
+}
+
+/// Why a broker could not start.
+#[derive(Debug, Error)]
+pub enum StartupError {
+    /// A listener could not be opened.
+    #[error(transparent)]
+    Listener(#[from] io::Error),
+    /// The operator's settings need more resources than the platform grants.
+    #[error(transparent)]
+    Resources(#[from] AllocationError),
+}
+
+/// Handles SIGTERM, SIGINT and SIGHUP from now on.
+///
+/// # Errors
+///
+/// A signal handler could not be installed.
+pub fn catch_signals() -> io::Result<Signals> {
+    Signals::new([Signal::Term, Signal::Int, Signal::Hup])
+}
+
+/// Runs a broker until its graceful shutdown is complete. Once it listens, `on_started` is called with its addresses.
+///
+/// # Errors
+///
+/// The broker could not start.
+pub fn run(
+    config: Config,
+    operator: OperatorConfig,
+    signals: Signals,
+    on_started: impl FnOnce(ListenAddresses),
+) -> Result<(), StartupError> {
+    let name = config.name.clone();
+    let revision = config.cached_endpoints.revision;
+    let servers = config.cached_endpoints.endpoints.len();
+    let runtime = Runtime::start();
+    let limits = allocate(config.clients, operator.http2_overrides())?;
+    let http2_address = operator.settings().http2.map(|http2| http2.listen);
+    let listeners = bind_listeners(config.listen, http2_address, limits)?;
+    let addresses = listen_addresses(&listeners)?;
+    runtime.spawn_signal_handler(signals);
+    let mut event_loop = EventLoop::new(config, operator, listeners, &runtime);
+    info!(name: "broker_started", name = %name, listen = %addresses.http1, revision, servers);
+    log_http2_listener(addresses, limits);
+    on_started(addresses);
+    async_io::block_on(runtime.executor.run(event_loop.run()));
+    info!(name: "broker_stopped", name = %name);
+    Ok(())
+}
+
+/// What all tasks of the broker share.
+struct Runtime {
+    executor: Rc<LocalExecutor<'static>>,
+    event_queue: Rc<EventQueue>,
+    clock: Clock,
+}
+
+impl Runtime {
+    fn start() -> Self {
+        Runtime {
+            executor: Rc::new(LocalExecutor::new()),
+            event_queue: Rc::new(EventQueue::default()),
+            clock: Clock::start(),
+        }
+    }
+
+    /// Starts a task that queues an event for each signal.
+    fn spawn_signal_handler(&self, mut signals: Signals) {
+        let event_queue = self.event_queue.clone();
+        let handle_signals = async move {
+            while let Some(signal) = signals.next().await {
+                event_queue.push(match signal {
+                    Ok(Signal::Hup) => Event::ReloadRequested,
+                    _ => Event::ShutdownRequested,
+                });
+            }
+        };
+        self.executor.spawn(handle_signals).detach();
+    }
+}
+
+fn bind_listeners(
+    http1: SocketAddr,
+    http2: Option<SocketAddr>,
+    limits: ListenerLimits,
+) -> io::Result<ListenerConfig> {
+    Ok(ListenerConfig {
+        http1: Async::<TcpListener>::bind(http1)?,
+        http2: http2.map(Async::<TcpListener>::bind).transpose()?,
+        limits,
+    })
+}
+
+/// Returns the addresses with the ports that the system has chosen for port 0.
+fn listen_addresses(listeners: &ListenerConfig) -> io::Result<ListenAddresses> {
+    let local_address = |listener: &Async<TcpListener>| listener.get_ref().local_addr();
+    Ok(ListenAddresses {
+        http1: local_address(&listeners.http1)?,
+        http2: listeners.http2.as_ref().map(local_address).transpose()?,
+    })
+}
+
+fn log_http2_listener(addresses: ListenAddresses, limits: ListenerLimits) {
+    if let (Some(address), Some(limits)) = (addresses.http2, limits.http2) {
+        info!(
+            name: "http2_listener_started",
+            listen = %address,
+            max_connections = limits.max_connections,
+            max_streams = limits.max_streams
+        );
+    }
+}
+
+impl EventLoop {
+    /// Returns an event loop that starts with the cached endpoint list.
+    fn new(
+        config: Config,
+        operator: OperatorConfig,
+        listeners: ListenerConfig,
+        runtime: &Runtime,
+    ) -> Self {
+        let Runtime {
+            executor,
+            event_queue,
+            clock,
+        } = runtime;
+        let context = ListenerContext::new(
+            event_queue.clone(),
+            config.settings.clone(),
+            config.names.clone(),
+        );
+        let tick = millis(config.settings.tick);
+        let mut event_loop = EventLoop {
+            clock: *clock,
+            zones: config.names.zones,
+            tick,
+            batch_window: operator.batch_window(tick),
+            operator,
+            client_resources: config.clients,
+            queries: QueryTable::new(&config.settings, config.max_in_flight),
+            policy: PolicyEngine::new(config.settings, config.max_in_flight, config.seed),
+            servers: ServerPools::new(executor.clone(), event_queue.clone(), *clock, config.pool),
+            discovery: Discovery::start(
+                executor.clone(),
+                event_queue.clone(),
+                config.discovery,
+                config.cached_endpoints.revision,
+                config.seed,
+            ),
+            event_queue: event_queue.clone(),
+            listeners: ClientListeners::start(context, listeners, *clock, executor.clone()),
+            dispatches: BTreeMap::new(),
+            unsent_attempts: Vec::new(),
+            completed: Vec::new(),
+            shutdown_started_at: None,
+            reload_at: None,
+            next_policy_report: 0,
+        };
+        event_loop.update_endpoints(clock.now(), ListScope::Cached, &config.cached_endpoints);
+        event_loop
+    }
+}
--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -13,16 +13,7 @@
 /// Something that happened since the last iteration of the event loop.
 pub enum Event {
     /// A client sent a query.
-    QueryReceived {
-        /// Number of the query.
-        id: QueryId,
-        /// The client's connection.
-        connection: ConnectionId,
-        /// What the client asks for.
-        request: QueryRequest,
-        /// Where the one final response goes.
-        reply: Sender<FinalResponse>,
-    },
+    QueryReceived(ReceivedQuery),
     /// The client of a query closed its connection or cancelled the query.
     ClientDisconnected {
         /// Number of the query.
@@ -43,6 +34,18 @@
     ShutdownRequested,
 }
 
+/// A query from a client, not yet admitted.
+pub struct ReceivedQuery {
+    /// Number of the query.
+    pub id: QueryId,
+    /// The client's connection.
+    pub connection: ConnectionId,
+    /// What the client asks for.
+    pub request: QueryRequest,
+    /// Where the one final response goes.
+    pub reply: Sender<FinalResponse>,
+}
+
 /// Something that happened on a connection to a data server.
 pub enum ConnectionEvent {
     /// A whole frame was received.
@@ -90,12 +93,12 @@
         self.next_query.set(QueryId(id.0 + 1));
         let (reply, response) = async_channel::bounded(1);
         self.pending_queries.set(self.pending_queries.get() + 1);
-        self.push(Event::QueryReceived {
+        self.push(Event::QueryReceived(ReceivedQuery {
             id,
             connection,
             request,
             reply,
-        });
+        }));
         QueryHandle {
             queue: self,
             id,
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -1,72 +1,117 @@
-//! The operator's own file, as the running program holds it.
+//! The operator's configuration as the running program holds it.
 
 use admission::resource_limits::Http2Overrides;
 use batch_window::BatchWindow;
 use broker_types::time::Micros;
 use logging::Format;
-use operator_config::{LogFormat, LogLevel, MAX_FILE_BYTES, Settings, parse};
-use std::io::Read;
+use operator_config::{ConfigFileErrors, LogFormat, LogLevel, MAX_FILE_BYTES, Settings, parse};
+use std::fs::File;
+use std::io::{self, Read};
 use std::path::{Path, PathBuf};
+use thiserror::Error;
 use tracing::{Level, info, warn};
 
-/// The file, if there is one, and what it sets.
+/// The operator's settings, and the file that they come from, if there is one.
 #[derive(Clone, Debug, Default)]
-pub struct Operator {
+pub struct OperatorConfig {
     path: Option<PathBuf>,
     settings: Settings,
 }
 
-/// Reads a file's text, as far as the longest that is taken. The error names the file.
-pub fn read_text(path: &Path) -> Result<String, String> {
-    let failed = |e: std::io::Error| format!("{}: cannot be read: {e}", path.display());
+/// Why an operator's file cannot be used.
+#[derive(Debug, Error)]
+pub enum OperatorConfigError {
+    /// The file cannot be read.
+    #[error("{}: cannot be read: {source}", path.display())]
+    Unreadable {
+        /// Path of the file.
+        path: PathBuf,
+        /// Why it cannot be read.
+        source: io::Error,
+    },
+    /// The file holds errors.
+    #[error(transparent)]
+    Invalid(#[from] ConfigFileErrors),
+}
+
+/// Reads the text of an operator's file. Of a file that is too long, only so much is read that its excessive length can
+/// be recognized.
+///
+/// # Errors
+///
+/// The file cannot be read or is not UTF-8.
+pub fn read_text(path: &Path) -> Result<String, OperatorConfigError> {
     let mut text = String::new();
-    // One byte more shows that it is too long.
-    std::fs::File::open(path)
-        .and_then(|f| f.take(MAX_FILE_BYTES as u64 + 1).read_to_string(&mut text))
-        .map_err(failed)?;
-    Ok(text)
+    match File::open(path).and_then(|file| {
+        file.take(MAX_FILE_BYTES as u64 + 1)
+            .read_to_string(&mut text)
+    }) {
+        Ok(_) => Ok(text),
+        Err(source) => Err(OperatorConfigError::Unreadable {
+            path: path.to_owned(),
+            source,
+        }),
+    }
 }
 
-impl Operator {
-    /// Reads the file at a start; without one, all is as the platform's configuration has it.
-    pub fn load(path: Option<PathBuf>) -> Result<Self, String> {
+/// Reads and parses an operator's file.
+fn read_settings(path: &Path) -> Result<Settings, OperatorConfigError> {
+    let text = read_text(path)?;
+    Ok(parse(&path.display().to_string(), &text)?)
+}
+
+impl OperatorConfig {
+    /// Loads the file at the start of the program. Without a file, all settings have their defaults.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read or holds errors.
+    pub fn load(path: Option<PathBuf>) -> Result<Self, OperatorConfigError> {
         let settings = match &path {
-            Some(path) => Self::parse(path)?,
+            Some(path) => read_settings(path)?,
             None => Settings::default(),
         };
-        Ok(Operator { path, settings })
+        Ok(OperatorConfig { path, settings })
     }
 
-    /// Takes settings that stand in no file; reading it again changes nothing.
-    pub fn of_text(name: &str, text: &str) -> Result<Self, String> {
-        let settings = parse(name, text).map_err(|faults| faults.to_string())?;
-        Ok(Operator {
+    /// Parses settings that are in no file; reading them again changes nothing. Errors call the text by `name`.
+    ///
+    /// # Errors
+    ///
+    /// The text holds errors.
+    pub fn from_text(name: &str, text: &str) -> Result<Self, OperatorConfigError> {
+        Ok(OperatorConfig {
             path: None,
-            settings,
+            settings: parse(name, text)?,
         })
     }
 
-    fn parse(path: &Path) -> Result<Settings, String> {
-        parse(&path.display().to_string(), &read_text(path)?).map_err(|faults| faults.to_string())
-    }
-
-    /// Reads the file again, whole or not at all: nothing is changed by this.
-    pub fn reread(&self) -> Result<Settings, String> {
-        self.path
-            .as_deref()
-            .map_or_else(|| Ok(self.settings.clone()), Self::parse)
+    /// Reads the file again. The settings in effect do not change.
+    ///
+    /// # Errors
+    ///
+    /// The file cannot be read or holds errors.
+    pub fn read_again(&self) -> Result<Settings, OperatorConfigError> {
+        match &self.path {
+            Some(path) => read_settings(path),
+            None => Ok(self.settings.clone()),
+        }
     }
 
-    /// The same without a word or an effect, to see what would hold.
-    pub fn adopt_quietly(&mut self, new: &Settings) {
-        self.settings = self.settings.adopt(new);
+    /// Returns the configuration that [`OperatorConfig::apply`] would lead to.
+    #[must_use]
+    pub fn with_settings(&self, new: &Settings) -> Self {
+        OperatorConfig {
+            path: self.path.clone(),
+            settings: self.settings.adopt(new),
+        }
     }
 
-    /// Takes what was read while the program runs, and logs what takes effect and what waits for a restart.
-    pub fn adopt(&mut self, new: &Settings) {
+    /// Applies the settings that can change while the program runs. Logs these, and those that require a restart.
+    pub fn apply(&mut self, new: &Settings) {
         let changes = self.settings.changes(new);
-        self.adopt_quietly(new);
-        self.set_log();
+        self.settings = self.settings.adopt(new);
+        self.apply_log_settings();
         if !changes.effective.is_empty() {
             info!(name: "operator_config_changed", changed = changes.effective.join(","));
         }
@@ -75,39 +120,29 @@
         }
     }
 
-    /// What holds now.
+    /// Returns the settings in effect.
     #[must_use]
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Puts the log's form and level into effect.
-    pub fn set_log(&self) {
+    /// Applies the log's format and level.
+    pub fn apply_log_settings(&self) {
         let log = self.settings.log;
-        let format = match log.format {
-            LogFormat::Logfmt => Format::Logfmt,
-            LogFormat::Json => Format::Json,
-        };
-        let level = match log.level {
-            LogLevel::Error => Level::ERROR,
-            LogLevel::Warn => Level::WARN,
-            LogLevel::Info => Level::INFO,
-            LogLevel::Debug => Level::DEBUG,
-            LogLevel::Trace => Level::TRACE,
-        };
-        logging::set(format, level);
+        logging::set(log_format(log.format), log_level(log.level));
     }
 
-    /// How turns are spaced, where the settings' tick is given.
+    /// Returns the batch window. `tick` is the least time between iterations in the platform's settings.
+    #[must_use]
     pub fn batch_window(&self, tick: Micros) -> BatchWindow {
         self.settings
             .gather_time
             .map_or(BatchWindow::Fixed(tick), BatchWindow::Adaptive)
     }
 
-    /// What the HTTP/2 front is asked to hold, if there is to be one.
+    /// Returns the operator's limits for HTTP/2, if there is to be a listener for it.
     #[must_use]
-    pub fn http2(&self) -> Option<Http2Overrides> {
+    pub fn http2_overrides(&self) -> Option<Http2Overrides> {
         let http2 = self.settings.http2?;
         Some(Http2Overrides {
             max_connections: http2.connections,
@@ -117,3 +152,20 @@
         })
     }
 }
+
+fn log_format(format: LogFormat) -> Format {
+    match format {
+        LogFormat::Logfmt => Format::Logfmt,
+        LogFormat::Json => Format::Json,
+    }
+}
+
+fn log_level(level: LogLevel) -> Level {
+    match level {
+        LogLevel::Error => Level::ERROR,
+        LogLevel::Warn => Level::WARN,
+        LogLevel::Info => Level::INFO,
+        LogLevel::Debug => Level::DEBUG,
+        LogLevel::Trace => Level::TRACE,
+    }
+}
--- /dev/null
+++ b/crates/broker/src/queries/idempotency.rs
@@ -0,0 +1,116 @@
+//! Idempotency keys of the queries in flight: which attempts may be sent, and what their ends prove.
+
+use super::DispatchError;
+use ::idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
+use broker_types::query::{AttemptId, PartSpec};
+use broker_types::server::Outcome;
+use broker_types::time::{Micros, SECOND, millis};
+use fanout_policy::api::{RetrySafety, Settings};
+use policy_engine::Dispatch;
+use std::collections::BTreeMap;
+use std::rc::Rc;
+
+/// Largest number of idempotency keys in the register. Each takes 200 to 300 bytes.
+const MAX_KEYS: usize = 8192;
+/// Window of the register if no class has idempotency keys. No key is registered then.
+const UNUSED_WINDOW: Micros = 5 * SECOND;
+
+/// The register of idempotency keys, and the attempts in flight that belong to a key.
+pub(super) struct IdempotencyGuard {
+    register: IdempotencyRegister,
+    in_flight: BTreeMap<AttemptId, KeyedPart>,
+}
+
+/// A part of a query with an idempotency key.
+struct KeyedPart {
+    key: Rc<str>,
+    shard: usize,
+}
+
+impl IdempotencyGuard {
+    /// Returns a guard for the classes of the settings. The shortest window of all classes holds for each of them.
+    pub(super) fn new(settings: &Settings) -> Self {
+        let windows = settings
+            .classes
+            .iter()
+            .filter_map(|class| match class.retry_safety {
+                RetrySafety::IdempotencyKey { window } => Some(millis(window)),
+                _ => None,
+            });
+        let client_timeouts = settings
+            .classes
+            .iter()
+            .map(|class| millis(class.client_timeout));
+        IdempotencyGuard {
+            register: IdempotencyRegister::new(RegisterLimits {
+                window: windows.min().unwrap_or(UNUSED_WINDOW),
+                retention: client_timeouts.max().unwrap_or(0),
+                max_keys: MAX_KEYS,
+            }),
+            in_flight: BTreeMap::new(),
+        }
+    }
+
+    /// Reserves a key for a query with these parts, until the query ends.
+    pub(super) fn admit(
+        &mut self,
+        now: Micros,
+        key: &Rc<str>,
+        parts: &[PartSpec],
+        deadline: Micros,
+    ) -> KeyAdmission {
+        let shards = parts.iter().map(|part| part.shard);
+        self.register.admit(now, key, shards, deadline)
+    }
+
+    /// Registers an attempt that is about to be sent. Returns the time from which on it must not be sent any more, if an
+    /// earlier attempt may have been executed.
+    ///
+    /// # Errors
+    ///
+    /// That time has come already.
+    pub(super) fn reserve(
+        &mut self,
+        now: Micros,
+        key: &Rc<str>,
+        shard: usize,
+        dispatch: &Dispatch,
+    ) -> Result<Option<Micros>, DispatchError> {
+        if !self.register.may_send(now, key, shard) {
+            return Err(DispatchError::IdempotencyWindowClosed);
+        }
+        let send_before = self.register.window_ends_at(key, shard);
+        self.register
+            .on_attempt_sent(now, key, shard, dispatch.deadline);
+        let key = key.clone();
+        self.in_flight
+            .insert(dispatch.attempt, KeyedPart { key, shard });
+        Ok(send_before)
+    }
+
+    /// Records the end of an attempt, also after its query has ended.
+    pub(super) fn on_attempt_ended(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
+        if let Some(KeyedPart { key, shard }) = self.in_flight.remove(&attempt) {
+            let evidence = execution_evidence(outcome);
+            self.register.on_attempt_ended(now, &key, shard, evidence);
+        }
+    }
+
+    /// Releases the key of a query that has ended.
+    pub(super) fn on_query_ended(&mut self, now: Micros, key: &Rc<str>, is_answered: bool) {
+        self.register.on_query_ended(now, key, is_answered);
+    }
+}
+
+/// Returns what the outcome of an attempt proves about its execution at the data server.
+fn execution_evidence(outcome: Outcome) -> ExecutionEvidence {
+    match outcome {
+        Outcome::Served | Outcome::Error => ExecutionEvidence::Executed,
+        Outcome::Overloaded | Outcome::Unreachable | Outcome::NotSent => {
+            ExecutionEvidence::NotExecuted
+        }
+        Outcome::TimedOut | Outcome::ConnectionLost | Outcome::Cancelled => {
+            ExecutionEvidence::PossiblyExecuted
+        }
+    }
+}
--- /dev/null
+++ b/crates/broker/src/queries/in_flight.rs
@@ -0,0 +1,166 @@
+//! One query in flight.
+
+use super::attempt_log::AttemptLog;
+use crate::event_queue::ReceivedQuery;
+use crate::upstream::{EndedAttempt, OutgoingAttempt, OutgoingPart};
+use admission::ConnectionId;
+use async_channel::Sender;
+use broker_types::query::{FinalResponse, PartIndex, QueryId, QueryRequest, ShardValue};
+use broker_types::server::Outcome;
+use broker_types::time::{MILLI, Micros};
+use policy_engine::Dispatch;
+use tracing::{Span, debug, debug_span, info};
+
+/// A query in flight. Dropping it closes the channel to its client, so it must be dropped only with its final response
+/// or after the client has disconnected.
+pub(super) struct InFlightQuery {
+    connection: ConnectionId,
+    request: QueryRequest,
+    reply: Sender<FinalResponse>,
+    /// The values received, by part.
+    values: Vec<Option<String>>,
+    received_at: Micros,
+    attempts: AttemptLog,
+    span: Span,
+}
+
+impl InFlightQuery {
+    /// Returns a query that has just been admitted.
+    pub(super) fn new(now: Micros, received: ReceivedQuery) -> Self {
+        let ReceivedQuery {
+            id,
+            connection,
+            request,
+            reply,
+        } = received;
+        let span = debug_span!("query", query = id.0, connection = connection.0, id = %request.id);
+        span.in_scope(
+            || debug!(name: "query_accepted", class = request.class, parts = request.parts.len()),
+        );
+        InFlightQuery {
+            connection,
+            values: vec![None; request.parts.len()],
+            request,
+            reply,
+            received_at: now,
+            attempts: AttemptLog::default(),
+            span,
+        }
+    }
+
+    /// Returns the client's connection.
+    pub(super) fn connection(&self) -> ConnectionId {
+        self.connection
+    }
+
+    /// Returns what the client asks for.
+    pub(super) fn request(&self) -> &QueryRequest {
+        &self.request
+    }
+
+    /// Returns the shard of a part.
+    pub(super) fn shard(&self, part: PartIndex) -> Option<usize> {
+        self.request.parts.get(part.0).map(|part| part.shard)
+    }
+
+    /// Records an attempt and returns it with all that its frame needs.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Micros,
+        dispatch: Dispatch,
+        shard: usize,
+        send_before: Option<Micros>,
+    ) -> OutgoingAttempt {
+        let Dispatch {
+            attempt,
+            server,
+            deadline,
+        } = dispatch;
+        self.span.in_scope(
+            || debug!(name: "attempt_sent", shard, attempt = attempt.attempt, server = %server.0),
+        );
+        self.attempts.record_sent(now, attempt, server.clone());
+        OutgoingAttempt {
+            attempt,
+            server,
+            part: OutgoingPart {
+                wire_id: format!("{}.{shard}", self.request.id),
+                shard,
+                deadline,
+                send_before,
+                idempotency_key: self.request.idempotency_key.clone(),
+                text: self.request.payload.clone(),
+            },
+        }
+    }
+
+    /// Records the end of an attempt and takes its value.
+    pub(super) fn on_attempt_ended(&mut self, now: Micros, ended: &mut EndedAttempt) {
+        let EndedAttempt {
+            attempt, outcome, ..
+        } = *ended;
+        self.span
+            .in_scope(|| debug!(name: "attempt_ended", part = attempt.part.0, outcome = ?outcome));
+        self.attempts.record_ended(now, attempt, outcome);
+        if outcome == Outcome::Served
+            && let Some(value) = self.values.get_mut(attempt.part.0)
+        {
+            *value = ended.value.take();
+        }
+    }
+
+    /// Removes and returns the values received so far.
+    pub(super) fn take_values(&mut self) -> Vec<ShardValue> {
+        let values = std::mem::take(&mut self.values);
+        let parts = self.request.parts.iter().zip(values);
+        parts
+            .filter_map(|(part, value)| {
+                Some(ShardValue {
+                    shard: part.shard,
+                    value: value?,
+                })
+            })
+            .collect()
+    }
+
+    /// Sends the final response. It is lost if the client has just disconnected.
+    pub(super) fn respond(self, response: FinalResponse) {
+        let _ = self.reply.try_send(response);
+    }
+
+    /// Logs that the client has disconnected.
+    pub(super) fn log_abandoned(&self, id: QueryId) {
+        self.span
+            .in_scope(|| debug!(name: "query_abandoned", query = id.0));
+    }
+
+    /// Logs the kind of the final response.
+    pub(super) fn log_finished(&self, response: &FinalResponse) {
+        self.span.in_scope(
+            || debug!(name: "query_finished", response = ?std::mem::discriminant(response)),
+        );
+    }
+
+    /// Logs a query that was rejected or has failed, with its attempts that were not served.
+    pub(super) fn log_unserved(
+        &self,
+        now: Micros,
+        response: &FinalResponse,
+        answered_parts: usize,
+    ) {
+        let request = &self.request;
+        info!(
+            name: "query_unserved",
+            id = %request.id,
+            class = request.class,
+            is_retry = request.is_retry,
+            rejected = matches!(response, FinalResponse::Rejected { .. }),
+            elapsed_ms = now.saturating_sub(self.received_at) / MILLI,
+            client_timeout_ms = request.client_timeout / MILLI,
+            parts = request.parts.len(),
+            answered_parts,
+            attempts = self.attempts.len(),
+            unserved_attempts = self.attempts.unserved(self.received_at)
+        );
+    }
+}
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -18,7 +18,7 @@
     let name = file.display().to_string();
     let (faults, text) = match read_text(file) {
         Ok(text) => (parse(&name, &text).err(), None),
-        Err(error) => (None, Some(error)),
+        Err(error) => (None, Some(error.to_string())),
     };
     let count = faults
         .as_ref()
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -2,7 +2,7 @@
 
 use crate::cli::DemoArguments;
 use crate::serve::{cannot_start, run_with};
-use broker::operator::Operator;
+use broker::operator::OperatorConfig;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -25,11 +25,13 @@
         Ok((
             platform_config::from_json(&configuration, |_| None)
                 .map_err(|error| error.to_string())?,
-            Operator::of_text("demo", &text)?,
+            OperatorConfig::from_text("demo", &text).map_err(|error| error.to_string())?,
         ))
     };
     let servers = fleet.servers().len();
-    run_with(read, |http1, http2| welcome(servers, http1, http2))
+    run_with(read, |addresses| {
+        welcome(servers, addresses.http1, addresses.http2)
+    })
 }
 
 fn welcome(servers: usize, http1: SocketAddr, http2: Option<SocketAddr>) {
