--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -129,7 +129,7 @@
     /// Applies the log's format and level.
     pub fn apply_log_settings(&self) {
         let log = self.settings.log;
-        logging::set(log_format(log.format), log_level(log.level));
+        logging::reconfigure(log_format(log.format), log_level(log.level));
     }
 
     /// Returns the batch window. `tick` is the least time between iterations in the platform's settings.
