--- a/crates/fanout-policy/tests/policy/backoff.rs
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -17,12 +17,19 @@
             gaps.extend(last_attempt.map(|time: Ms| policy.now - time));
             last_attempt = Some(policy.now);
         }
-        let outcome = if faulty { Outcome::Unreachable } else { Outcome::Served };
+        let outcome = if faulty {
+            Outcome::Unreachable
+        } else {
+            Outcome::Served
+        };
         let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
         let events = served(&sent_attempts(&more), 1, 20.0);
         policy.advance(0.0, events);
     }
-    assert!(gaps.len() > 2 && gaps[0] > 300.0, "attempted again after {gaps:?}");
+    assert!(
+        gaps.len() > 2 && gaps[0] > 300.0,
+        "attempted again after {gaps:?}"
+    );
     assert!(gaps[1] > gaps[0], "{gaps:?}");
 }
 
@@ -48,9 +55,18 @@
     let mut policy = Harness::new(ring(), 1);
     policy.submit("q", &[0]);
     policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)]);
-    let until = policy.aggregator.views(policy.now).iter().find_map(|view| view.ejected_until).unwrap();
+    let until = policy
+        .aggregator
+        .views(policy.now)
+        .iter()
+        .find_map(|view| view.ejected_until)
+        .unwrap();
     // Two parts in 1.5 latency objectives over six servers: an interval of 4.5 objectives.
-    assert!(until - policy.now > 3000.0, "called again after {} ms", until - policy.now);
+    assert!(
+        until - policy.now > 3000.0,
+        "called again after {} ms",
+        until - policy.now
+    );
 }
 
 #[test]
@@ -62,7 +78,11 @@
         let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
         let faulty = sent[0].node == "c1n0";
         attempt_times.extend(faulty.then_some(policy.now));
-        let outcome = if faulty { Outcome::Overloaded } else { Outcome::Served };
+        let outcome = if faulty {
+            Outcome::Overloaded
+        } else {
+            Outcome::Served
+        };
         let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
         policy.advance(0.0, served(&sent_attempts(&more), 1, 20.0));
     }
--- a/crates/fanout-policy/tests/policy/load_reports.rs
+++ b/crates/fanout-policy/tests/policy/load_reports.rs
@@ -29,7 +29,12 @@
 
 #[test]
 fn work_reported_by_a_peer_moves_parts_to_idle_servers() {
-    let settings = Settings { gossip: true, cells: 1, replica_cells: 1, ..ring() };
+    let settings = Settings {
+        gossip: true,
+        cells: 1,
+        replica_cells: 1,
+        ..ring()
+    };
     let mut policy = Harness::new(settings.clone(), 2);
     let gossip = gossip_of_a_peer(&settings, &[0], None);
     assert!(!gossip.is_empty() && gossip.len() <= MAX_GOSSIP_BYTES && gossip[2] > 0);
@@ -45,19 +50,37 @@
 
 #[test]
 fn server_reported_unreachable_by_a_peer_is_avoided_until_it_answers_there() {
-    let settings = Settings { gossip: true, ..ring() };
+    let settings = Settings {
+        gossip: true,
+        ..ring()
+    };
     let mut policy = Harness::new(settings.clone(), 1);
     let gossip = gossip_of_a_peer(&settings, &[0], Some(Outcome::Unreachable));
     assert_eq!(gossip.len() % 3, 0);
     let unreachable: Vec<&[u8]> = gossip.chunks(3).filter(|entry| entry[2] == 255).collect();
     assert_eq!(unreachable.len(), 1);
-    policy.advance(5.0, vec![Event::Gossip { from: 1, bytes: gossip.clone() }]);
+    policy.advance(
+        5.0,
+        vec![Event::Gossip {
+            from: 1,
+            bytes: gossip.clone(),
+        }],
+    );
     let others = servers_of_queries(&mut policy, "q", 20);
     assert!(others.len() < 3, "one of three replicas is avoided: {others:?}");
     let recovered = vec![unreachable[0][0], unreachable[0][1], 0];
-    policy.advance(5.0, vec![Event::Gossip { from: 1, bytes: recovered }]);
+    policy.advance(
+        5.0,
+        vec![Event::Gossip {
+            from: 1,
+            bytes: recovered,
+        }],
+    );
     let soon = servers_of_queries(&mut policy, "soon", 4);
-    assert!(soon.len() < 3, "it may be warming up, and the idle ones are faster");
+    assert!(
+        soon.len() < 3,
+        "it may be warming up, and the idle ones are faster"
+    );
     policy.advance(6000.0, vec![]);
     assert_eq!(servers_of_queries(&mut policy, "later", 60).len(), 3);
 }
@@ -65,31 +88,64 @@
 #[test]
 fn malformed_gossip_and_unknown_senders_are_ignored() {
     let attempts_after = |gossip: Vec<Event>| {
-        let mut policy = Harness::new(Settings { gossip: true, ..ring() }, 1);
+        let mut policy = Harness::new(
+            Settings {
+                gossip: true,
+                ..ring()
+            },
+            1,
+        );
         policy.advance(5.0, gossip);
-        (0..10).map(|k| sent_attempts(&policy.submit(&format!("q{k}"), &[0, 1]))).collect::<Vec<_>>()
+        (0..10)
+            .map(|k| sent_attempts(&policy.submit(&format!("q{k}"), &[0, 1])))
+            .collect::<Vec<_>>()
+    };
+    let gossip_from = |from, bytes: &[u8]| Event::Gossip {
+        from,
+        bytes: bytes.to_vec(),
+    };
+    let settings = Settings {
+        gossip: true,
+        ..ring()
     };
-    let gossip_from = |from, bytes: &[u8]| Event::Gossip { from, bytes: bytes.to_vec() };
-    let settings = Settings { gossip: true, ..ring() };
     let gossip = gossip_of_a_peer(&settings, &[0], Some(Outcome::Unreachable));
     let truncated = &gossip[..gossip.len() - 1];
     let without_gossip = attempts_after(vec![]);
-    let invalid = vec![gossip_from(1, &[]), gossip_from(1, truncated), gossip_from(99, &gossip)];
+    let invalid = vec![
+        gossip_from(1, &[]),
+        gossip_from(1, truncated),
+        gossip_from(99, &gossip),
+    ];
     assert_eq!(without_gossip, attempts_after(invalid));
-    assert_ne!(without_gossip, attempts_after(vec![gossip_from(1, &gossip)]), "valid gossip has an effect");
+    assert_ne!(
+        without_gossip,
+        attempts_after(vec![gossip_from(1, &gossip)]),
+        "valid gossip has an effect"
+    );
 }
 
 #[test]
 fn no_gossip_is_sent_when_it_is_disabled() {
     let mut policy = Harness::new(ring(), 1);
     let actions = policy.submit("q", &[0, 1, 2]);
-    assert!(!actions.iter().any(|action| matches!(action, Action::PublishLoad { .. })));
+    assert!(
+        !actions
+            .iter()
+            .any(|action| matches!(action, Action::PublishLoad { .. }))
+    );
 }
 
 #[test]
 fn load_report_moves_parts_to_the_idle_replica() {
     let parts_after_report = |load: f64| {
-        let mut policy = Harness::new(Settings { cells: 1, replica_cells: 1, ..ring() }, 2);
+        let mut policy = Harness::new(
+            Settings {
+                cells: 1,
+                replica_cells: 1,
+                ..ring()
+            },
+            2,
+        );
         answer_queries(&mut policy, 4, 4000.0);
         let sent = sent_attempts(&policy.submit("q", &[0]))[0].clone();
         policy.advance(20.0, vec![served_with_load(&sent.part, 20.0, load)]);
@@ -99,7 +155,10 @@
         PartsAfterReport { soon, later }
     };
     assert_eq!(parts_after_report(30.0).soon, 0, "thirty parts wait there");
-    assert!(parts_after_report(1e300).later > 0, "an absurd report counts for a limited time");
+    assert!(
+        parts_after_report(1e300).later > 0,
+        "an absurd report counts for a limited time"
+    );
     assert!(parts_after_report(f64::NAN).later > 0);
 }
 
@@ -107,8 +166,15 @@
 #[test]
 fn repeated_load_report_expires() {
     let parts_sent_to_a = |repeated: bool| {
-        let mut policy =
-            Harness::new(Settings { cells: 1, replica_cells: 1, max_parts_per_call: 1, ..ring() }, 0);
+        let mut policy = Harness::new(
+            Settings {
+                cells: 1,
+                replica_cells: 1,
+                max_parts_per_call: 1,
+                ..ring()
+            },
+            0,
+        );
         let endpoints = vec![endpoint("a", 0), endpoint("b", 0)];
         policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
         let mut parts_sent = 0;
@@ -124,7 +190,10 @@
         parts_sent
     };
     let (repeated, new) = (parts_sent_to_a(true), parts_sent_to_a(false));
-    assert!(repeated > new + 10, "{repeated} with a repeated report, {new} with new ones");
+    assert!(
+        repeated > new + 10,
+        "{repeated} with a repeated report, {new} with new ones"
+    );
 }
 
 /// Submits one-part queries that are all answered and returns the servers that they were sent to.
--- a/crates/fanout-policy/tests/policy/robustness.rs
+++ b/crates/fanout-policy/tests/policy/robustness.rs
@@ -4,6 +4,8 @@
     Harness, SentAttempt, attempt_ended, final_responses, part_id, query_id, ring, sent_attempts,
 };
 use fanout_policy::api::{Event, Outcome, Part};
+use std::fs;
+use std::path::Path;
 
 #[test]
 fn unexpected_events_are_ignored_and_empty_query_is_ended() {
@@ -25,7 +27,11 @@
     for _ in 0..900 {
         last.extend(policy.advance(5.0, vec![]));
     }
-    assert_eq!(final_responses(&last).len(), 1, "a query without parts is ended too");
+    assert_eq!(
+        final_responses(&last).len(),
+        1,
+        "a query without parts is ended too"
+    );
 }
 
 #[test]
@@ -35,7 +41,11 @@
         let mut all = Vec::new();
         for k in 0..50 {
             let actions = policy.submit(&format!("q{k}"), &[k % 6, (k + 1) % 6, (k + 2) % 6]);
-            let outcome = if k % 7 == 0 { Outcome::Error } else { Outcome::Served };
+            let outcome = if k % 7 == 0 {
+                Outcome::Error
+            } else {
+                Outcome::Served
+            };
             let sent = sent_attempts(&actions);
             let end = |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, outcome, 40.0);
             let events = sent.iter().map(end).collect();
@@ -47,13 +57,44 @@
     assert_eq!(run(), run());
 }
 
+/// Paths of the policy files, relative to the workspace, as `deploy/balancer.toml` lists them.
+fn listed_policy_files() -> Vec<String> {
+    let text = include_str!("../../../../deploy/balancer.toml");
+    let (_, list) = text
+        .split_once("\npolicy = [")
+        .expect("the deployment lists the policy files");
+    let (list, _) = list.split_once(']').expect("the list is closed");
+    list.split('"').skip(1).step_by(2).map(str::to_owned).collect()
+}
+
 #[test]
 fn policy_files_stay_within_their_line_limits() {
-    let text = include_str!("../../src/choice.rs");
-    let policy = [text, include_str!("../../src/room.rs")];
-    let lines = policy.iter().flat_map(|t| t.lines()).filter(|l| !l.trim().is_empty()).count();
-    assert!(lines <= 1000, "{lines} lines that are not blank");
-    for (n, line) in text.lines().enumerate() {
-        assert!(line.chars().count() <= 110, "line {} is too wide", n + 1);
+    let workspace = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
+    let mut lines = 0;
+    for file in listed_policy_files() {
+        let text = fs::read_to_string(workspace.join(&file)).unwrap();
+        lines += text.lines().filter(|line| !line.trim().is_empty()).count();
+        for (index, line) in text.lines().enumerate() {
+            assert!(
+                line.chars().count() <= 110,
+                "{file}: line {} is too wide",
+                index + 1
+            );
+        }
     }
+    assert!(lines <= 1000, "{lines} lines that are not blank");
+}
+
+#[test]
+fn every_file_of_the_policy_module_is_listed_as_a_policy_file() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/policy");
+    let names = fs::read_dir(folder)
+        .unwrap()
+        .map(|entry| entry.unwrap().file_name());
+    let prefix = "crates/fanout-policy/src/policy/";
+    let mut files: Vec<String> = names
+        .map(|name| format!("{prefix}{}", name.to_str().unwrap()))
+        .collect();
+    files.sort();
+    assert_eq!(listed_policy_files(), files);
 }
--- a/crates/fanout-policy/tests/policy/settings.rs
+++ b/crates/fanout-policy/tests/policy/settings.rs
@@ -37,27 +37,63 @@
 #[test]
 fn all_fields_are_decoded() {
     let site = decode_value(&settings()).unwrap();
-    assert_eq!((site.class_names, site.tenant_names), (vec!["save".to_owned()], vec!["acme".to_owned()]));
+    assert_eq!(
+        (site.class_names, site.tenant_names),
+        (vec!["save".to_owned()], vec!["acme".to_owned()])
+    );
     assert_eq!(site.zone_names, ["near", "far"]);
-    assert_eq!((site.max_in_flight, site.max_parts_per_connection), (Some(100), Some(50)));
-    assert_eq!((site.dial_timeout, site.idle_timeout), (Some(250.0), Some(15_000.0)));
+    assert_eq!(
+        (site.max_in_flight, site.max_parts_per_connection),
+        (Some(100), Some(50))
+    );
+    assert_eq!(
+        (site.dial_timeout, site.idle_timeout),
+        (Some(250.0), Some(15_000.0))
+    );
     let policy = site.settings;
     assert_eq!((policy.cells, policy.replica_cells, policy.shards), (6, 3, 12));
-    assert_eq!((policy.aggregators, policy.zone, policy.max_parts_per_call), (7, Some(1), 2));
-    assert_eq!((policy.call_cost, policy.max_attempts, policy.tick), (1.5, 4, 5.0));
-    assert_eq!((policy.hedging, policy.cancellation, policy.gossip), (false, true, true));
+    assert_eq!(
+        (policy.aggregators, policy.zone, policy.max_parts_per_call),
+        (7, Some(1), 2)
+    );
+    assert_eq!(
+        (policy.call_cost, policy.max_attempts, policy.tick),
+        (1.5, 4, 5.0)
+    );
+    assert_eq!(
+        (policy.hedging, policy.cancellation, policy.gossip),
+        (false, true, true)
+    );
     assert_eq!((policy.weight_by_work, policy.marks_retries), (true, true));
-    assert_eq!((policy.over_quota_weight, policy.max_retry_after), (0.1, Some(2000.0)));
-    assert_eq!((policy.list_source, policy.list_poll_deadline), (EndpointListSource::Polled, 9000.0));
+    assert_eq!(
+        (policy.over_quota_weight, policy.max_retry_after),
+        (0.1, Some(2000.0))
+    );
+    assert_eq!(
+        (policy.list_source, policy.list_poll_deadline),
+        (EndpointListSource::Polled, 9000.0)
+    );
     assert_eq!(policy.tenants[0].quota_per_s, 1000.0);
-    assert_eq!((policy.warm_up.initial_capacity, policy.warm_up.duration), (0.5, 1000.0));
-    assert_eq!((policy.warm_up.overload_factor, policy.warm_up.overload_window), (2.5, 900.0));
+    assert_eq!(
+        (policy.warm_up.initial_capacity, policy.warm_up.duration),
+        (0.5, 1000.0)
+    );
+    assert_eq!(
+        (policy.warm_up.overload_factor, policy.warm_up.overload_window),
+        (2.5, 900.0)
+    );
     let budget = policy.retry_budget.unwrap();
-    assert_eq!((budget.free_attempts, budget.per_request, budget.window), (0.0, 0.1, 500.0));
+    assert_eq!(
+        (budget.free_attempts, budget.per_request, budget.window),
+        (0.0, 0.1, 500.0)
+    );
     let class = &policy.classes[0];
     assert_eq!((class.latency_objective, class.client_timeout), (800.0, 4000.0));
     assert_eq!((class.priority_weight, class.late_weight), (2.0, 0.3));
-    assert_eq!((class.required_share, class.minimum_share, class.partial_weight), (0.9, 0.5, 0.8));
+    assert_eq!(
+        (class.required_share, class.minimum_share, class.partial_weight),
+        (0.9, 0.5, 0.8)
+    );
     assert_eq!(class.retry_safety, RetrySafety::IdempotencyKey { window: 5000.0 });
     assert!(class.has_second_step);
 }
@@ -65,7 +101,14 @@
 #[test]
 fn absent_optional_fields_have_defaults() {
     let mut value = settings();
-    for field in ["Clients", "Locality", "OverShareWorth", "Projects", "WorthBy", "Zones"] {
+    for field in [
+        "Clients",
+        "Locality",
+        "OverShareWorth",
+        "Projects",
+        "WorthBy",
+        "Zones",
+    ] {
         value[field] = Value::Null;
     }
     value["Rules"]["AskWithin"] = Value::Null;
@@ -77,19 +120,40 @@
     let policy = site.settings;
     assert!(policy.tenants.is_empty() && policy.zone.is_none() && policy.retry_budget.is_none());
     assert!(!policy.weight_by_work && !policy.marks_retries && policy.max_retry_after.is_none());
-    assert_eq!((policy.over_quota_weight, policy.list_poll_deadline), (1.0, f64::INFINITY));
+    assert_eq!(
+        (policy.over_quota_weight, policy.list_poll_deadline),
+        (1.0, f64::INFINITY)
+    );
 }
 
 #[test]
 fn error_names_the_faulty_field() {
-    assert_eq!(error_with("/FamilyInfo", Value::Null), "Env: field FamilyInfo is missing");
-    assert_eq!(error_with("/Allowed/SendCap", json!(2.5)), "Allowed: field SendCap is not a whole number");
-    assert_eq!(error_with("/MembershipMode", json!("x")), "Env: field MembershipMode is unknown");
-    assert_eq!(error_with("/Services/0/Semantics", json!("x")), "Services: field Semantics is unknown");
-    assert_eq!(error_with("/Services/0/MemorySpan", Value::Null), "Services: field MemorySpan is missing");
+    assert_eq!(
+        error_with("/FamilyInfo", Value::Null),
+        "Env: field FamilyInfo is missing"
+    );
+    assert_eq!(
+        error_with("/Allowed/SendCap", json!(2.5)),
+        "Allowed: field SendCap is not a whole number"
+    );
+    assert_eq!(
+        error_with("/MembershipMode", json!("x")),
+        "Env: field MembershipMode is unknown"
+    );
+    assert_eq!(
+        error_with("/Services/0/Semantics", json!("x")),
+        "Services: field Semantics is unknown"
+    );
+    assert_eq!(
+        error_with("/Services/0/MemorySpan", Value::Null),
+        "Services: field MemorySpan is missing"
+    );
     let too_few = "FamilyInfo: field MinShare has too few entries";
     assert_eq!(error_with("/FamilyInfo/MinShare", json!([])), too_few);
     let not_an_object = "Env: field Projects holds something that is not an object";
     assert_eq!(error_with("/Projects/0", json!(1)), not_an_object);
-    assert_eq!(error_with("/Rules/RatioSpan", Value::Null), "Rules: field RatioSpan is missing");
+    assert_eq!(
+        error_with("/Rules/RatioSpan", Value::Null),
+        "Rules: field RatioSpan is missing"
+    );
 }
