--- a/crates/fanout-policy/src/settings.rs
+++ b/crates/fanout-policy/src/settings.rs
@@ -60,7 +60,9 @@
         classes,
         tenants,
         aggregators: settings.whole_number("PeersTotal")? as usize,
-        zone: settings.optional_whole_number("Locality")?.map(|zone| zone as usize),
+        zone: settings
+            .optional_whole_number("Locality")?
+            .map(|zone| zone as usize),
         over_quota_weight: settings.optional_number("OverShareWorth")?.unwrap_or(1.0),
         weight_by_work: settings.get("WorthBy").and_then(Value::as_str) == Some("work"),
         marks_retries: decode_marks_retries(settings)?,
@@ -89,7 +91,9 @@
     }
     let mut tenants = Vec::new();
     for tenant in settings.objects("Projects")? {
-        tenants.push(Tenant { quota_per_s: tenant.number("QuotaPerS")? });
+        tenants.push(Tenant {
+            quota_per_s: tenant.number("QuotaPerS")?,
+        });
     }
     Ok(tenants)
 }
@@ -145,7 +149,9 @@
 fn decode_retry_safety(class: &JsonObject) -> Result<RetrySafety, FieldError> {
     match class.text("Semantics")? {
         "repeatable" => Ok(RetrySafety::Idempotent),
-        "by_key" => Ok(RetrySafety::IdempotencyKey { window: class.number("MemorySpan")? }),
+        "by_key" => Ok(RetrySafety::IdempotencyKey {
+            window: class.number("MemorySpan")?,
+        }),
         "once" => Ok(RetrySafety::NotIdempotent),
         _ => Err(class.error("Semantics", FieldProblem::UnknownValue)),
     }
@@ -160,7 +166,11 @@
 
 impl<'a> ClassFigures<'a> {
     fn decode(family: &'a JsonObject<'a>, field: &'static str) -> Result<Self, FieldError> {
-        Ok(ClassFigures { family, field, figures: family.numbers(field)? })
+        Ok(ClassFigures {
+            family,
+            field,
+            figures: family.numbers(field)?,
+        })
     }
 
     fn of_class(&self, index: usize) -> Result<f64, FieldError> {
@@ -178,7 +188,11 @@
 
 /// The largest retry-after value, where such values reach the clients.
 fn decode_max_retry_after(allowed: &JsonObject) -> Result<Option<Ms>, FieldError> {
-    if allowed.flag("RetryAfter")? { allowed.optional_number("MaxRetryAfter") } else { Ok(None) }
+    if allowed.flag("RetryAfter")? {
+        allowed.optional_number("MaxRetryAfter")
+    } else {
+        Ok(None)
+    }
 }
 
 fn decode_warm_up(rules: &JsonObject) -> Result<WarmUp, FieldError> {
@@ -196,7 +210,10 @@
         return Ok(Vec::new());
     }
     let objects = settings.objects(field)?;
-    Ok(objects.iter().map(|object| text_or_empty(object.get("Name"))).collect())
+    Ok(objects
+        .iter()
+        .map(|object| text_or_empty(object.get("Name")))
+        .collect())
 }
 
 /// The names of the zones; none where the list is absent, and an empty one where an element is not a string.
--- a/crates/fanout-policy/tests/policy/common.rs
+++ b/crates/fanout-policy/tests/policy/common.rs
@@ -66,7 +66,12 @@
 
 /// Two sets of servers, each of which holds every second shard.
 pub fn sets() -> Settings {
-    Settings { cells: 2, replica_cells: 1, shards: 6, ..ring() }
+    Settings {
+        cells: 2,
+        replica_cells: 1,
+        shards: 6,
+        ..ring()
+    }
 }
 
 /// The identifier of a query.
@@ -82,7 +87,13 @@
 /// A server that has long been running.
 pub fn endpoint(name: &str, cell: usize) -> Endpoint {
     let node = NodeId(name.into());
-    Endpoint { node, cell, state: ServingState::Serving, zone: None, started: None }
+    Endpoint {
+        node,
+        cell,
+        state: ServingState::Serving,
+        zone: None,
+        started: None,
+    }
 }
 
 /// An update of the endpoint list.
@@ -92,7 +103,13 @@
 
 /// The end of an attempt, without a load report.
 pub fn attempt_ended(part: &str, attempt: u32, outcome: Outcome, elapsed: Ms) -> Event {
-    Event::AttemptEnded { part: part_id(part), attempt, outcome, elapsed, load: None }
+    Event::AttemptEnded {
+        part: part_id(part),
+        attempt,
+        outcome,
+        elapsed,
+        load: None,
+    }
 }
 
 /// The end of attempts that were all served; `attempt` is the index of each among those of its part.
@@ -112,9 +129,11 @@
 /// The attempts among the actions.
 pub fn sent_attempts(actions: &[Action]) -> Vec<SentAttempt> {
     let to_attempt = |action: &Action| match action {
-        Action::SendAttempt { part, node, timeout } => {
-            Some(SentAttempt { part: part.0.to_string(), node: node.0.to_string(), timeout: *timeout })
-        }
+        Action::SendAttempt { part, node, timeout } => Some(SentAttempt {
+            part: part.0.to_string(),
+            node: node.0.to_string(),
+            timeout: *timeout,
+        }),
         _ => None,
     };
     actions.iter().filter_map(to_attempt).collect()
@@ -122,35 +141,52 @@
 
 /// The servers that attempts among the actions go to.
 pub fn servers_of(actions: &[Action]) -> BTreeSet<String> {
-    sent_attempts(actions).into_iter().map(|attempt| attempt.node).collect()
+    sent_attempts(actions)
+        .into_iter()
+        .map(|attempt| attempt.node)
+        .collect()
 }
 
 /// The final responses among the actions.
 pub fn final_responses(actions: &[Action]) -> Vec<Action> {
     let is_final = |action: &&Action| {
-        matches!(action, Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. })
+        matches!(
+            action,
+            Action::Answer { .. } | Action::Reject { .. } | Action::Fail { .. }
+        )
     };
     actions.iter().filter(is_final).cloned().collect()
 }
 
 /// The rejection of a query with the largest retry-after value.
 pub fn rejected(name: &str) -> Action {
-    Action::Reject { query: query_id(name), retry_after: Some(MAX_RETRY_AFTER) }
+    Action::Reject {
+        query: query_id(name),
+        retry_after: Some(MAX_RETRY_AFTER),
+    }
 }
 
 /// The failure of a query.
 pub fn failed(name: &str) -> Action {
-    Action::Fail { query: query_id(name) }
+    Action::Fail {
+        query: query_id(name),
+    }
 }
 
 /// The complete answer to a query.
 pub fn complete_answer(name: &str) -> Action {
-    Action::Answer { query: query_id(name), complete: true }
+    Action::Answer {
+        query: query_id(name),
+        complete: true,
+    }
 }
 
 /// The partial answer to a query.
 pub fn partial_answer(name: &str) -> Action {
-    Action::Answer { query: query_id(name), complete: false }
+    Action::Answer {
+        query: query_id(name),
+        complete: false,
+    }
 }
 
 /// Submits one-part queries one after the other and has each answered after 20 milliseconds, so that the aggregator
@@ -237,7 +273,13 @@
         let mut events = vec![Event::Query(query)];
         for &shard in shards {
             let id = part_id(&format!("{name}.{shard}"));
-            events.push(Event::Part(Part { id, group, shard, weight, cost_hint: None }));
+            events.push(Event::Part(Part {
+                id,
+                group,
+                shard,
+                weight,
+                cost_hint: None,
+            }));
         }
         events
     }
@@ -262,7 +304,11 @@
             let mut open = sent_attempts(&self.submit(&name, &[n % 3]));
             let mut attempt = 0;
             while let Some(SentAttempt { part, node, .. }) = open.pop() {
-                let outcome = if faulty.contains(&node.as_str()) { outcome } else { Outcome::Served };
+                let outcome = if faulty.contains(&node.as_str()) {
+                    outcome
+                } else {
+                    Outcome::Served
+                };
                 *attempts_by_server.entry(node).or_default() += 1;
                 let end = attempt_ended(&part, attempt, outcome, 30.0);
                 open.extend(sent_attempts(&self.advance(30.0, vec![end])));
