--- a/crates/load-generator/src/raw_http2.rs
+++ b/crates/load-generator/src/raw_http2.rs
@@ -146,23 +146,22 @@
         }
     }
 
-    /// Collects all frames until the connection ends, and how long that took.
+    /// Collects all frames until the connection ends.
     ///
     /// # Panics
     ///
     /// If the connection does not end within this time.
-    pub fn frames_until_close(&mut self, within: Duration) -> (Vec<Frame>, Duration) {
+    pub fn frames_until_close(&mut self, within: Duration) -> Vec<Frame> {
         let start = Instant::now();
         let mut frames = Vec::new();
         while let Some(frame) = self.next_frame(within.saturating_sub(start.elapsed())) {
             frames.push(frame);
         }
-        let elapsed = start.elapsed();
         assert!(
-            elapsed < within,
+            start.elapsed() < within,
             "the connection stays open; it sent {frames:?}"
         );
-        (frames, elapsed)
+        frames
     }
 
     /// Reads until the connection ends, and returns all bytes that were not taken as frames, as text.
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -27,7 +27,7 @@
         }
     }
     assert!(begun.elapsed() < ENDED, "{what}: it goes on for ever");
-    let (frames, _) = raw.frames_until_close(ENDED);
+    let frames = raw.frames_until_close(ENDED);
     if let Some(goaway) = frames.iter().rfind(|f| f.frame_type == GOAWAY) {
         assert_eq!(goaway.error_code(), ENHANCE_YOUR_CALM, "{what}");
     }
--- a/crates/test-fleet/src/fault.rs
+++ b/crates/test-fleet/src/fault.rs
@@ -1,5 +1,8 @@
 //! Faults of data servers, and how long a server takes for a part.
 
+#[cfg(test)]
+mod tests;
+
 use std::time::{Duration, Instant};
 
 /// The share of its speed at which a restarted server begins.
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -42,7 +42,7 @@
 /// A discovery service and some data servers on a thread of their own. They end when the fleet is dropped.
 pub struct Fleet {
     /// The address on which discovery listens.
-    pub discovery: SocketAddr,
+    pub discovery_address: SocketAddr,
     servers: Vec<ServerHandle>,
     attempt_log: Arc<Mutex<AttemptLog>>,
     commands: Sender<FleetCommand>,
@@ -69,7 +69,7 @@
     pub fn start(plan: FleetPlan) -> io::Result<Fleet> {
         let attempt_log = Arc::new(Mutex::new(AttemptLog::default()));
         let discovery_listener = listen_on_loopback()?;
-        let discovery = discovery_listener.local_addr()?;
+        let discovery_address = discovery_listener.local_addr()?;
         let mut servers = Vec::new();
         let mut started_servers = Vec::new();
         for number in 0..plan.servers {
@@ -90,7 +90,7 @@
             })?;
         let initial_endpoint_list = initial_list.recv().map_err(io::Error::other)?;
         Ok(Fleet {
-            discovery,
+            discovery_address,
             servers,
             attempt_log,
             commands,
