--- /dev/null
+++ b/crates/broker/src/discovery/watcher.rs
@@ -0,0 +1,82 @@
+//! The task that watches the endpoint list.
+
+use super::backoff::{Backoff, MIN_DELAY};
+use super::client::{DiscoveryClient, POLL_WAIT};
+use super::error::DiscoveryError;
+use crate::event_queue::{Event, EventQueue};
+use async_io::Timer;
+use broker_types::server::EndpointList;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Instant;
+use tracing::warn;
+
+/// Watches the list at one address.
+pub(super) struct Watcher {
+    address: SocketAddr,
+    /// Revision of the current list; `None` if the full list must be requested.
+    revision: Option<u64>,
+    event_queue: Rc<EventQueue>,
+    backoff: Backoff,
+}
+
+impl Watcher {
+    /// Returns a watcher that requests changes since `revision`, or the full list.
+    pub(super) fn new(
+        address: SocketAddr,
+        revision: Option<u64>,
+        event_queue: Rc<EventQueue>,
+        backoff: Backoff,
+    ) -> Self {
+        Watcher {
+            address,
+            revision,
+            event_queue,
+            backoff,
+        }
+    }
+
+    /// Watches until dropped. After an error the current list stays in effect, and the watch continues on a new
+    /// connection.
+    pub(super) async fn run(mut self) {
+        loop {
+            // Discovery may close a connection between two responses, which is no error.
+            if let Err(error) = self.watch_connection().await {
+                warn!(name: "discovery_watch_failed", error = %error);
+                if error.requires_snapshot() {
+                    self.revision = None;
+                }
+                Timer::after(self.backoff.next_delay()).await;
+            }
+        }
+    }
+
+    /// Opens a connection and polls on it until discovery closes it.
+    async fn watch_connection(&mut self) -> Result<(), DiscoveryError> {
+        let mut client = DiscoveryClient::connect(self.address).await?;
+        loop {
+            let started_at = Instant::now();
+            let response = client.fetch(self.revision).await?;
+            let is_changed = self.on_list(response.list);
+            if !is_changed && started_at.elapsed() < POLL_WAIT / 2 {
+                // The response is premature. Polling again without a pause would use up the whole core.
+                Timer::after(MIN_DELAY).await;
+            }
+            if !response.keep_alive {
+                return Ok(());
+            }
+        }
+    }
+
+    /// Queues an event for the list unless it is empty. Returns whether its revision is new.
+    fn on_list(&mut self, list: EndpointList) -> bool {
+        let revision = Some(list.revision);
+        let is_changed = self.revision != revision;
+        self.revision = revision;
+        self.backoff.reset();
+        if list.is_snapshot || !list.endpoints.is_empty() {
+            self.event_queue.push(Event::EndpointsUpdated(list));
+        }
+        is_changed
+    }
+}
--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -15,7 +15,7 @@
 pub use startup::{ListenAddresses, StartupError, catch_signals, run};
 
 use crate::clock::Clock;
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryWatch;
 use crate::event_queue::{Event, EventQueue, ReceivedQuery};
 use crate::listeners::ClientListeners;
 use crate::operator::OperatorConfig;
@@ -49,7 +49,7 @@
     client_resources: ClientResources,
     policy: PolicyEngine,
     servers: ServerPools,
-    discovery: Discovery,
+    discovery: DiscoveryWatch,
     event_queue: Rc<EventQueue>,
     listeners: ClientListeners,
     queries: QueryTable,
--- a/crates/broker/src/event_loop/startup.rs
+++ b/crates/broker/src/event_loop/startup.rs
@@ -2,7 +2,7 @@
 
 use super::EventLoop;
 use crate::clock::Clock;
-use crate::discovery::Discovery;
+use crate::discovery::DiscoveryWatch;
 use crate::event_queue::{Event, EventQueue};
 use crate::listeners::{ClientListeners, ListenerConfig, ListenerContext};
 use crate::operator::OperatorConfig;
@@ -174,7 +174,7 @@
             queries: QueryTable::new(&config.settings, config.max_in_flight),
             policy: PolicyEngine::new(config.settings, config.max_in_flight, config.seed),
             servers: ServerPools::new(executor.clone(), event_queue.clone(), *clock, config.pool),
-            discovery: Discovery::start(
+            discovery: DiscoveryWatch::start(
                 executor.clone(),
                 event_queue.clone(),
                 config.discovery,
