--- /dev/null
+++ b/crates/query-broker/src/bench/broker_build.rs
@@ -0,0 +1,57 @@
+//! The build that is measured, and how it is started.
+
+use super::error::BenchError;
+use super::measurements::Pacing;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use test_fleet::{BrokerProcess, Deployment, Fleet, FleetPlan};
+
+/// Most queries and parts in flight: more than any measurement has.
+const MAX_IN_FLIGHT: usize = 20_000;
+
+/// The broker's memory limit: more than any measurement needs.
+const MEMORY_LIMIT_MB: usize = 1024;
+
+/// The build that is measured.
+pub(super) struct BrokerBuild {
+    /// Its executable.
+    pub(super) executable: PathBuf,
+    /// Whether it can listen for HTTP/2.
+    pub(super) has_http2: bool,
+}
+
+impl BrokerBuild {
+    /// Starts a fleet, and a broker with all listeners that the build has.
+    pub(super) fn start(
+        &self,
+        plan: FleetPlan,
+        pacing: Pacing,
+    ) -> Result<(Fleet, BrokerProcess), BenchError> {
+        let deployment = Deployment {
+            max_in_flight: MAX_IN_FLIGHT,
+            memory_limit_mb: MEMORY_LIMIT_MB,
+            ..Deployment::default()
+        };
+        let fleet = Fleet::start(plan)?;
+        let operator_config = self.operator_config(pacing);
+        let broker = BrokerProcess::start(&self.executable, deployment, &fleet, &operator_config)?;
+        Ok((fleet, broker))
+    }
+
+    fn operator_config(&self, pacing: Pacing) -> String {
+        let mut text = String::new();
+        if self.has_http2 {
+            text += "listen-http2 127.0.0.1:0\nhttp2-streams 400\n";
+        }
+        match pacing {
+            Pacing::Ticks => {}
+            Pacing::BatchWindow => text += "gather-time 5ms\n",
+        }
+        text
+    }
+}
+
+/// Where a broker listens for HTTP/2.
+pub(super) fn http2_address(broker: &BrokerProcess) -> Result<SocketAddr, BenchError> {
+    broker.http2.ok_or(BenchError::NoHttp2Listener)
+}
--- /dev/null
+++ b/crates/query-broker/src/bench/flood.rs
@@ -0,0 +1,185 @@
+//! What a flood on one connection costs clients on others.
+
+use super::WARM_UP_SHARE;
+use super::broker_build::{BrokerBuild, http2_address};
+use super::error::BenchError;
+use super::measurements::Pacing;
+use hdrhistogram::Histogram;
+use load_generator::raw_http2::{
+    PING, RST_STREAM, RawHttp2Client, SETTINGS, encode_frame, query_frames,
+};
+use load_generator::{LoadProfile, Target, open_loop};
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+use test_fleet::FleetPlan;
+
+/// Queries a second of the usual clients.
+const CLIENT_RATE: f64 = 500.0;
+
+/// Most queries at once of the usual clients.
+const CLIENT_CONCURRENCY: usize = 100;
+
+/// Connections of the usual clients.
+const CLIENT_CONNECTIONS: usize = 2;
+
+/// Seed of their arrivals.
+const SEED: u64 = 9;
+
+/// How long a data server takes for a part.
+const PART_DURATION: Duration = Duration::from_millis(2);
+
+/// Frames, or pairs of them, that the attacker sends in one write.
+const BURST_LENGTH: u32 = 64;
+
+/// The error code CANCEL (RFC 9113, section 7).
+const CANCEL: u32 = 8;
+
+/// What the attacker sends.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum FloodKind {
+    /// Nothing, for comparison.
+    None,
+    /// PING frames.
+    Ping,
+    /// SETTINGS frames.
+    Settings,
+    /// Queries, each of which is reset at once.
+    RapidReset,
+}
+
+impl FloodKind {
+    /// All kinds, in the order in which they are measured.
+    pub(super) const ALL: [FloodKind; 4] = [
+        FloodKind::None,
+        FloodKind::Ping,
+        FloodKind::Settings,
+        FloodKind::RapidReset,
+    ];
+
+    /// The name in the figures.
+    pub(super) fn name(self) -> &'static str {
+        match self {
+            FloodKind::None => "none",
+            FloodKind::Ping => "PING",
+            FloodKind::Settings => "SETTINGS",
+            FloodKind::RapidReset => "rapid resets",
+        }
+    }
+
+    /// The attacker's next bytes, by their number on the connection.
+    fn bytes(self, number: u32) -> Vec<u8> {
+        match self {
+            FloodKind::None => Vec::new(),
+            FloodKind::Ping => encode_frame(PING, 0, 0, &[0; 8]),
+            FloodKind::Settings => encode_frame(SETTINGS, 0, 0, &[]),
+            FloodKind::RapidReset => {
+                let stream = 1 + 2 * number;
+                let query = query_frames(stream, &format!("flood{number}"));
+                let reset = encode_frame(RST_STREAM, 0, stream, &CANCEL.to_be_bytes());
+                [query, reset].concat()
+            }
+        }
+    }
+}
+
+/// What the attacker saw of its connections.
+#[derive(Clone, Copy, Debug, Default)]
+pub(super) struct AttackFigures {
+    /// Connections that the broker ended.
+    pub(super) ended: u32,
+    /// The longest that one of them lasted.
+    pub(super) longest: Duration,
+}
+
+/// What a flood did to the usual clients and to the attacker.
+pub(super) struct FloodFigures {
+    /// The flood.
+    pub(super) kind: FloodKind,
+    /// Latency of the usual clients, in microseconds.
+    pub(super) latency: Histogram<u64>,
+    /// Queries of the usual clients that were not served.
+    pub(super) unserved: u64,
+    /// The attacker's connections.
+    pub(super) attack: AttackFigures,
+}
+
+/// Measures the usual load beside an attacker that reconnects as soon as its connection is ended.
+pub(super) fn measure(
+    build: &BrokerBuild,
+    kind: FloodKind,
+    duration: Duration,
+) -> Result<FloodFigures, BenchError> {
+    let plan = FleetPlan {
+        part_duration: PART_DURATION,
+        ..FleetPlan::default()
+    };
+    let (_fleet, broker) = build.start(plan, Pacing::BatchWindow)?;
+    let address = http2_address(&broker)?;
+    let stop = Arc::new(AtomicBool::new(false));
+    let attacker = start_attacker(kind, address, stop.clone());
+    let load = LoadProfile {
+        rate: Some(CLIENT_RATE),
+        max_concurrent: CLIENT_CONCURRENCY,
+        duration,
+        warm_up: duration.mul_f64(WARM_UP_SHARE),
+        seed: SEED,
+        class: "lookup".to_owned(),
+        shards: vec![0, 1],
+    };
+    let report = open_loop(Target::Http2(address, CLIENT_CONNECTIONS), &load);
+    stop.store(true, Ordering::Relaxed);
+    let attack = attacker.join().map_err(|_| BenchError::AttackerPanicked)?;
+    let report = report?;
+    Ok(FloodFigures {
+        kind,
+        latency: report.latency,
+        unserved: report.unserved,
+        attack,
+    })
+}
+
+fn start_attacker(
+    kind: FloodKind,
+    broker: SocketAddr,
+    stop: Arc<AtomicBool>,
+) -> JoinHandle<AttackFigures> {
+    std::thread::spawn(move || match kind {
+        FloodKind::None => AttackFigures::default(),
+        _ => attack(kind, broker, &stop),
+    })
+}
+
+/// Attacks until it is stopped.
+fn attack(kind: FloodKind, broker: SocketAddr, stop: &AtomicBool) -> AttackFigures {
+    let mut figures = AttackFigures::default();
+    while !stop.load(Ordering::Relaxed) {
+        let start = Instant::now();
+        if !flood_until_ended(kind, broker, stop) {
+            break;
+        }
+        figures.ended += 1;
+        figures.longest = figures.longest.max(start.elapsed());
+    }
+    figures
+}
+
+/// Floods one connection until the broker ends it; false: the attack was stopped first.
+fn flood_until_ended(kind: FloodKind, broker: SocketAddr, stop: &AtomicBool) -> bool {
+    let mut client = RawHttp2Client::connect_with_preface(broker);
+    let mut sent = 0;
+    loop {
+        let burst: Vec<u8> = (sent..sent + BURST_LENGTH)
+            .flat_map(|number| kind.bytes(number))
+            .collect();
+        sent += BURST_LENGTH;
+        if !client.try_send(&burst) {
+            return true;
+        }
+        if stop.load(Ordering::Relaxed) {
+            return false;
+        }
+    }
+}
--- /dev/null
+++ b/crates/query-broker/src/bench/measurements.rs
@@ -0,0 +1,153 @@
+//! What is measured: routes, rates and sizes.
+
+use super::flood::FloodKind;
+
+/// Queries a second of clients that ask one after another, far from any load.
+const SINGLE_CLIENT_RATE: f64 = 50.0;
+
+/// Queries a second of a steady load.
+const STEADY_RATE: f64 = 4000.0;
+
+/// Most queries at once under a steady load.
+const STEADY_CONCURRENCY: usize = 256;
+
+/// How the broker's iterations are paced in a measurement.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Pacing {
+    /// A tick apart, as without an operator's file.
+    Ticks,
+    /// By the batch window, with `gather-time`.
+    BatchWindow,
+}
+
+impl Pacing {
+    /// The name in the figures.
+    pub(super) fn name(self) -> &'static str {
+        match self {
+            Pacing::Ticks => "ticks",
+            Pacing::BatchWindow => "gather",
+        }
+    }
+}
+
+/// How queries reach the data servers, and over how many client connections.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Route {
+    /// Without a broker, to a data server.
+    Direct,
+    /// Over HTTP/1.1.
+    Http1 { connections: usize },
+    /// Over HTTP/2.
+    Http2 { connections: usize },
+}
+
+impl Route {
+    /// The name in the figures.
+    pub(super) fn name(self) -> String {
+        match self {
+            Route::Direct => "no broker".to_owned(),
+            Route::Http1 { connections } => format!("HTTP/1.1, {connections} connections"),
+            Route::Http2 { connections } => format!("HTTP/2, {connections} connections"),
+        }
+    }
+}
+
+/// A measurement of latency, rate and processor time.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct LoadMeasurement {
+    /// How queries travel.
+    pub(super) route: Route,
+    /// How the broker's iterations are paced.
+    pub(super) pacing: Pacing,
+    /// Queries a second; `None`: as many as are answered.
+    pub(super) rate: Option<f64>,
+    /// Most queries at once.
+    pub(super) max_concurrent: usize,
+}
+
+/// Version of HTTP that clients speak.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum HttpVersion {
+    /// HTTP/1.1.
+    Http1,
+    /// HTTP/2 by prior knowledge.
+    Http2,
+}
+
+/// A measurement of the memory of requests that wait for their bodies.
+#[derive(Clone, Copy, Debug)]
+pub(super) struct MemoryMeasurement {
+    /// What clients speak.
+    pub(super) version: HttpVersion,
+    /// Requests at once; over HTTP/1.1 as far as its slots go.
+    pub(super) requests: usize,
+}
+
+/// All measurements of load that a build can take part in. One without HTTP/2 knows no batch window either.
+pub(super) fn load_measurements(has_http2: bool) -> Vec<LoadMeasurement> {
+    let pacings: &[Pacing] = if has_http2 {
+        &[Pacing::Ticks, Pacing::BatchWindow]
+    } else {
+        &[Pacing::Ticks]
+    };
+    let mut measurements: Vec<LoadMeasurement> = pacings
+        .iter()
+        .flat_map(|pacing| load_measurements_with(*pacing))
+        .collect();
+    measurements.retain(|m| has_http2 || !matches!(m.route, Route::Http2 { .. }));
+    measurements
+}
+
+fn load_measurements_with(pacing: Pacing) -> Vec<LoadMeasurement> {
+    let http1 = |connections| Route::Http1 { connections };
+    let http2 = |connections| Route::Http2 { connections };
+    let single = Some(SINGLE_CLIENT_RATE);
+    let steady = Some(STEADY_RATE);
+    [
+        // One after another: what the broker adds by itself.
+        (Route::Direct, single, 1),
+        (http1(1), single, 1),
+        (http2(1), single, 1),
+        (http1(256), steady, STEADY_CONCURRENCY),
+        (http2(4), steady, STEADY_CONCURRENCY),
+        // As many as are answered.
+        (http1(16), None, 16),
+        (http2(1), None, 16),
+        (http1(100), None, 100),
+        (http2(1), None, 100),
+        (http1(400), None, 400),
+        (http2(4), None, 400),
+    ]
+    .into_iter()
+    .map(|(route, rate, max_concurrent)| LoadMeasurement {
+        route,
+        pacing,
+        rate,
+        max_concurrent,
+    })
+    .collect()
+}
+
+/// All measurements of memory that a build can take part in.
+pub(super) fn memory_measurements(has_http2: bool) -> Vec<MemoryMeasurement> {
+    let mut measurements = [
+        (HttpVersion::Http1, 250),
+        (HttpVersion::Http1, 500),
+        (HttpVersion::Http2, 250),
+        (HttpVersion::Http2, 500),
+        (HttpVersion::Http2, 1000),
+    ]
+    .map(|(version, requests)| MemoryMeasurement { version, requests })
+    .to_vec();
+    measurements.retain(|m| has_http2 || m.version == HttpVersion::Http1);
+    measurements
+}
+
+/// All floods that a build can be exposed to.
+pub(super) fn flood_kinds(has_http2: bool) -> Vec<FloodKind> {
+    if has_http2 {
+        FloodKind::ALL.to_vec()
+    } else {
+        Vec::new()
+    }
+}
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -1,64 +1,114 @@
-//! What an idle request costs in memory, over both fronts: its head is there, its body is not.
+//! What an idle request costs in memory, over both listeners: its head has arrived, its body has not.
 
-use super::Build;
+use super::broker_build::BrokerBuild;
+use super::error::BenchError;
+use super::measurements::{HttpVersion, MemoryMeasurement, Pacing};
 use async_executor::LocalExecutor;
-use load_generator::{Http1Client, Http2Client, LoadQuery};
+use load_generator::{Http1Client, Http2Client, Http2Stream, LoadQuery};
 use std::io;
+use std::net::SocketAddr;
 use std::time::Duration;
-use test_fleet::FleetPlan;
+use test_fleet::{BrokerProcess, FleetPlan};
 
-/// Streams of a connection.
-const STREAMS: usize = 100;
-/// Requests at once, over HTTP/1.1 as far as its slots go.
-pub(super) const SIZES: [(bool, usize); 5] = [
-    (false, 250),
-    (false, 500),
-    (true, 250),
-    (true, 500),
-    (true, 1000),
-];
+/// Streams of an HTTP/2 connection.
+const STREAMS_PER_CONNECTION: usize = 100;
 
-/// Time for the broker to take what was sent. A request that stops is given up after 2 s.
-const SETTLE: Duration = Duration::from_millis(700);
+/// Time for the broker to read what was sent. A request that stops is given up after 2 s.
+const SETTLE_TIME: Duration = Duration::from_millis(700);
 
-/// The broker's resident memory before and with so many half-sent requests, in bytes.
-pub(super) fn measure(build: &Build, http2: bool, requests: usize) -> io::Result<(u64, u64)> {
-    let (_fleet, program) = build.start(
-        FleetPlan {
-            part_duration: Duration::ZERO,
-            ..FleetPlan::default()
-        },
-        false,
-    )?;
-    let executor = LocalExecutor::new();
-    let before = program.resident_memory()?;
-    let to = program.http2.filter(|_| http2);
-    let clients = async {
-        let (mut old, mut new, mut streams) = (Vec::new(), Vec::new(), Vec::new());
-        for n in 0..requests {
-            let request = LoadQuery::new(format!("memory{n}"), "lookup", &[n % 8]).request();
-            match to {
-                Some(to) => {
-                    if n % STREAMS == 0 {
-                        new.push(Http2Client::connect(to, &executor).await?);
-                    }
-                    streams.push(
-                        new[n / STREAMS]
-                            .open_half(&request)
-                            .await
-                            .map_err(io::Error::other)?,
-                    );
-                }
-                None => {
-                    let mut connection = Http1Client::connect(program.http1).await?;
-                    connection.send_half(&request).await?;
-                    old.push(connection);
-                }
-            }
+/// The broker's resident memory, in bytes.
+pub(super) struct MemoryFigures {
+    /// What was measured.
+    pub(super) measurement: MemoryMeasurement,
+    /// Without requests.
+    pub(super) before: u64,
+    /// With all requests waiting.
+    pub(super) with_requests: u64,
+}
+
+impl MemoryFigures {
+    /// Memory of a request, in KiB.
+    pub(super) fn kib_per_request(&self) -> f64 {
+        let bytes = self.with_requests.saturating_sub(self.before);
+        bytes as f64 / self.measurement.requests as f64 / 1024.0
+    }
+}
+
+/// Connections and streams that stay open while the memory is read.
+#[derive(Default)]
+struct WaitingRequests {
+    http1: Vec<Http1Client>,
+    http2: Vec<Http2Client>,
+    streams: Vec<Http2Stream>,
+}
+
+impl WaitingRequests {
+    /// Sends one more over a connection of its own.
+    async fn add_http1(&mut self, broker: SocketAddr) -> io::Result<()> {
+        let request = self.next_query().request();
+        let mut client = Http1Client::connect(broker).await?;
+        client.send_half(&request).await?;
+        self.http1.push(client);
+        Ok(())
+    }
+
+    /// Sends one more on a stream of its own.
+    async fn add_http2(
+        &mut self,
+        broker: SocketAddr,
+        executor: &LocalExecutor<'static>,
+    ) -> io::Result<()> {
+        let request = self.next_query().request();
+        if self.streams.len().is_multiple_of(STREAMS_PER_CONNECTION) {
+            self.http2
+                .push(Http2Client::connect(broker, executor).await?);
         }
-        async_io::Timer::after(SETTLE).await;
-        program.resident_memory()
+        let client = self.http2.last().expect("the first stream connects");
+        let stream = client.open_half(&request).await;
+        self.streams.push(stream.map_err(io::Error::other)?);
+        Ok(())
+    }
+
+    fn next_query(&self) -> LoadQuery {
+        let number = self.http1.len() + self.streams.len();
+        LoadQuery::new(format!("memory{number}"), "lookup", &[number % 8])
+    }
+}
+
+/// Measures with a broker of its own.
+pub(super) fn measure(
+    build: &BrokerBuild,
+    measurement: MemoryMeasurement,
+) -> Result<MemoryFigures, BenchError> {
+    let plan = FleetPlan {
+        part_duration: Duration::ZERO,
+        ..FleetPlan::default()
     };
-    let with = async_io::block_on(executor.run(clients))?;
-    Ok((before, with))
+    let (_fleet, broker) = build.start(plan, Pacing::Ticks)?;
+    let executor = LocalExecutor::new();
+    let before = broker.resident_memory()?;
+    let with_requests = memory_with_requests(&broker, measurement, &executor);
+    let with_requests = async_io::block_on(executor.run(with_requests))?;
+    Ok(MemoryFigures {
+        measurement,
+        before,
+        with_requests,
+    })
+}
+
+async fn memory_with_requests(
+    broker: &BrokerProcess,
+    measurement: MemoryMeasurement,
+    executor: &LocalExecutor<'static>,
+) -> Result<u64, BenchError> {
+    let mut requests = WaitingRequests::default();
+    for _ in 0..measurement.requests {
+        match (measurement.version, broker.http2) {
+            (HttpVersion::Http2, Some(address)) => requests.add_http2(address, executor).await?,
+            (HttpVersion::Http2, None) => return Err(BenchError::NoHttp2Listener),
+            (HttpVersion::Http1, _) => requests.add_http1(broker.http1).await?,
+        }
+    }
+    async_io::Timer::after(SETTLE_TIME).await;
+    Ok(broker.resident_memory()?)
 }
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -9,56 +9,83 @@
 use std::path::Path;
 use std::process::ExitCode;
 
+/// What checking a file led to.
+enum CheckResult {
+    /// The file can be used.
+    Usable,
+    /// It cannot be read, for this reason.
+    Unreadable(String),
+    /// It has errors.
+    Invalid(ConfigFileErrors),
+}
+
+impl CheckResult {
+    fn of_file(file: &Path) -> Self {
+        match read_text(file) {
+            Err(error) => CheckResult::Unreadable(error),
+            Ok(text) => match parse(&file.display().to_string(), &text) {
+                Err(errors) if !errors.errors.is_empty() => CheckResult::Invalid(errors),
+                _ => CheckResult::Usable,
+            },
+        }
+    }
+
+    fn exit_code(&self) -> ExitCode {
+        match self {
+            CheckResult::Usable => ExitCode::SUCCESS,
+            CheckResult::Unreadable(_) | CheckResult::Invalid(_) => ExitCode::FAILURE,
+        }
+    }
+}
+
 /// Says whether a file can be used, and why not.
 pub(crate) fn run(arguments: &CheckArguments) -> ExitCode {
     let Some(file) = &arguments.file else {
-        say(&keywords());
+        print(&keyword_table());
         return ExitCode::SUCCESS;
     };
-    let name = file.display().to_string();
-    let (faults, text) = match read_text(file) {
-        Ok(text) => (parse(&name, &text).err(), None),
-        Err(error) => (None, Some(error)),
-    };
-    let count = faults
-        .as_ref()
-        .map_or(usize::from(text.is_some()), |f| f.errors.len());
+    let result = CheckResult::of_file(file);
     if arguments.json {
-        say(&(report(file, faults.as_ref(), text.as_deref()).to_string() + "\n"));
-    } else if let Some(error) = text {
-        complain(&format!("{error}\n"));
-    } else if let Some(faults) = faults {
-        complain(&pictures(&faults));
+        print(&(json_report(file, &result).to_string() + "\n"));
     } else {
-        say(&format!("{name}: it can be used\n"));
-    }
-    if count == 0 {
-        ExitCode::SUCCESS
-    } else {
-        ExitCode::FAILURE
+        print_report(file, &result);
     }
+    result.exit_code()
 }
 
-/// Standard output may be a pipe whose reader has gone: that is no fault of the file.
-fn say(text: &str) {
+/// Prints to standard output. It may be a pipe whose reader has gone: that says nothing about the file.
+fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-fn complain(text: &str) {
+fn print_error(text: &str) {
     let _ = std::io::stderr().write_all(text.as_bytes());
 }
 
-fn report(file: &Path, faults: Option<&ConfigFileErrors>, error: Option<&str>) -> Value {
-    let one = |f: &ConfigFileError| json!({"line": f.line, "column": f.column, "what": f.kind.to_string(), "expected": f.kind.expected().unwrap_or_default()});
-    let mut list: Vec<Value> = faults
-        .map(|f| f.errors.iter().map(one).collect())
-        .unwrap_or_default();
-    list.extend(error.map(|e| json!({"what": e})));
-    json!({"file": file.display().to_string(), "usable": list.is_empty(), "faults": list})
+fn print_report(file: &Path, result: &CheckResult) {
+    match result {
+        CheckResult::Usable => print(&format!("{}: it can be used\n", file.display())),
+        CheckResult::Unreadable(error) => print_error(&format!("{error}\n")),
+        CheckResult::Invalid(errors) => print_error(&graphical_report(errors)),
+    }
+}
+
+fn json_report(file: &Path, result: &CheckResult) -> Value {
+    let faults: Vec<Value> = match result {
+        CheckResult::Usable => Vec::new(),
+        CheckResult::Unreadable(error) => vec![json!({"what": error})],
+        CheckResult::Invalid(errors) => errors.errors.iter().map(json_error).collect(),
+    };
+    json!({"file": file.display().to_string(), "usable": faults.is_empty(), "faults": faults})
+}
+
+fn json_error(error: &ConfigFileError) -> Value {
+    let expected = error.kind.expected().unwrap_or_default();
+    json!({"line": error.line, "column": error.column, "what": error.kind.to_string(), "expected": expected})
 }
 
-/// Every fault with its line and the word underlined.
-fn pictures(faults: &ConfigFileErrors) -> String {
+/// Every error with its line and the word underlined.
+fn graphical_report(errors: &ConfigFileErrors) -> String {
     let theme = if std::io::stderr().is_terminal() {
         GraphicalTheme::unicode()
     } else {
@@ -66,31 +93,41 @@
     };
     let handler = GraphicalReportHandler::new_themed(theme);
     let mut text = String::new();
-    for fault in &faults.errors {
-        if handler.render_report(&mut text, fault).is_err() {
-            text += &format!("{fault}\n");
+    for error in &errors.errors {
+        if handler.render_report(&mut text, error).is_err() {
+            text += &format!("{error}\n");
         }
     }
-    text + &format!(
-        "{} to mend\n",
-        if faults.errors.len() == 1 {
-            "one fault".into()
-        } else {
-            format!("{} faults", faults.errors.len())
-        }
-    )
+    let count = match errors.errors.len() {
+        1 => "one fault".to_owned(),
+        count => format!("{count} faults"),
+    };
+    text + &format!("{count} to mend\n")
+}
+
+/// All keywords of an operator's file.
+fn keyword_table() -> String {
+    let mut text = keyword_row("keyword", "takes", "a change holds", "what it is");
+    for keyword in KEYWORDS {
+        text += &keyword_row(
+            keyword.name,
+            keyword.argument,
+            effect_name(keyword.effect),
+            keyword.description,
+        );
+    }
+    text
 }
 
-fn keywords() -> String {
-    let effect = |e| match e {
+fn keyword_row(name: &str, argument: &str, effect: &str, description: &str) -> String {
+    format!("{name:<24} {argument:<38} {effect:<20} {description}\n")
+}
+
+/// When a change takes effect.
+fn effect_name(effect: Effect) -> &'static str {
+    match effect {
         Effect::Immediate => "at once",
         Effect::NewConnections => "for new connections",
         Effect::Restart => "at a restart",
-    };
-    let row = |a: &str, b: &str, c: &str, d: &str| format!("{a:<24} {b:<38} {c:<20} {d}\n");
-    let mut text = row("keyword", "takes", "a change holds", "what it is");
-    for k in KEYWORDS {
-        text += &row(k.name, k.argument, effect(k.effect), k.description);
     }
-    text
 }
--- a/crates/query-broker/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -5,13 +5,20 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-/// A query broker: clients ask it over HTTP, it asks the data servers that hold the parts of each query, and answers.
-///
-/// Without a sub-command it serves. What it serves is said by the platform's configuration, JSON, at the path in
-/// RELAY_CONFIG; RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY go before that file. SIGHUP reads it again, SIGTERM and
-/// Ctrl-C end the program in order.
+/// The program in one sentence.
+const ABOUT: &str = "A query broker: clients ask it over HTTP, it asks the data servers that hold the parts of each \
+    query, and answers";
+
+/// The program in a few sentences.
+const LONG_ABOUT: &str = "A query broker: clients ask it over HTTP, it asks the data servers that hold the parts of \
+    each query, and answers.\n\n\
+    Without a sub-command it serves. What it serves is said by the platform's configuration, JSON, at the path in \
+    RELAY_CONFIG; RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY go before that file. SIGHUP reads it again, SIGTERM and \
+    Ctrl-C end the program in order.";
+
+/// The command line.
 #[derive(Debug, Parser)]
-#[command(name = "query-broker", version, max_term_width = 100)]
+#[command(name = "query-broker", version, max_term_width = 100, about = ABOUT, long_about = LONG_ABOUT)]
 pub(crate) struct Cli {
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
--- /dev/null
+++ b/crates/query-broker/src/configuration.rs
@@ -0,0 +1,35 @@
+//! What the program serves by: the platform's configuration, and the operator's own file.
+
+use broker::operator::Operator;
+use platform_config::{Config, ConfigError};
+use std::path::PathBuf;
+use thiserror::Error;
+
+/// Both parts of the configuration.
+pub(crate) struct Configuration {
+    /// The platform's.
+    pub(crate) platform: Config,
+    /// The operator's.
+    pub(crate) operator: Operator,
+}
+
+/// Why the program cannot be configured.
+#[derive(Debug, Error)]
+pub(crate) enum ConfigurationError {
+    /// The platform's configuration cannot be used.
+    #[error(transparent)]
+    Platform(#[from] ConfigError),
+    /// The operator's file cannot be used; the text names the file and every error in it.
+    #[error("{0}")]
+    Operator(String),
+}
+
+impl Configuration {
+    /// Reads the operator's file, if there is one, and the platform's configuration where the environment says.
+    pub(crate) fn load(operator_file: Option<PathBuf>) -> Result<Self, ConfigurationError> {
+        let operator = Operator::load(operator_file).map_err(ConfigurationError::Operator)?;
+        operator.set_log();
+        let platform = platform_config::load(platform_config::environment)?;
+        Ok(Configuration { platform, operator })
+    }
+}
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -1,54 +1,64 @@
 //! `query-broker demo`: the main job on a new machine, without set-up.
 
 use crate::cli::DemoArguments;
-use crate::serve::{cannot_start, run_with};
+use crate::configuration::{Configuration, ConfigurationError};
+use crate::serve::{run_with, startup_failed};
 use broker::operator::Operator;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::process::ExitCode;
 use test_fleet::{Deployment, Fleet, FleetPlan};
 
-/// Serves with stand-ins until Ctrl-C.
+/// Serves with data servers of its own until Ctrl-C.
 pub(crate) fn run(arguments: &DemoArguments) -> ExitCode {
-    // Before the stand-ins: what keeps them from starting is told too.
+    // Before the fleet, so that what keeps it from starting is logged too.
     logging::init(logging::Format::Logfmt, tracing::Level::INFO);
-    let fleet = match Fleet::start(FleetPlan {
+    let plan = FleetPlan {
         servers: arguments.servers.into(),
         ..FleetPlan::default()
-    }) {
-        Ok(fleet) => fleet,
-        Err(error) => return cannot_start(&error),
     };
-    let configuration = Deployment::default().configuration(&fleet, &arguments.listen.to_string());
-    let text = format!("listen-http2 {}\ngather-time 5ms\n", arguments.http2);
-    let read = || {
-        Ok((
-            platform_config::from_json(&configuration, |_| None)
-                .map_err(|error| error.to_string())?,
-            Operator::of_text("demo", &text)?,
-        ))
+    let fleet = match Fleet::start(plan) {
+        Ok(fleet) => fleet,
+        Err(error) => return startup_failed(&error),
     };
     let servers = fleet.servers().len();
-    run_with(read, |http1, http2| welcome(servers, http1, http2))
+    run_with(
+        || configuration(arguments, &fleet),
+        |http1, http2| print_welcome(servers, http1, http2),
+    )
 }
 
-fn welcome(servers: usize, http1: SocketAddr, http2: Option<SocketAddr>) {
-    let curl = |options: &str, address: SocketAddr| {
-        format!(
-            "curl -sS {options}http://{address}/lookup -H \"X-Request-Id: demo-$(date +%s%N)\" -H 'X-Tenant: public-site' \
-             -d '{{\"ranges\":[{{\"range\":0,\"portion\":0.5}},{{\"range\":5,\"portion\":0.5}}],\"predicate\":\"c41e77d0\"}}'\n"
-        )
-    };
+fn configuration(
+    arguments: &DemoArguments,
+    fleet: &Fleet,
+) -> Result<Configuration, ConfigurationError> {
+    let listen = arguments.listen.to_string();
+    let platform = Deployment::default().configuration(fleet, &listen);
+    let platform = platform_config::from_json(&platform, |_| None)?;
+    let operator = format!("listen-http2 {}\ngather-time 5ms\n", arguments.http2);
+    let operator = Operator::of_text("demo", &operator).map_err(ConfigurationError::Operator)?;
+    Ok(Configuration { platform, operator })
+}
+
+fn print_welcome(servers: usize, http1: SocketAddr, http2: Option<SocketAddr>) {
     let mut text = format!(
         "\nA broker with {servers} stand-in data servers. HTTP/1.1 on {http1}:\n\n  {}",
-        curl("", http1)
+        curl_command("", http1)
     );
     if let Some(http2) = http2 {
         text += &format!(
             "\nHTTP/2 on {http2}:\n\n  {}",
-            curl("--http2-prior-knowledge ", http2)
+            curl_command("--http2-prior-knowledge ", http2)
         );
     }
     text += "\nCtrl-C ends it.\n\n";
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
+
+/// A command that sends a query of two parts.
+fn curl_command(options: &str, address: SocketAddr) -> String {
+    format!(
+        "curl -sS {options}http://{address}/lookup -H \"X-Request-Id: demo-$(date +%s%N)\" -H 'X-Tenant: public-site' \
+         -d '{{\"ranges\":[{{\"range\":0,\"portion\":0.5}},{{\"range\":5,\"portion\":0.5}}],\"predicate\":\"c41e77d0\"}}'\n"
+    )
+}
--- a/crates/query-broker/src/main.rs
+++ b/crates/query-broker/src/main.rs
@@ -3,6 +3,7 @@
 mod bench;
 mod check;
 mod cli;
+mod configuration;
 mod demo;
 mod serve;
 
@@ -17,14 +18,12 @@
         Some(Command::Check(arguments)) => check::run(&arguments),
         Some(Command::Demo(arguments)) => demo::run(&arguments),
         Some(Command::Bench(arguments)) => bench::run(&arguments),
-        Some(Command::Completions { shell }) => {
-            clap_complete::generate(
-                shell,
-                &mut Cli::command(),
-                "query-broker",
-                &mut std::io::stdout(),
-            );
-            ExitCode::SUCCESS
-        }
+        Some(Command::Completions { shell }) => print_completions(shell),
     }
 }
+
+fn print_completions(shell: clap_complete::Shell) -> ExitCode {
+    let mut command = Cli::command();
+    clap_complete::generate(shell, &mut command, "query-broker", &mut std::io::stdout());
+    ExitCode::SUCCESS
+}
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -1,51 +1,49 @@
 //! `query-broker` and `query-broker serve`.
 
-use broker::operator::Operator;
+use crate::configuration::{Configuration, ConfigurationError};
 use broker::turns;
-use platform_config::Config;
+use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use tracing::{Level, error};
 
-/// Serves until the program is told to end.
-pub(crate) fn run(file: Option<PathBuf>) -> ExitCode {
-    let read = || {
-        let operator = Operator::load(file)?;
-        operator.set_log();
-        Ok((
-            platform_config::load(platform_config::environment)
-                .map_err(|error| error.to_string())?,
-            operator,
-        ))
-    };
-    run_with(read, |_, _| ())
+/// Serves until a signal ends the program.
+pub(crate) fn run(operator_file: Option<PathBuf>) -> ExitCode {
+    run_with(|| Configuration::load(operator_file), |_, _| ())
 }
 
-/// Serves what is read here, once signals are caught: a SIGHUP that came before would end the program.
+/// Serves by a configuration that is loaded once signals are caught: a SIGHUP before that would end the program.
+/// `started` is called with the addresses for HTTP/1.1 and HTTP/2.
 pub(crate) fn run_with(
-    read: impl FnOnce() -> Result<(Config, Operator), String>,
+    load: impl FnOnce() -> Result<Configuration, ConfigurationError>,
     started: impl FnOnce(SocketAddr, Option<SocketAddr>),
 ) -> ExitCode {
     logging::init(logging::Format::Logfmt, Level::INFO);
     let signals = match turns::signals() {
         Ok(signals) => signals,
-        Err(error) => return cannot_start(&error),
+        Err(error) => return startup_failed(&error),
     };
-    let (config, operator) = match read() {
-        Ok(both) => both,
-        Err(error) => {
-            error!(name: "bad_config", error);
-            return ExitCode::FAILURE;
-        }
+    let configuration = match load() {
+        Ok(configuration) => configuration,
+        Err(error) => return configuration_invalid(&error),
     };
-    match turns::run(config, operator, signals, started) {
+    let Configuration { platform, operator } = configuration;
+    match turns::run(platform, operator, signals, started) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(error) => cannot_start(&error),
+        Err(error) => startup_failed(&error),
     }
 }
 
-pub(crate) fn cannot_start(error: &std::io::Error) -> ExitCode {
-    error!(name: "cannot_start", error = %error);
+/// Logs that the program cannot start.
+pub(crate) fn startup_failed(error: &io::Error) -> ExitCode {
+    error!(name: "startup_failed", error = %error);
+    ExitCode::FAILURE
+}
+
+/// Logs that the configuration cannot be used.
+fn configuration_invalid(error: &ConfigurationError) -> ExitCode {
+    let error = error.to_string();
+    error!(name: "configuration_invalid", error);
     ExitCode::FAILURE
 }
--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -10,7 +10,7 @@
 const CALL: char = 'm';
 /// The letter of a frame that cancels an attempt.
 const CANCEL: char = 'n';
-/// The state of a connection in the system's table that waits to come up (proc_net_tcp(5)).
+/// The state of a connection in the system's table that waits to come up (`/proc/net/tcp`).
 const SYN_SENT: &str = "02";
 /// Pause between two looks at the system's table.
 const TABLE_POLL: Duration = Duration::from_millis(1);
