--- a/crates/query-broker/src/bench/flood.rs
+++ b/crates/query-broker/src/bench/flood.rs
@@ -120,6 +120,10 @@
     let address = http2_address(&broker)?;
     let stop = Arc::new(AtomicBool::new(false));
     let attacker = start_attacker(kind, address, stop.clone());
+    let target = Target::Http2 {
+        address,
+        connections: CLIENT_CONNECTIONS,
+    };
     let load = LoadProfile {
         rate: Some(CLIENT_RATE),
         max_concurrent: CLIENT_CONCURRENCY,
@@ -129,7 +133,7 @@
         class: "lookup".to_owned(),
         shards: vec![0, 1],
     };
-    let report = open_loop(Target::Http2(address, CLIENT_CONNECTIONS), &load);
+    let report = open_loop(target, &load);
     stop.store(true, Ordering::Relaxed);
     let attack = attacker.join().map_err(|_| BenchError::AttackerPanicked)?;
     let report = report?;
--- a/crates/query-broker/src/bench/load.rs
+++ b/crates/query-broker/src/bench/load.rs
@@ -66,8 +66,14 @@
 fn target(route: Route, fleet: &Fleet, broker: &BrokerProcess) -> Result<Target, BenchError> {
     Ok(match route {
         Route::Direct => Target::Direct(fleet.servers()[0].address),
-        Route::Http1 { connections } => Target::Http1(broker.http1, connections),
-        Route::Http2 { connections } => Target::Http2(http2_address(broker)?, connections),
+        Route::Http1 { connections } => Target::Http1 {
+            address: broker.http1,
+            connections,
+        },
+        Route::Http2 { connections } => Target::Http2 {
+            address: http2_address(broker)?,
+            connections,
+        },
     })
 }
 
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -47,7 +47,7 @@
     async fn add_http1(&mut self, broker: SocketAddr) -> io::Result<()> {
         let request = self.next_query().request();
         let mut client = Http1Client::connect(broker).await?;
-        client.send_half(&request).await?;
+        client.send_head(&request).await?;
         self.http1.push(client);
         Ok(())
     }
@@ -64,7 +64,7 @@
                 .push(Http2Client::connect(broker, executor).await?);
         }
         let client = self.http2.last().expect("the first stream connects");
-        let stream = client.open_half(&request).await;
+        let stream = client.open_without_body(&request).await;
         self.streams.push(stream.map_err(io::Error::other)?);
         Ok(())
     }
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -1,7 +1,7 @@
 //! `query-broker check`.
 
 use crate::cli::CheckArguments;
-use broker::operator::read_text;
+use broker::operator::{OperatorConfigError, read_text};
 use miette::{GraphicalReportHandler, GraphicalTheme};
 use operator_config::{ConfigFileError, ConfigFileErrors, Effect, KEYWORDS, parse};
 use serde_json::{Value, json};
@@ -14,7 +14,7 @@
     /// The file can be used.
     Usable,
     /// It cannot be read, for this reason.
-    Unreadable(String),
+    Unreadable(OperatorConfigError),
     /// It has errors.
     Invalid(ConfigFileErrors),
 }
@@ -73,7 +73,7 @@
 fn json_report(file: &Path, result: &CheckResult) -> Value {
     let faults: Vec<Value> = match result {
         CheckResult::Usable => Vec::new(),
-        CheckResult::Unreadable(error) => vec![json!({"what": error})],
+        CheckResult::Unreadable(error) => vec![json!({"what": error.to_string()})],
         CheckResult::Invalid(errors) => errors.errors.iter().map(json_error).collect(),
     };
     json!({"file": file.display().to_string(), "usable": faults.is_empty(), "faults": faults})
--- a/crates/query-broker/src/configuration.rs
+++ b/crates/query-broker/src/configuration.rs
@@ -1,6 +1,6 @@
 //! What the program serves by: the platform's configuration, and the operator's own file.
 
-use broker::operator::Operator;
+use broker::operator::{OperatorConfig, OperatorConfigError};
 use platform_config::{Config, ConfigError};
 use std::path::PathBuf;
 use thiserror::Error;
@@ -10,7 +10,7 @@
     /// The platform's.
     pub(crate) platform: Config,
     /// The operator's.
-    pub(crate) operator: Operator,
+    pub(crate) operator: OperatorConfig,
 }
 
 /// Why the program cannot be configured.
@@ -20,15 +20,15 @@
     #[error(transparent)]
     Platform(#[from] ConfigError),
     /// The operator's file cannot be used; the text names the file and every error in it.
-    #[error("{0}")]
-    Operator(String),
+    #[error(transparent)]
+    Operator(#[from] OperatorConfigError),
 }
 
 impl Configuration {
     /// Reads the operator's file, if there is one, and the platform's configuration where the environment says.
     pub(crate) fn load(operator_file: Option<PathBuf>) -> Result<Self, ConfigurationError> {
-        let operator = Operator::load(operator_file).map_err(ConfigurationError::Operator)?;
-        operator.set_log();
+        let operator = OperatorConfig::load(operator_file)?;
+        operator.apply_log_settings();
         let platform = platform_config::load(platform_config::environment)?;
         Ok(Configuration { platform, operator })
     }
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -3,7 +3,8 @@
 use crate::cli::DemoArguments;
 use crate::configuration::{Configuration, ConfigurationError};
 use crate::serve::{run_with, startup_failed};
-use broker::operator::Operator;
+use broker::event_loop::ListenAddresses;
+use broker::operator::OperatorConfig;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -24,7 +25,7 @@
     let servers = fleet.servers().len();
     run_with(
         || configuration(arguments, &fleet),
-        |http1, http2| print_welcome(servers, http1, http2),
+        |addresses| print_welcome(servers, &addresses),
     )
 }
 
@@ -36,11 +37,12 @@
     let platform = Deployment::default().configuration(fleet, &listen);
     let platform = platform_config::from_json(&platform, |_| None)?;
     let operator = format!("listen-http2 {}\ngather-time 5ms\n", arguments.http2);
-    let operator = Operator::of_text("demo", &operator).map_err(ConfigurationError::Operator)?;
+    let operator = OperatorConfig::from_text("demo", &operator)?;
     Ok(Configuration { platform, operator })
 }
 
-fn print_welcome(servers: usize, http1: SocketAddr, http2: Option<SocketAddr>) {
+fn print_welcome(servers: usize, addresses: &ListenAddresses) {
+    let ListenAddresses { http1, http2 } = *addresses;
     let mut text = format!(
         "\nA broker with {servers} stand-in data servers. HTTP/1.1 on {http1}:\n\n  {}",
         curl_command("", http1)
