--- a/crates/broker-types/src/query.rs
+++ b/crates/broker-types/src/query.rs
@@ -4,6 +4,8 @@
 use std::fmt;
 use std::rc::Rc;
 
+pub use fanout_policy::api::{ClassIndex, TenantIndex};
+
 /// Number of a query, unique within the life of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryId(pub u64);
@@ -51,10 +53,10 @@
 pub struct QueryRequest {
     /// Id of the request, which data servers see too.
     pub id: Rc<str>,
-    /// Index of the query's class in the settings.
-    pub class: usize,
-    /// Index of the query's tenant in the settings.
-    pub tenant: usize,
+    /// Class of the query.
+    pub class: ClassIndex,
+    /// Tenant of the query.
+    pub tenant: TenantIndex,
     /// Time that the client waits for the response.
     pub client_timeout: Micros,
     /// Whether the client marked the request as a retry.
--- a/crates/broker/src/queries/in_flight.rs
+++ b/crates/broker/src/queries/in_flight.rs
@@ -35,7 +35,7 @@
         } = received;
         let span = debug_span!("query", query = id.0, connection = connection.0, id = %request.id);
         span.in_scope(
-            || debug!(name: "query_accepted", class = request.class, parts = request.parts.len()),
+            || debug!(name: "query_accepted", class = request.class.0, parts = request.parts.len()),
         );
         InFlightQuery {
             connection,
@@ -152,7 +152,7 @@
         info!(
             name: "query_unserved",
             id = %request.id,
-            class = request.class,
+            class = request.class.0,
             is_retry = request.is_retry,
             rejected = matches!(response, FinalResponse::Rejected { .. }),
             elapsed_ms = now.saturating_sub(self.received_at) / MILLI,
--- a/crates/policy-engine/src/commands.rs
+++ b/crates/policy-engine/src/commands.rs
@@ -1,6 +1,6 @@
 //! The values that go into the engine and the decisions that come out of it.
 
-use broker_types::query::{AttemptId, PartSpec, QueryId};
+use broker_types::query::{AttemptId, ClassIndex, PartSpec, QueryId, TenantIndex};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Micros;
 
@@ -9,10 +9,10 @@
 pub struct QuerySpec {
     /// Number of the query.
     pub id: QueryId,
-    /// Index of the query's class in the settings.
-    pub class: usize,
-    /// Index of the query's tenant in the settings.
-    pub tenant: usize,
+    /// Class of the query.
+    pub class: ClassIndex,
+    /// Tenant of the query.
+    pub tenant: TenantIndex,
     /// Time at which the client stops waiting.
     pub deadline: Micros,
     /// Whether the client marked the query as a retry.
--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -130,7 +130,7 @@
     }
 
     fn reject_over_capacity(&self, query: &QuerySpec) -> FinishedQuery {
-        let retry_after = over_capacity_retry_after(&self.settings, query.class).map(millis);
+        let retry_after = over_capacity_retry_after(&self.settings, query.class.0).map(millis);
         FinishedQuery {
             query: query.id,
             outcome: QueryOutcome::Rejected { retry_after },
--- a/crates/policy-engine/src/engine/tests.rs
+++ b/crates/policy-engine/src/engine/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use broker_types::query::{PartIndex, PartSpec};
+use broker_types::query::{ClassIndex, PartIndex, PartSpec, TenantIndex};
 use broker_types::server::{Outcome, ServingState};
 use fanout_policy::json::JsonObject;
 use fanout_policy::settings::decode;
@@ -39,8 +39,8 @@
     };
     QuerySpec {
         id: QueryId(id),
-        class: 0,
-        tenant: 0,
+        class: ClassIndex(0),
+        tenant: TenantIndex(0),
         deadline: DEADLINE,
         is_retry: false,
         parts: shards.iter().map(part).collect(),
--- a/crates/policy-engine/src/events.rs
+++ b/crates/policy-engine/src/events.rs
@@ -7,7 +7,7 @@
 use broker_types::query::{PartIndex, PartSpec, QueryId};
 use broker_types::server::{ListScope, ServerInfo};
 use broker_types::time::{MILLI, Micros};
-use fanout_policy::api::{ClassIndex, Endpoint, Event, ListUpdate, Part, Query, TenantIndex};
+use fanout_policy::api::{Endpoint, Event, ListUpdate, Part, Query};
 
 /// A time or time span in the policy's milliseconds.
 pub(crate) fn to_policy_time(time: Micros) -> f64 {
@@ -60,8 +60,8 @@
     Event::Query(Query {
         id: query_name(query.id),
         group: query.id.0,
-        class: ClassIndex(query.class),
-        tenant: TenantIndex(query.tenant),
+        class: query.class,
+        tenant: query.tenant,
         client_deadline: to_policy_time(query.deadline),
         is_retry: query.is_retry,
     })
--- a/crates/query-api/src/decode.rs
+++ b/crates/query-api/src/decode.rs
@@ -4,7 +4,7 @@
 use crate::invalid_request::InvalidRequest;
 use crate::parts::{Body, check_parts};
 use crate::route::is_standard_method;
-use broker_types::query::{Names, QueryRequest};
+use broker_types::query::{ClassIndex, Names, QueryRequest, TenantIndex};
 use broker_types::time::{Micros, millis};
 use fanout_policy::api::{RetrySafety, Settings};
 use http::{HeaderMap, Method, Request, Uri};
@@ -35,11 +35,12 @@
     let headers = request.headers();
     let class = class_index(request.uri(), names)?;
     check_method(request.method())?;
-    check_class_header(headers, &names.classes[class])?;
+    let rules = &settings.classes[class.0];
+    check_class_header(headers, &names.classes[class.0])?;
     let id = token(headers, REQUEST_ID_HEADER)?.ok_or(InvalidRequest::RequestIdMissing)?;
     let tenant = tenant_index(headers, names)?;
-    let idempotency_key = idempotency_key(headers, settings.classes[class].retry_safety)?;
-    let max_timeout = millis(settings.classes[class].client_timeout);
+    let idempotency_key = idempotency_key(headers, rules.retry_safety)?;
+    let max_timeout = millis(rules.client_timeout);
     let client_timeout = client_timeout(headers, max_timeout)?;
     let body: Body = serde_json::from_slice(request.body())?;
     Ok(QueryRequest {
@@ -55,13 +56,14 @@
 }
 
 /// The class that the first segment of the path names.
-fn class_index(uri: &Uri, names: &Names) -> Result<usize, InvalidRequest> {
+fn class_index(uri: &Uri, names: &Names) -> Result<ClassIndex, InvalidRequest> {
     let path = uri.path().trim_start_matches('/');
     let segment = path.split('/').next().unwrap_or_default();
     names
         .classes
         .iter()
         .position(|class| class == segment)
+        .map(ClassIndex)
         .ok_or(InvalidRequest::UnknownClass)
 }
 
@@ -84,9 +86,9 @@
 }
 
 /// The tenant that the header names; 0 where the deployment has no tenants.
-fn tenant_index(headers: &HeaderMap, names: &Names) -> Result<usize, InvalidRequest> {
+fn tenant_index(headers: &HeaderMap, names: &Names) -> Result<TenantIndex, InvalidRequest> {
     if names.tenants.is_empty() {
-        return Ok(0);
+        return Ok(TenantIndex(0));
     }
     let name = headers
         .get(TENANT_HEADER)
@@ -95,6 +97,7 @@
         .tenants
         .iter()
         .position(|tenant| tenant.as_bytes() == name.as_bytes())
+        .map(TenantIndex)
         .ok_or(InvalidRequest::UnknownTenant)
 }
 
--- a/crates/query-api/tests/invalid_request.rs
+++ b/crates/query-api/tests/invalid_request.rs
@@ -1,6 +1,6 @@
 //! Texts and status codes of invalid requests, which clients see.
 
-use broker_types::query::{FinalResponse, Names, QueryRequest};
+use broker_types::query::{ClassIndex, FinalResponse, Names, QueryRequest, TenantIndex};
 use fanout_policy::json::JsonObject;
 use fanout_policy::settings::decode as decode_settings;
 use http::Request;
@@ -45,7 +45,8 @@
 #[test]
 fn valid_query_is_decoded() {
     let query = decode_request(&request("/lookup", &HEADERS, BODY)).unwrap();
-    assert_eq!((query.class, query.tenant, query.parts.len()), (0, 0, 1));
+    assert_eq!((query.class, query.tenant), (ClassIndex(0), TenantIndex(0)));
+    assert_eq!(query.parts.len(), 1);
     assert_eq!((&*query.id, &*query.payload), ("r1", "p"));
 }
 
