--- a/crates/fanout-policy/src/policy/retries.rs
+++ b/crates/fanout-policy/src/policy/retries.rs
@@ -103,8 +103,8 @@
     /// connections, more than were served. It is not retried further. A server that has answered since is up.
     pub(crate) fn is_poison_query(&self, query: &InFlightQuery) -> bool {
         let is_down = |attempt: &Attempt| self.fleet.servers[attempt.server].is_unresponsive;
-        let crashed = |attempt: &&Attempt| attempt.lost_connection() && is_down(attempt);
-        let crashes = query.attempts().filter(crashed).count();
+        let lost_server = |attempt: &&Attempt| attempt.lost_connection() && is_down(attempt);
+        let crashes = query.attempts().filter(lost_server).count();
         crashes >= POISON_LOST_CONNECTIONS && crashes > query.served_parts()
     }
 
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -1,17 +1,19 @@
-//! What the module holds of each server, to be read by whoever hands its decisions on; and what others saw,
-//! in bulk.
+//! Read access to what an aggregator has learned, and input of outcomes that others observed.
 //!
-//! Nothing here decides anything: reports go through the same records as the module's own attempts.
+//! Nothing here decides anything: load reports update the same statistics as the aggregator's own attempts.
 
 use crate::aggregator::Aggregator;
-use crate::api::*;
+use crate::api::{ClassIndex, Ms, NodeId, Outcome, ServingState};
 use crate::state::{ClassState, InFlightAttempt, Server};
 
-/// Most attempts that one report stands for. Health is a matter of shares and of failures in a row: what a
-/// thousand attempts say beyond this is no news, and would drown what others report.
-const SAMPLES: u64 = 8;
+/// Largest number of attempts that one report counts as. Outlier detection works on shares and on consecutive
+/// failures, so that more samples add nothing and would outweigh the reports of others.
+const MAX_SAMPLES: u64 = 8;
 
-/// One server as the module sees it.
+/// Lower bound of the fleet's latency per work as a divisor.
+const MIN_LATENCY_PER_WORK: f64 = 1e-9;
+
+/// One server as the aggregator sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
     /// The server.
@@ -20,244 +22,134 @@
     pub cell: usize,
     /// Its zone.
     pub zone: Option<usize>,
-    /// Its state in the list.
+    /// Its state in the endpoint list.
     pub state: ServingState,
-    /// Until when it is passed over for its failures, or since it is full.
+    /// When its ejection ends, if it is ejected.
     pub ejected_until: Option<Ms>,
-    /// When it started, if it may still be cold.
-    pub cold_since: Option<Ms>,
-    /// Time until an answer per work out there, against the fleet's: 1 is usual.
-    pub pace: f64,
-    /// Share of failures of late.
-    pub errors: f64,
+    /// When it started, if it may still be warming up.
+    pub warming_since: Option<Ms>,
+    /// Latency per outstanding work in multiples of the fleet's.
+    pub relative_latency: f64,
+    /// Share of failed attempts, smoothed.
+    pub error_rate: f64,
 }
 
-/// What others saw at a server over some time, as a load report tells it.
+/// What others observed at a server over some time.
 #[derive(Clone, Debug)]
-pub struct Bulk {
+pub struct LoadReport {
     /// The server.
     pub node: NodeId,
     /// Attempts that were served.
     pub served: u64,
     /// Attempts that ended in an error.
     pub errors: u64,
-    /// Attempts that met no connection, or lost it.
-    pub lost: u64,
-    /// Mean time of those that were served; `None`: not told.
-    pub elapsed: Option<Ms>,
+    /// Attempts that could not connect or lost their connection.
+    pub connection_failures: u64,
+    /// Mean time of the attempts that were served, if it is known.
+    pub mean_latency: Option<Ms>,
 }
 
-/// One class as the module sees it.
+/// One class as the aggregator sees it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassView {
-    /// Rows that its queries touch.
-    pub rows: f64,
-    /// Work of one of its parts.
-    pub unit: Ms,
-    /// How much longer than forecast its queries take.
-    pub lag: Ms,
+    /// Replica rows that its queries contact.
+    pub fanout_rows: f64,
+    /// Estimated cost of one part.
+    pub part_cost: Ms,
+    /// How much longer than forecast its queries take, smoothed.
+    pub forecast_error: Ms,
 }
 
 impl Aggregator {
-    /// All classes, in their order.
+    /// All classes, in order of their indexes.
+    #[must_use]
     pub fn class_views(&self) -> Vec<ClassView> {
         let view = |class: &ClassState| ClassView {
-            rows: class.fanout.rows,
-            unit: class.part_cost,
-            lag: class.forecast_error,
+            fanout_rows: class.fanout.rows,
+            part_cost: class.part_cost,
+            forecast_error: class.forecast_error,
         };
         self.classes.iter().map(view).collect()
     }
 
-    /// Time until an answer per work out at a server, over the fleet.
-    pub fn usual_pace(&self) -> f64 {
+    /// Median latency per outstanding work over the fleet.
+    #[must_use]
+    pub fn fleet_latency_per_work(&self) -> f64 {
         self.fleet_latency_per_work
     }
 
-    /// All servers that the list names, by name. Those that are gone are left out.
-    pub fn views(&self, now: Ms) -> Vec<ServerView> {
-        let fleet = &self.fleet;
-        let view = |s: &Server| ServerView {
-            node: s.node.clone(),
-            cell: s.cell,
-            zone: s.zone,
-            state: s.state,
-            ejected_until: (s.ejected_until > now).then_some(s.ejected_until),
-            cold_since: s
-                .warming_since
-                .filter(|since| since + self.settings.warm_up.duration > now),
-            pace: s.latency_per_work / self.fleet_latency_per_work.max(1e-9),
-            errors: s.error_rate,
-        };
-        let servers = fleet.by_name.values().map(|i| &fleet.servers[*i]);
-        servers
-            .filter(|s| s.state != ServingState::Removed)
-            .map(view)
-            .collect()
+    /// All servers that serve or drain, in order of their names.
+    #[must_use]
+    pub fn server_views(&self, now: Ms) -> Vec<ServerView> {
+        let servers = self
+            .fleet
+            .by_name
+            .values()
+            .map(|index| &self.fleet.servers[*index]);
+        let listed = servers.filter(|server| server.state != ServingState::Removed);
+        listed.map(|server| self.server_view(server, now)).collect()
+    }
+
+    fn server_view(&self, server: &Server, now: Ms) -> ServerView {
+        let warm_up = self.settings.warm_up.duration;
+        let fleet_latency = self.fleet_latency_per_work.max(MIN_LATENCY_PER_WORK);
+        ServerView {
+            node: server.node.clone(),
+            cell: server.cell,
+            zone: server.zone,
+            state: server.state,
+            ejected_until: (server.ejected_until > now).then_some(server.ejected_until),
+            warming_since: server.warming_since.filter(|since| since + warm_up > now),
+            relative_latency: server.latency_per_work / fleet_latency,
+            error_rate: server.error_rate,
+        }
     }
 
-    /// Takes what others saw since the last report, as a few attempts in the same proportion: failures first,
-    /// so that the answers beside them tell of a server that is up.
-    pub fn report_bulk(&mut self, now: Ms, class: ClassIndex, reports: &[Bulk]) {
+    /// Takes over what others observed since their last reports. Each report counts as a few attempts in the same
+    /// proportion, failures first, so that the answers beside them show that the server is up.
+    pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
         let Some(state) = self.classes.get(class.0) else {
             return;
         };
         let work = state.part_cost.max(1.0);
         self.now = now;
-        for r in reports {
-            let Some(&server) = self.fleet.by_name.get(&r.node) else {
-                continue;
-            };
-            let all = r.served + r.errors + r.lost;
-            let of = |n: u64| {
-                if all <= SAMPLES {
-                    n
-                } else {
-                    (n * SAMPLES).div_ceil(all)
-                }
-            };
-            let usual = work * self.fleet_latency_per_work;
-            let ends = [
-                (Outcome::ConnectionLost, r.lost),
-                (Outcome::Error, r.errors),
-                (Outcome::Served, r.served),
-            ];
-            for (outcome, n) in ends {
-                for _ in 0..of(n) {
-                    let elapsed = r.elapsed.unwrap_or(usual);
-                    let sent = now - elapsed.min(usual);
-                    let attempt = InFlightAttempt {
-                        server,
-                        class: class.0,
-                        work: 0.0,
-                        work_ahead: work,
-                        sent_at: sent,
-                        expected_latency: usual,
-                    };
-                    self.on_outcome(&attempt, outcome, elapsed);
-                }
+        for report in reports {
+            if let Some(&server) = self.fleet.by_name.get(&report.node) {
+                self.apply_load_report(server, class, work, report);
             }
         }
     }
-}
 
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn aggregator() -> Aggregator {
-        let class = Class {
-            latency_objective: 1000.0,
-            client_timeout: 4000.0,
-            priority_weight: 1.0,
-            late_weight: 0.0,
-            retry_safety: RetrySafety::Idempotent,
-            required_share: 1.0,
-            minimum_share: 1.0,
-            partial_weight: 0.0,
-            has_second_step: false,
-        };
-        let settings = Settings {
-            classes: vec![class],
-            tenants: vec![],
-            aggregators: 1,
-            zone: None,
-            over_quota_weight: 1.0,
-            weight_by_work: false,
-            marks_retries: false,
-            cells: 2,
-            replica_cells: 1,
-            shards: 2,
-            max_parts_per_call: 4,
-            call_cost: 1.0,
-            max_attempts: 4,
-            hedging: false,
-            cancellation: true,
-            max_retry_after: None,
-            gossip: false,
-            tick: 5.0,
-            list_source: EndpointListSource::Pushed,
-            list_poll_deadline: 10_000.0,
-            retry_budget: None,
-            warm_up: WarmUp {
-                initial_capacity: 0.2,
-                duration: 10_000.0,
-                overload_factor: 2.5,
-                overload_window: 1000.0,
-            },
+    fn apply_load_report(&mut self, server: usize, class: ClassIndex, work: Ms, report: &LoadReport) {
+        let expected_latency = work * self.fleet_latency_per_work;
+        let elapsed = report.mean_latency.unwrap_or(expected_latency);
+        let attempt = InFlightAttempt {
+            server,
+            class: class.0,
+            work: 0.0,
+            work_ahead: work,
+            sent_at: self.now - elapsed.min(expected_latency),
+            expected_latency,
         };
-        let mut aggregator = Aggregator::new(settings, 7);
-        let member = |n: usize, state, started| Endpoint {
-            node: NodeId(format!("s{n}").into()),
-            cell: n % 2,
-            state,
-            zone: Some(n),
-            started,
-        };
-        let members = vec![
-            member(0, ServingState::Serving, None),
-            member(1, ServingState::Serving, Some(100.0)),
-            member(2, ServingState::Draining, None),
-            member(3, ServingState::Removed, None),
+        let total = report.served + report.errors + report.connection_failures;
+        let outcomes = [
+            (Outcome::ConnectionLost, report.connection_failures),
+            (Outcome::Error, report.errors),
+            (Outcome::Served, report.served),
         ];
-        aggregator.on_batch(
-            200.0,
-            vec![Event::EndpointList {
-                update: ListUpdate::Snapshot,
-                endpoints: members,
-            }],
-        );
-        aggregator
-    }
-
-    fn bulk(n: usize, served: u64, errors: u64, lost: u64) -> Bulk {
-        Bulk {
-            node: NodeId(format!("s{n}").into()),
-            served,
-            errors,
-            lost,
-            elapsed: Some(10.0),
+        for (outcome, attempts) in outcomes {
+            for _ in 0..sample_count(attempts, total) {
+                self.on_outcome(&attempt, outcome, elapsed);
+            }
         }
     }
+}
 
-    #[test]
-    fn views_tell_what_the_list_and_the_clock_say() {
-        let aggregator = aggregator();
-        let seen: Vec<_> = aggregator
-            .views(200.0)
-            .into_iter()
-            .map(|v| (v.cell, v.state, v.cold_since))
-            .collect();
-        let expected = [
-            (0, ServingState::Serving, None),
-            (1, ServingState::Serving, Some(100.0)),
-            (0, ServingState::Draining, None),
-        ];
-        assert_eq!(seen, expected);
-        assert_eq!(
-            aggregator.views(10_100.0)[1].cold_since,
-            None,
-            "it is warm by now"
-        );
-    }
-
-    #[test]
-    fn what_others_saw_ejects_a_server_as_own_attempts_would_and_its_recovery_shows() {
-        let mut aggregator = aggregator();
-        let class = ClassIndex(0);
-        aggregator.report_bulk(
-            1000.0,
-            class,
-            &[bulk(0, 0, 500, 0), bulk(1, 500, 1, 0), bulk(9, 0, 5, 0)],
-        );
-        let views = aggregator.views(1001.0);
-        assert!(
-            views[0].ejected_until.is_some() && views[1].ejected_until.is_none(),
-            "{views:?}"
-        );
-        assert!(views[0].errors > 0.4 && views[1].errors < 0.2, "{views:?}");
-        aggregator.report_bulk(9000.0, class, &[bulk(0, 500, 0, 0)]);
-        assert!(aggregator.views(9001.0)[0].errors < 0.2);
-        aggregator.report_bulk(9002.0, ClassIndex(7), &[bulk(0, 1, 1, 1)]);
+/// Number of samples that stand for these attempts out of a report's total.
+fn sample_count(attempts: u64, total: u64) -> u64 {
+    if total <= MAX_SAMPLES {
+        attempts
+    } else {
+        (attempts * MAX_SAMPLES).div_ceil(total)
     }
 }
--- a/crates/fanout-policy/tests/policy/backoff.rs
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -57,7 +57,7 @@
     policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)]);
     let until = policy
         .aggregator
-        .views(policy.now)
+        .server_views(policy.now)
         .iter()
         .find_map(|view| view.ejected_until)
         .unwrap();
--- a/crates/fanout-policy/tests/policy/main.rs
+++ b/crates/fanout-policy/tests/policy/main.rs
@@ -14,5 +14,6 @@
 mod replica_selection;
 mod retries;
 mod robustness;
+mod server_views;
 mod settings;
 mod warm_up;
--- /dev/null
+++ b/crates/fanout-policy/tests/policy/server_views.rs
@@ -0,0 +1,94 @@
+//! Views of servers, and load reports from others.
+
+use crate::common::{endpoint, list_event, ring};
+use fanout_policy::Aggregator;
+use fanout_policy::api::{ClassIndex, Endpoint, ListUpdate, Ms, NodeId, ServingState, Settings};
+use fanout_policy::view::LoadReport;
+
+/// Time of the endpoint list.
+const START: Ms = 200.0;
+
+fn server(number: usize, state: ServingState, started: Option<Ms>) -> Endpoint {
+    Endpoint {
+        state,
+        zone: Some(number),
+        started,
+        ..endpoint(&format!("s{number}"), number % 2)
+    }
+}
+
+/// An aggregator that knows a long-running server, one that is warming up, one that drains and one removed.
+fn aggregator() -> Aggregator {
+    let settings = Settings {
+        aggregators: 1,
+        cells: 2,
+        replica_cells: 1,
+        shards: 2,
+        max_parts_per_call: 4,
+        call_cost: 1.0,
+        max_attempts: 4,
+        hedging: false,
+        max_retry_after: None,
+        ..ring()
+    };
+    let endpoints = vec![
+        server(0, ServingState::Serving, None),
+        server(1, ServingState::Serving, Some(100.0)),
+        server(2, ServingState::Draining, None),
+        server(3, ServingState::Removed, None),
+    ];
+    let mut aggregator = Aggregator::new(settings, 7);
+    aggregator.on_batch(START, vec![list_event(ListUpdate::Snapshot, endpoints)]);
+    aggregator
+}
+
+fn report(number: usize, served: u64, errors: u64, connection_failures: u64) -> LoadReport {
+    LoadReport {
+        node: NodeId(format!("s{number}").into()),
+        served,
+        errors,
+        connection_failures,
+        mean_latency: Some(10.0),
+    }
+}
+
+#[test]
+fn views_show_listed_servers_with_state_and_warm_up() {
+    let aggregator = aggregator();
+    let views = aggregator.server_views(START);
+    let seen: Vec<_> = views
+        .iter()
+        .map(|view| (view.cell, view.state, view.warming_since))
+        .collect();
+    let expected = [
+        (0, ServingState::Serving, None),
+        (1, ServingState::Serving, Some(100.0)),
+        (0, ServingState::Draining, None),
+    ];
+    assert_eq!(seen, expected);
+    assert_eq!(
+        aggregator.server_views(10_100.0)[1].warming_since,
+        None,
+        "it has warmed up"
+    );
+}
+
+#[test]
+fn load_reports_eject_failing_server_and_show_its_recovery() {
+    let mut aggregator = aggregator();
+    let class = ClassIndex(0);
+    let reports = [report(0, 0, 500, 0), report(1, 500, 1, 0), report(9, 0, 5, 0)];
+    aggregator.apply_load_reports(1000.0, class, &reports);
+    let views = aggregator.server_views(1001.0);
+    assert!(
+        views[0].ejected_until.is_some() && views[1].ejected_until.is_none(),
+        "{views:?}"
+    );
+    assert!(
+        views[0].error_rate > 0.4 && views[1].error_rate < 0.2,
+        "{views:?}"
+    );
+    aggregator.apply_load_reports(9000.0, class, &[report(0, 500, 0, 0)]);
+    assert!(aggregator.server_views(9001.0)[0].error_rate < 0.2);
+    aggregator.apply_load_reports(9002.0, ClassIndex(7), &[report(0, 1, 1, 1)]);
+}
--- a/crates/policy-engine/src/summary.rs
+++ b/crates/policy-engine/src/summary.rs
@@ -46,21 +46,23 @@
 impl PolicySummary {
     /// Summarizes the policy's state at a time in milliseconds.
     pub(crate) fn of(policy: &Aggregator, now: Ms) -> Self {
-        let servers = policy.views(now);
+        let servers = policy.server_views(now);
         let classes = policy.class_views();
         let serving = servers.iter().filter(|s| s.state == ServingState::Serving);
         let ejected = servers.iter().filter(|s| s.ejected_until.is_some());
-        let warming_up = servers.iter().filter(|s| s.cold_since.is_some());
-        let slow = servers.iter().filter(|s| s.pace > SLOW_SERVER_RATIO);
+        let warming_up = servers.iter().filter(|s| s.warming_since.is_some());
+        let slow = servers
+            .iter()
+            .filter(|s| s.relative_latency > SLOW_SERVER_RATIO);
         PolicySummary {
             serving: serving.count(),
             ejected: ejected.count(),
             warming_up: warming_up.count(),
-            latency_per_work: policy.usual_pace(),
+            latency_per_work: policy.fleet_latency_per_work(),
             slow: slow.count(),
-            touched_rows: per_class(&classes, |class| class.rows),
-            part_cost_ms: per_class(&classes, |class| class.unit),
-            forecast_error_ms: per_class(&classes, |class| class.lag),
+            touched_rows: per_class(&classes, |class| class.fanout_rows),
+            part_cost_ms: per_class(&classes, |class| class.part_cost),
+            forecast_error_ms: per_class(&classes, |class| class.forecast_error),
         }
     }
 }
