--- a/crates/fanout-policy/src/json.rs
+++ b/crates/fanout-policy/src/json.rs
@@ -81,7 +81,11 @@
     /// An error about a field of this object.
     #[must_use]
     pub fn error(&self, field: &str, problem: FieldProblem) -> FieldError {
-        FieldError { object: self.name.to_owned(), field: field.to_owned(), problem }
+        FieldError {
+            object: self.name.to_owned(),
+            field: field.to_owned(),
+            problem,
+        }
     }
 
     /// The value of a field, unless it is absent or null.
@@ -218,7 +222,8 @@
         convert: impl FnOnce(&'a Value) -> Option<T>,
         problem: FieldProblem,
     ) -> Result<T, FieldError> {
-        self.optional(field, convert, problem)?.ok_or_else(|| self.error(field, FieldProblem::Missing))
+        self.optional(field, convert, problem)?
+            .ok_or_else(|| self.error(field, FieldProblem::Missing))
     }
 }
 
--- a/crates/fanout-policy/tests/policy/hedging.rs
+++ b/crates/fanout-policy/tests/policy/hedging.rs
@@ -17,7 +17,15 @@
 
 /// Number of hedges that one of so many aggregators sends for ten queries without answers, each at its own servers.
 fn hedges_of_one_among(aggregators: usize) -> usize {
-    let mut policy = Harness::new(Settings { aggregators, cells: 60, shards: 180, ..ring() }, 1);
+    let mut policy = Harness::new(
+        Settings {
+            aggregators,
+            cells: 60,
+            shards: 180,
+            ..ring()
+        },
+        1,
+    );
     let mut events = Vec::new();
     for k in 0..10 {
         events.extend(policy.query_events(&format!("q{k}"), 0, &[6 * k], 4000.0));
@@ -38,9 +46,18 @@
 /// overdue one is cancelled first, and the retry is sent once that has ended.
 #[test]
 fn overdue_part_is_cancelled_and_retried_elsewhere_without_hedging() {
-    let mut policy = Harness::new(Settings { hedging: false, ..ring() }, 1);
+    let mut policy = Harness::new(
+        Settings {
+            hedging: false,
+            ..ring()
+        },
+        1,
+    );
     let first = sent_attempts(&policy.submit("q", &[0]));
-    let cancellation = Action::CancelAttempt { part: part_id("q.0"), attempt: 0 };
+    let cancellation = Action::CancelAttempt {
+        part: part_id("q.0"),
+        attempt: 0,
+    };
     let mut batches = (0..60).map(|_| policy.advance(10.0, vec![]));
     let cancelling = batches.find(|actions| actions.contains(&cancellation)).unwrap();
     assert!(sent_attempts(&cancelling).is_empty());
@@ -54,14 +71,25 @@
 /// In normal operation an answer that takes slightly longer than forecast will arrive: cancelling it wastes its work.
 #[test]
 fn slightly_late_attempt_is_not_cancelled() {
-    let mut policy = Harness::new(Settings { hedging: false, ..ring() }, 1);
+    let mut policy = Harness::new(
+        Settings {
+            hedging: false,
+            ..ring()
+        },
+        1,
+    );
     // Three replicas with three parts each: the last part waits behind two others, and then all replicas are idle.
-    let sent: Vec<_> = (0..9).flat_map(|n| sent_attempts(&policy.submit(&format!("t{n}"), &[0]))).collect();
+    let sent: Vec<_> = (0..9)
+        .flat_map(|n| sent_attempts(&policy.submit(&format!("t{n}"), &[0])))
+        .collect();
     let ends = served(&sent[..8], 0, 100.0);
     let mut is_cancelled = |batches: usize, events: Vec<Event>| {
         let first = policy.advance(50.0, events);
         let later = (0..batches).flat_map(|_| policy.advance(10.0, vec![]));
-        first.into_iter().chain(later).any(|action| matches!(action, Action::CancelAttempt { .. }))
+        first
+            .into_iter()
+            .chain(later)
+            .any(|action| matches!(action, Action::CancelAttempt { .. }))
     };
     assert!(!is_cancelled(30, ends));
     assert!(is_cancelled(30, vec![]));
@@ -69,7 +97,14 @@
 
 #[test]
 fn overdue_part_is_not_hedged_when_hedging_is_disabled() {
-    let mut policy = Harness::new(Settings { hedging: false, cancellation: false, ..ring() }, 1);
+    let mut policy = Harness::new(
+        Settings {
+            hedging: false,
+            cancellation: false,
+            ..ring()
+        },
+        1,
+    );
     policy.submit("q", &[0]);
     for _ in 0..60 {
         assert!(sent_attempts(&policy.advance(10.0, vec![])).is_empty());
@@ -80,7 +115,14 @@
 fn hedge_is_sent_sooner_when_the_other_replica_is_idle() {
     // Two aggregators whose attempt is in flight equally long; one of them has loaded the other replica.
     let batches_until_hedge = |other_is_loaded: bool| {
-        let mut policy = Harness::new(Settings { cells: 1, replica_cells: 1, ..ring() }, 2);
+        let mut policy = Harness::new(
+            Settings {
+                cells: 1,
+                replica_cells: 1,
+                ..ring()
+            },
+            2,
+        );
         answer_queries(&mut policy, 20, 4000.0);
         let first = sent_attempts(&policy.submit("q", &[0]))[0].clone();
         if other_is_loaded {
@@ -90,7 +132,10 @@
         }
         for k in 0..300 {
             let actions = policy.advance(5.0, vec![]);
-            if sent_attempts(&actions).iter().any(|attempt| attempt.part == first.part) {
+            if sent_attempts(&actions)
+                .iter()
+                .any(|attempt| attempt.part == first.part)
+            {
                 return k;
             }
         }
--- a/crates/fanout-policy/tests/policy/replica_selection.rs
+++ b/crates/fanout-policy/tests/policy/replica_selection.rs
@@ -9,14 +9,23 @@
 
 #[test]
 fn parts_of_adjacent_shards_share_servers_on_a_ring() {
-    let mut policy = Harness::new(Settings { call_cost: 10.0, ..ring() }, 1);
+    let mut policy = Harness::new(
+        Settings {
+            call_cost: 10.0,
+            ..ring()
+        },
+        1,
+    );
     let actions = policy.submit("q", &[0, 1, 2, 3, 4, 5]);
     let sent = sent_attempts(&actions);
     assert_eq!(sent.len(), 6);
     for SentAttempt { part, node, .. } in &sent {
         let shard: usize = part[2..].parse().unwrap();
         let cell: usize = node[1..2].parse().unwrap();
-        assert!((cell + 6 - shard) % 6 < 3, "{part} went to {node}, which does not hold it");
+        assert!(
+            (cell + 6 - shard) % 6 < 3,
+            "{part} went to {node}, which does not hold it"
+        );
     }
     assert!(
         servers_of(&actions).len() <= 3,
@@ -26,7 +35,13 @@
 
 #[test]
 fn one_server_receives_all_parts_of_a_cell_in_a_set() {
-    let mut policy = Harness::new(Settings { call_cost: 10.0, ..sets() }, 3);
+    let mut policy = Harness::new(
+        Settings {
+            call_cost: 10.0,
+            ..sets()
+        },
+        3,
+    );
     let sent = sent_attempts(&policy.submit("q", &[0, 1, 2, 3, 4, 5]));
     for cell in ["c0", "c1"] {
         let nodes = sent.iter().map(|attempt| &attempt.node);
@@ -51,23 +66,39 @@
 #[test]
 fn empty_cell_is_served_by_other_replica_cells() {
     let mut policy = Harness::new(ring(), 1);
-    let removed = |name: &str, cell| Endpoint { state: ServingState::Removed, ..endpoint(name, cell) };
+    let removed = |name: &str, cell| Endpoint {
+        state: ServingState::Removed,
+        ..endpoint(name, cell)
+    };
     let endpoints = vec![removed("c1n0", 1), removed("c2n0", 2), endpoint("c0n1", 0)];
     policy.advance(5.0, vec![list_event(ListUpdate::Delta, endpoints)]);
     let sent = sent_attempts(&policy.submit("q", &[0, 1]));
-    assert!(sent.iter().any(|attempt| attempt.part == "q.0" && attempt.node.starts_with("c0")));
-    assert!(sent.iter().any(|attempt| attempt.part == "q.1" && attempt.node == "c3n0"));
+    assert!(
+        sent.iter()
+            .any(|attempt| attempt.part == "q.0" && attempt.node.starts_with("c0"))
+    );
+    assert!(
+        sent.iter()
+            .any(|attempt| attempt.part == "q.1" && attempt.node == "c3n0")
+    );
 }
 
 #[test]
 fn width_narrows_after_overload_and_stays_wide_after_answers() {
     // The number of servers of a query over six adjacent shards shows its width: 6 servers mean one row.
-    let settings = || Settings { max_attempts: 1, call_cost: 10.0, ..ring() };
+    let settings = || Settings {
+        max_attempts: 1,
+        call_cost: 10.0,
+        ..ring()
+    };
     let mut overloaded = Harness::new(settings(), 1);
     let wide = servers_of(&overloaded.submit("before", &[0, 1, 2, 3, 4, 5])).len();
     for k in 0..12 {
         let sent = sent_attempts(&overloaded.submit(&format!("f{k}"), &[0]));
-        overloaded.advance(6000.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Overloaded, 5.0)]);
+        overloaded.advance(
+            6000.0,
+            vec![attempt_ended(&sent[0].part, 0, Outcome::Overloaded, 5.0)],
+        );
     }
     let mut healthy = Harness::new(settings(), 1);
     for k in 0..12 {
@@ -85,9 +116,18 @@
 /// random: a replica in another zone that is not slower keeps its parts.
 #[test]
 fn same_zone_replica_is_preferred_when_it_is_not_slower() {
-    let settings = Settings { zone: Some(1), cells: 1, replica_cells: 1, max_parts_per_call: 1, ..ring() };
+    let settings = Settings {
+        zone: Some(1),
+        cells: 1,
+        replica_cells: 1,
+        max_parts_per_call: 1,
+        ..ring()
+    };
     let mut policy = Harness::new(settings, 0);
-    let in_zone = |zone: usize| Endpoint { zone: Some(zone), ..endpoint(&format!("z{zone}"), 0) };
+    let in_zone = |zone: usize| Endpoint {
+        zone: Some(zone),
+        ..endpoint(&format!("z{zone}"), 0)
+    };
     let endpoints = (0..3).map(in_zone).collect();
     policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
     let even = policy.run_traffic(90, &[], Outcome::Served);
@@ -126,10 +166,19 @@
 
 #[test]
 fn last_replica_is_used_even_after_errors() {
-    let mut policy = Harness::new(Settings { replica_cells: 1, ..ring() }, 1);
+    let mut policy = Harness::new(
+        Settings {
+            replica_cells: 1,
+            ..ring()
+        },
+        1,
+    );
     // Three attempts, which are enough for an ejection.
     policy.run_traffic(1, &["c0n0"], Outcome::Error);
-    assert_eq!(servers_of(&policy.submit("q", &[0])), BTreeSet::from(["c0n0".to_string()]));
+    assert_eq!(
+        servers_of(&policy.submit("q", &[0])),
+        BTreeSet::from(["c0n0".to_string()])
+    );
 }
 
 #[test]
--- a/crates/fanout-policy/tests/policy/retries.rs
+++ b/crates/fanout-policy/tests/policy/retries.rs
@@ -21,8 +21,18 @@
 
 #[test]
 fn retry_budget_holds_in_every_window() {
-    let retry_budget = RetryBudget { free_attempts: 2.0, per_request: 0.1, window: 1000.0 };
-    let mut policy = Harness::new(Settings { retry_budget: Some(retry_budget), ..ring() }, 1);
+    let retry_budget = RetryBudget {
+        free_attempts: 2.0,
+        per_request: 0.1,
+        window: 1000.0,
+    };
+    let mut policy = Harness::new(
+        Settings {
+            retry_budget: Some(retry_budget),
+            ..ring()
+        },
+        1,
+    );
     let mut request_times: Vec<Ms> = Vec::new();
     let mut retry_times: Vec<Ms> = Vec::new();
     let mut attempts = BTreeMap::<String, u32>::new();
@@ -58,27 +68,57 @@
     let sent = sent_attempts(&policy.submit("bad", &[0, 1, 2, 3]));
     let connection_lost = |n: usize| attempt_ended(&sent[n].part, 0, Outcome::ConnectionLost, 20.0);
     let first = policy.advance(20.0, vec![connection_lost(0), connection_lost(1)]);
-    assert!(sent_attempts(&first).is_empty(), "each retry may crash one more server");
-    assert_eq!(final_responses(&first), vec![rejected("bad")], "it ends immediately");
-    let cancelled = first.iter().filter(|action| matches!(action, Action::CancelAttempt { .. })).count();
-    assert_eq!(cancelled, 2, "the attempts that are still in flight are cancelled");
+    assert!(
+        sent_attempts(&first).is_empty(),
+        "each retry may crash one more server"
+    );
+    assert_eq!(
+        final_responses(&first),
+        vec![rejected("bad")],
+        "it ends immediately"
+    );
+    let cancelled = first
+        .iter()
+        .filter(|action| matches!(action, Action::CancelAttempt { .. }))
+        .count();
+    assert_eq!(
+        cancelled, 2,
+        "the attempts that are still in flight are cancelled"
+    );
 }
 
 #[test]
 fn lost_connections_among_answers_are_retried() {
     let mut policy = Harness::new(ring(), 1);
     let sent = sent_attempts(&policy.submit("good", &[0, 1, 2, 3, 4, 5]));
-    let outcome = |n: usize| if n < 2 { Outcome::ConnectionLost } else { Outcome::Served };
-    let events = (0..6).map(|n| attempt_ended(&sent[n].part, 0, outcome(n), 20.0)).collect();
+    let outcome = |n: usize| {
+        if n < 2 {
+            Outcome::ConnectionLost
+        } else {
+            Outcome::Served
+        }
+    };
+    let events = (0..6)
+        .map(|n| attempt_ended(&sent[n].part, 0, outcome(n), 20.0))
+        .collect();
     assert_eq!(sent_attempts(&policy.advance(20.0, events)).len(), 2);
 }
 
 /// Three attempts at overloaded servers within six milliseconds failed a query of 18 parts, 17 of them in flight.
 #[test]
 fn part_rejected_by_all_replicas_is_not_retried_immediately() {
-    let mut policy = Harness::new(Settings { replica_cells: 1, ..ring() }, 1);
+    let mut policy = Harness::new(
+        Settings {
+            replica_cells: 1,
+            ..ring()
+        },
+        1,
+    );
     policy.submit("q", &[0, 1]);
     let actions = policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Overloaded, 5.0)]);
-    assert_eq!((sent_attempts(&actions), final_responses(&actions)), (vec![], vec![]));
+    assert_eq!(
+        (sent_attempts(&actions), final_responses(&actions)),
+        (vec![], vec![])
+    );
     assert_eq!(sent_attempts(&policy.advance(200.0, vec![])).len(), 1);
 }
--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -10,7 +10,7 @@
 use broker_types::time::{Micros, millis};
 use fanout_policy::Aggregator;
 use fanout_policy::api::{Action, Event, Ms, PartId, QueryId as PolicyQueryId, Settings};
-use fanout_policy::room::no_room_advice;
+use fanout_policy::over_capacity_retry_after;
 
 /// The fan-out policy together with the queries in flight.
 pub struct PolicyEngine {
@@ -130,7 +130,7 @@
     }
 
     fn reject_over_capacity(&self, query: &QuerySpec) -> FinishedQuery {
-        let retry_after = no_room_advice(&self.settings, query.class).map(millis);
+        let retry_after = over_capacity_retry_after(&self.settings, query.class.0).map(millis);
         FinishedQuery {
             query: query.id,
             outcome: QueryOutcome::Rejected { retry_after },
