--- a/crates/fanout-policy/src/gossip_exchange.rs
+++ b/crates/fanout-policy/src/gossip_exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::aggregator::Aggregator;
 use crate::api::Action;
-use crate::state::{GossipEntry, GossipStatus, PeerLoadReport};
+use crate::state::{GossipEntry, GossipStatus, PeerLoadReport, ShortName};
 
 impl Aggregator {
     /// Publishes what has changed at each server. Entries state totals, so that the next message makes up for
@@ -16,7 +16,7 @@
         let entry = |index: &usize| {
             let server = &self.fleet.servers[*index];
             GossipEntry {
-                server: GossipEntry::short_name(&server.node),
+                server: ShortName::of(&server.node),
                 status: self.gossip_status(server),
             }
         };
--- a/crates/fanout-policy/src/policy/mod.rs
+++ b/crates/fanout-policy/src/policy/mod.rs
@@ -1,6 +1,6 @@
-//! The decisions of an aggregator, one job to each module. Tuned values are in [`tuning`].
+//! The decisions of an aggregator: methods of [`Aggregator`](crate::Aggregator), with one job to each module.
 //!
-//! Each module adds methods to [`Aggregator`](crate::Aggregator); [`batch`] calls them in order.
+//! [`batch`] advances each query through the others. Tuned values are in [`tuning`].
 
 mod admission;
 mod batch;
--- a/crates/fanout-policy/src/policy/tuning.rs
+++ b/crates/fanout-policy/src/policy/tuning.rs
@@ -1,4 +1,4 @@
-//! Tuned values. Those in multiples of a latency objective hold for objectives of any length.
+//! Tuned values. Those without a stated source were chosen in simulator runs, which `journal/` records.
 
 use crate::api::Ms;
 
@@ -102,7 +102,7 @@
 pub(crate) const FORECAST_ERROR_SMOOTHING: f64 = 0.1;
 /// Largest forecast error, in objectives: below the admission limit, so that an idle fleet always admits.
 pub(crate) const MAX_FORECAST_ERROR: f64 = 0.45;
-/// Weight of the slowest part's forecast against the mean where copies of most parts suffice.
+/// Weight of the slowest part's forecast against the mean where the answer does not need all parts.
 pub(super) const SLOWEST_PART_WEIGHT: f64 = 0.5;
 /// A tenant is over its quota from this multiple of an even share, since queries arrive unevenly.
 pub(super) const QUOTA_SLACK: f64 = 1.3;
@@ -110,6 +110,8 @@
 pub(crate) const CLIENT_TIMEOUT_TOLERANCE: f64 = 0.99;
 /// Votes that a query with another timeout takes from the estimate: in a retry storm few are first attempts.
 pub(crate) const CLIENT_TIMEOUT_DISSENT: f64 = 0.15;
+/// Largest number of votes for the client timeout estimate.
+pub(crate) const MAX_CLIENT_TIMEOUT_VOTES: f64 = 16.0;
 /// Votes from which the client timeout estimate is used.
 pub(crate) const CLIENT_TIMEOUT_VOTES: f64 = 8.0;
 
--- a/crates/fanout-policy/src/state/fleet.rs
+++ b/crates/fanout-policy/src/state/fleet.rs
@@ -1,6 +1,6 @@
 //! All known data servers and their indexes.
 
-use super::{GossipEntry, ReplicaRows, Server, smooth};
+use super::{ReplicaRows, Server, ServingServer, ShortName, smooth};
 use crate::api::{Ms, NodeId, ServingState};
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
     /// Index by name.
     pub(crate) by_name: BTreeMap<NodeId, usize>,
     /// Index by short name in gossip.
-    pub(crate) by_short_name: BTreeMap<[u8; 2], usize>,
+    pub(crate) by_short_name: BTreeMap<ShortName, usize>,
     /// Holders of the shards.
     pub(crate) rows: ReplicaRows,
     /// Share of attempts that got no response, by zone, smoothed.
@@ -34,7 +34,7 @@
     fn add(&mut self, node: NodeId, latency_per_work: f64) -> usize {
         let index = self.free.pop().unwrap_or(self.servers.len());
         self.by_name.insert(node.clone(), index);
-        self.by_short_name.insert(GossipEntry::short_name(&node), index);
+        self.by_short_name.insert(ShortName::of(&node), index);
         let server = Server::new(node, latency_per_work);
         if index == self.servers.len() {
             self.servers.push(server);
@@ -80,7 +80,10 @@
     pub(crate) fn rebuild_rows(&mut self, cells: usize, replica_cells: usize) {
         let indexes = self.by_name.values().copied();
         let serving = indexes.filter(|index| self.servers[*index].state == ServingState::Serving);
-        let with_cells = serving.map(|index| (self.servers[index].cell, index));
-        self.rows = ReplicaRows::new(cells, replica_cells, with_cells);
+        let serving = serving.map(|index| ServingServer {
+            index,
+            cell: self.servers[index].cell,
+        });
+        self.rows = ReplicaRows::new(cells, replica_cells, serving);
     }
 }
--- a/crates/fanout-policy/src/state/gossip_codec.rs
+++ b/crates/fanout-policy/src/state/gossip_codec.rs
@@ -2,6 +2,10 @@
 
 use crate::api::{MAX_GOSSIP_BYTES, NodeId};
 
+/// Offset basis of the 32-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
+/// Prime of the 32-bit FNV-1a hash.
+const FNV_PRIME: u32 = 0x0100_0193;
 /// Size of an encoded entry.
 const ENTRY_BYTES: usize = 3;
 /// Status byte of a server at which attempts have just failed.
@@ -20,27 +24,33 @@
     },
 }
 
+/// A short name for a server. Two servers may share one, which only makes the information less precise.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(crate) struct ShortName([u8; 2]);
+
+impl ShortName {
+    /// The short name of a server: a hash of its name.
+    pub(crate) fn of(node: &NodeId) -> Self {
+        let mix = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME);
+        let hash = node.0.bytes().fold(FNV_OFFSET_BASIS, mix);
+        ShortName(((hash >> 16) as u16 ^ hash as u16).to_be_bytes())
+    }
+}
+
 /// One entry of a gossip message.
 pub(crate) struct GossipEntry {
-    /// Short name of the server, see [`GossipEntry::short_name`].
-    pub(crate) server: [u8; 2],
+    /// The server.
+    pub(crate) server: ShortName,
     /// What the sender says about it.
     pub(crate) status: GossipStatus,
 }
 
 impl GossipEntry {
-    /// A short name for a server. Two servers may share one, which only makes the information less precise.
-    pub(crate) fn short_name(node: &NodeId) -> [u8; 2] {
-        let mix = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193);
-        let hash = node.0.bytes().fold(0x811c_9dc5, mix);
-        ((hash >> 16) as u16 ^ hash as u16).to_be_bytes()
-    }
-
     /// The entries as messages of at most [`MAX_GOSSIP_BYTES`].
     pub(crate) fn encode(entries: &[GossipEntry]) -> Vec<Vec<u8>> {
         let mut bytes = Vec::new();
         for entry in entries {
-            bytes.extend(entry.server);
+            bytes.extend(entry.server.0);
             bytes.push(match entry.status {
                 GossipStatus::Failing => FAILING,
                 GossipStatus::Work { steps } => steps.round().min(MAX_WORK_STEPS) as u8,
@@ -56,7 +66,7 @@
             return None;
         }
         let entry = |entry: &[u8]| GossipEntry {
-            server: [entry[0], entry[1]],
+            server: ShortName([entry[0], entry[1]]),
             status: match entry[2] {
                 FAILING => GossipStatus::Failing,
                 steps => GossipStatus::Work {
--- a/crates/fanout-policy/src/state/mod.rs
+++ b/crates/fanout-policy/src/state/mod.rs
@@ -15,14 +15,14 @@
 pub(crate) use average::{decay, smooth};
 pub(crate) use class::{ClassState, FanoutWidth};
 pub(crate) use fleet::Fleet;
-pub(crate) use gossip_codec::{GossipEntry, GossipStatus};
+pub(crate) use gossip_codec::{GossipEntry, GossipStatus, ShortName};
 pub(crate) use query::{
     Attempt, Candidate, InFlightAttempt, InFlightQuery, PartForecast, PartState, QueryForecast, StepProgress,
     got_no_response,
 };
 pub(crate) use query_table::QueryTable;
 pub(crate) use random::RandomSource;
-pub(crate) use replica_rows::ReplicaRows;
+pub(crate) use replica_rows::{ReplicaRows, ServingServer};
 pub(crate) use server::{PeerLoadReport, Server};
 pub(crate) use sliding_window::SlidingWindow;
 
--- a/crates/fanout-policy/src/state/query_table.rs
+++ b/crates/fanout-policy/src/state/query_table.rs
@@ -10,13 +10,20 @@
     index: usize,
 }
 
+/// Which attempt of which part.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct AttemptKey {
+    part: PartId,
+    attempt: u32,
+}
+
 /// The queries in flight, their parts and their attempts.
 #[derive(Default)]
 pub(crate) struct QueryTable {
     queries: BTreeMap<QueryId, InFlightQuery>,
     by_group: BTreeMap<u64, QueryId>,
     by_part: BTreeMap<PartId, PartLocation>,
-    attempts: BTreeMap<(PartId, u32), InFlightAttempt>,
+    attempts: BTreeMap<AttemptKey, InFlightAttempt>,
 }
 
 impl QueryTable {
@@ -93,12 +100,20 @@
             outcome: None,
         });
         let number = part.attempts.len() as u32 - 1;
-        self.attempts.insert((part.id.clone(), number), attempt);
+        let part = part.id.clone();
+        self.attempts.insert(
+            AttemptKey {
+                part,
+                attempt: number,
+            },
+            attempt,
+        );
     }
 
     /// Removes and returns an attempt that has ended.
     pub(crate) fn take_attempt(&mut self, part: &PartId, attempt: u32) -> Option<InFlightAttempt> {
-        self.attempts.remove(&(part.clone(), attempt))
+        let part = part.clone();
+        self.attempts.remove(&AttemptKey { part, attempt })
     }
 
     /// Records the outcome of an attempt with its part, if its query is still in flight.
--- a/crates/fanout-policy/src/state/replica_rows.rs
+++ b/crates/fanout-policy/src/state/replica_rows.rs
@@ -3,22 +3,30 @@
 use super::PartState;
 use std::collections::BTreeSet;
 
+/// A server that serves.
+pub(crate) struct ServingServer {
+    /// Its index.
+    pub(crate) index: usize,
+    /// Its cell.
+    pub(crate) cell: usize,
+}
+
 /// The holders of each shard, rebuilt with each endpoint list: by distance of their cell, then by server
 /// name.
 #[derive(Default)]
 pub(crate) struct ReplicaRows(Vec<Vec<usize>>);
 
 impl ReplicaRows {
-    /// Rows of the serving servers, given in order of name, each with its cell.
+    /// Rows of the serving servers, given in order of name.
     pub(crate) fn new(
         cells: usize,
         replica_cells: usize,
-        serving: impl Iterator<Item = (usize, usize)>,
+        serving: impl Iterator<Item = ServingServer>,
     ) -> Self {
         let mut servers_by_cell = vec![Vec::new(); cells];
-        for (cell, server) in serving {
-            if let Some(servers) = servers_by_cell.get_mut(cell) {
-                servers.push(server);
+        for server in serving {
+            if let Some(servers) = servers_by_cell.get_mut(server.cell) {
+                servers.push(server.index);
             }
         }
         let row = |home: usize| {
