--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -6,7 +6,9 @@
     Action, Class, Endpoint, EndpointListSource, Event, ListUpdate, Ms, Part, Query, ServingState, Settings,
 };
 use crate::policy::tuning::{CONTROL_INTERVAL, INITIAL_LATENCY_PER_WORK, INITIAL_PART_COST};
-use crate::state::{ClassState, FanoutWidth, Fleet, InFlightQuery, QueryTable, RandomSource, SlidingWindow};
+use crate::state::{
+    ClassState, FanoutWidth, Fleet, InFlightQuery, QueryTable, RandomSource, ServerIndex, SlidingWindow,
+};
 use std::collections::BTreeSet;
 
 /// The policy of one aggregator.
@@ -36,7 +38,7 @@
     /// Work served per warm server and millisecond, smoothed.
     pub(crate) served_rate: f64,
     /// Servers whose outstanding work has changed since it was last published.
-    pub(crate) unpublished: BTreeSet<usize>,
+    pub(crate) unpublished: BTreeSet<ServerIndex>,
     /// Earliest time of the next gossip message.
     pub(crate) next_publish_at: Ms,
     /// When gossip last arrived.
@@ -101,7 +103,7 @@
     pub fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
         self.now = now;
         self.was_paused = self.is_late_batch(now);
-        for server in &mut self.fleet.servers {
+        for server in self.fleet.servers.iter_mut() {
             server.parts_in_batch = 0;
         }
         for event in events {
@@ -201,7 +203,7 @@
             self.poll_backoff = self.initial_poll_backoff();
         }
         if update != ListUpdate::Delta {
-            for server in &mut self.fleet.servers {
+            for server in self.fleet.servers.iter_mut() {
                 server.state = ServingState::Removed;
             }
         }
--- a/crates/fanout-policy/src/control_interval.rs
+++ b/crates/fanout-policy/src/control_interval.rs
@@ -43,7 +43,7 @@
     /// Lets statistics without new samples return to their defaults, so that slow servers are tried again.
     fn decay_server_statistics(&mut self) {
         let unobserved_since = self.now - CONTROL_INTERVAL;
-        for server in &mut self.fleet.servers {
+        for server in self.fleet.servers.iter_mut() {
             if server.last_observed_at < unobserved_since {
                 smooth(&mut server.latency_per_work, DECAY, self.fleet_latency_per_work);
             }
@@ -59,7 +59,7 @@
     /// Draws anew for each server and ends the slow start of those that are warm.
     fn update_slow_start(&mut self) {
         let window_start = self.now - self.settings.warm_up.overload_window;
-        for server in &mut self.fleet.servers {
+        for server in self.fleet.servers.iter_mut() {
             server.slow_start_draw = self.random.fraction();
             server
                 .slow_start_sends
@@ -81,7 +81,8 @@
     /// Discards expired reports of other aggregators and marks servers with outstanding work for publication.
     fn expire_peer_reports(&mut self) {
         let deadline = self.now - PEER_REPORT_LIFETIME;
-        for (index, server) in self.fleet.servers.iter_mut().enumerate() {
+        for index in self.fleet.servers.indexes() {
+            let server = &mut self.fleet.servers[index];
             server.discard_peer_reports(deadline);
             if server.outstanding_work > 0.0 {
                 self.unpublished.insert(index);
--- a/crates/fanout-policy/src/gossip_exchange.rs
+++ b/crates/fanout-policy/src/gossip_exchange.rs
@@ -2,7 +2,7 @@
 
 use crate::aggregator::Aggregator;
 use crate::api::Action;
-use crate::state::{GossipEntry, GossipStatus, PeerLoadReport, ShortName};
+use crate::state::{GossipEntry, GossipStatus, PeerLoadReport, ServerIndex, ShortName};
 
 impl Aggregator {
     /// Publishes what has changed at each server. Entries state totals, so that the next message makes up for
@@ -13,7 +13,7 @@
         }
         self.next_publish_at = self.now + self.publish_interval();
         let unpublished = std::mem::take(&mut self.unpublished);
-        let entry = |index: &usize| {
+        let entry = |index: &ServerIndex| {
             let server = &self.fleet.servers[*index];
             GossipEntry {
                 server: ShortName::of(&server.node),
@@ -48,7 +48,11 @@
                 received_at: self.now,
             };
             let previous = self.fleet.servers[server].replace_peer_report(from, report);
-            self.on_peer_state(server, previous.is_failing, is_failing, ejection);
+            if is_failing {
+                self.on_peer_failure(server, ejection);
+            } else if previous.is_failing {
+                self.on_peer_recovery(server);
+            }
         }
     }
 }
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -10,9 +10,8 @@
 
 impl Aggregator {
     /// When the client first sent the query. All its attempts share one timeout, so one with less time than
-    /// usual for its class is a retry that ends with it: without this, a retry storm fills the fleet with
-    /// answers that miss their objective. Where clients do not mark retries, this requires that a usual
-    /// timeout is known; it misjudges classes in which timeouts differ by client.
+    /// usual is a retry that ends with it: without this, a retry storm fills the fleet with late answers.
+    /// Where clients do not mark retries, this relies on an estimate of the usual timeout.
     pub(crate) fn first_sent_at(&mut self, class: usize, query: &Query) -> Ms {
         let time_left = query.client_deadline - self.now;
         let estimate = &mut self.classes[class].client_timeout;
@@ -38,9 +37,8 @@
         let slowest_weight = 1.0 - (1.0 - SLOWEST_PART_WEIGHT) * visibility;
         let latency = forecast.mean + slowest_weight * (forecast.slowest - forecast.mean);
         query.forecast = latency;
-        // A query that may earn by a partial answer justifies more risk, one that may earn by a late answer a
-        // larger forecast error. Neither counts where the client leaves before the objective: its retries
-        // would fill the fleet.
+        // A possible partial answer justifies more risk, a possible late one a larger forecast error. Neither
+        // counts where the client leaves before the objective: its retries would fill the fleet.
         let client_stays = query.client_deadline > self.objective_end(query);
         let may_be_partial = client_stays && class.minimum_share < class.required_share;
         let partial = f64::from(may_be_partial) * class.partial_weight * class.minimum_share
--- a/crates/fanout-policy/src/policy/completion.rs
+++ b/crates/fanout-policy/src/policy/completion.rs
@@ -53,7 +53,7 @@
     /// the answer; after it, waiting pays only if the answer can become complete and earns more then.
     fn should_answer_partially(&self, query: &InFlightQuery, progress: &StepProgress) -> bool {
         let class = self.class_of(query);
-        let StepProgress { served, possible, .. } = *progress;
+        let served = progress.served;
         if served <= 0.0 || served + SHARE_TOLERANCE < class.minimum_share {
             return false;
         }
@@ -63,12 +63,12 @@
         let earned = weight * served / class.required_share.max(SHARE_TOLERANCE);
         let is_second = query.in_second_step();
         let required = if is_second { 1.0 } else { class.required_share };
-        let can_be_complete = possible + SHARE_TOLERANCE >= required;
+        let can_be_complete = progress.possible + SHARE_TOLERANCE >= required;
         // A first answer must leave time for the second step.
         let end = self.now + self.second_step_reserve(query) + self.reply_margin();
         let is_late = end >= self.objective_end(query);
         let waiting_is_useless = is_late && (!can_be_complete || earned >= class.late_weight);
-        end >= query.client_deadline || waiting_is_useless || possible <= served + SHARE_TOLERANCE
+        end >= query.client_deadline || waiting_is_useless || progress.possible <= served + SHARE_TOLERANCE
     }
 
     /// Whether the query can no longer earn anything, or may crash the servers that run it.
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -6,12 +6,12 @@
 };
 use crate::aggregator::Aggregator;
 use crate::api::Ms;
-use crate::state::{InFlightAttempt, InFlightQuery, Server};
+use crate::state::{InFlightAttempt, InFlightQuery, Server, ServerIndex};
 
 impl Aggregator {
     /// Forecast time until the answer to `work` more work at a server: the server's latency for all
     /// outstanding work, its known delay, and a penalty for its error rate.
-    pub(crate) fn forecast(&self, server: usize, class: usize, work: Ms) -> Ms {
+    pub(crate) fn forecast(&self, server: ServerIndex, class: usize, work: Ms) -> Ms {
         let server = &self.fleet.servers[server];
         let errors = self.error_rate(server, class) * ERROR_PENALTY * self.shortest_objective();
         let total_work = self.peer_work(server) + server.outstanding_work + work;
@@ -44,7 +44,7 @@
     }
 
     /// Cost of the call that another part would open at a server; parts sent in one batch share calls.
-    pub(crate) fn call_cost(&self, server: usize) -> Ms {
+    pub(crate) fn call_cost(&self, server: ServerIndex) -> Ms {
         let parts = self.fleet.servers[server].parts_in_batch;
         let opens_call = parts.is_multiple_of(self.settings.max_parts_per_call.max(1));
         if opens_call { self.settings.call_cost } else { 0.0 }
--- a/crates/fanout-policy/src/policy/gossip.rs
+++ b/crates/fanout-policy/src/policy/gossip.rs
@@ -3,7 +3,7 @@
 use super::tuning::{GOSSIP_INTERVAL, GOSSIP_WORK_STEP, JITTER_RANGE, MIN_DIVISOR, MIN_EJECTION, MIN_JITTER};
 use crate::aggregator::Aggregator;
 use crate::api::Ms;
-use crate::state::{GossipStatus, Server};
+use crate::state::{GossipStatus, Server, ServerIndex};
 
 impl Aggregator {
     /// Whether to publish changes now. Attempts sent are published at once, other changes together.
@@ -35,18 +35,21 @@
         MIN_EJECTION * self.shortest_objective() * (MIN_JITTER + JITTER_RANGE * self.random.fraction())
     }
 
-    /// Reacts to another aggregator's report on whether its attempts at a server are failing.
-    pub(crate) fn on_peer_state(&mut self, server: usize, was_failing: bool, is_failing: bool, ejection: Ms) {
+    /// Ejects a server that fails for another aggregator, unless it has answered this one as recently.
+    pub(crate) fn on_peer_failure(&mut self, server: ServerIndex, ejection: Ms) {
         let server = &mut self.fleet.servers[server];
-        if is_failing && server.last_served_sent_at < self.now - ejection {
-            // Only a warning: it is outweighed by an answer of this aggregator's own that is as recent.
+        if server.last_served_sent_at < self.now - ejection {
             server.ejected_until = server.ejected_until.max(self.now + ejection);
-        } else if was_failing && !is_failing {
-            // It answers again. All aggregators return to it at once, so it is assumed to be slow at first.
-            server.ejected_until = server.ejected_until.min(self.now);
-            let initial_capacity = self.settings.warm_up.initial_capacity.max(MIN_DIVISOR);
-            let latency_per_work = self.fleet_latency_per_work / initial_capacity;
-            server.latency_per_work = server.latency_per_work.max(latency_per_work);
         }
     }
+
+    /// Ends the ejection of a server that answers another aggregator again. All aggregators return to it at
+    /// once, so it is assumed to be slow at first.
+    pub(crate) fn on_peer_recovery(&mut self, server: ServerIndex) {
+        let initial_capacity = self.settings.warm_up.initial_capacity.max(MIN_DIVISOR);
+        let latency_per_work = self.fleet_latency_per_work / initial_capacity;
+        let server = &mut self.fleet.servers[server];
+        server.ejected_until = server.ejected_until.min(self.now);
+        server.latency_per_work = server.latency_per_work.max(latency_per_work);
+    }
 }
--- a/crates/fanout-policy/src/policy/retries.rs
+++ b/crates/fanout-policy/src/policy/retries.rs
@@ -7,7 +7,7 @@
 };
 use crate::aggregator::Aggregator;
 use crate::api::{Ms, RetryBudget, RetrySafety};
-use crate::state::{Attempt, InFlightQuery, PartState};
+use crate::state::{Attempt, InFlightQuery, PartState, ServerIndex};
 
 impl Aggregator {
     /// Sends the first attempt for a part, a retry of a failed one, or a hedge of an overdue one.
@@ -46,7 +46,7 @@
     }
 
     /// Whether all holders are overloaded: retried at once, the remaining attempts would be rejected as well.
-    fn must_wait_for_capacity(&self, part: &PartState, server: usize) -> bool {
+    fn must_wait_for_capacity(&self, part: &PartState, server: ServerIndex) -> bool {
         let wait = OVERLOAD_EJECTION * self.shortest_objective() * part.attempts.len() as f64;
         part.last_attempt_age(self.now) < wait && self.fleet.servers[server].overloaded_until > self.now
     }
@@ -146,7 +146,7 @@
         })
     }
 
-    fn send(&mut self, query: &mut InFlightQuery, index: usize, server: usize) {
+    fn send(&mut self, query: &mut InFlightQuery, index: usize, server: ServerIndex) {
         let end = self.useful_until(query).min(query.client_deadline);
         let timeout = (end < query.client_deadline).then_some((end - self.now).max(self.settings.tick));
         self.dispatch(query, index, server, timeout);
--- a/crates/fanout-policy/src/policy/slow_start.rs
+++ b/crates/fanout-policy/src/policy/slow_start.rs
@@ -3,13 +3,14 @@
 use super::tuning::{CONTROL_INTERVAL, SLOW_START_SAFETY};
 use crate::aggregator::Aggregator;
 use crate::api::Ms;
+use crate::state::ServerIndex;
 
 impl Aggregator {
     /// Whether a server that may be warming up can be sent `work` within the overload window of rule 4. The
     /// limit holds for all aggregators together. What they have all served by a warm server is no more than
-    /// that can do, so each keeps to the limit times what it has itself served by one: this needs no estimate
-    /// of others' traffic. Before that is known, each keeps to an even share on one core.
-    pub(crate) fn has_slow_start_allowance(&self, server: usize, work: Ms) -> bool {
+    /// that can do, so each keeps to the limit times what it has served by one itself; before that is known,
+    /// to an even share on one core.
+    pub(crate) fn has_slow_start_allowance(&self, server: ServerIndex, work: Ms) -> bool {
         let server = &self.fleet.servers[server];
         let Some(since) = server.warming_since else {
             return true;
--- a/crates/fanout-policy/src/query_lifecycle.rs
+++ b/crates/fanout-policy/src/query_lifecycle.rs
@@ -3,7 +3,7 @@
 use crate::aggregator::Aggregator;
 use crate::api::{Action, Ms, QueryId};
 use crate::policy::tuning::{FORECAST_ERROR_SMOOTHING, MAX_FORECAST_ERROR, MAX_SECOND_STEP, SMOOTHING};
-use crate::state::{InFlightAttempt, InFlightQuery, PartState, smooth};
+use crate::state::{InFlightAttempt, InFlightQuery, PartState, ServerIndex, smooth};
 
 impl Aggregator {
     /// Sends an attempt for a part and records it.
@@ -11,7 +11,7 @@
         &mut self,
         query: &mut InFlightQuery,
         index: usize,
-        server: usize,
+        server: ServerIndex,
         timeout: Option<Ms>,
     ) {
         let work = self.part_cost(query, index) + self.call_cost(server);
--- a/crates/fanout-policy/src/state/fleet.rs
+++ b/crates/fanout-policy/src/state/fleet.rs
@@ -1,6 +1,6 @@
 //! All known data servers and their indexes.
 
-use super::{ReplicaRows, Server, ServingServer, ShortName, smooth};
+use super::{ReplicaRows, Server, ServerIndex, ServerRecords, ServingServer, ShortName, smooth};
 use crate::api::{Ms, NodeId, ServingState};
 use std::collections::BTreeMap;
 
@@ -8,13 +8,13 @@
 #[derive(Default)]
 pub(crate) struct Fleet {
     /// Records by index. The index of a server does not change while it is known.
-    pub(crate) servers: Vec<Server>,
+    pub(crate) servers: ServerRecords,
     /// Indexes of forgotten servers, to be reused.
-    free: Vec<usize>,
+    free: Vec<ServerIndex>,
     /// Index by name.
-    pub(crate) by_name: BTreeMap<NodeId, usize>,
+    pub(crate) by_name: BTreeMap<NodeId, ServerIndex>,
     /// Index by short name in gossip.
-    pub(crate) by_short_name: BTreeMap<ShortName, usize>,
+    pub(crate) by_short_name: BTreeMap<ShortName, ServerIndex>,
     /// Holders of the shards.
     pub(crate) rows: ReplicaRows,
     /// Share of attempts that got no response, by zone, smoothed.
@@ -31,21 +31,23 @@
         &mut self.servers[index]
     }
 
-    fn add(&mut self, node: NodeId, latency_per_work: f64) -> usize {
-        let index = self.free.pop().unwrap_or(self.servers.len());
-        self.by_name.insert(node.clone(), index);
-        self.by_short_name.insert(ShortName::of(&node), index);
-        let server = Server::new(node, latency_per_work);
-        if index == self.servers.len() {
-            self.servers.push(server);
-        } else {
-            self.servers[index] = server;
-        }
+    fn add(&mut self, node: NodeId, latency_per_work: f64) -> ServerIndex {
+        let short_name = ShortName::of(&node);
+        let server = Server::new(node.clone(), latency_per_work);
+        let index = match self.free.pop() {
+            Some(index) => {
+                self.servers[index] = server;
+                index
+            }
+            None => self.servers.push(server),
+        };
+        self.by_name.insert(node, index);
+        self.by_short_name.insert(short_name, index);
         index
     }
 
     /// Updates the average of unanswered attempts of the server's zone, if it has one.
-    pub(crate) fn record_silence(&mut self, server: usize, weight: f64, sample: f64) {
+    pub(crate) fn record_silence(&mut self, server: ServerIndex, weight: f64, sample: f64) {
         if let Some(zone) = self.servers[server].zone {
             smooth(self.zone_silence.entry(zone).or_default(), weight, sample);
         }
@@ -58,14 +60,14 @@
     }
 
     /// Forgets the removed servers that have not been observed since `unobserved_since` and are not in use.
-    pub(crate) fn forget_removed(&mut self, unobserved_since: Ms, is_in_use: impl Fn(usize) -> bool) {
-        let is_obsolete = |index: usize| {
+    pub(crate) fn forget_removed(&mut self, unobserved_since: Ms, is_in_use: impl Fn(ServerIndex) -> bool) {
+        let is_obsolete = |index: ServerIndex| {
             let server = &self.servers[index];
             server.state == ServingState::Removed
                 && server.last_observed_at < unobserved_since
                 && !is_in_use(index)
         };
-        let forgotten: Vec<usize> = self
+        let forgotten: Vec<ServerIndex> = self
             .by_name
             .values()
             .copied()
--- a/crates/fanout-policy/src/state/mod.rs
+++ b/crates/fanout-policy/src/state/mod.rs
@@ -10,6 +10,7 @@
 mod random;
 mod replica_rows;
 mod server;
+mod server_records;
 mod sliding_window;
 
 pub(crate) use average::{decay, smooth};
@@ -24,6 +25,7 @@
 pub(crate) use random::RandomSource;
 pub(crate) use replica_rows::{ReplicaRows, ServingServer};
 pub(crate) use server::{PeerLoadReport, Server};
+pub(crate) use server_records::{ServerIndex, ServerRecords};
 pub(crate) use sliding_window::SlidingWindow;
 
 /// Milliseconds in a second.
--- a/crates/fanout-policy/src/state/query.rs
+++ b/crates/fanout-policy/src/state/query.rs
@@ -1,5 +1,6 @@
 //! Records of a query in flight, its parts and their attempts.
 
+use super::ServerIndex;
 use super::server::SentAttempt;
 use crate::api::{Ms, Outcome, PartId};
 
@@ -14,7 +15,7 @@
 /// One attempt as its part's record keeps it.
 pub(crate) struct Attempt {
     /// Index of the server.
-    pub(crate) server: usize,
+    pub(crate) server: ServerIndex,
     /// When it was sent.
     pub(crate) sent_at: Ms,
     /// Forecast latency when it was sent.
@@ -46,7 +47,7 @@
 /// An attempt in flight with what is needed to learn from its outcome.
 pub(crate) struct InFlightAttempt {
     /// Index of the server.
-    pub(crate) server: usize,
+    pub(crate) server: ServerIndex,
     /// Class of its query.
     pub(crate) class: usize,
     /// Its own work.
@@ -85,7 +86,7 @@
     pub(crate) weight: f64,
     pub(crate) cost_hint: Option<Ms>,
     /// Server of the row that the part was assigned to.
-    pub(crate) row_server: Option<usize>,
+    pub(crate) row_server: Option<ServerIndex>,
     /// Attempts so far, in order.
     pub(crate) attempts: Vec<Attempt>,
     pub(crate) is_served: bool,
@@ -123,12 +124,12 @@
     }
 
     /// Whether any attempt went to this server.
-    pub(crate) fn was_sent_to(&self, server: usize) -> bool {
+    pub(crate) fn was_sent_to(&self, server: ServerIndex) -> bool {
         self.attempts.iter().any(|attempt| attempt.server == server)
     }
 
     /// Whether an attempt is in flight to this server.
-    pub(crate) fn is_in_flight_to(&self, server: usize) -> bool {
+    pub(crate) fn is_in_flight_to(&self, server: ServerIndex) -> bool {
         self.attempts
             .iter()
             .any(|attempt| attempt.server == server && attempt.is_in_flight())
@@ -242,7 +243,7 @@
 /// A server that an attempt for a part may go to.
 pub(crate) struct Candidate {
     /// Index of the server.
-    pub(crate) server: usize,
+    pub(crate) server: ServerIndex,
     /// Forecast latency with the penalty for crossing zones.
     pub(crate) score: Ms,
     /// Whether it may be selected without need.
--- a/crates/fanout-policy/src/state/query_table.rs
+++ b/crates/fanout-policy/src/state/query_table.rs
@@ -1,6 +1,6 @@
 //! Table of the queries in flight with its indexes.
 
-use super::{Attempt, InFlightAttempt, InFlightQuery, PartState};
+use super::{Attempt, InFlightAttempt, InFlightQuery, PartState, ServerIndex};
 use crate::api::{Outcome, Part, PartId, QueryId};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -132,7 +132,7 @@
     }
 
     /// Indexes of all servers that queries or attempts refer to.
-    pub(crate) fn servers_in_use(&self) -> BTreeSet<usize> {
+    pub(crate) fn servers_in_use(&self) -> BTreeSet<ServerIndex> {
         let parts = || self.queries.values().flat_map(|query| &query.parts);
         let attempted = parts().flat_map(|part| part.attempts.iter().map(|attempt| attempt.server));
         let assigned = parts().filter_map(|part| part.row_server);
--- a/crates/fanout-policy/src/state/replica_rows.rs
+++ b/crates/fanout-policy/src/state/replica_rows.rs
@@ -1,12 +1,12 @@
 //! The replica rows: which servers hold each shard, in row order.
 
-use super::PartState;
+use super::{PartState, ServerIndex};
 use std::collections::BTreeSet;
 
 /// A server that serves.
 pub(crate) struct ServingServer {
     /// Its index.
-    pub(crate) index: usize,
+    pub(crate) index: ServerIndex,
     /// Its cell.
     pub(crate) cell: usize,
 }
@@ -14,7 +14,7 @@
 /// The holders of each shard, rebuilt with each endpoint list: by distance of their cell, then by server
 /// name.
 #[derive(Default)]
-pub(crate) struct ReplicaRows(Vec<Vec<usize>>);
+pub(crate) struct ReplicaRows(Vec<Vec<ServerIndex>>);
 
 impl ReplicaRows {
     /// Rows of the serving servers, given in order of name.
@@ -38,7 +38,7 @@
     }
 
     /// Servers that hold the shard.
-    pub(crate) fn holders(&self, shard: usize) -> &[usize] {
+    pub(crate) fn holders(&self, shard: usize) -> &[ServerIndex] {
         if self.0.is_empty() {
             &[]
         } else {
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -4,7 +4,7 @@
 
 use crate::aggregator::Aggregator;
 use crate::api::{ClassIndex, Ms, NodeId, Outcome, ServingState};
-use crate::state::{ClassState, InFlightAttempt, Server};
+use crate::state::{ClassState, InFlightAttempt, Server, ServerIndex};
 
 /// Largest number of attempts that one report counts as. Outlier detection works on shares and on consecutive
 /// failures, so that more samples add nothing and would outweigh the reports of others.
@@ -120,7 +120,7 @@
         }
     }
 
-    fn apply_load_report(&mut self, server: usize, class: ClassIndex, work: Ms, report: &LoadReport) {
+    fn apply_load_report(&mut self, server: ServerIndex, class: ClassIndex, work: Ms, report: &LoadReport) {
         let expected_latency = work * self.fleet_latency_per_work;
         let elapsed = report.mean_latency.unwrap_or(expected_latency);
         let attempt = InFlightAttempt {
