--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -34,12 +34,11 @@
         let mut rng = Rng::with_seed(seed);
         let backoff = Backoff::new(rng.fork());
         let watcher = Watcher::new(address, Some(revision), event_queue.clone(), backoff);
-        let _task = executor.spawn(watcher.run());
         DiscoveryWatch {
+            _task: executor.spawn(watcher.run()),
             executor,
             event_queue,
             rng,
-            _task,
         }
     }
 
--- a/crates/broker/src/discovery/client.rs
+++ b/crates/broker/src/discovery/client.rs
@@ -113,3 +113,6 @@
         _ => Ok(()),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -150,3 +150,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/broker/src/event_queue/tests.rs
@@ -0,0 +1,60 @@
+//! Tests of the queue of events.
+
+use super::*;
+use broker_types::query::{ClassIndex, TenantIndex};
+
+fn request() -> QueryRequest {
+    QueryRequest {
+        id: "9b1f".into(),
+        class: ClassIndex(0),
+        tenant: TenantIndex(0),
+        client_timeout: 1000,
+        is_retry: false,
+        idempotency_key: None,
+        parts: Vec::new(),
+        payload: "text".into(),
+    }
+}
+
+/// Submits a query and returns its handle with the query that the event loop receives.
+fn submit(queue: &EventQueue) -> (QueryHandle<'_>, ReceivedQuery) {
+    let handle = queue.submit_query(ConnectionId(3), request());
+    assert_eq!(queue.pending_queries(), 1);
+    let event = queue.drain().pop();
+    assert_eq!(queue.pending_queries(), 0);
+    let Some(Event::QueryReceived(query)) = event else {
+        panic!("the event is not a received query");
+    };
+    (handle, query)
+}
+
+#[test]
+fn handle_dropped_before_response_reports_disconnect() {
+    let queue = EventQueue::default();
+    let (handle, query) = submit(&queue);
+    drop(handle);
+    let events = queue.drain();
+    assert!(
+        matches!(events[..], [Event::ClientDisconnected { query: id }] if id == query.id),
+        "one event for the query"
+    );
+}
+
+#[test]
+fn handle_dropped_after_response_reports_nothing() {
+    let queue = EventQueue::default();
+    let (handle, query) = submit(&queue);
+    query.reply.try_send(FinalResponse::Failed).unwrap();
+    drop(query);
+    assert_eq!(async_io::block_on(handle.response()), FinalResponse::Failed);
+    drop(handle);
+    assert!(queue.drain().is_empty());
+}
+
+#[test]
+fn query_dropped_without_response_has_failed() {
+    let queue = EventQueue::default();
+    let (handle, query) = submit(&queue);
+    drop(query);
+    assert_eq!(async_io::block_on(handle.response()), FinalResponse::Failed);
+}
