--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -15,10 +15,11 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between two looks at whether the process has ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Words of the log line with the address of the HTTP/1.1 listener.
-const HTTP1_LISTENER_STARTED: &str = "event=broker_started ";
-/// Words of the log line with the address of the HTTP/2 listener.
-const HTTP2_LISTENER_STARTED: &str = "event=http2_listener_started ";
+/// Words of the log line with the address of the HTTP/1.1 listener: the event's name, and that in builds before 0.2's log
+/// events were renamed, so that `bench` can measure such a build.
+const HTTP1_LISTENER_STARTED: [&str; 2] = ["event=broker_started ", "event=started "];
+/// Words of the log line with the address of the HTTP/2 listener, likewise.
+const HTTP2_LISTENER_STARTED: [&str; 2] = ["event=http2_listener_started ", "event=started_http2 "];
 /// Setting of the operator's file that opens the HTTP/2 listener.
 const HTTP2_LISTENER_SETTING: &str = "listen-http2";
 const PLATFORM_FILE: &str = "config.json";
@@ -89,9 +90,9 @@
         let mut child = spawn_broker(executable, &directory)?;
         let mut log = ProcessLog::read(child.stderr.take());
         let process = ProcessWithFiles { child, directory };
-        let http1 = log.wait_for_listener(HTTP1_LISTENER_STARTED)?;
+        let http1 = log.wait_for_listener(&HTTP1_LISTENER_STARTED)?;
         let http2 = if operator_config.contains(HTTP2_LISTENER_SETTING) {
-            Some(log.wait_for_listener(HTTP2_LISTENER_STARTED)?)
+            Some(log.wait_for_listener(&HTTP2_LISTENER_STARTED)?)
         } else {
             None
         };
@@ -110,7 +111,7 @@
     ///
     /// If no such line comes in time.
     pub fn wait_for_log(&mut self, words: &str) -> Result<String, BrokerProcessError> {
-        self.log.wait_for(words)
+        self.log.wait_for(&[words])
     }
 
     /// All lines of the log so far.
@@ -266,25 +267,26 @@
         &self.lines
     }
 
-    fn wait_for(&mut self, words: &str) -> Result<String, BrokerProcessError> {
+    /// Waits for a line that holds one of these texts.
+    fn wait_for(&mut self, texts: &[&str]) -> Result<String, BrokerProcessError> {
         let deadline = Instant::now() + TIMEOUT;
         loop {
             let remaining = deadline.saturating_duration_since(Instant::now());
             let Ok(line) = self.incoming.recv_timeout(remaining) else {
                 return Err(BrokerProcessError::LogLineMissing {
-                    words: words.to_owned(),
+                    words: texts.join(" or "),
                     seen: self.lines.clone(),
                 });
             };
             self.lines.push_back(line.clone());
-            if line.contains(words) {
+            if texts.iter().any(|text| line.contains(text)) {
                 return Ok(line);
             }
         }
     }
 
-    fn wait_for_listener(&mut self, words: &str) -> Result<SocketAddr, BrokerProcessError> {
-        let line = self.wait_for(words)?;
+    fn wait_for_listener(&mut self, texts: &[&str]) -> Result<SocketAddr, BrokerProcessError> {
+        let line = self.wait_for(texts)?;
         let address = line
             .split(' ')
             .find_map(|pair| pair.strip_prefix("listen="));
