--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -15,8 +15,8 @@
 const TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between two looks at whether the process has ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Words of the log line with the address of the HTTP/1.1 listener: the event's name, and that in builds before 0.2's log
-/// events were renamed, so that `bench` can measure such a build.
+/// Words of the log line with the address of the HTTP/1.1 listener: the event's name, and the one that earlier builds gave
+/// it, so that `bench` can measure such a build too.
 const HTTP1_LISTENER_STARTED: [&str; 2] = ["event=broker_started ", "event=started "];
 /// Words of the log line with the address of the HTTP/2 listener, likewise.
 const HTTP2_LISTENER_STARTED: [&str; 2] = ["event=http2_listener_started ", "event=started_http2 "];
