--- a/crates/query-broker/tests/http2/any_frames.rs
+++ b/crates/query-broker/tests/http2/arbitrary_frames.rs
@@ -1,18 +1,16 @@
-//! Whatever frames come, in whatever order and however cut: the program lives, other clients are served, and nothing of
-//! it stays behind.
+//! Arbitrary frames, in any order and cut anywhere: the program survives, other clients are served, and no memory is
+//! lost.
 
-use crate::rig::{lookup, rig, whole};
-use load_generator::raw_http2::{
-    QUERY_BODY, RawHttp2Client, encode_frame, query_fields, query_frames,
-};
+use crate::fixture::{Fixture, complete_answer, lookup};
+use load_generator::raw_http2::{QUERY_BODY, encode_frame, query_fields, query_frames};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, FileFailurePersistence, TestRunner};
 use std::time::Duration;
 
-/// What a thousand connections may leave behind in the allocator's hands.
-const LEFT: u64 = 16 << 20;
+/// Memory that the allocator may keep after all connections, in bytes.
+const MEMORY_TOLERANCE: u64 = 16 << 20;
 
-fn frames() -> impl Strategy<Value = Vec<Vec<u8>>> {
+fn frame_sequences() -> impl Strategy<Value = Vec<Vec<u8>>> {
     let stream = prop::sample::select(vec![0u32, 1, 3, 5, 7, 2, 0x7fff_ffff]);
     let any_frame = (
         0u8..12,
@@ -51,29 +49,30 @@
             };
             encode_frame(kind, u8::from(ack), stream, &rest[..length])
         });
-    let whole =
+    let whole_query =
         (0u32..50, 0u32..1000).prop_map(|(n, id)| query_frames(1 + 2 * n, &format!("w{id}")));
-    let one = prop_oneof![2 => any_frame, 3 => headers, 3 => data, 3 => control, 3 => whole];
-    prop::collection::vec(one, 1..30)
+    let any_item =
+        prop_oneof![2 => any_frame, 3 => headers, 3 => data, 3 => control, 3 => whole_query];
+    prop::collection::vec(any_item, 1..30)
 }
 
 #[test]
-fn any_frames_leave_the_program_as_it_was() {
-    let rig = rig(Duration::ZERO);
-    let serves = |n: usize| {
-        rig.run(async {
-            let http2 = rig.connect().await;
+fn arbitrary_frames_leave_no_memory_behind_and_other_clients_are_served() {
+    let fixture = Fixture::with_part_duration(Duration::ZERO);
+    let check_served = |n: usize| {
+        fixture.run(async {
+            let http2 = fixture.connect().await;
             assert_eq!(
                 http2
                     .send_query(&lookup(&format!("serves{n}"), &[n % 8]))
                     .await,
-                whole(&[n % 8])
+                complete_answer(&[n % 8])
             );
         });
     };
-    (0..50).for_each(serves);
-    let before = rig.program.resident_memory().unwrap();
-    let found = FileFailurePersistence::Direct("tests/http2/any_frames.regressions");
+    (0..50).for_each(check_served);
+    let before = fixture.broker.resident_memory().unwrap();
+    let found = FileFailurePersistence::Direct("tests/http2/arbitrary_frames.regressions");
     let config = Config {
         cases: 150,
         failure_persistence: Some(Box::new(found)),
@@ -81,26 +80,26 @@
     };
     let n = std::cell::Cell::new(50);
     TestRunner::new(config)
-        .run(&(frames(), 1usize..400), |(frames, cut)| {
-            let mut raw = RawHttp2Client::connect_with_preface(rig.program.http2.unwrap());
+        .run(&(frame_sequences(), 1usize..400), |(frames, cut)| {
+            let mut raw = fixture.connect_raw();
             for piece in frames.concat().chunks(cut) {
                 if !raw.try_send(piece) {
                     break;
                 }
             }
-            // What comes is read on half of them; the others are closed on what was said.
+            // Half of the connections read a frame; the others are closed at once.
             if cut % 2 == 0 {
                 raw.next_frame(Duration::from_millis(20));
             }
             drop(raw);
             n.set(n.get() + 1);
-            serves(n.get());
+            check_served(n.get());
             Ok(())
         })
         .unwrap();
-    let after = rig.program.resident_memory().unwrap();
+    let after = fixture.broker.resident_memory().unwrap();
     assert!(
-        after < before + LEFT,
+        after < before + MEMORY_TOLERANCE,
         "{before} bytes before, {after} after"
     );
 }
--- /dev/null
+++ b/crates/query-broker/tests/http2/fixture.rs
@@ -0,0 +1,177 @@
+//! A broker with a fleet of data servers, and an executor for its clients.
+
+use async_executor::LocalExecutor;
+use async_io::Timer;
+use futures_lite::FutureExt;
+use h2::client::Builder;
+use load_generator::raw_http2::{END_HEADERS, HEADERS, RawHttp2Client, encode_frame, query_fields};
+use load_generator::{Http1Client, Http2Client, LoadQuery, QUERY_TEXT, QueryOutcome, ShardValue};
+use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+use test_fleet::{AttemptLimits, BrokerProcess, Deployment, Fault, Fleet, FleetPlan, part_value};
+
+/// Far beyond what a slow machine needs for whatever is waited for.
+pub(crate) const BOUND: Duration = Duration::from_secs(30);
+
+/// An operator's file that asks for HTTP/2 and nothing else.
+pub(crate) const OPERATOR_CONFIG: &str = "listen-http2 127.0.0.1:0\n";
+
+/// Pause between two looks at what the data servers have seen.
+const ATTEMPT_POLL: Duration = Duration::from_millis(1);
+
+/// Pause between two attempts to connect.
+const CONNECT_POLL: Duration = Duration::from_millis(20);
+
+/// A running broker with its fleet.
+pub(crate) struct Fixture {
+    pub(crate) broker: BrokerProcess,
+    pub(crate) fleet: Fleet,
+    pub(crate) executor: Rc<LocalExecutor<'static>>,
+}
+
+impl Fixture {
+    /// Starts a usual deployment, whose data servers take this long for a part.
+    pub(crate) fn with_part_duration(part_duration: Duration) -> Self {
+        let plan = FleetPlan {
+            part_duration,
+            ..FleetPlan::default()
+        };
+        Fixture::start(plan, Deployment::default(), OPERATOR_CONFIG)
+    }
+
+    /// Starts a fleet and a broker with this operator's file.
+    pub(crate) fn start(plan: FleetPlan, deployment: Deployment, operator_config: &str) -> Self {
+        let fleet = Fleet::start(plan).unwrap();
+        let executable = Path::new(env!("CARGO_BIN_EXE_query-broker"));
+        let broker = BrokerProcess::start(executable, deployment, &fleet, operator_config).unwrap();
+        Fixture {
+            broker,
+            fleet,
+            executor: Rc::new(LocalExecutor::new()),
+        }
+    }
+
+    /// Runs clients to their end.
+    pub(crate) fn run<T>(&self, clients: impl Future<Output = T>) -> T {
+        let timeout = async {
+            Timer::after(BOUND).await;
+            panic!("the clients do not come to an end");
+        };
+        async_io::block_on(self.executor.run(clients.or(timeout)))
+    }
+
+    /// Where the broker listens for HTTP/2.
+    pub(crate) fn http2_address(&self) -> SocketAddr {
+        self.broker.http2.unwrap()
+    }
+
+    pub(crate) async fn connect(&self) -> Http2Client {
+        self.connect_with(&Builder::new()).await
+    }
+
+    pub(crate) async fn connect_with(&self, builder: &Builder) -> Http2Client {
+        Http2Client::connect_with(self.http2_address(), &self.executor, builder)
+            .await
+            .unwrap()
+    }
+
+    pub(crate) async fn connect_http1(&self) -> Http1Client {
+        Http1Client::connect(self.broker.http1).await.unwrap()
+    }
+
+    /// Connects a client that writes its frames by hand; the preface and SETTINGS are sent.
+    pub(crate) fn connect_raw(&self) -> RawHttp2Client {
+        RawHttp2Client::connect_with_preface(self.http2_address())
+    }
+
+    /// Connects a client that has sent nothing.
+    pub(crate) fn connect_silent(&self) -> RawHttp2Client {
+        RawHttp2Client::connect(self.http2_address())
+    }
+
+    /// Makes all data servers faulty, or sound again.
+    pub(crate) fn set_fault(&self, fault: Fault) {
+        for server in self.fleet.servers() {
+            server.set_fault(fault);
+        }
+    }
+
+    /// Sets how long all data servers take for a part.
+    pub(crate) fn set_part_duration(&self, part_duration: Duration) {
+        for server in self.fleet.servers() {
+            server.set_part_duration(part_duration);
+        }
+    }
+
+    /// Waits until the broker's SETTINGS apply to the connection. They are the first frame that a server sends (RFC
+    /// 9113, section 3.4), so that they are known with the first response.
+    pub(crate) async fn wait_for_settings(&self, http2: &Http2Client) {
+        let ready = http::Request::get("http://broker.svc/-/ready");
+        let response = http2.send(&ready.body(Vec::new()).unwrap()).await.unwrap();
+        assert_eq!(response.status(), 200);
+        assert_ne!(http2.peer_stream_limit(), usize::MAX);
+    }
+
+    /// Number of attempts that the data servers have seen.
+    pub(crate) fn attempt_count(&self) -> usize {
+        self.fleet.attempt_log(|log| log.attempts().len())
+    }
+
+    /// Waits until the data servers have seen this many attempts.
+    pub(crate) async fn wait_for_attempts(&self, count: usize) {
+        while self.attempt_count() < count {
+            Timer::after(ATTEMPT_POLL).await;
+        }
+    }
+
+    /// Waits until all attempts that the data servers have seen are over.
+    pub(crate) async fn wait_until_attempts_end(&self) {
+        while self
+            .fleet
+            .attempt_log(|log| log.attempts().iter().any(|attempt| attempt.end.is_none()))
+        {
+            Timer::after(ATTEMPT_POLL).await;
+        }
+    }
+
+    /// Waits until the broker accepts no new connections over HTTP/2.
+    pub(crate) fn wait_until_not_listening(&self) {
+        let until = Instant::now() + BOUND;
+        while TcpStream::connect(self.http2_address()).is_ok() {
+            assert!(Instant::now() < until, "it still listens");
+            std::thread::sleep(CONNECT_POLL);
+        }
+    }
+
+    /// Checks that the attempts that the data servers have seen keep all limits.
+    pub(crate) fn check_invariants(&self) {
+        let violations = self
+            .fleet
+            .attempt_log(|log| log.check_invariants(AttemptLimits::default()));
+        assert!(violations.is_empty(), "{violations:#?}");
+    }
+}
+
+/// The complete answer to a query for these shards.
+pub(crate) fn complete_answer(shards: &[usize]) -> QueryOutcome {
+    let shard_value = |shard: &usize| ShardValue {
+        shard: *shard,
+        value: part_value(*shard, QUERY_TEXT),
+    };
+    QueryOutcome::Answered {
+        complete: true,
+        values: shards.iter().map(shard_value).collect(),
+    }
+}
+
+/// A query of a class that is safe to repeat.
+pub(crate) fn lookup(id: &str, shards: &[usize]) -> LoadQuery {
+    LoadQuery::new(id, "lookup", shards)
+}
+
+/// The head of a query, with some fields replaced, left out (an empty value) or added. Its body is still to come.
+pub(crate) fn query_headers(stream: u32, id: &str, changes: &[(&str, &str)]) -> Vec<u8> {
+    encode_frame(HEADERS, END_HEADERS, stream, &query_fields(id, changes))
+}
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -1,22 +1,25 @@
-//! Floods: each is bounded, ended within three seconds, logged, and costs other clients nothing but time.
+//! Floods: each is bounded, ended within three seconds and logged, and other clients are served.
 
-use crate::rig::{Rig, lookup, rig, whole};
+use crate::fixture::{BOUND, Fixture, complete_answer, lookup, query_headers};
 use load_generator::raw_http2::{
-    CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, QUERY_BODY, RST_STREAM, RawHttp2Client,
-    SETTINGS, WINDOW_UPDATE, encode_fields, encode_frame, query_fields, query_frames,
+    CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, PREFACE, QUERY_BODY, RST_STREAM,
+    RawHttp2Client, SETTINGS, WINDOW_UPDATE, encode_fields, encode_frame, query_fields,
+    query_frames,
 };
 use std::time::{Duration, Instant};
 
+/// The error code `ENHANCE_YOUR_CALM` (RFC 9113, section 7).
 const ENHANCE_YOUR_CALM: u32 = 11;
-const ENDED: Duration = Duration::from_secs(20);
+/// Bound on the end of a flooded or silent connection.
+const CLOSE_BOUND: Duration = Duration::from_secs(20);
 
 /// Sends the same again and again until the connection ends. What is measured is the broker's time, so that the bound
 /// on a slow machine is far beyond the three seconds that the page states; `query-broker bench` shows the figure.
-fn flood(rig: &mut Rig, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
-    let mut raw = RawHttp2Client::connect_with_preface(rig.program.http2.unwrap());
-    let begun = Instant::now();
+fn flood(fixture: &mut Fixture, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
+    let mut raw = fixture.connect_raw();
+    let start = Instant::now();
     let mut n = 0;
-    while begun.elapsed() < ENDED {
+    while start.elapsed() < CLOSE_BOUND {
         let mut burst = Vec::new();
         for _ in 0..64 {
             burst.extend(bytes(n));
@@ -26,23 +29,27 @@
             break;
         }
     }
-    assert!(begun.elapsed() < ENDED, "{what}: it goes on for ever");
-    let (frames, _) = raw.frames_until_close(ENDED);
+    assert!(
+        start.elapsed() < CLOSE_BOUND,
+        "{what}: the connection is not ended"
+    );
+    let (frames, _) = raw.frames_until_close(CLOSE_BOUND);
     if let Some(goaway) = frames.iter().rfind(|f| f.frame_type == GOAWAY) {
         assert_eq!(goaway.error_code(), ENHANCE_YOUR_CALM, "{what}");
     }
-    let after = rig.run(async {
-        rig.connect()
+    let after = fixture.run(async {
+        fixture
+            .connect()
             .await
             .send_query(&lookup(&format!("after {what}").replace(' ', "-"), &[1]))
             .await
     });
-    assert_eq!(after, whole(&[1]), "{what}");
+    assert_eq!(after, complete_answer(&[1]), "{what}");
 }
 
 #[test]
-fn floods_of_frames_that_carry_nothing_are_ended() {
-    let mut rig = rig(Duration::ZERO);
+fn floods_of_frames_without_payload_end_the_connection() {
+    let mut fixture = Fixture::with_part_duration(Duration::ZERO);
     for (what, bytes) in [
         ("PING", encode_frame(PING, 0, 0, &[0; 8])),
         ("SETTINGS", encode_frame(SETTINGS, 0, 0, &[])),
@@ -55,18 +62,19 @@
     ] {
         // An event has one line a second.
         std::thread::sleep(Duration::from_millis(1100));
-        flood(&mut rig, what, |_| bytes.clone());
-        rig.program
+        flood(&mut fixture, what, |_| bytes.clone());
+        fixture
+            .broker
             .wait_for_log(&format!("reason=\"a flood of {what}\""))
-            .or_else(|_| rig.program.wait_for_log("event=http2_flood_detected"))
+            .or_else(|_| fixture.broker.wait_for_log("event=http2_flood_detected"))
             .unwrap();
     }
 }
 
 #[test]
-fn rapid_resets_are_ended() {
-    let mut rig = rig(Duration::ZERO);
-    flood(&mut rig, "resets", |n| {
+fn rapid_resets_end_the_connection() {
+    let mut fixture = Fixture::with_part_duration(Duration::ZERO);
+    flood(&mut fixture, "resets", |n| {
         let stream = 1 + 2 * n;
         [
             query_frames(stream, &format!("r{n}")),
@@ -74,18 +82,19 @@
         ]
         .concat()
     });
-    rig.program
+    fixture
+        .broker
         .wait_for_log("event=http2_flood_detected")
         .unwrap();
-    rig.check_books();
+    fixture.check_invariants();
 }
 
 #[test]
-fn empty_data_is_ended() {
-    let mut rig = rig(Duration::ZERO);
-    flood(&mut rig, "empty DATA", |n| {
+fn flood_of_empty_data_ends_the_connection() {
+    let mut fixture = Fixture::with_part_duration(Duration::ZERO);
+    flood(&mut fixture, "empty DATA", |n| {
         let open = if n == 0 {
-            encode_frame(HEADERS, END_HEADERS, 1, &query_fields("e", &[]))
+            query_headers(1, "e", &[])
         } else {
             Vec::new()
         };
@@ -94,9 +103,9 @@
 }
 
 #[test]
-fn a_header_block_without_end_is_ended() {
-    let mut rig = rig(Duration::ZERO);
-    flood(&mut rig, "CONTINUATION", |n| match n {
+fn endless_header_block_ends_the_connection() {
+    let mut fixture = Fixture::with_part_duration(Duration::ZERO);
+    flood(&mut fixture, "CONTINUATION", |n| match n {
         0 => encode_frame(HEADERS, 0, 1, &query_fields("c", &[])),
         n => encode_frame(
             CONTINUATION,
@@ -105,7 +114,7 @@
             &encode_fields(&[(&format!("a{n}"), "b")]),
         ),
     });
-    flood(&mut rig, "empty CONTINUATION", |n| match n {
+    flood(&mut fixture, "empty CONTINUATION", |n| match n {
         0 => encode_frame(HEADERS, 0, 1, &query_fields("d", &[])),
         _ => encode_frame(CONTINUATION, 0, 1, &[]),
     });
@@ -113,9 +122,9 @@
 
 /// A few bytes that decode to a long list: a field in the dynamic table, and hundreds of references to it.
 #[test]
-fn a_header_bomb_is_refused() {
-    let rig = rig(Duration::ZERO);
-    let mut raw = RawHttp2Client::connect_with_preface(rig.program.http2.unwrap());
+fn header_bomb_is_not_served() {
+    let fixture = Fixture::with_part_duration(Duration::ZERO);
+    let mut raw = fixture.connect_raw();
     let mut block = query_fields("bomb", &[]);
     // A literal with incremental indexing (RFC 7541, section 6.2.1): the entry that 0xbe then names.
     block.extend([0x40, 4]);
@@ -126,34 +135,40 @@
     raw.send(&encode_frame(HEADERS, END_HEADERS, 1, &block));
     raw.send(&encode_frame(DATA, 1, 1, QUERY_BODY));
     raw.send(&query_frames(3, "usual"));
-    let mut seen = Vec::new();
-    while let Some(next) = raw.next_frame(Duration::from_secs(30)) {
+    let mut ended_streams = Vec::new();
+    while let Some(next) = raw.next_frame(BOUND) {
         if next.frame_type == HEADERS || next.frame_type == RST_STREAM {
-            seen.push(next.stream_id);
+            ended_streams.push(next.stream_id);
         }
-        if next.frame_type == GOAWAY || seen.contains(&3) {
+        if next.frame_type == GOAWAY || ended_streams.contains(&3) {
             break;
         }
     }
     assert!(
-        rig.fleet
+        fixture
+            .fleet
             .attempt_log(|log| !log.attempts().iter().any(|a| a.part_id.starts_with("bomb"))),
         "it was served"
     );
-    let after = rig.run(async { rig.connect().await.send_query(&lookup("after", &[1])).await });
-    assert_eq!(after, whole(&[1]));
+    let after = fixture.run(async {
+        fixture
+            .connect()
+            .await
+            .send_query(&lookup("after", &[1]))
+            .await
+    });
+    assert_eq!(after, complete_answer(&[1]));
 }
 
-/// Connections that say nothing, or stop in the middle of what all begin with or of a frame.
+/// Connections that send nothing, or stop in the middle of the preface or of a frame.
 #[test]
-fn silence_is_ended() {
-    let mut rig = rig(Duration::ZERO);
-    let to = rig.program.http2.unwrap();
-    let half_frame = &encode_frame(HEADERS, END_HEADERS, 1, &query_fields("a", &[]))[..20];
+fn silent_connections_are_closed() {
+    let mut fixture = Fixture::with_part_duration(Duration::ZERO);
+    let half_frame = &query_headers(1, "a", &[])[..20];
     let open_block = encode_frame(HEADERS, 0, 1, &query_fields("b", &[]));
-    let preface = load_generator::raw_http2::PREFACE;
+    let preface = PREFACE;
     let settled = [preface, &encode_frame(SETTINGS, 0, 0, &[])].concat();
-    let mut raws: Vec<RawHttp2Client> = [
+    let mut clients: Vec<RawHttp2Client> = [
         Vec::new(),
         preface[..10].to_vec(),
         preface.to_vec(),
@@ -163,23 +178,24 @@
     ]
     .iter()
     .map(|bytes| {
-        let mut raw = RawHttp2Client::connect(to);
+        let mut raw = fixture.connect_silent();
         raw.send(bytes);
         raw
     })
     .collect();
-    for raw in &mut raws {
-        raw.frames_until_close(ENDED);
+    for raw in &mut clients {
+        raw.frames_until_close(CLOSE_BOUND);
     }
-    rig.program
+    fixture
+        .broker
         .wait_for_log("event=http2_request_stalled")
         .unwrap();
 }
 
-/// More connections than there are slots: those that ask are served, those that say nothing make room.
+/// More connections than there are slots: those that send queries are served in place of those that send nothing.
 #[test]
-fn silent_connections_do_not_hold_the_seats() {
-    let rig = crate::rig::rig_with(
+fn silent_connections_are_evicted_when_slots_are_exhausted() {
+    let fixture = Fixture::start(
         test_fleet::FleetPlan {
             part_duration: Duration::ZERO,
             ..Default::default()
@@ -187,16 +203,16 @@
         test_fleet::Deployment::default(),
         "listen-http2 127.0.0.1:0\nhttp2-connections 4\n",
     );
-    let to = rig.program.http2.unwrap();
-    let silent: Vec<RawHttp2Client> = (0..12).map(|_| RawHttp2Client::connect(to)).collect();
-    rig.run(async {
+    let silent: Vec<RawHttp2Client> = (0..12).map(|_| fixture.connect_silent()).collect();
+    fixture.run(async {
         for n in 0..8 {
             assert_eq!(
-                rig.connect()
+                fixture
+                    .connect()
                     .await
                     .send_query(&lookup(&format!("q{n}"), &[n]))
                     .await,
-                whole(&[n])
+                complete_answer(&[n])
             );
         }
     });
--- /dev/null
+++ b/crates/query-broker/tests/http2/graceful_shutdown.rs
@@ -0,0 +1,97 @@
+//! SIGTERM: GOAWAY is sent twice, accepted queries are answered, the process ends.
+
+use crate::fixture::{BOUND, Fixture, complete_answer, lookup};
+use futures_util::future::join_all;
+use load_generator::raw_http2::{
+    DATA, END_STREAM, GOAWAY, HEADERS, PING, RST_STREAM, encode_frame, query_frames,
+    response_status,
+};
+use std::time::Duration;
+
+/// The flag ACK of a PING frame.
+const ACK: u8 = 1;
+
+/// The highest id of a stream.
+const HIGHEST_STREAM_ID: u32 = 0x7fff_ffff;
+
+/// Bound on the end of a connection.
+const CLOSE_BOUND: Duration = Duration::from_secs(20);
+
+#[test]
+fn goaway_is_sent_and_accepted_queries_are_answered_on_shutdown() {
+    let mut fixture = Fixture::with_part_duration(Duration::from_millis(300));
+    let mut raw = fixture.connect_raw();
+    raw.send(&query_frames(1, "a"));
+    fixture.run(fixture.wait_for_attempts(1));
+    fixture.broker.signal("TERM").unwrap();
+    let first = raw.expect_frame(GOAWAY);
+    assert_eq!(
+        (first.last_stream_id(), first.error_code()),
+        (HIGHEST_STREAM_ID, 0)
+    );
+    let ping = raw.expect_frame(PING);
+    // A query that crosses the GOAWAY on its way counts as accepted.
+    raw.send(&query_frames(3, "b"));
+    raw.send(&encode_frame(PING, ACK, 0, &ping.payload));
+    let mut answered = Vec::new();
+    let mut last = None;
+    while let Some(next) = raw.next_frame(BOUND) {
+        match next.frame_type {
+            HEADERS => assert_eq!(response_status(&next), 200),
+            DATA if next.flags & END_STREAM != 0 => answered.push(next.stream_id),
+            GOAWAY => last = Some(next.last_stream_id()),
+            _ => {}
+        }
+    }
+    answered.sort_unstable();
+    assert_eq!((answered, last), (vec![1, 3], Some(3)));
+    assert!(fixture.broker.wait_for_exit().unwrap().success());
+    fixture.check_invariants();
+}
+
+/// A client that never acknowledges the PING has its later streams refused, and does not delay the exit.
+#[test]
+fn late_streams_are_refused_and_the_process_ends_without_ping_ack() {
+    // Long enough that the first query is still being served when the second comes.
+    let mut fixture = Fixture::with_part_duration(Duration::from_millis(1500));
+    let mut raw = fixture.connect_raw();
+    raw.send(&query_frames(1, "a"));
+    fixture.run(fixture.wait_for_attempts(1));
+    fixture.broker.signal("TERM").unwrap();
+    assert_eq!(raw.expect_frame(GOAWAY).last_stream_id(), HIGHEST_STREAM_ID);
+    // New connections are accepted for 600 ms; when they no longer are, new streams of old ones are refused too.
+    fixture.wait_until_not_listening();
+    raw.send(&query_frames(3, "b"));
+    let reset = raw.expect_frame(RST_STREAM);
+    assert_eq!(
+        (reset.stream_id, reset.error_code()),
+        (3, 7),
+        "REFUSED_STREAM"
+    );
+    assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
+    raw.frames_until_close(CLOSE_BOUND);
+    assert!(fixture.broker.wait_for_exit().unwrap().success());
+    fixture
+        .fleet
+        .attempt_log(|log| assert!(log.attempts().iter().all(|a| a.part_id.starts_with("a."))));
+}
+
+/// Idle clients, and ones that never sent anything, do not delay the exit either.
+#[test]
+fn idle_clients_do_not_delay_the_exit() {
+    let mut fixture = Fixture::with_part_duration(Duration::ZERO);
+    let mut idle = fixture.connect_raw();
+    let mut silent = fixture.connect_silent();
+    let served = fixture.run(async {
+        let http2 = fixture.connect().await;
+        let queries: Vec<_> = (0..4).map(|n| lookup(&format!("q{n}"), &[n])).collect();
+        let answers = join_all(queries.iter().map(|query| http2.send_query(query))).await;
+        assert_eq!(answers[3], complete_answer(&[3]));
+        http2
+    });
+    fixture.broker.signal("TERM").unwrap();
+    idle.frames_until_close(CLOSE_BOUND);
+    silent.frames_until_close(CLOSE_BOUND);
+    assert!(fixture.broker.wait_for_exit().unwrap().success());
+    drop(served);
+}
--- a/crates/query-broker/tests/http2/main.rs
+++ b/crates/query-broker/tests/http2/main.rs
@@ -1,11 +1,13 @@
-//! The HTTP/2 front of the real program, against stand-ins on loopback. Waits are for events, with bounds far beyond
+//! The HTTP/2 listener of the real program, against a fleet on loopback. Waits are for events, with bounds far beyond
 //! what a slow machine needs.
 
-mod any_frames;
-mod chaos;
-mod drain;
+mod arbitrary_frames;
+mod fault_injection;
+mod fixture;
 mod floods;
-mod keys;
+mod graceful_shutdown;
+mod idempotency_keys;
+mod malformed_requests;
+mod operator_reload;
 mod requests;
-mod rig;
 mod streams;
--- /dev/null
+++ b/crates/query-broker/tests/http2/malformed_requests.rs
@@ -0,0 +1,134 @@
+//! Malformed requests end their stream and nothing else (RFC 9113, section 8.1.1).
+
+use crate::fixture::{BOUND, Fixture, query_headers};
+use load_generator::raw_http2::{
+    DATA, END_STREAM, Frame, GOAWAY, HEADERS, QUERY_BODY, RST_STREAM, RawHttp2Client, encode_frame,
+    query_frames, response_status,
+};
+use std::time::Duration;
+
+/// The error code `PROTOCOL_ERROR` (RFC 9113, section 7).
+const PROTOCOL_ERROR: u32 = 1;
+
+/// A request with a fault in its fields.
+struct MalformedRequest {
+    /// What is wrong.
+    fault: &'static str,
+    /// Fields that are replaced, left out (an empty value) or added.
+    changes: &'static [(&'static str, &'static str)],
+    /// Whether the library may end the connection, since it cannot decode the field's name. RFC 9113 allows this
+    /// (section 5.4.2).
+    may_end_connection: bool,
+}
+
+const fn malformed(
+    fault: &'static str,
+    changes: &'static [(&'static str, &'static str)],
+) -> MalformedRequest {
+    MalformedRequest {
+        fault,
+        changes,
+        may_end_connection: false,
+    }
+}
+
+const fn with_invalid_name(
+    fault: &'static str,
+    changes: &'static [(&'static str, &'static str)],
+) -> MalformedRequest {
+    MalformedRequest {
+        fault,
+        changes,
+        may_end_connection: true,
+    }
+}
+
+const MALFORMED_REQUESTS: [MalformedRequest; 15] = [
+    malformed("no method", &[(":method", "")]),
+    malformed("no scheme", &[(":scheme", "")]),
+    malformed("no path", &[(":path", "")]),
+    malformed("a pseudo-header behind the others", &[(":protocol", "x")]),
+    with_invalid_name("a name that no pseudo-header has", &[(":odd", "x")]),
+    malformed(
+        "two methods",
+        &[(":method", "POST"), ("a", "b"), (":status", "200")],
+    ),
+    malformed("connection", &[("connection", "close")]),
+    malformed("keep-alive", &[("keep-alive", "1")]),
+    malformed("transfer-encoding", &[("transfer-encoding", "chunked")]),
+    malformed("upgrade", &[("upgrade", "h2c")]),
+    malformed("te", &[("te", "gzip")]),
+    with_invalid_name("capitals in a name", &[("X-Odd", "1")]),
+    malformed(
+        "a length that is more than DATA",
+        &[("content-length", "1000")],
+    ),
+    malformed(
+        "a length that is less than DATA",
+        &[("content-length", "3")],
+    ),
+    malformed("a length that is not a number", &[("content-length", "x")]),
+];
+
+#[test]
+fn malformed_requests_end_only_their_stream() {
+    let fixture = Fixture::with_part_duration(Duration::ZERO);
+    let mut raw = fixture.connect_raw();
+    for (number, request) in (0..).zip(&MALFORMED_REQUESTS) {
+        let stream = 1 + 4 * number;
+        let id = format!("bad{number}");
+        raw.send(&query_headers(stream, &id, request.changes));
+        raw.send(&encode_frame(DATA, END_STREAM, stream, QUERY_BODY));
+        raw.send(&query_frames(stream + 2, &format!("good{number}")));
+        if !expect_rejection_and_answer(&mut raw, stream, request) {
+            raw = fixture.connect_raw();
+        }
+    }
+    let is_malformed = |id: &str| id.starts_with("bad");
+    fixture.fleet.attempt_log(|log| {
+        let mut attempts = log.attempts().iter();
+        assert!(
+            !attempts.any(|attempt| is_malformed(&attempt.part_id)),
+            "a malformed request was served"
+        );
+    });
+}
+
+/// Waits until the request on this stream is rejected and the one on the next stream is answered, in any order. False:
+/// the connection was ended in place of the stream.
+fn expect_rejection_and_answer(
+    raw: &mut RawHttp2Client,
+    stream: u32,
+    request: &MalformedRequest,
+) -> bool {
+    let fault = request.fault;
+    let (mut is_rejected, mut is_answered) = (false, false);
+    while !(is_rejected && is_answered) {
+        let frame = raw
+            .next_frame(BOUND)
+            .unwrap_or_else(|| panic!("{fault}: the connection ended"));
+        if frame.frame_type == GOAWAY {
+            let code = frame.error_code();
+            assert!(
+                code == PROTOCOL_ERROR && request.may_end_connection,
+                "{fault}: GOAWAY {code}"
+            );
+            return false;
+        }
+        is_rejected |= frame.stream_id == stream && is_rejection(&frame, fault);
+        is_answered |= frame.stream_id == stream + 2
+            && frame.frame_type == DATA
+            && frame.flags & END_STREAM != 0;
+    }
+    true
+}
+
+/// Whether a frame on a malformed request's stream rejects it. Panics if it does so in another way than it should.
+fn is_rejection(frame: &Frame, fault: &str) -> bool {
+    match frame.frame_type {
+        RST_STREAM => assert_eq!(frame.error_code(), PROTOCOL_ERROR, "{fault}"),
+        HEADERS => assert_eq!(response_status(frame), 400, "{fault}"),
+        _ => return false,
+    }
+    true
+}
