--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -33,7 +33,7 @@
         start.elapsed() < CLOSE_BOUND,
         "{what}: the connection is not ended"
     );
-    let (frames, _) = raw.frames_until_close(CLOSE_BOUND);
+    let frames = raw.frames_until_close(CLOSE_BOUND);
     if let Some(goaway) = frames.iter().rfind(|f| f.frame_type == GOAWAY) {
         assert_eq!(goaway.error_code(), ENHANCE_YOUR_CALM, "{what}");
     }
