--- a/crates/query-broker/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -20,6 +20,7 @@
 #[derive(Debug, Parser)]
 #[command(name = "query-broker", version, max_term_width = 100, about = ABOUT, long_about = LONG_ABOUT)]
 pub(crate) struct Cli {
+    // Without one, the program serves.
     #[command(subcommand)]
     pub(crate) command: Option<Command>,
 }
@@ -90,6 +91,7 @@
     pub(crate) http1_only: bool,
 }
 
+/// Parses the duration of a measurement; the error says what is expected.
 fn seconds(text: &str) -> Result<f64, String> {
     let number = text
         .parse()
--- a/crates/query-broker/src/main.rs
+++ b/crates/query-broker/src/main.rs
@@ -1,4 +1,4 @@
-//! The program. Without a sub-command it serves, as the platform starts it.
+//! The program `query-broker`. Without a sub-command it serves, as the platform starts it.
 
 mod bench;
 mod check;
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -11,6 +11,14 @@
 use std::time::Duration;
 use test_fleet::{Deployment, Fault, FleetPlan};
 
+fn is_complete(outcome: &QueryOutcome) -> bool {
+    matches!(outcome, QueryOutcome::Answered { complete: true, .. })
+}
+
+fn has_retry_after(outcome: &QueryOutcome) -> bool {
+    matches!(outcome, QueryOutcome::Rejected(Some(seconds)) if *seconds > 0.0)
+}
+
 #[test]
 fn hundreds_of_streams_share_a_connection() {
     let fixture = Fixture::with_part_duration(Duration::from_millis(20));
@@ -146,16 +154,10 @@
             );
         }
         assert_eq!(over_http1, complete_answer(&[6]));
-        let served = responses
-            .iter()
-            .filter(|a| matches!(a, QueryOutcome::Answered { complete: true, .. }))
-            .count();
-        let rejected = responses
-            .iter()
-            .filter(|a| matches!(a, QueryOutcome::Rejected(Some(after)) if *after > 0.0))
-            .count();
+        let answered = responses.iter().filter(|r| is_complete(r)).count();
+        let rejected = responses.iter().filter(|r| has_retry_after(r)).count();
         assert_eq!(
-            (served, rejected),
+            (answered, rejected),
             (30, 70),
             "two thirds of 90, two for each query"
         );
@@ -191,11 +193,6 @@
         assert_eq!(http2.peer_stream_limit(), 2);
         let queries: Vec<_> = (0..6).map(|n| lookup(&format!("k{n}"), &[n])).collect();
         let answers = join_all(queries.iter().map(|query| http2.send_query(query))).await;
-        assert!(
-            answers
-                .iter()
-                .all(|a| matches!(a, QueryOutcome::Answered { complete: true, .. })),
-            "{answers:?}"
-        );
+        assert!(answers.iter().all(is_complete), "{answers:?}");
     });
 }
