--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -21,19 +21,20 @@
 
 #[test]
 fn hundreds_of_streams_share_a_connection() {
-    let fixture = Fixture::with_part_duration(Duration::from_millis(20));
-    fixture.run(async {
+    let mut fixture = Fixture::with_part_duration(Duration::from_millis(20));
+    let answers = fixture.run(async {
         let http2 = fixture.connect().await;
         // More than the limit of streams: a client that does not know it yet would be refused.
         fixture.wait_for_settings(&http2).await;
         let queries: Vec<_> = (0..300)
             .map(|n| lookup(&format!("q{n}"), &[n % 8]))
             .collect();
-        let answers = join_all(queries.iter().map(|query| http2.send_query(query))).await;
-        for (n, answer) in answers.iter().enumerate() {
-            assert_eq!(*answer, complete_answer(&[n % 8]), "query {n}");
-        }
+        join_all(queries.iter().map(|query| http2.send_query(query))).await
     });
+    let log = fixture.broker.log_lines();
+    for (n, answer) in answers.iter().enumerate() {
+        assert_eq!(*answer, complete_answer(&[n % 8]), "query {n}: {log:?}");
+    }
     fixture.check_invariants();
 }
 
