--- a/crates/fanout-policy/tests/policy/admission.rs
+++ b/crates/fanout-policy/tests/policy/admission.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{
     Harness, SentAttempt, answer_queries, attempt_ended, class, final_responses, rejected, ring,
-    sent_attempts, served,
+    ring_with_class, sent_attempts, served,
 };
 use fanout_policy::api::{Action, Class, Ms, Outcome, Settings};
 
@@ -43,13 +43,7 @@
         late_weight: 0.0,
         ..class()
     };
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            ..ring()
-        },
-        1,
-    );
+    let mut policy = Harness::new(ring_with_class(class), 1);
     answer_queries(&mut policy, 20, 3500.0);
     let events = policy.query_events("again", 0, &[0], 2000.0);
     assert_eq!(
@@ -66,13 +60,7 @@
         late_weight: 0.0,
         ..class()
     };
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            ..ring()
-        },
-        1,
-    );
+    let mut policy = Harness::new(ring_with_class(class), 1);
     answer_queries(&mut policy, 10, 2500.0);
     answer_queries(&mut policy, 1, 4000.0);
     let events = policy.query_events("q", 0, &[0], 2500.0);
--- a/crates/fanout-policy/tests/policy/answers.rs
+++ b/crates/fanout-policy/tests/policy/answers.rs
@@ -2,7 +2,7 @@
 
 use crate::common::{
     Harness, attempt_ended, class, complete_answer, final_responses, part_id, partial_answer, query_id,
-    rejected, ring, sent_attempts, served,
+    rejected, ring, ring_with_class, sent_attempts, served,
 };
 use fanout_policy::api::{Action, Class, Event, Outcome, Part, Settings};
 
@@ -60,13 +60,7 @@
         minimum_share: 0.67,
         ..class()
     };
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            ..ring()
-        },
-        1,
-    );
+    let mut policy = Harness::new(ring_with_class(class), 1);
     let sent = sent_attempts(&policy.submit("q", &[0, 1, 2, 3, 4, 5]));
     assert_eq!(sent.len(), 5);
     let error = attempt_ended(&sent[0].part, 0, Outcome::Error, 10.0);
@@ -123,13 +117,7 @@
         has_second_step: true,
         ..class()
     };
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            ..ring()
-        },
-        1,
-    );
+    let mut policy = Harness::new(ring_with_class(class), 1);
     policy.submit("q", &[0]);
     let first_step = policy.advance(20.0, vec![attempt_ended("q.0", 0, Outcome::Served, 20.0)]);
     assert_eq!(final_responses(&first_step), vec![complete_answer("q")]);
--- a/crates/fanout-policy/tests/policy/common.rs
+++ b/crates/fanout-policy/tests/policy/common.rs
@@ -64,6 +64,14 @@
     }
 }
 
+/// The ring with this class alone.
+pub fn ring_with_class(class: Class) -> Settings {
+    Settings {
+        classes: vec![class],
+        ..ring()
+    }
+}
+
 /// Two sets of servers, each of which holds every second shard.
 pub fn sets() -> Settings {
     Settings {
--- a/crates/fanout-policy/tests/policy/idempotency.rs
+++ b/crates/fanout-policy/tests/policy/idempotency.rs
@@ -1,6 +1,8 @@
 //! Parts that may not be executed twice.
 
-use crate::common::{Harness, attempt_ended, class, failed, final_responses, rejected, ring, sent_attempts};
+use crate::common::{
+    Harness, attempt_ended, class, failed, final_responses, rejected, ring, ring_with_class, sent_attempts,
+};
 use fanout_policy::api::{Class, Ms, Outcome, RetrySafety, Settings};
 
 #[test]
@@ -9,13 +11,7 @@
         retry_safety: RetrySafety::NotIdempotent,
         ..class()
     };
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            ..ring()
-        },
-        1,
-    );
+    let mut policy = Harness::new(ring_with_class(class), 1);
     policy.submit("q", &[0]);
     let retry = policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Overloaded, 5.0)]);
     assert_eq!(sent_attempts(&retry).len(), 1, "a rejected part never ran");
