--- a/crates/test-fleet/src/deployment.rs
+++ b/crates/test-fleet/src/deployment.rs
@@ -20,6 +20,10 @@
     pub max_sockets: usize,
     /// Memory that the broker may use, in megabytes.
     pub memory_limit_mb: usize,
+    /// Latency objective of all classes, in milliseconds.
+    pub latency_objective_ms: f64,
+    /// Time after which clients of all classes give up, in milliseconds.
+    pub client_timeout_ms: f64,
 }
 
 impl Default for Deployment {
@@ -32,6 +36,8 @@
             tick_interval_ms: 5.0,
             max_sockets: 1024,
             memory_limit_mb: 192,
+            latency_objective_ms: 1500.0,
+            client_timeout_ms: 4000.0,
         }
     }
 }
@@ -51,8 +57,8 @@
             "MembershipMode": "pushed", "OverShareWorth": 0.1, "PeersTotal": 1,
             "Projects": [{"Name": "public-site", "QuotaPerS": 100_000.0, "Share": 1.0}],
             "Rules": {"AskWithin": 10000.0, "Cold": 16000.0, "ColdFrom": 0.18, "Fall": 1000.0, "FallMultiple": 2.5},
-            "Services": [service("lookup", 1.0, "repeatable"), service("watchlist-save", 1.0, "by_key"),
-                service("ranking", 2.0, "repeatable")],
+            "Services": [self.service("lookup", 1.0, "repeatable"), self.service("watchlist-save", 1.0, "by_key"),
+                self.service("ranking", 2.0, "repeatable")],
             "Tick": self.tick_interval_ms, "WorthBy": "request", "Zones": ["z"]
         })
     }
@@ -65,10 +71,10 @@
             "limits": {"sockets": self.max_sockets, "memory_mb": self.memory_limit_mb},
             "known": fleet.initial_endpoint_list(), "settings": self.settings()})
     }
-}
 
-/// A class of queries in the platform's format; times are in milliseconds.
-fn service(name: &str, gain: f64, semantics: &str) -> Value {
-    json!({"Name": name, "Aim": 1500.0, "GiveUp": 4000.0, "Gain": gain, "LateWorth": 0.3,
-        "Semantics": semantics, "MemorySpan": 5000.0})
+    /// A class of queries in the platform's format; times are in milliseconds.
+    fn service(&self, name: &str, gain: f64, semantics: &str) -> Value {
+        json!({"Name": name, "Aim": self.latency_objective_ms, "GiveUp": self.client_timeout_ms, "Gain": gain,
+            "LateWorth": 0.3, "Semantics": semantics, "MemorySpan": 5000.0})
+    }
 }
