--- a/crates/test-fleet/src/attempt_log.rs
+++ b/crates/test-fleet/src/attempt_log.rs
@@ -155,6 +155,8 @@
 pub struct AttemptLog {
     attempts: Vec<Attempt>,
     counts: ReceivedCounts,
+    /// The largest delay with which the fleet's thread ran; the logged moments are late by up to as much.
+    max_lag: Duration,
 }
 
 impl AttemptLog {
@@ -180,6 +182,11 @@
         }
     }
 
+    /// Records a delay with which the fleet's thread ran, as it does on a busy machine.
+    pub fn record_lag(&mut self, lag: Duration) {
+        self.max_lag = self.max_lag.max(lag);
+    }
+
     /// Number of parts and calls that arrived.
     #[must_use]
     pub fn counts(&self) -> ReceivedCounts {
@@ -192,9 +199,14 @@
         &self.attempts
     }
 
-    /// Checks the rules of the protocol over all logged attempts and returns each violation.
+    /// Checks the rules of the protocol over all logged attempts and returns each violation. Moments may differ by the
+    /// limits' tolerance and the largest lag that was recorded.
     #[must_use]
     pub fn check_invariants(&self, limits: AttemptLimits) -> Vec<Violation> {
+        let limits = AttemptLimits {
+            clock_tolerance: limits.clock_tolerance + self.max_lag,
+            ..limits
+        };
         let mut violations = Vec::new();
         violations.extend(self.check_completeness());
         violations.extend(
--- a/crates/test-fleet/src/attempt_log/tests.rs
+++ b/crates/test-fleet/src/attempt_log/tests.rs
@@ -27,7 +27,13 @@
 }
 
 fn violations(cases: &[AttemptCase]) -> Vec<String> {
+    violations_with_lag(cases, Duration::ZERO)
+}
+
+fn violations_with_lag(cases: &[AttemptCase], lag: Duration) -> Vec<String> {
     let mut log = AttemptLog::default();
+    log.record_lag(lag);
+    log.record_lag(lag / 2);
     for case in cases {
         let number = log.record_attempt(Attempt {
             server: "s0".into(),
@@ -81,3 +87,19 @@
     };
     assert!(violations(&[sent_to_draining_server])[0].contains("400 ms after its drain"));
 }
+
+#[test]
+fn difference_within_the_recorded_lag_is_tolerated_and_a_larger_one_is_reported() {
+    let lag = Duration::from_millis(100);
+    let concurrent = |ended_ms| [attempt("a", 0, Some(ended_ms)), attempt("a", 10, Some(20))];
+    assert_eq!(violations_with_lag(&concurrent(160), lag), [""; 0]);
+    assert!(!violations_with_lag(&concurrent(161), lag).is_empty());
+    assert!(!violations(&concurrent(61)).is_empty());
+    let drained = |received_ms| AttemptCase {
+        drain_published_ms: Some(0),
+        ..attempt("b", received_ms, Some(received_ms + 1))
+    };
+    assert_eq!(violations_with_lag(&[drained(400)], lag), [""; 0]);
+    assert!(!violations_with_lag(&[drained(401)], lag).is_empty());
+    assert!(!violations(&[drained(301)]).is_empty());
+}
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -3,7 +3,6 @@
 mod runtime;
 
 use crate::attempt_log::{AttemptLog, ReceivedCounts};
-use crate::discovery::EndpointState;
 use crate::fault::{Fault, FaultInjection};
 use crate::server::lock;
 use async_channel::Sender;
@@ -13,7 +12,7 @@
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::sync::{Arc, Mutex, mpsc};
 use std::thread::JoinHandle;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 /// The size and speed of a fleet.
 #[derive(Clone, Copy, Debug)]
@@ -128,8 +127,8 @@
     ///
     /// If the fleet has no server of this number.
     pub fn drain(&self, server: usize) {
-        self.servers[server].change(|injection| injection.draining_since = Some(Instant::now()));
-        self.send(FleetCommand::Publish(server, EndpointState::Draining));
+        assert!(server < self.servers.len(), "there is no server {server}");
+        self.send(FleetCommand::Drain(server));
     }
 
     /// Ends a server's process: its connections are reset and new ones refused. The endpoint list does not change.
--- a/crates/test-fleet/src/fleet/runtime.rs
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -4,19 +4,23 @@
 use crate::attempt_log::AttemptLog;
 use crate::discovery::{Discovery, Endpoint, EndpointState};
 use crate::fault::{Fault, WarmUp};
-use crate::server::{Server, accept_connections};
+use crate::server::{Server, accept_connections, lock};
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
+use async_io::Timer;
 use serde_json::Value;
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
-use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+
+/// Time between two measurements of the thread's lag.
+const LAG_MEASUREMENT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A command to the fleet's thread. Servers are given by number.
 pub(super) enum FleetCommand {
-    /// Publishes a server's state in the endpoint list.
-    Publish(usize, EndpointState),
+    /// Publishes in the endpoint list that a server drains.
+    Drain(usize),
     /// Makes discovery accept requests without answering them, or answer again.
     SetDiscoverySilent(bool),
     /// Closes a server's listener and resets its connections.
@@ -37,6 +41,7 @@
     executor: Rc<LocalExecutor<'static>>,
     discovery: Rc<Discovery>,
     servers: Vec<RunningServer>,
+    attempt_log: Arc<Mutex<AttemptLog>>,
 }
 
 struct RunningServer {
@@ -59,6 +64,7 @@
             executor: Rc::new(LocalExecutor::new()),
             discovery: Discovery::new(),
             servers: Vec::new(),
+            attempt_log: attempt_log.clone(),
         };
         for StartedServer { handle, listener } in started_servers {
             let server = Rc::new(Server::new(
@@ -97,6 +103,7 @@
         let discovery = self.discovery.clone();
         let _discovery_task =
             executor.spawn(discovery.accept_connections(discovery_listener, executor.clone()));
+        let _lag_task = executor.spawn(measure_lag(self.attempt_log.clone()));
         async_io::block_on(executor.run(async {
             while let Ok(command) = commands.recv().await {
                 self.execute(command).await;
@@ -112,9 +119,11 @@
     async fn execute(&mut self, command: FleetCommand) {
         match command {
             FleetCommand::SetDiscoverySilent(silent) => self.discovery.set_silent(silent),
-            FleetCommand::Publish(number, state) => {
+            FleetCommand::Drain(number) => {
                 if let Some(server) = self.servers.get(number) {
-                    self.discovery.publish(server.endpoint(state));
+                    server.server.fault_injection().draining_since = Some(Instant::now());
+                    self.discovery
+                        .publish(server.endpoint(EndpointState::Draining));
                 }
             }
             FleetCommand::Kill(number) => {
@@ -179,6 +188,15 @@
     }
 }
 
+/// Records by how much timers of this thread fire late, until the task is dropped.
+async fn measure_lag(attempt_log: Arc<Mutex<AttemptLog>>) {
+    loop {
+        let due = Instant::now() + LAG_MEASUREMENT_INTERVAL;
+        Timer::at(due).await;
+        lock(&attempt_log).record_lag(due.elapsed());
+    }
+}
+
 fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
