--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 const FULL: &str = "\
-# An installation with both fronts.
+# An installation with both listeners.
 log-format json
 log-level  debug
 gather-time 500us
--- a/crates/query-broker/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -31,9 +31,9 @@
     Serve(ServeArguments),
     /// Check an operator's file: 0 if it can be used, 1 with every fault in it
     Check(CheckArguments),
-    /// Serve on this machine alone: a broker with stand-in data servers, until Ctrl-C
+    /// Serve on this machine alone: a broker with test doubles of data servers, until Ctrl-C
     Demo(DemoArguments),
-    /// Measure both fronts side by side, against stand-ins on this machine
+    /// Measure both listeners side by side, against test doubles on this machine
     Bench(BenchArguments),
     /// Print completions for a shell
     Completions {
@@ -70,7 +70,7 @@
     /// Where clients with HTTP/2 connect
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8081")]
     pub(crate) http2: SocketAddr,
-    /// Stand-in data servers
+    /// Test doubles of data servers
     #[arg(long, value_name = "N", default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=64))]
     pub(crate) servers: u16,
 }
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -44,7 +44,7 @@
 fn print_welcome(servers: usize, addresses: &ListenAddresses) {
     let ListenAddresses { http1, http2 } = *addresses;
     let mut text = format!(
-        "\nA broker with {servers} stand-in data servers. HTTP/1.1 on {http1}:\n\n  {}",
+        "\nA broker with {servers} test doubles of data servers. HTTP/1.1 on {http1}:\n\n  {}",
         curl_command("", http1)
     );
     if let Some(http2) = http2 {
--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -37,7 +37,7 @@
         self.queue_filler = Some(TcpStream::connect(address).unwrap());
     }
 
-    /// Makes room in the listener's queue: connections come up when the system tries them again.
+    /// Frees the listener's queue: connections come up when the system tries them again.
     pub(crate) fn accept_delayed(&mut self) {
         drop(Connection::accept(&[&self.listener]));
         self.queue_filler = None;
