--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -3,11 +3,13 @@
 //! What it decides is in [`crate::policy`]; this module only applies and records it.
 
 use crate::api::{
-    Action, Class, Endpoint, EndpointListSource, Event, ListUpdate, Ms, Part, Query, ServingState, Settings,
+    Action, Class, Endpoint, EndpointListSource, Event, ListUpdate, Ms, Part, Query, ServingState,
+    Settings,
 };
 use crate::policy::tuning::{CONTROL_INTERVAL, INITIAL_LATENCY_PER_WORK, INITIAL_PART_COST};
 use crate::state::{
-    ClassState, FanoutWidth, Fleet, InFlightQuery, QueryTable, RandomSource, ServerIndex, SlidingWindow,
+    ClassState, FanoutWidth, Fleet, InFlightQuery, QueryTable, RandomSource, ServerIndex,
+    SlidingWindow,
 };
 use std::collections::BTreeSet;
 
@@ -247,7 +249,11 @@
 
     /// Shortest latency objective of all classes; a large finite time if there are none.
     pub(crate) fn shortest_objective(&self) -> Ms {
-        let objectives = self.settings.classes.iter().map(|class| class.latency_objective);
+        let objectives = self
+            .settings
+            .classes
+            .iter()
+            .map(|class| class.latency_objective);
         objectives.fold(f64::INFINITY, f64::min).min(1e9)
     }
 }
--- a/crates/fanout-policy/src/control_interval.rs
+++ b/crates/fanout-policy/src/control_interval.rs
@@ -3,7 +3,8 @@
 use crate::aggregator::Aggregator;
 use crate::api::{Ms, ServingState};
 use crate::policy::tuning::{
-    CONTROL_INTERVAL, DECAY, FLEET_LATENCY_WINDOW, INITIAL_LATENCY_PER_WORK, PEER_REPORT_LIFETIME, SMOOTHING,
+    CONTROL_INTERVAL, DECAY, FLEET_LATENCY_WINDOW, INITIAL_LATENCY_PER_WORK, PEER_REPORT_LIFETIME,
+    SMOOTHING,
 };
 use crate::state::{Server, decay, smooth};
 
@@ -36,7 +37,11 @@
         latencies.sort_by(f64::total_cmp);
         match latencies.get(latencies.len() / 2) {
             Some(median) => self.fleet_latency_per_work = *median,
-            None => smooth(&mut self.fleet_latency_per_work, DECAY, INITIAL_LATENCY_PER_WORK),
+            None => smooth(
+                &mut self.fleet_latency_per_work,
+                DECAY,
+                INITIAL_LATENCY_PER_WORK,
+            ),
         }
     }
 
@@ -45,7 +50,11 @@
         let unobserved_since = self.now - CONTROL_INTERVAL;
         for server in self.fleet.servers.iter_mut() {
             if server.last_observed_at < unobserved_since {
-                smooth(&mut server.latency_per_work, DECAY, self.fleet_latency_per_work);
+                smooth(
+                    &mut server.latency_per_work,
+                    DECAY,
+                    self.fleet_latency_per_work,
+                );
             }
             for health in server.class_health.values_mut() {
                 decay(&mut health.error_rate, DECAY);
@@ -71,8 +80,9 @@
 
     /// Updates the rate of work served by a warm server.
     fn update_served_rate(&mut self) {
-        let is_warm =
-            |server: &&Server| server.state == ServingState::Serving && server.warming_since.is_none();
+        let is_warm = |server: &&Server| {
+            server.state == ServingState::Serving && server.warming_since.is_none()
+        };
         let warm_servers = self.fleet.servers.iter().filter(is_warm).count().max(1) as f64;
         let rate = std::mem::take(&mut self.served_work) / CONTROL_INTERVAL / warm_servers;
         smooth(&mut self.served_rate, SMOOTHING, rate);
--- a/crates/fanout-policy/src/gossip_exchange.rs
+++ b/crates/fanout-policy/src/gossip_exchange.rs
@@ -28,7 +28,8 @@
 
     /// Takes over a gossip message. One that is malformed or from an unknown aggregator is ignored.
     pub(crate) fn on_gossip(&mut self, from: usize, bytes: &[u8]) {
-        let Some(entries) = GossipEntry::decode(bytes).filter(|_| from < self.settings.aggregators) else {
+        let Some(entries) = GossipEntry::decode(bytes).filter(|_| from < self.settings.aggregators)
+        else {
             return;
         };
         self.gossip_received_at = self.now;
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -1,8 +1,8 @@
 //! Admission of queries, and the time at which their clients first sent them.
 
 use super::tuning::{
-    CLIENT_TIMEOUT_TOLERANCE, CLIENT_TIMEOUT_VOTES, MAX_ADMISSION_LIMIT, MIN_ADMISSION_LIMIT, QUOTA_SLACK,
-    SHARE_TOLERANCE, SLOWEST_PART_WEIGHT,
+    CLIENT_TIMEOUT_TOLERANCE, CLIENT_TIMEOUT_VOTES, MAX_ADMISSION_LIMIT, MIN_ADMISSION_LIMIT,
+    QUOTA_SLACK, SHARE_TOLERANCE, SLOWEST_PART_WEIGHT,
 };
 use crate::aggregator::Aggregator;
 use crate::api::{Ms, Query};
@@ -16,8 +16,8 @@
         let time_left = query.client_deadline - self.now;
         let estimate = &mut self.classes[class].client_timeout;
         estimate.vote(time_left);
-        let may_be_retry =
-            query.is_retry || (!self.settings.marks_retries && estimate.votes >= CLIENT_TIMEOUT_VOTES);
+        let may_be_retry = query.is_retry
+            || (!self.settings.marks_retries && estimate.votes >= CLIENT_TIMEOUT_VOTES);
         if may_be_retry && time_left < estimate.timeout * CLIENT_TIMEOUT_TOLERANCE {
             (query.client_deadline - self.settings.classes[class].client_timeout).min(self.now)
         } else {
@@ -33,7 +33,11 @@
         let class = self.class_of(query);
         // The slowest part counts in full where the answer needs it and one aggregator observes little load.
         let needs_all = class.required_share >= 1.0;
-        let visibility = if needs_all { self.load_visibility() } else { 1.0 };
+        let visibility = if needs_all {
+            self.load_visibility()
+        } else {
+            1.0
+        };
         let slowest_weight = 1.0 - (1.0 - SLOWEST_PART_WEIGHT) * visibility;
         let latency = forecast.mean + slowest_weight * (forecast.slowest - forecast.mean);
         query.forecast = latency;
@@ -86,7 +90,8 @@
         };
         let window = self.settings.warm_up.duration;
         queries.discard_before(self.now - window);
-        let even_share = self.settings.tenants[tenant].quota_per_s / self.settings.aggregators.max(1) as f64;
+        let even_share =
+            self.settings.tenants[tenant].quota_per_s / self.settings.aggregators.max(1) as f64;
         queries.len() as f64 > QUOTA_SLACK * even_share * window / MS_PER_SECOND
     }
 }
--- a/crates/fanout-policy/src/policy/batch.rs
+++ b/crates/fanout-policy/src/policy/batch.rs
@@ -13,7 +13,11 @@
 
     /// Time until the next batch if no event arrives before.
     pub(crate) fn batch_interval(&self) -> Ms {
-        let ticks = if self.queries.is_empty() { IDLE_TICKS } else { 1.0 };
+        let ticks = if self.queries.is_empty() {
+            IDLE_TICKS
+        } else {
+            1.0
+        };
         ticks * self.settings.tick.max(1.0)
     }
 
--- a/crates/fanout-policy/src/policy/completion.rs
+++ b/crates/fanout-policy/src/policy/completion.rs
@@ -59,7 +59,11 @@
         }
         // After a partial first answer both ways earn its share, so that only the second step counts.
         let is_partial = query.first_answer_complete == Some(false);
-        let weight = if is_partial { 1.0 } else { class.partial_weight };
+        let weight = if is_partial {
+            1.0
+        } else {
+            class.partial_weight
+        };
         let earned = weight * served / class.required_share.max(SHARE_TOLERANCE);
         let is_second = query.in_second_step();
         let required = if is_second { 1.0 } else { class.required_share };
@@ -68,7 +72,9 @@
         let end = self.now + self.second_step_reserve(query) + self.reply_margin();
         let is_late = end >= self.objective_end(query);
         let waiting_is_useless = is_late && (!can_be_complete || earned >= class.late_weight);
-        end >= query.client_deadline || waiting_is_useless || progress.possible <= served + SHARE_TOLERANCE
+        end >= query.client_deadline
+            || waiting_is_useless
+            || progress.possible <= served + SHARE_TOLERANCE
     }
 
     /// Whether the query can no longer earn anything, or may crash the servers that run it.
--- a/crates/fanout-policy/src/policy/fanout_width.rs
+++ b/crates/fanout-policy/src/policy/fanout_width.rs
@@ -17,7 +17,8 @@
         let failure_rate = f64::from(width.failed) / f64::from(width.ended);
         let error = (FANOUT_TARGET_FAILURE_RATE - failure_rate) / FANOUT_TARGET_FAILURE_RATE;
         let error = error.max(-FANOUT_ERROR_LIMIT);
-        let change = FANOUT_PROPORTIONAL_GAIN * error + FANOUT_DERIVATIVE_GAIN * (error - width.last_error);
+        let change =
+            FANOUT_PROPORTIONAL_GAIN * error + FANOUT_DERIVATIVE_GAIN * (error - width.last_error);
         width.rows = (width.rows + FANOUT_STEP * change).clamp(1.0, max_rows as f64);
         width.last_error = error;
         width.ended = 0;
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -47,7 +47,11 @@
     pub(crate) fn call_cost(&self, server: ServerIndex) -> Ms {
         let parts = self.fleet.servers[server].parts_in_batch;
         let opens_call = parts.is_multiple_of(self.settings.max_parts_per_call.max(1));
-        if opens_call { self.settings.call_cost } else { 0.0 }
+        if opens_call {
+            self.settings.call_cost
+        } else {
+            0.0
+        }
     }
 
     /// Outstanding work of other aggregators at a server, from gossip and from its own load report.
--- a/crates/fanout-policy/src/policy/gossip.rs
+++ b/crates/fanout-policy/src/policy/gossip.rs
@@ -1,6 +1,8 @@
 //! Gossip between aggregators: what is published about servers, and what a report from another one changes.
 
-use super::tuning::{GOSSIP_INTERVAL, GOSSIP_WORK_STEP, JITTER_RANGE, MIN_DIVISOR, MIN_EJECTION, MIN_JITTER};
+use super::tuning::{
+    GOSSIP_INTERVAL, GOSSIP_WORK_STEP, JITTER_RANGE, MIN_DIVISOR, MIN_EJECTION, MIN_JITTER,
+};
 use crate::aggregator::Aggregator;
 use crate::api::Ms;
 use crate::state::{GossipStatus, Server, ServerIndex};
@@ -32,7 +34,9 @@
 
     /// Length of the ejections that follow from one message.
     pub(crate) fn draw_peer_ejection(&mut self) -> Ms {
-        MIN_EJECTION * self.shortest_objective() * (MIN_JITTER + JITTER_RANGE * self.random.fraction())
+        MIN_EJECTION
+            * self.shortest_objective()
+            * (MIN_JITTER + JITTER_RANGE * self.random.fraction())
     }
 
     /// Ejects a server that fails for another aggregator, unless it has answered this one as recently.
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -1,9 +1,10 @@
 //! Outlier detection: what the outcome of an attempt says about its server, and when a server is ejected.
 
 use super::tuning::{
-    EJECTION_CONSECUTIVE_FAILURES, EJECTION_ERROR_RATE, JITTER_RANGE, MAX_EJECTION, MIN_EJECTION, MIN_JITTER,
-    OVERDUE_FACTOR, OVERDUE_MIN, OVERLOAD_EJECTION, OVERLOAD_EJECTION_SENDS, RECENT_ANSWER, RESTART_SILENCE,
-    SMOOTHING, STRONG_SMOOTHING, TIMEOUT_LATENCY_LIMIT, UNREACHABLE_MAX_SENDS, ZONE_SMOOTHING,
+    EJECTION_CONSECUTIVE_FAILURES, EJECTION_ERROR_RATE, JITTER_RANGE, MAX_EJECTION, MIN_EJECTION,
+    MIN_JITTER, OVERDUE_FACTOR, OVERDUE_MIN, OVERLOAD_EJECTION, OVERLOAD_EJECTION_SENDS,
+    RECENT_ANSWER, RESTART_SILENCE, SMOOTHING, STRONG_SMOOTHING, TIMEOUT_LATENCY_LIMIT,
+    UNREACHABLE_MAX_SENDS, ZONE_SMOOTHING,
 };
 use crate::aggregator::Aggregator;
 use crate::api::{Ms, Outcome};
@@ -34,7 +35,10 @@
                 }
             }
             // Quick errors tell of the server, not of the load: the fan-out width ignores them.
-            Outcome::Error | Outcome::Cancelled | Outcome::Unreachable | Outcome::ConnectionLost => {
+            Outcome::Error
+            | Outcome::Cancelled
+            | Outcome::Unreachable
+            | Outcome::ConnectionLost => {
                 self.on_failure(attempt, outcome, jitter);
             }
         }
@@ -45,15 +49,26 @@
         !self.was_paused && elapsed > (OVERDUE_FACTOR * attempt.expected_latency).max(min_age)
     }
 
-    fn update_zone_silence(&mut self, attempt: &InFlightAttempt, outcome: Outcome, is_silent: bool) {
+    fn update_zone_silence(
+        &mut self,
+        attempt: &InFlightAttempt,
+        outcome: Outcome,
+        is_silent: bool,
+    ) {
         let is_unanswered = got_no_response(outcome) || outcome == Outcome::Cancelled && is_silent;
         if !self.was_paused && (is_unanswered || outcome == Outcome::Served) {
             let sample = f64::from(u8::from(is_unanswered));
-            self.fleet.record_silence(attempt.server, ZONE_SMOOTHING, sample);
+            self.fleet
+                .record_silence(attempt.server, ZONE_SMOOTHING, sample);
         }
     }
 
-    fn update_class_health(&mut self, attempt: &InFlightAttempt, outcome: Outcome, is_overdue: bool) {
+    fn update_class_health(
+        &mut self,
+        attempt: &InFlightAttempt,
+        outcome: Outcome,
+        is_overdue: bool,
+    ) {
         let server = &mut self.fleet.servers[attempt.server];
         let health = server.class_health.entry(attempt.class).or_default();
         let is_lost = is_overdue && attempt.sent_at > health.last_served_sent_at;
@@ -68,10 +83,15 @@
         let shortened = elapsed.min(attempt.expected_latency);
         let elapsed = if self.was_paused { shortened } else { elapsed };
         let is_overdue = elapsed > OVERDUE_FACTOR * attempt.expected_latency;
-        let weight = if is_overdue { STRONG_SMOOTHING } else { SMOOTHING };
+        let weight = if is_overdue {
+            STRONG_SMOOTHING
+        } else {
+            SMOOTHING
+        };
         let restart_silence = RESTART_SILENCE * self.shortest_objective();
         let server = &mut self.fleet.servers[attempt.server];
-        if server.is_unresponsive && attempt.sent_at - server.last_served_sent_at > restart_silence {
+        if server.is_unresponsive && attempt.sent_at - server.last_served_sent_at > restart_silence
+        {
             // The server may have restarted without the endpoint list showing it yet.
             server.warming_since = Some(self.now);
         }
@@ -84,7 +104,8 @@
         self.classes[attempt.class].fanout.record_end(true);
         let objective = self.shortest_objective();
         let max = MAX_EJECTION * objective;
-        let min = (OVERLOAD_EJECTION * objective).max(OVERLOAD_EJECTION_SENDS * self.mean_send_interval());
+        let min = (OVERLOAD_EJECTION * objective)
+            .max(OVERLOAD_EJECTION_SENDS * self.mean_send_interval());
         let server = &mut self.fleet.servers[attempt.server];
         server.ejection_duration = (server.ejection_duration * 2.0).clamp(min.min(max), max);
         server.overloaded_until = self.now + server.ejection_duration * jitter;
@@ -116,7 +137,8 @@
         // A server that answered what was sent later, or just before, has lost a connection but is up.
         let is_up = outcome == Outcome::ConnectionLost
             && server.last_served_sent_at + RECENT_ANSWER * objective > attempt.sent_at;
-        let is_unreachable = matches!(outcome, Outcome::Unreachable | Outcome::ConnectionLost) && !is_up;
+        let is_unreachable =
+            matches!(outcome, Outcome::Unreachable | Outcome::ConnectionLost) && !is_up;
         server.is_unresponsive |= is_unreachable || outcome == Outcome::TimedOut;
         let is_failing = server.consecutive_failures >= EJECTION_CONSECUTIVE_FAILURES
             && server.error_rate > EJECTION_ERROR_RATE;
--- a/crates/fanout-policy/src/policy/retries.rs
+++ b/crates/fanout-policy/src/policy/retries.rs
@@ -1,9 +1,9 @@
 //! First attempts, retries and hedged requests.
 
 use super::tuning::{
-    CANCEL_AGE, CANCEL_MAX_FORECAST, DEFAULT_BUDGET_WINDOW, DEFAULT_FREE_ATTEMPTS, DEFAULT_PER_REQUEST,
-    HEDGE_FACTOR, MIN_HEDGES_PER_REQUEST, OVERDUE_FACTOR, OVERDUE_MIN, OVERLOAD_EJECTION,
-    POISON_LOST_CONNECTIONS,
+    CANCEL_AGE, CANCEL_MAX_FORECAST, DEFAULT_BUDGET_WINDOW, DEFAULT_FREE_ATTEMPTS,
+    DEFAULT_PER_REQUEST, HEDGE_FACTOR, MIN_HEDGES_PER_REQUEST, OVERDUE_FACTOR, OVERDUE_MIN,
+    OVERLOAD_EJECTION, POISON_LOST_CONNECTIONS,
 };
 use crate::aggregator::Aggregator;
 use crate::api::{Ms, RetryBudget, RetrySafety};
@@ -48,7 +48,8 @@
     /// Whether all holders are overloaded: retried at once, the remaining attempts would be rejected as well.
     fn must_wait_for_capacity(&self, part: &PartState, server: ServerIndex) -> bool {
         let wait = OVERLOAD_EJECTION * self.shortest_objective() * part.attempts.len() as f64;
-        part.last_attempt_age(self.now) < wait && self.fleet.servers[server].overloaded_until > self.now
+        part.last_attempt_age(self.now) < wait
+            && self.fleet.servers[server].overloaded_until > self.now
     }
 
     fn hedge(&mut self, query: &mut InFlightQuery, index: usize) {
@@ -129,8 +130,10 @@
         let budget = self.retry_budget(is_hedge);
         let window_start = self.now - budget.window;
         // The ends of the window are chosen so that neither interpretation of them exceeds the rule.
-        self.accepted.discard_before(window_start + self.settings.tick);
-        self.retries.discard_before(window_start - self.settings.tick);
+        self.accepted
+            .discard_before(window_start + self.settings.tick);
+        self.retries
+            .discard_before(window_start - self.settings.tick);
         let allowed = budget.free_attempts + budget.per_request * self.accepted.len() as f64;
         (self.retries.len() + 1) as f64 <= allowed
     }
@@ -138,7 +141,11 @@
     /// The budget of the settings, or a default. By default many aggregators hedge less, down to the slowest
     /// tenth of parts: their hedges add up and go to servers of whose load one aggregator knows little.
     fn retry_budget(&self, is_hedge: bool) -> RetryBudget {
-        let visibility = if is_hedge { self.load_visibility() } else { 1.0 };
+        let visibility = if is_hedge {
+            self.load_visibility()
+        } else {
+            1.0
+        };
         self.settings.retry_budget.unwrap_or(RetryBudget {
             free_attempts: DEFAULT_FREE_ATTEMPTS * visibility,
             per_request: (DEFAULT_PER_REQUEST * visibility).max(MIN_HEDGES_PER_REQUEST),
@@ -148,7 +155,8 @@
 
     fn send(&mut self, query: &mut InFlightQuery, index: usize, server: ServerIndex) {
         let end = self.useful_until(query).min(query.client_deadline);
-        let timeout = (end < query.client_deadline).then_some((end - self.now).max(self.settings.tick));
+        let timeout =
+            (end < query.client_deadline).then_some((end - self.now).max(self.settings.tick));
         self.dispatch(query, index, server, timeout);
     }
 }
--- a/crates/fanout-policy/src/policy/retry_after.rs
+++ b/crates/fanout-policy/src/policy/retry_after.rs
@@ -19,7 +19,8 @@
     pub(crate) fn retry_after(&self, query: &InFlightQuery) -> Option<Ms> {
         let objective = self.objective(query);
         let time_left = self.objective_end(query) - self.now;
-        let is_in_time = time_left > RETRY_MIN_TIME_LEFT * objective && !self.is_poison_query(query);
+        let is_in_time =
+            time_left > RETRY_MIN_TIME_LEFT * objective && !self.is_poison_query(query);
         let useful = RETRY_AFTER_SHARE * time_left;
         let useful = if is_in_time { useful } else { f64::INFINITY };
         self.settings.max_retry_after.map(|max| max.min(useful))
--- a/crates/fanout-policy/src/policy/server_selection.rs
+++ b/crates/fanout-policy/src/policy/server_selection.rs
@@ -17,20 +17,29 @@
         let is_allowed = |server: &&ServerIndex| !(untried_only && part.was_sent_to(**server));
         let candidate = |server: &ServerIndex| self.candidate(query, *server, work);
         let candidates: Vec<Candidate> = holders.iter().filter(is_allowed).map(candidate).collect();
-        let Some(best) = lowest_score(candidates.iter().filter(|candidate| candidate.is_eligible)) else {
-            let allowed = |candidate: &&Candidate| self.has_slow_start_allowance(candidate.server, work);
-            return lowest_score(candidates.iter().filter(allowed)).map(|candidate| candidate.server);
+        let Some(best) = lowest_score(candidates.iter().filter(|candidate| candidate.is_eligible))
+        else {
+            let allowed =
+                |candidate: &&Candidate| self.has_slow_start_allowance(candidate.server, work);
+            return lowest_score(candidates.iter().filter(allowed))
+                .map(|candidate| candidate.server);
         };
         let max_score = best.score + FALLBACK_MARGIN * self.objective(query);
         let keeps_row = |candidate: &&Candidate| {
-            Some(candidate.server) == part.row_server && candidate.is_eligible && candidate.score <= max_score
+            Some(candidate.server) == part.row_server
+                && candidate.is_eligible
+                && candidate.score <= max_score
         };
         Some(candidates.iter().find(keeps_row).unwrap_or(best).server)
     }
 
     fn candidate(&self, query: &InFlightQuery, server: ServerIndex, work: Ms) -> Candidate {
         let penalty = CROSS_ZONE_PENALTY * self.objective(query);
-        let penalty = if self.is_cross_zone(server) { penalty } else { 0.0 };
+        let penalty = if self.is_cross_zone(server) {
+            penalty
+        } else {
+            0.0
+        };
         Candidate {
             server,
             score: self.forecast(server, query.class, work + self.call_cost(server)) + penalty,
@@ -41,8 +50,8 @@
     /// Whether a server is not ejected and may be sent work. After failures it gets one attempt at a time.
     pub(crate) fn is_eligible(&self, server: ServerIndex, work: Ms) -> bool {
         let record = &self.fleet.servers[server];
-        let may_try =
-            record.consecutive_failures < EJECTION_CONSECUTIVE_FAILURES || record.in_flight.is_empty();
+        let may_try = record.consecutive_failures < EJECTION_CONSECUTIVE_FAILURES
+            || record.in_flight.is_empty();
         may_try && self.now >= record.ejected_until && self.has_slow_start_allowance(server, work)
     }
 
--- a/crates/fanout-policy/src/query_lifecycle.rs
+++ b/crates/fanout-policy/src/query_lifecycle.rs
@@ -2,7 +2,9 @@
 
 use crate::aggregator::Aggregator;
 use crate::api::{Action, Ms, QueryId};
-use crate::policy::tuning::{FORECAST_ERROR_SMOOTHING, MAX_FORECAST_ERROR, MAX_SECOND_STEP, SMOOTHING};
+use crate::policy::tuning::{
+    FORECAST_ERROR_SMOOTHING, MAX_FORECAST_ERROR, MAX_SECOND_STEP, SMOOTHING,
+};
 use crate::state::{InFlightAttempt, InFlightQuery, PartState, ServerIndex, smooth};
 
 impl Aggregator {
@@ -40,7 +42,12 @@
     }
 
     /// Answers a query. Returns whether it has ended: not if its second step follows.
-    pub(crate) fn answer(&mut self, id: &QueryId, query: &mut InFlightQuery, complete: bool) -> bool {
+    pub(crate) fn answer(
+        &mut self,
+        id: &QueryId,
+        query: &mut InFlightQuery,
+        complete: bool,
+    ) -> bool {
         let answer = Action::Answer {
             query: id.clone(),
             complete,
@@ -55,7 +62,12 @@
     }
 
     /// Ends a query as rejected. Returns that it has ended.
-    pub(crate) fn reject(&mut self, id: &QueryId, query: &InFlightQuery, retry_after: Option<Ms>) -> bool {
+    pub(crate) fn reject(
+        &mut self,
+        id: &QueryId,
+        query: &InFlightQuery,
+        retry_after: Option<Ms>,
+    ) -> bool {
         let rejection = Action::Reject {
             query: id.clone(),
             retry_after,
--- a/crates/fanout-policy/src/settings.rs
+++ b/crates/fanout-policy/src/settings.rs
@@ -1,6 +1,8 @@
 //! Decodes the settings object, as the simulator sends it and as the broker finds it in its configuration.
 
-use crate::api::{Class, EndpointListSource, Ms, RetryBudget, RetrySafety, Settings, Tenant, WarmUp};
+use crate::api::{
+    Class, EndpointListSource, Ms, RetryBudget, RetrySafety, Settings, Tenant, WarmUp,
+};
 use crate::json::{FieldError, FieldProblem, JsonObject};
 use serde_json::Value;
 
--- a/crates/fanout-policy/src/state/class.rs
+++ b/crates/fanout-policy/src/state/class.rs
@@ -1,7 +1,9 @@
 //! What is learned about each class of queries.
 
 use crate::api::Ms;
-use crate::policy::tuning::{CLIENT_TIMEOUT_DISSENT, CLIENT_TIMEOUT_TOLERANCE, MAX_CLIENT_TIMEOUT_VOTES};
+use crate::policy::tuning::{
+    CLIENT_TIMEOUT_DISSENT, CLIENT_TIMEOUT_TOLERANCE, MAX_CLIENT_TIMEOUT_VOTES,
+};
 
 /// Estimate of the timeout that the clients of a class usually set, kept by votes.
 #[derive(Clone, Default)]
@@ -46,7 +48,11 @@
     pub(crate) fn vote(&mut self, time_left: Ms) {
         let tolerance = (1.0 - CLIENT_TIMEOUT_TOLERANCE) * self.timeout;
         let is_same = (time_left - self.timeout).abs() <= tolerance;
-        let vote = if is_same { 1.0 } else { -CLIENT_TIMEOUT_DISSENT };
+        let vote = if is_same {
+            1.0
+        } else {
+            -CLIENT_TIMEOUT_DISSENT
+        };
         self.votes = (self.votes + vote).min(MAX_CLIENT_TIMEOUT_VOTES);
         if self.votes < 0.0 {
             *self = ClientTimeoutEstimate {
--- a/crates/fanout-policy/src/state/fleet.rs
+++ b/crates/fanout-policy/src/state/fleet.rs
@@ -60,7 +60,11 @@
     }
 
     /// Forgets the removed servers that have not been observed since `unobserved_since` and are not in use.
-    pub(crate) fn forget_removed(&mut self, unobserved_since: Ms, is_in_use: impl Fn(ServerIndex) -> bool) {
+    pub(crate) fn forget_removed(
+        &mut self,
+        unobserved_since: Ms,
+        is_in_use: impl Fn(ServerIndex) -> bool,
+    ) {
         let is_obsolete = |index: ServerIndex| {
             let server = &self.servers[index];
             server.state == ServingState::Removed
@@ -74,7 +78,8 @@
             .filter(|i| is_obsolete(*i))
             .collect();
         self.by_name.retain(|_, index| !forgotten.contains(index));
-        self.by_short_name.retain(|_, index| !forgotten.contains(index));
+        self.by_short_name
+            .retain(|_, index| !forgotten.contains(index));
         self.free.extend(forgotten);
     }
 
--- a/crates/fanout-policy/src/state/mod.rs
+++ b/crates/fanout-policy/src/state/mod.rs
@@ -18,8 +18,8 @@
 pub(crate) use fleet::Fleet;
 pub(crate) use gossip_codec::{GossipEntry, GossipStatus, ShortName};
 pub(crate) use query::{
-    Attempt, Candidate, InFlightAttempt, InFlightQuery, PartForecast, PartState, QueryForecast, StepProgress,
-    got_no_response,
+    Attempt, Candidate, InFlightAttempt, InFlightQuery, PartForecast, PartState, QueryForecast,
+    StepProgress, got_no_response,
 };
 pub(crate) use query_table::QueryTable;
 pub(crate) use random::RandomSource;
--- a/crates/fanout-policy/src/state/query.rs
+++ b/crates/fanout-policy/src/state/query.rs
@@ -107,12 +107,16 @@
 
     /// Forecast latency of the last attempt when it was sent; 0 without one.
     pub(crate) fn last_expected_latency(&self) -> Ms {
-        self.attempts.last().map_or(0.0, |last| last.expected_latency)
+        self.attempts
+            .last()
+            .map_or(0.0, |last| last.expected_latency)
     }
 
     /// Whether there is a last attempt and it has ended.
     pub(crate) fn has_last_attempt_ended(&self) -> bool {
-        self.attempts.last().is_some_and(|last| !last.is_in_flight())
+        self.attempts
+            .last()
+            .is_some_and(|last| !last.is_in_flight())
     }
 
     /// Number of attempts in flight.
--- a/crates/fanout-policy/src/state/query_table.rs
+++ b/crates/fanout-policy/src/state/query_table.rs
@@ -83,7 +83,9 @@
             } else {
                 0.0
             },
-            cost_hint: part.cost_hint.filter(|cost| cost.is_finite() && *cost > 0.0),
+            cost_hint: part
+                .cost_hint
+                .filter(|cost| cost.is_finite() && *cost > 0.0),
             row_server: None,
             attempts: Vec::new(),
             is_served: false,
--- a/crates/fanout-policy/src/state/server.rs
+++ b/crates/fanout-policy/src/state/server.rs
@@ -144,7 +144,11 @@
     }
 
     /// Replaces the report of an aggregator and returns the previous one.
-    pub(crate) fn replace_peer_report(&mut self, peer: usize, report: PeerLoadReport) -> PeerLoadReport {
+    pub(crate) fn replace_peer_report(
+        &mut self,
+        peer: usize,
+        report: PeerLoadReport,
+    ) -> PeerLoadReport {
         let previous = self.peer_reports.insert(peer, report).unwrap_or_default();
         self.peer_work = (self.peer_work + report.work - previous.work).max(0.0);
         previous
@@ -166,7 +170,8 @@
             expected_latency,
         });
         if self.warming_since.is_some() {
-            self.slow_start_sends.push_back(SentWork { sent_at: now, work });
+            self.slow_start_sends
+                .push_back(SentWork { sent_at: now, work });
         }
     }
 
--- a/crates/fanout-policy/src/state/sliding_window.rs
+++ b/crates/fanout-policy/src/state/sliding_window.rs
@@ -27,6 +27,10 @@
 
     /// Number of the events at or after `start`.
     pub(crate) fn count_since(&self, start: Ms) -> usize {
-        self.0.iter().rev().take_while(|time| **time >= start).count()
+        self.0
+            .iter()
+            .rev()
+            .take_while(|time| **time >= start)
+            .count()
     }
 }
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -120,7 +120,13 @@
         }
     }
 
-    fn apply_load_report(&mut self, server: ServerIndex, class: ClassIndex, work: Ms, report: &LoadReport) {
+    fn apply_load_report(
+        &mut self,
+        server: ServerIndex,
+        class: ClassIndex,
+        work: Ms,
+        report: &LoadReport,
+    ) {
         let expected_latency = work * self.fleet_latency_per_work;
         let elapsed = report.mean_latency.unwrap_or(expected_latency);
         let attempt = InFlightAttempt {
--- a/crates/fanout-policy/tests/policy/admission.rs
+++ b/crates/fanout-policy/tests/policy/admission.rs
@@ -89,7 +89,10 @@
     );
     let events = policy.query_events("high", 1, &[0], 4000.0);
     let sent = sent_attempts(&policy.advance(5.0, events));
-    policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)]);
+    policy.advance(
+        20.0,
+        vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)],
+    );
     let admitted: Vec<bool> = (0..60)
         .map(|k| {
             let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
@@ -97,7 +100,10 @@
             !sent.is_empty()
         })
         .collect();
-    assert!(admitted[40..].contains(&true), "all are rejected: {admitted:?}");
+    assert!(
+        admitted[40..].contains(&true),
+        "all are rejected: {admitted:?}"
+    );
 }
 
 /// The retry-after value of a query of this class without any server, where clients respect at most
@@ -175,7 +181,10 @@
         1,
     );
     policy.submit("q", &[0]);
-    policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)]);
+    policy.advance(
+        5.0,
+        vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)],
+    );
     let actions = policy.submit("next", &[0, 1]);
     assert_eq!(
         (sent_attempts(&actions), final_responses(&actions)),
@@ -189,7 +198,9 @@
 /// around that server.
 #[test]
 fn query_that_needs_all_parts_is_rejected_for_one_late_part() {
-    for (required_share, aggregators, is_rejected) in [(1.0, 100, true), (1.0, 2, false), (0.8, 100, false)] {
+    for (required_share, aggregators, is_rejected) in
+        [(1.0, 100, true), (1.0, 2, false), (0.8, 100, false)]
+    {
         let class = Class {
             required_share,
             minimum_share: required_share,
@@ -247,7 +258,10 @@
             attempt += 1;
         }
     }
-    assert!(last.is_empty(), "the work for its other parts would be wasted");
+    assert!(
+        last.is_empty(),
+        "the work for its other parts would be wasted"
+    );
     policy.advance(6000.0, vec![]);
     assert!(
         !sent_attempts(&policy.submit("later", &[0])).is_empty(),
--- a/crates/fanout-policy/tests/policy/answers.rs
+++ b/crates/fanout-policy/tests/policy/answers.rs
@@ -1,8 +1,8 @@
 //! Final responses: complete, partial, and of queries with a second step.
 
 use crate::common::{
-    Harness, attempt_ended, class, complete_answer, final_responses, part_id, partial_answer, query_id,
-    rejected, ring, ring_with_class, sent_attempts, served,
+    Harness, attempt_ended, class, complete_answer, final_responses, part_id, partial_answer,
+    query_id, rejected, ring, ring_with_class, sent_attempts, served,
 };
 use fanout_policy::api::{Action, Class, Event, Outcome, Part, Settings};
 
@@ -178,12 +178,22 @@
         policy.submit(&name, &[0]);
         policy.advance(
             20.0,
-            vec![attempt_ended(&format!("{name}.0"), 0, Outcome::Served, 20.0)],
+            vec![attempt_ended(
+                &format!("{name}.0"),
+                0,
+                Outcome::Served,
+                20.0,
+            )],
         );
         policy.advance(5.0, vec![second_step_part(&format!("{name}x"), k, 1.0)]);
         policy.advance(
             295.0,
-            vec![attempt_ended(&format!("{name}x"), 0, Outcome::Served, 295.0)],
+            vec![attempt_ended(
+                &format!("{name}x"),
+                0,
+                Outcome::Served,
+                295.0,
+            )],
         );
     }
     policy.submit("q", &[0, 1]);
--- a/crates/fanout-policy/tests/policy/backoff.rs
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -43,7 +43,11 @@
     for k in 0..12 {
         let sent = sent_attempts(&policy.submit(&format!("n{k}"), &[0]));
         let is_avoided = sent.iter().all(|attempt| attempt.node != overloaded);
-        assert!(is_avoided, "{overloaded} was called again after {} ms", 100 * k);
+        assert!(
+            is_avoided,
+            "{overloaded} was called again after {} ms",
+            100 * k
+        );
         policy.advance(95.0, served(&sent, 0, 40.0));
     }
 }
@@ -54,7 +58,10 @@
 fn unreachable_server_is_avoided_for_the_interval_between_its_parts() {
     let mut policy = Harness::new(ring(), 1);
     policy.submit("q", &[0]);
-    policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)]);
+    policy.advance(
+        5.0,
+        vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)],
+    );
     let until = policy
         .aggregator
         .server_views(policy.now)
@@ -86,6 +93,9 @@
         let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
         policy.advance(0.0, served(&sent_attempts(&more), 1, 20.0));
     }
-    let gaps: Vec<Ms> = attempt_times.windows(2).map(|pair| pair[1] - pair[0]).collect();
+    let gaps: Vec<Ms> = attempt_times
+        .windows(2)
+        .map(|pair| pair[1] - pair[0])
+        .collect();
     assert!(gaps.len() > 3 && gaps[gaps.len() - 1] > 2000.0, "{gaps:?}");
 }
--- a/crates/fanout-policy/tests/policy/common.rs
+++ b/crates/fanout-policy/tests/policy/common.rs
@@ -2,8 +2,9 @@
 
 use fanout_policy::Aggregator;
 use fanout_policy::api::{
-    Action, Class, ClassIndex, Endpoint, EndpointListSource, Event, ListUpdate, Ms, NodeId, Outcome, Part,
-    PartId, Query, QueryId, RetrySafety, ServingState, Settings, TenantIndex, WarmUp,
+    Action, Class, ClassIndex, Endpoint, EndpointListSource, Event, ListUpdate, Ms, NodeId,
+    Outcome, Part, PartId, Query, QueryId, RetrySafety, ServingState, Settings, TenantIndex,
+    WarmUp,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -137,7 +138,11 @@
 /// The attempts among the actions.
 pub fn sent_attempts(actions: &[Action]) -> Vec<SentAttempt> {
     let to_attempt = |action: &Action| match action {
-        Action::SendAttempt { part, node, timeout } => Some(SentAttempt {
+        Action::SendAttempt {
+            part,
+            node,
+            timeout,
+        } => Some(SentAttempt {
             part: part.0.to_string(),
             node: node.0.to_string(),
             timeout: *timeout,
@@ -201,7 +206,8 @@
 /// learns the usual latency and the clients' timeout.
 pub fn answer_queries(policy: &mut Harness, count: usize, client_timeout: Ms) {
     for n in 0..count {
-        let events = policy.query_events(&format!("u{n}-{client_timeout}"), 0, &[0], client_timeout);
+        let events =
+            policy.query_events(&format!("u{n}-{client_timeout}"), 0, &[0], client_timeout);
         let sent = sent_attempts(&policy.advance(TICK, events));
         policy.advance(20.0, served(&sent, 0, 20.0));
     }
--- a/crates/fanout-policy/tests/policy/endpoint_list.rs
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -1,8 +1,12 @@
 //! Updates of the endpoint list.
 
-use crate::common::{Harness, SentAttempt, attempt_ended, endpoint, list_event, ring, sent_attempts};
+use crate::common::{
+    Harness, SentAttempt, attempt_ended, endpoint, list_event, ring, sent_attempts,
+};
 use fanout_policy::Aggregator;
-use fanout_policy::api::{Action, Endpoint, EndpointListSource, ListUpdate, Outcome, ServingState, Settings};
+use fanout_policy::api::{
+    Action, Endpoint, EndpointListSource, ListUpdate, Outcome, ServingState, Settings,
+};
 
 #[test]
 fn nothing_is_sent_to_a_draining_or_removed_server() {
@@ -12,7 +16,11 @@
         ..endpoint("c0n0", 0)
     }];
     policy.advance(5.0, vec![list_event(ListUpdate::Delta, endpoints)]);
-    assert!(!policy.run_traffic(40, &[], Outcome::Served).contains_key("c0n0"));
+    assert!(
+        !policy
+            .run_traffic(40, &[], Outcome::Served)
+            .contains_key("c0n0")
+    );
     let endpoints = vec![endpoint("c1n0", 1), endpoint("c3n0", 3)];
     policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
     let seen = policy.run_traffic(40, &[], Outcome::Served);
@@ -84,7 +92,8 @@
         policy.aggregator.servers_known()
     );
     // The late end of an attempt still finds its own server.
-    let timed_out = |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, Outcome::TimedOut, 4000.0);
+    let timed_out =
+        |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, Outcome::TimedOut, 4000.0);
     let ends = in_flight.iter().map(timed_out).collect();
     policy.advance(1500.0, ends);
     assert_eq!(
--- a/crates/fanout-policy/tests/policy/hedging.rs
+++ b/crates/fanout-policy/tests/policy/hedging.rs
@@ -59,7 +59,9 @@
         attempt: 0,
     };
     let mut batches = (0..60).map(|_| policy.advance(10.0, vec![]));
-    let cancelling = batches.find(|actions| actions.contains(&cancellation)).unwrap();
+    let cancelling = batches
+        .find(|actions| actions.contains(&cancellation))
+        .unwrap();
     assert!(sent_attempts(&cancelling).is_empty());
     let cancelled = attempt_ended("q.0", 0, Outcome::Cancelled, 300.0);
     let retries = sent_attempts(&policy.advance(5.0, vec![cancelled]));
--- a/crates/fanout-policy/tests/policy/idempotency.rs
+++ b/crates/fanout-policy/tests/policy/idempotency.rs
@@ -1,7 +1,8 @@
 //! Parts that may not be executed twice.
 
 use crate::common::{
-    Harness, attempt_ended, class, failed, final_responses, rejected, ring, ring_with_class, sent_attempts,
+    Harness, attempt_ended, class, failed, final_responses, rejected, ring, ring_with_class,
+    sent_attempts,
 };
 use fanout_policy::api::{Class, Ms, Outcome, RetrySafety, Settings};
 
@@ -15,7 +16,10 @@
     policy.submit("q", &[0]);
     let retry = policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Overloaded, 5.0)]);
     assert_eq!(sent_attempts(&retry).len(), 1, "a rejected part never ran");
-    let mut after = policy.advance(5.0, vec![attempt_ended("q.0", 1, Outcome::ConnectionLost, 5.0)]);
+    let mut after = policy.advance(
+        5.0,
+        vec![attempt_ended("q.0", 1, Outcome::ConnectionLost, 5.0)],
+    );
     for _ in 0..900 {
         after.extend(policy.advance(5.0, vec![]));
     }
@@ -92,7 +96,9 @@
             1,
         );
         policy.submit("q", &[0]);
-        final_responses(&policy.advance(200.0, vec![attempt_ended("q.0", 0, Outcome::Error, 200.0)]))
+        final_responses(
+            &policy.advance(200.0, vec![attempt_ended("q.0", 0, Outcome::Error, 200.0)]),
+        )
     };
     assert_eq!(response(1000.0), vec![rejected("q")]);
     assert_eq!(
--- a/crates/fanout-policy/tests/policy/json_fields.rs
+++ b/crates/fanout-policy/tests/policy/json_fields.rs
@@ -43,23 +43,38 @@
 fn error_names_the_object_the_field_and_the_problem() {
     let fields = fields();
     let object = JsonObject::new("Env", &fields);
-    assert_eq!(text_of(object.number("absent")), "Env: field absent is missing");
-    assert_eq!(text_of(object.number("text")), "Env: field text is not a number");
+    assert_eq!(
+        text_of(object.number("absent")),
+        "Env: field absent is missing"
+    );
+    assert_eq!(
+        text_of(object.number("text")),
+        "Env: field text is not a number"
+    );
     assert_eq!(
         text_of(object.whole_number("float")),
         "Env: field float is not a whole number"
     );
-    assert_eq!(text_of(object.text("whole")), "Env: field whole is not a string");
+    assert_eq!(
+        text_of(object.text("whole")),
+        "Env: field whole is not a string"
+    );
     assert_eq!(
         text_of(object.flag("text")),
         "Env: field text is not true or false"
     );
-    assert_eq!(text_of(object.list("text")), "Env: field text is not a list");
+    assert_eq!(
+        text_of(object.list("text")),
+        "Env: field text is not a list"
+    );
     assert_eq!(
         text_of(object.numbers("mixed")),
         "Env: field mixed is not a list of numbers"
     );
-    assert_eq!(text_of(object.object("text")), "Env: field text is not an object");
+    assert_eq!(
+        text_of(object.object("text")),
+        "Env: field text is not an object"
+    );
     let expected = "Env: field numbers holds something that is not an object";
     assert_eq!(text_of(object.objects("numbers")), expected);
 }
@@ -75,5 +90,8 @@
         "object: field inner is not a string"
     );
     let inner = object.objects("objects").unwrap()[0];
-    assert_eq!(text_of(inner.text("absent")), "objects: field absent is missing");
+    assert_eq!(
+        text_of(inner.text("absent")),
+        "objects: field absent is missing"
+    );
 }
--- a/crates/fanout-policy/tests/policy/load_reports.rs
+++ b/crates/fanout-policy/tests/policy/load_reports.rs
@@ -1,8 +1,8 @@
 //! Load reports of servers and gossip between aggregators.
 
 use crate::common::{
-    Harness, SentAttempt, answer_queries, attempt_ended, endpoint, list_event, part_id, ring, sent_attempts,
-    servers_of,
+    Harness, SentAttempt, answer_queries, attempt_ended, endpoint, list_event, part_id, ring,
+    sent_attempts, servers_of,
 };
 use fanout_policy::api::{Action, Event, ListUpdate, MAX_GOSSIP_BYTES, Ms, Outcome, Settings};
 use std::collections::BTreeSet;
@@ -67,7 +67,10 @@
         }],
     );
     let others = servers_of_queries(&mut policy, "q", 20);
-    assert!(others.len() < 3, "one of three replicas is avoided: {others:?}");
+    assert!(
+        others.len() < 3,
+        "one of three replicas is avoided: {others:?}"
+    );
     let recovered = vec![unreachable[0][0], unreachable[0][1], 0];
     policy.advance(
         5.0,
@@ -179,7 +182,9 @@
         policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
         let mut parts_sent = 0;
         for n in 0..200 {
-            for SentAttempt { part, node, .. } in sent_attempts(&policy.submit(&format!("q{n}"), &[0])) {
+            for SentAttempt { part, node, .. } in
+                sent_attempts(&policy.submit(&format!("q{n}"), &[0]))
+            {
                 parts_sent += usize::from(node == "a" && n > 20);
                 // The load of `a` is 9 in the same report each time, or slightly more in each new report.
                 let load_of_a = 9.0 + if repeated { 0.0 } else { n as f64 / 1000.0 };
@@ -202,7 +207,10 @@
     for k in 0..count {
         let sent = sent_attempts(&policy.submit(&format!("{name}{k}"), &[0]));
         nodes.insert(sent[0].node.clone());
-        policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)]);
+        policy.advance(
+            20.0,
+            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)],
+        );
     }
     nodes
 }
@@ -218,7 +226,10 @@
     let mut count = 0;
     for k in 0..queries {
         let sent = sent_attempts(&policy.submit(&format!("n{k}-{}", policy.now), &[0]));
-        policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)]);
+        policy.advance(
+            20.0,
+            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)],
+        );
         count += usize::from(sent[0].node == node);
     }
     count
--- a/crates/fanout-policy/tests/policy/outlier_detection.rs
+++ b/crates/fanout-policy/tests/policy/outlier_detection.rs
@@ -1,8 +1,8 @@
 //! Ejection of servers that fail or do not answer.
 
 use crate::common::{
-    Harness, SentAttempt, answer_queries, attempt_ended, class, complete_answer, endpoint, final_responses,
-    list_event, ring, sent_attempts, served, servers_of, sets,
+    Harness, SentAttempt, answer_queries, attempt_ended, class, complete_answer, endpoint,
+    final_responses, list_event, ring, sent_attempts, served, servers_of, sets,
 };
 use fanout_policy::api::{Endpoint, ListUpdate, Outcome, Settings};
 use std::collections::{BTreeMap, BTreeSet};
@@ -12,7 +12,10 @@
     let mut policy = Harness::new(ring(), 1);
     for k in 0..6 {
         let sent = sent_attempts(&policy.submit(&format!("w{k}"), &[0]));
-        policy.advance(40.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 40.0)]);
+        policy.advance(
+            40.0,
+            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 40.0)],
+        );
     }
     let silent = sent_attempts(&policy.submit("stuck", &[0]))[0].node.clone();
     policy.advance(800.0, vec![]);
@@ -30,7 +33,10 @@
 fn server_with_fast_errors_is_ejected_and_used_again_later() {
     let mut policy = Harness::new(ring(), 1);
     let first = policy.run_traffic(60, &["c1n0"], Outcome::Error)["c1n0"];
-    assert!(first < 20, "{first} attempts of 60 queries at the failing server");
+    assert!(
+        first < 20,
+        "{first} attempts of 60 queries at the failing server"
+    );
     for _ in 0..100 {
         policy.advance(100.0, vec![]);
     }
@@ -48,7 +54,8 @@
         let mut policy = Harness::new(ring(), 1);
         answer_queries(&mut policy, 10, 4000.0);
         let sent = sent_attempts(&policy.submit("q", &[0, 6, 12, 18]));
-        let timed_out = |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, Outcome::TimedOut, 900.0);
+        let timed_out =
+            |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, Outcome::TimedOut, 900.0);
         let events = sent.iter().map(timed_out).collect();
         let end = policy.now + 900.0;
         if pause {
@@ -62,7 +69,10 @@
             .filter(|actions| servers_of(actions).contains(timed_out_node))
             .count()
     };
-    assert!(attempts_after(true) > 0, "the aggregator paused, not the server");
+    assert!(
+        attempts_after(true) > 0,
+        "the aggregator paused, not the server"
+    );
     assert_eq!(attempts_after(false), 0);
 }
 
@@ -91,7 +101,10 @@
             };
             [here, there]
         });
-        policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints.collect())]);
+        policy.advance(
+            5.0,
+            vec![list_event(ListUpdate::Snapshot, endpoints.collect())],
+        );
         let mut count = 0;
         for k in 0..12 {
             let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[k]));
@@ -108,7 +121,10 @@
         count
     };
     let (with_zones, without_zones) = (attempts_there(true), attempts_there(false));
-    assert!(with_zones < without_zones, "{with_zones} and {without_zones}");
+    assert!(
+        with_zones < without_zones,
+        "{with_zones} and {without_zones}"
+    );
 }
 
 #[test]
@@ -157,7 +173,10 @@
         let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
         assert_eq!(sent.len(), 1, "query {k} must not be rejected");
         if !servers_with_lost_part.insert(sent[0].node.clone()) {
-            policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)]);
+            policy.advance(
+                20.0,
+                vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)],
+            );
         }
     }
 }
@@ -179,8 +198,9 @@
         let lost = sent_attempts(&policy.submit(&format!("q{n}"), &[0, 1]));
         let mut events = served(&beside, 0, 10.0);
         events.extend(
-            lost.iter()
-                .map(|SentAttempt { part, .. }| attempt_ended(part, 0, Outcome::ConnectionLost, 5.0)),
+            lost.iter().map(|SentAttempt { part, .. }| {
+                attempt_ended(part, 0, Outcome::ConnectionLost, 5.0)
+            }),
         );
         let actions = policy.advance(5.0, events);
         let expected = complete_answer(&format!("b{n}"));
--- a/crates/fanout-policy/tests/policy/replica_selection.rs
+++ b/crates/fanout-policy/tests/policy/replica_selection.rs
@@ -58,7 +58,10 @@
         let name = format!("q{k}");
         let sent = sent_attempts(&policy.submit(&name, &[0]));
         nodes.insert(sent[0].node.clone());
-        policy.advance(5.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 5.0)]);
+        policy.advance(
+            5.0,
+            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 5.0)],
+        );
     }
     assert_eq!(nodes.len(), 3);
 }
@@ -103,7 +106,10 @@
     let mut healthy = Harness::new(settings(), 1);
     for k in 0..12 {
         let sent = sent_attempts(&healthy.submit(&format!("f{k}"), &[0]));
-        healthy.advance(500.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 5.0)]);
+        healthy.advance(
+            500.0,
+            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 5.0)],
+        );
     }
     overloaded.advance(2000.0, vec![]);
     let narrow = servers_of(&overloaded.submit("after", &[0, 1, 2, 3, 4, 5])).len();
@@ -135,10 +141,14 @@
     // Other zones are slower, by less than what would move parts away from a replica in the same zone.
     let mut attempts_by_server = BTreeMap::new();
     for n in 0..90 {
-        for SentAttempt { part, node, .. } in sent_attempts(&policy.submit(&format!("u{n}"), &[0])) {
+        for SentAttempt { part, node, .. } in sent_attempts(&policy.submit(&format!("u{n}"), &[0]))
+        {
             let elapsed = if node == "z1" { 30.0 } else { 60.0 };
             *attempts_by_server.entry(node).or_insert(0) += 1;
-            policy.advance(elapsed, vec![attempt_ended(&part, 0, Outcome::Served, elapsed)]);
+            policy.advance(
+                elapsed,
+                vec![attempt_ended(&part, 0, Outcome::Served, elapsed)],
+            );
         }
     }
     assert!(attempts_by_server["z1"] > 45, "{attempts_by_server:?}");
@@ -161,7 +171,10 @@
 #[test]
 fn query_for_a_shard_without_replicas_is_rejected_immediately() {
     let mut policy = Harness::new(ring(), 0);
-    assert_eq!(final_responses(&policy.submit("q", &[0])), vec![rejected("q")]);
+    assert_eq!(
+        final_responses(&policy.submit("q", &[0])),
+        vec![rejected("q")]
+    );
 }
 
 #[test]
@@ -185,10 +198,16 @@
 fn single_very_slow_answer_moves_parts_to_other_replicas() {
     let mut policy = Harness::new(ring(), 1);
     let slow = sent_attempts(&policy.submit("slow", &[0]))[0].clone();
-    policy.advance(280.0, vec![attempt_ended(&slow.part, 0, Outcome::Served, 280.0)]);
+    policy.advance(
+        280.0,
+        vec![attempt_ended(&slow.part, 0, Outcome::Served, 280.0)],
+    );
     for k in 0..12 {
         let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
         assert_ne!(sent[0].node, slow.node);
-        policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 40.0)]);
+        policy.advance(
+            20.0,
+            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 40.0)],
+        );
     }
 }
--- a/crates/fanout-policy/tests/policy/retries.rs
+++ b/crates/fanout-policy/tests/policy/retries.rs
@@ -1,6 +1,8 @@
 //! Retries: their limits, the retry budget and queries that break servers.
 
-use crate::common::{Harness, SentAttempt, attempt_ended, final_responses, rejected, ring, sent_attempts};
+use crate::common::{
+    Harness, SentAttempt, attempt_ended, final_responses, rejected, ring, sent_attempts,
+};
 use fanout_policy::api::{Action, Ms, Outcome, RetryBudget, Settings};
 use std::collections::BTreeMap;
 
@@ -11,7 +13,10 @@
     let mut attempts = 0;
     let mut last = Vec::new();
     while let Some(SentAttempt { part, .. }) = open.pop() {
-        last = policy.advance(10.0, vec![attempt_ended(&part, attempts, Outcome::Error, 10.0)]);
+        last = policy.advance(
+            10.0,
+            vec![attempt_ended(&part, attempts, Outcome::Error, 10.0)],
+        );
         open.extend(sent_attempts(&last));
         attempts += 1;
     }
@@ -42,7 +47,9 @@
             request_times.extend([policy.now + 5.0; 2]);
             policy.submit(&format!("q{k}"), &[k % 6])
         } else {
-            let error = |(part, count): (&String, &u32)| attempt_ended(part, count - 1, Outcome::Error, 5.0);
+            let error = |(part, count): (&String, &u32)| {
+                attempt_ended(part, count - 1, Outcome::Error, 5.0)
+            };
             policy.advance(5.0, attempts.iter().map(error).collect())
         };
         for SentAttempt { part, .. } in sent_attempts(&actions) {
@@ -53,10 +60,19 @@
             }
             retry_times.push(policy.now);
             let window_start = policy.now - 1000.0;
-            let requests = request_times.iter().filter(|time| **time > window_start).count();
-            let retries = retry_times.iter().filter(|time| **time >= window_start).count();
+            let requests = request_times
+                .iter()
+                .filter(|time| **time > window_start)
+                .count();
+            let retries = retry_times
+                .iter()
+                .filter(|time| **time >= window_start)
+                .count();
             let budget = 2.0 + 0.1 * requests as f64;
-            assert!(retries as f64 <= budget, "{retries} retries, budget for {budget}");
+            assert!(
+                retries as f64 <= budget,
+                "{retries} retries, budget for {budget}"
+            );
         }
     }
     assert!(retry_times.len() > 5, "the budget must be used");
--- a/crates/fanout-policy/tests/policy/robustness.rs
+++ b/crates/fanout-policy/tests/policy/robustness.rs
@@ -64,7 +64,11 @@
         .split_once("\npolicy = [")
         .expect("the deployment lists the policy files");
     let (list, _) = list.split_once(']').expect("the list is closed");
-    list.split('"').skip(1).step_by(2).map(str::to_owned).collect()
+    list.split('"')
+        .skip(1)
+        .step_by(2)
+        .map(str::to_owned)
+        .collect()
 }
 
 #[test]
--- a/crates/fanout-policy/tests/policy/server_views.rs
+++ b/crates/fanout-policy/tests/policy/server_views.rs
@@ -77,7 +77,11 @@
 fn load_reports_eject_failing_server_and_show_its_recovery() {
     let mut aggregator = aggregator();
     let class = ClassIndex(0);
-    let reports = [report(0, 0, 500, 0), report(1, 500, 1, 0), report(9, 0, 5, 0)];
+    let reports = [
+        report(0, 0, 500, 0),
+        report(1, 500, 1, 0),
+        report(9, 0, 5, 0),
+    ];
     aggregator.apply_load_reports(1000.0, class, &reports);
     let views = aggregator.server_views(1001.0);
     assert!(
--- a/crates/fanout-policy/tests/policy/settings.rs
+++ b/crates/fanout-policy/tests/policy/settings.rs
@@ -51,7 +51,10 @@
         (Some(250.0), Some(15_000.0))
     );
     let policy = site.settings;
-    assert_eq!((policy.cells, policy.replica_cells, policy.shards), (6, 3, 12));
+    assert_eq!(
+        (policy.cells, policy.replica_cells, policy.shards),
+        (6, 3, 12)
+    );
     assert_eq!(
         (policy.aggregators, policy.zone, policy.max_parts_per_call),
         (7, Some(1), 2)
@@ -79,7 +82,10 @@
         (0.5, 1000.0)
     );
     assert_eq!(
-        (policy.warm_up.overload_factor, policy.warm_up.overload_window),
+        (
+            policy.warm_up.overload_factor,
+            policy.warm_up.overload_window
+        ),
         (2.5, 900.0)
     );
     let budget = policy.retry_budget.unwrap();
@@ -88,13 +94,23 @@
         (0.0, 0.1, 500.0)
     );
     let class = &policy.classes[0];
-    assert_eq!((class.latency_objective, class.client_timeout), (800.0, 4000.0));
+    assert_eq!(
+        (class.latency_objective, class.client_timeout),
+        (800.0, 4000.0)
+    );
     assert_eq!((class.priority_weight, class.late_weight), (2.0, 0.3));
     assert_eq!(
-        (class.required_share, class.minimum_share, class.partial_weight),
+        (
+            class.required_share,
+            class.minimum_share,
+            class.partial_weight
+        ),
         (0.9, 0.5, 0.8)
     );
-    assert_eq!(class.retry_safety, RetrySafety::IdempotencyKey { window: 5000.0 });
+    assert_eq!(
+        class.retry_safety,
+        RetrySafety::IdempotencyKey { window: 5000.0 }
+    );
     assert!(class.has_second_step);
 }
 
--- a/crates/fanout-policy/tests/policy/warm_up.rs
+++ b/crates/fanout-policy/tests/policy/warm_up.rs
@@ -59,7 +59,11 @@
 
 #[test]
 fn long_silence_counts_as_a_restart_and_a_short_one_does_not() {
-    assert_eq!(parts_sent_after_silence(1000.0), 20, "a pause is no restart");
+    assert_eq!(
+        parts_sent_after_silence(1000.0),
+        20,
+        "a pause is no restart"
+    );
     let parts = parts_sent_after_silence(3900.0);
     assert!(
         parts < 20,
@@ -95,7 +99,10 @@
             policy.advance(interval * seed as f64 / aggregators as f64, vec![]);
             while policy.now < end {
                 let sent = sent_attempts(&policy.submit(&format!("q{}", policy.now), &[0]));
-                let parts = sent.iter().filter(|attempt| attempt.node == "started").count();
+                let parts = sent
+                    .iter()
+                    .filter(|attempt| attempt.node == "started")
+                    .count();
                 work += parts as f64 * INITIAL_PART_COST;
                 // An overloaded server answers nothing.
                 let answers = if warm_time > 0.0 {
@@ -128,7 +135,10 @@
         // All have just started and submit far more than can be served, or all have long submitted what loads one core.
         for (interval, warm_time) in [(100.0, 0.0), (50.0 * aggregators as f64, 20_000.0)] {
             let WarmUpLoad { work, limit } = warm_up_load(aggregators, interval, warm_time);
-            assert!(work <= limit, "{aggregators} aggregators sent {work} of {limit}");
+            assert!(
+                work <= limit,
+                "{aggregators} aggregators sent {work} of {limit}"
+            );
             assert!(work > 0.0, "{aggregators} aggregators send nothing");
         }
     }
