--- a/crates/broker-types/tests/endpoint_list.rs
+++ b/crates/broker-types/tests/endpoint_list.rs
@@ -39,3 +39,138 @@
     let unknown = r#"{"rev":1,"all":true,"targets":[{"uid":"a","state":"new"}]}"#;
     assert!(serde_json::from_str::<EndpointList>(unknown).is_err());
 }
+
+fn decode(text: &str) -> Result<EndpointList, String> {
+    serde_json::from_str(text).map_err(|error| error.to_string())
+}
+
+/// A list with one entry of these fields in addition to the required ones.
+fn list_with(fields: &str) -> String {
+    format!(r#"{{"rev":1,"all":true,"targets":[{{"uid":"a","state":"active"{fields}}}]}}"#)
+}
+
+/// The texts are what operators see in the log.
+#[test]
+fn malformed_list_is_refused_with_the_place_of_the_fault() {
+    for (text, error) in [
+        (r"{}", "missing field `rev` at line 1 column 2"),
+        (r#"{"rev":1}"#, "missing field `all` at line 1 column 9"),
+        (
+            r#"{"rev":1,"all":true}"#,
+            "missing field `targets` at line 1 column 20",
+        ),
+        (
+            r#"{"rev":null}"#,
+            "invalid type: null, expected u64 at line 1 column 11",
+        ),
+        (
+            r#"{"rev":"a"}"#,
+            "invalid type: string \"a\", expected u64 at line 1 column 10",
+        ),
+        (
+            r#"{"rev":-1}"#,
+            "invalid value: integer `-1`, expected u64 at line 1 column 9",
+        ),
+        (
+            r#"{"rev":1.0}"#,
+            "invalid type: floating point `1.0`, expected u64 at line 1 column 10",
+        ),
+        (
+            r#"{"rev":1e300}"#,
+            "invalid type: floating point `1e+300`, expected u64 at line 1 column 12",
+        ),
+        (
+            r#"{"all":1}"#,
+            "invalid type: integer `1`, expected a boolean at line 1 column 8",
+        ),
+        (
+            r#"{"rev":1,"rev":2}"#,
+            "duplicate field `rev` at line 1 column 14",
+        ),
+        (
+            r#"{"targets":{}}"#,
+            "invalid type: map, expected a sequence at line 1 column 11",
+        ),
+        (
+            r#"{"targets":[1]}"#,
+            "invalid type: integer `1`, expected struct Endpoint at line 1 column 13",
+        ),
+        (
+            "1",
+            "invalid type: integer `1`, expected struct EndpointList at line 1 column 1",
+        ),
+        (
+            r#"{"targets":[{}]}"#,
+            "missing field `uid` at line 1 column 14",
+        ),
+        (
+            r#"{"targets":[{"uid":"a"}]}"#,
+            "missing field `state` at line 1 column 23",
+        ),
+        (
+            r#"{"targets":[{"uid":"a","state":"new"}]}"#,
+            "unknown variant `new`, expected one of `active`, `leaving`, `left` at line 1 column 36",
+        ),
+    ] {
+        assert_eq!(decode(text).expect_err(text), error, "{text}");
+    }
+    for fields in [
+        r#","endpoint":"nowhere""#,
+        r#","endpoint":1"#,
+        r#","az":null"#,
+        r#","az":1"#,
+        r#","pod_group":null"#,
+        r#","pod_group":3.0"#,
+        r#","pod_group":-1"#,
+        r#","boot_ms":null"#,
+        r#","boot_ms":"1""#,
+        r#","uid":"b""#,
+    ] {
+        assert!(decode(&list_with(fields)).is_err(), "{fields}");
+    }
+}
+
+#[test]
+fn optional_fields_of_an_entry_have_defaults() {
+    for fields in ["", r#","endpoint":null,"unknown":[{}]"#] {
+        let list = decode(&list_with(fields)).unwrap();
+        assert_eq!(list.scope(), ListScope::Snapshot);
+        assert_eq!(list.endpoints[0].address, None);
+        let servers = list.servers(&["y".to_owned()], |_| 0);
+        assert_eq!(servers, [server("a", 0, ServingState::Serving)]);
+    }
+}
+
+#[test]
+fn start_time_is_any_number_and_counts_from_above_zero() {
+    for (started, expected) in [
+        ("0", None),
+        ("-5", None),
+        ("1.9", Some(1)),
+        ("18446744073709551615", Some(i64::MAX)),
+        ("1e300", Some(i64::MAX)),
+    ] {
+        let list = decode(&list_with(&format!(r#","boot_ms":{started}"#))).unwrap();
+        let servers = list.servers(&[], |unix_ms| unix_ms);
+        assert_eq!(servers[0].started_at, expected, "{started}");
+    }
+}
+
+/// A list is also read from its values in order, without their names.
+#[test]
+fn list_of_values_in_order_is_decoded() {
+    let list = decode(r#"[7,false,[["a",null,"y",2,"left",0]]]"#).unwrap();
+    assert_eq!((list.revision, list.scope()), (7, ListScope::Delta));
+    let servers = list.servers(&[], |_| 0);
+    assert_eq!(servers, [server("a", 2, ServingState::Removed)]);
+}
+
+#[test]
+fn deeply_nested_value_is_ignored_or_refused_without_a_panic() {
+    for depth in [200, 100_000] {
+        let nested = "[".repeat(depth) + &"]".repeat(depth);
+        assert!(decode(&list_with(&format!(r#","unknown":{nested}"#))).is_ok());
+        assert!(decode(&list_with(&format!(r#","az":{nested}"#))).is_err());
+        assert!(decode(&nested).is_err());
+    }
+}
--- a/crates/fanout-policy/tests/policy/settings.rs
+++ b/crates/fanout-policy/tests/policy/settings.rs
@@ -173,3 +173,381 @@
         "Rules: field RatioSpan is missing"
     );
 }
+
+/// The settings with one field replaced, or added where the object does not have it.
+fn settings_with(pointer: &str, replacement: Value) -> Value {
+    let mut value = settings();
+    let (object, field) = pointer.rsplit_once('/').unwrap();
+    let target = value.pointer_mut(object).expect(pointer);
+    match target {
+        Value::Array(elements) => elements[field.parse::<usize>().unwrap()] = replacement,
+        object => object[field] = replacement,
+    }
+    value
+}
+
+/// The settings without one field.
+fn settings_without(pointer: &str) -> Value {
+    let mut value = settings();
+    let (object, field) = pointer.rsplit_once('/').unwrap();
+    let object = value.pointer_mut(object).and_then(Value::as_object_mut);
+    object.unwrap().remove(field).expect(pointer);
+    value
+}
+
+/// The settings read from a text in which a field of the outer object stands twice, last with this value.
+fn settings_with_duplicate(field: &str, first: &str, last: &str) -> Value {
+    let mut fields = settings();
+    fields.as_object_mut().unwrap().remove(field).expect(field);
+    let others = fields.to_string();
+    let duplicates = format!(r#"{{"{field}":{first},"{field}":{last},"#);
+    serde_json::from_str(&others.replacen('{', &duplicates, 1)).unwrap()
+}
+
+fn accept(value: &Value) -> SiteSettings {
+    decode_value(value).unwrap_or_else(|error| panic!("{error}"))
+}
+
+/// Each required field with the object that errors name.
+const REQUIRED: [(&str, &str); 29] = [
+    ("/Allowed", "Env"),
+    ("/FamilyInfo", "Env"),
+    ("/Rules", "Env"),
+    ("/Services", "Env"),
+    ("/MembershipMode", "Env"),
+    ("/PeersTotal", "Env"),
+    ("/Tick", "Env"),
+    ("/Allowed/SendCap", "Allowed"),
+    ("/FamilyInfo/Batch", "FamilyInfo"),
+    ("/FamilyInfo/Call", "FamilyInfo"),
+    ("/FamilyInfo/ClassNeed", "FamilyInfo"),
+    ("/FamilyInfo/FetchParts", "FamilyInfo"),
+    ("/FamilyInfo/MinShare", "FamilyInfo"),
+    ("/FamilyInfo/PartialEarns", "FamilyInfo"),
+    ("/FamilyInfo/Positions", "FamilyInfo"),
+    ("/FamilyInfo/Shards", "FamilyInfo"),
+    ("/FamilyInfo/Width", "FamilyInfo"),
+    ("/Projects/0/QuotaPerS", "Projects"),
+    ("/Rules/Cold", "Rules"),
+    ("/Rules/ColdFrom", "Rules"),
+    ("/Rules/Fall", "Rules"),
+    ("/Rules/FallMultiple", "Rules"),
+    // Required because another field of the retry budget is present.
+    ("/Rules/RatioSpan", "Rules"),
+    ("/Services/0/Aim", "Services"),
+    ("/Services/0/Gain", "Services"),
+    ("/Services/0/GiveUp", "Services"),
+    ("/Services/0/LateWorth", "Services"),
+    // Required because repeats are deduplicated by a key.
+    ("/Services/0/MemorySpan", "Services"),
+    ("/Services/0/Semantics", "Services"),
+];
+
+#[test]
+fn required_field_that_is_absent_or_null_is_missing() {
+    for (pointer, object) in REQUIRED {
+        let field = pointer.rsplit('/').next().unwrap();
+        let expected = format!("{object}: field {field} is missing");
+        let absent = decode_value(&settings_without(pointer)).expect_err(pointer);
+        assert_eq!(absent.to_string(), expected);
+        assert_eq!(error_with(pointer, Value::Null), expected);
+    }
+}
+
+#[test]
+fn optional_field_may_be_absent_or_null() {
+    for pointer in [
+        "/Allowed/Cancel",
+        "/Allowed/DialTimeout",
+        "/Allowed/Keepalive",
+        "/Allowed/MaxOpen",
+        "/Allowed/MaxRetryAfter",
+        "/Allowed/Multiplex",
+        "/Allowed/Peers",
+        "/Allowed/RetryAfter",
+        "/Allowed/SecondCopies",
+        "/Clients",
+        "/Clients/MarksRetry",
+        "/Locality",
+        "/OverShareWorth",
+        "/Projects",
+        "/Projects/0/Name",
+        "/Rules/AskWithin",
+        "/Rules/ExtraRatio",
+        "/Services/0/Name",
+        "/WorthBy",
+        "/Zones",
+    ] {
+        accept(&settings_without(pointer));
+        accept(&settings_with(pointer, Value::Null));
+    }
+    let site = accept(&settings_with("/Rules/SpareAttempts", Value::Null));
+    assert_eq!(site.settings.retry_budget.unwrap().free_attempts, 0.0);
+}
+
+const WHOLE_NUMBERS: [&str; 9] = [
+    "/PeersTotal",
+    "/Locality",
+    "/FamilyInfo/Positions",
+    "/FamilyInfo/Width",
+    "/FamilyInfo/Shards",
+    "/FamilyInfo/Batch",
+    "/Allowed/SendCap",
+    "/Allowed/MaxOpen",
+    "/Allowed/Multiplex",
+];
+const NUMBERS: [&str; 20] = [
+    "/Tick",
+    "/OverShareWorth",
+    "/FamilyInfo/Call",
+    "/Allowed/MaxRetryAfter",
+    "/Allowed/DialTimeout",
+    "/Allowed/Keepalive",
+    "/Rules/AskWithin",
+    "/Rules/SpareAttempts",
+    "/Rules/ExtraRatio",
+    "/Rules/RatioSpan",
+    "/Rules/Cold",
+    "/Rules/ColdFrom",
+    "/Rules/Fall",
+    "/Rules/FallMultiple",
+    "/Services/0/Aim",
+    "/Services/0/GiveUp",
+    "/Services/0/Gain",
+    "/Services/0/LateWorth",
+    "/Services/0/MemorySpan",
+    "/Projects/0/QuotaPerS",
+];
+const FLAGS: [&str; 5] = [
+    "/Allowed/Cancel",
+    "/Allowed/SecondCopies",
+    "/Allowed/RetryAfter",
+    "/Allowed/Peers",
+    "/Clients/MarksRetry",
+];
+const CHOICES: [&str; 2] = ["/MembershipMode", "/Services/0/Semantics"];
+const OBJECTS: [&str; 4] = ["/FamilyInfo", "/Allowed", "/Rules", "/Clients"];
+const LISTS_OF_OBJECTS: [&str; 2] = ["/Services", "/Projects"];
+const LISTS_OF_NUMBERS: [&str; 4] = [
+    "/FamilyInfo/ClassNeed",
+    "/FamilyInfo/MinShare",
+    "/FamilyInfo/PartialEarns",
+    "/FamilyInfo/FetchParts",
+];
+
+/// Checks that each of the fields with each of the values is refused with this problem.
+fn refuse(pointers: &[&str], problem: &str, values: &[Value]) {
+    for pointer in pointers {
+        let (path, field) = pointer.rsplit_once('/').unwrap();
+        let object = path.split('/').find(|key| !key.is_empty()).unwrap_or("Env");
+        let expected = format!("{object}: field {field} {problem}");
+        for value in values {
+            let error = decode_value(&settings_with(pointer, value.clone()));
+            let error = error.expect_err(&format!("{pointer}: {value}"));
+            assert_eq!(error.to_string(), expected, "{value}");
+        }
+    }
+}
+
+#[test]
+fn scalar_field_of_a_wrong_type_is_refused() {
+    let not_whole = [
+        json!("3"),
+        json!(true),
+        json!([3]),
+        json!({}),
+        json!(2.5),
+        json!(-1),
+        json!(-1.0),
+        json!(1e19),
+        json!(1e300),
+    ];
+    refuse(&WHOLE_NUMBERS, "is not a whole number", &not_whole);
+    let not_numbers = [json!("3"), json!(false), json!([3]), json!({})];
+    refuse(&NUMBERS, "is not a number", &not_numbers);
+    let not_flags = [json!("true"), json!(1), json!([]), json!({})];
+    refuse(&FLAGS, "is not true or false", &not_flags);
+    let not_texts = [
+        json!(1),
+        json!(true),
+        json!(["once"]),
+        json!({"once": null}),
+    ];
+    refuse(&CHOICES, "is not a string", &not_texts);
+    let unknown = [json!(""), json!("x"), json!("Pushed"), json!("by_key ")];
+    refuse(&CHOICES, "is unknown", &unknown);
+}
+
+#[test]
+fn object_or_list_of_a_wrong_type_is_refused() {
+    let scalars = [json!("x"), json!(1), json!(1.5), json!(true), json!(-1)];
+    refuse(&OBJECTS, "is not an object", &scalars);
+    refuse(&OBJECTS, "is not an object", &[json!([])]);
+    let lists = ["/Zones"]
+        .into_iter()
+        .chain(LISTS_OF_OBJECTS)
+        .chain(LISTS_OF_NUMBERS);
+    let lists: Vec<&str> = lists.collect();
+    refuse(&lists, "is not a list", &scalars);
+    refuse(&lists, "is not a list", &[json!({})]);
+    let without_numbers = [
+        json!(["x"]),
+        json!([1, null]),
+        json!([[1]]),
+        json!([1, true]),
+    ];
+    refuse(
+        &LISTS_OF_NUMBERS,
+        "is not a list of numbers",
+        &without_numbers,
+    );
+    let without_objects = [json!([1]), json!([null]), json!(["x"]), json!([[]])];
+    let problem = "holds something that is not an object";
+    refuse(&LISTS_OF_OBJECTS, problem, &without_objects);
+}
+
+#[test]
+fn whole_number_is_accepted_up_to_the_largest() {
+    for (value, expected) in [
+        (json!(0), 0),
+        (json!(-0.0), 0),
+        (json!(3.0), 3),
+        (json!(9_223_372_036_854_775_808_u64), 1 << 63),
+        (json!(u64::MAX), u64::MAX),
+        (json!(9.2e18), 9_200_000_000_000_000_000),
+    ] {
+        let site = accept(&settings_with("/Allowed/MaxOpen", value.clone()));
+        assert_eq!(site.max_in_flight, Some(expected), "{value}");
+        let site = accept(&settings_with("/PeersTotal", value));
+        assert_eq!(site.settings.aggregators as u64, expected);
+    }
+    // A larger number of attempts keeps its low 32 bits.
+    let site = accept(&settings_with("/Allowed/SendCap", json!((1_u64 << 32) + 1)));
+    assert_eq!(site.settings.max_attempts, 1);
+}
+
+#[test]
+fn number_may_be_whole_negative_or_huge() {
+    for (value, expected) in [
+        (json!(3), 3.0),
+        (json!(-1), -1.0),
+        (json!(1e300), 1e300),
+        (json!(u64::MAX), u64::MAX as f64),
+    ] {
+        let site = accept(&settings_with("/Tick", value.clone()));
+        assert_eq!(site.settings.tick, expected);
+        let site = accept(&settings_with("/Services/0/Aim", value));
+        assert_eq!(site.settings.classes[0].latency_objective, expected);
+    }
+}
+
+#[test]
+fn unknown_field_is_ignored() {
+    for pointer in [
+        "/Unknown",
+        "/FamilyInfo/Unknown",
+        "/Allowed/Unknown",
+        "/Rules/Unknown",
+        "/Clients/Unknown",
+        "/Services/0/Unknown",
+        "/Projects/0/Unknown",
+    ] {
+        accept(&settings_with(pointer, json!({"x": [null, 1.5]})));
+    }
+    accept(&settings_with("/FamilyInfo/ClassNeed", json!([0.9, 0.8])));
+}
+
+#[test]
+fn name_that_is_not_a_string_is_empty() {
+    for name in [json!(1), json!(true), json!(["x"]), json!({}), Value::Null] {
+        let site = accept(&settings_with("/Services/0/Name", name.clone()));
+        assert_eq!(site.class_names, [""]);
+        let site = accept(&settings_with("/Projects/0/Name", name.clone()));
+        assert_eq!(site.tenant_names, [""]);
+        let site = accept(&settings_with("/Zones/0", name));
+        assert_eq!(site.zone_names, ["", "far"]);
+    }
+}
+
+#[test]
+fn priority_weight_is_by_request_unless_the_settings_say_by_work() {
+    for value in [
+        json!("request"),
+        json!(1),
+        json!([]),
+        json!({}),
+        Value::Null,
+    ] {
+        let site = accept(&settings_with("/WorthBy", value));
+        assert!(!site.settings.weight_by_work);
+    }
+}
+
+#[test]
+fn field_that_is_not_needed_is_not_checked() {
+    for (semantics, safety) in [
+        ("repeatable", RetrySafety::Idempotent),
+        ("once", RetrySafety::NotIdempotent),
+    ] {
+        let mut value = settings_with("/Services/0/Semantics", json!(semantics));
+        value["Services"][0]["MemorySpan"] = json!("x");
+        assert_eq!(accept(&value).settings.classes[0].retry_safety, safety);
+    }
+    let mut value = settings_with("/Allowed/MaxRetryAfter", json!("x"));
+    for flag in [json!(false), Value::Null] {
+        value["Allowed"]["RetryAfter"] = flag;
+        assert_eq!(accept(&value).settings.max_retry_after, None);
+    }
+}
+
+#[test]
+fn retry_budget_needs_its_window_and_no_other_field() {
+    let mut value = settings_without("/Rules/ExtraRatio");
+    let budget = accept(&value).settings.retry_budget.unwrap();
+    let fields = (budget.free_attempts, budget.per_request, budget.window);
+    assert_eq!(fields, (0.0, 0.0, 500.0));
+    value["Rules"]["RatioSpan"] = Value::Null;
+    assert!(accept(&value).settings.retry_budget.is_none());
+    value["Rules"]["SpareAttempts"] = json!(1);
+    let error = decode_value(&value).unwrap_err().to_string();
+    assert_eq!(error, "Rules: field RatioSpan is missing");
+}
+
+#[test]
+fn last_of_duplicate_fields_counts() {
+    let value = settings_with_duplicate("PeersTotal", "\"x\"", "9");
+    assert_eq!(accept(&value).settings.aggregators, 9);
+    let value = settings_with_duplicate("PeersTotal", "9", "\"x\"");
+    let error = decode_value(&value).unwrap_err().to_string();
+    assert_eq!(error, "Env: field PeersTotal is not a whole number");
+}
+
+#[test]
+fn deeply_nested_value_is_ignored_or_refused_without_a_panic() {
+    let nested = (0..100).fold(json!(1), |inner, depth| match depth % 2 {
+        0 => json!([inner]),
+        _ => json!({"x": inner}),
+    });
+    accept(&settings_with("/Unknown", nested.clone()));
+    accept(&settings_with("/WorthBy", nested.clone()));
+    accept(&settings_with("/Services/0/Name", nested.clone()));
+    let expected = "Env: field Tick is not a number";
+    assert_eq!(error_with("/Tick", nested.clone()), expected);
+    let expected = "Clients: field MarksRetry is not true or false";
+    assert_eq!(error_with("/Clients/MarksRetry", nested), expected);
+}
+
+/// Of several faults one is reported, whichever it is, with its object and field.
+#[test]
+fn error_among_several_names_one_of_them() {
+    let mut value = settings_with("/Tick", json!("x"));
+    value["FamilyInfo"]["Shards"] = json!(-1);
+    value["Services"][0]["Aim"] = Value::Null;
+    let error = decode_value(&value).unwrap_err().to_string();
+    let faults = [
+        "Env: field Tick is not a number",
+        "FamilyInfo: field Shards is not a whole number",
+        "Services: field Aim is missing",
+    ];
+    assert!(faults.contains(&error.as_str()), "{error}");
+}
--- a/crates/platform-config/src/tests.rs
+++ b/crates/platform-config/src/tests.rs
@@ -147,3 +147,182 @@
     let list = from_json(&json!([]), |_| None).unwrap_err();
     assert_eq!(list.to_string(), "RELAY_CONFIG: it is not an object");
 }
+
+/// The configuration with a field of an object replaced or, without a value, removed.
+fn config_with(object: &str, field: &str, value: Option<&Value>) -> Value {
+    let mut config = config();
+    let fields = config.pointer_mut(object).expect(object);
+    match value {
+        Some(value) => fields[field] = value.clone(),
+        None => drop(fields.as_object_mut().unwrap().remove(field)),
+    }
+    config
+}
+
+fn error_of(config: &Value) -> String {
+    from_json(config, |_| None)
+        .expect_err("an error")
+        .to_string()
+}
+
+#[test]
+fn field_that_is_missing_null_or_of_a_wrong_type_is_named() {
+    for (field, problem, wrong) in [
+        ("name", "is not a string", json!(1)),
+        ("listen", "is not a string", json!(["127.0.0.1:1"])),
+        ("discovery", "is not a string", json!(false)),
+        ("seed", "is not a string", json!(12)),
+        ("settings", "is not an object", json!([])),
+    ] {
+        let missing = format!("RELAY_CONFIG: field {field} is missing");
+        assert_eq!(error_of(&config_with("", field, None)), missing);
+        let null = config_with("", field, Some(&Value::Null));
+        assert_eq!(error_of(&null), missing);
+        let wrong = config_with("", field, Some(&wrong));
+        assert_eq!(
+            error_of(&wrong),
+            format!("RELAY_CONFIG: field {field} {problem}")
+        );
+    }
+    let missing = "RELAY_CONFIG: field known is missing";
+    assert_eq!(error_of(&config_with("", "known", None)), missing);
+    for limits in [json!([]), json!(1), json!("x")] {
+        let wrong = config_with("", "limits", Some(&limits));
+        assert_eq!(
+            error_of(&wrong),
+            "RELAY_CONFIG: field limits is not an object"
+        );
+    }
+    for field in ["sockets", "memory_mb"] {
+        let expected = format!("limits: field {field} is not a whole number");
+        for wrong in [
+            json!("4096"),
+            json!(4096.5),
+            json!(-1),
+            json!(1e300),
+            json!([]),
+        ] {
+            let wrong = config_with("/limits", field, Some(&wrong));
+            assert_eq!(error_of(&wrong), expected);
+        }
+    }
+}
+
+#[test]
+fn limits_may_be_missing_null_or_written_with_a_fraction_of_zero() {
+    for (object, field) in [
+        ("", "limits"),
+        ("/limits", "sockets"),
+        ("/limits", "memory_mb"),
+    ] {
+        for value in [None, Some(&Value::Null)] {
+            from_json(&config_with(object, field, value), |_| None).unwrap();
+        }
+    }
+    let whole = from_json(&config(), |_| None).unwrap();
+    let fraction = config_with("/limits", "memory_mb", Some(&json!(2048.0)));
+    let fraction = from_json(&fraction, |_| None).unwrap();
+    assert_eq!(fraction.clients.memory_bytes, whole.clients.memory_bytes);
+    let huge = config_with("/limits", "memory_mb", Some(&json!(u64::MAX)));
+    let huge = from_json(&huge, |_| None).unwrap();
+    assert_eq!(huge.clients.memory_bytes, Some(u64::MAX / 5 * 3));
+}
+
+#[test]
+fn field_that_a_variable_overrides_is_not_checked() {
+    for (field, variable, text) in [
+        ("name", "RELAY_NAME", "n4"),
+        ("listen", "RELAY_LISTEN", "127.0.0.1:3"),
+        ("discovery", "RELAY_DISCOVERY", "127.0.0.1:4"),
+    ] {
+        let environment = |key: &str| (key == variable).then(|| text.to_owned());
+        for value in [None, Some(&json!({})), Some(&json!("nowhere"))] {
+            let config = config_with("", field, value);
+            from_json(&config, environment).unwrap_or_else(|error| panic!("{field}: {error}"));
+        }
+    }
+}
+
+#[test]
+fn unknown_fields_are_ignored() {
+    for object in ["", "/limits", "/settings", "/known"] {
+        let unknown = json!([{"x": null}]);
+        from_json(&config_with(object, "unknown", Some(&unknown)), |_| None).unwrap();
+    }
+}
+
+#[test]
+fn seed_is_a_hexadecimal_number_of_64_bits() {
+    let seed_of = |text: &str| {
+        let config = config_with("", "seed", Some(&json!(text)));
+        from_json(&config, |_| None).map(|config| config.seed)
+    };
+    assert_eq!(seed_of("FF").unwrap(), 255);
+    assert_eq!(seed_of("+f").unwrap(), 15);
+    for text in ["", "-1", "0x1", " 1", "8c1f30d27a5be9640"] {
+        let error = seed_of(text).expect_err(text).to_string();
+        assert_eq!(error, "RELAY_CONFIG: field seed is not 16 hex digits");
+    }
+}
+
+#[test]
+fn malformed_endpoint_list_is_called_by_its_field() {
+    for (list, problem) in [
+        (
+            json!([]),
+            "invalid length 0, expected struct EndpointList with 3 elements",
+        ),
+        (
+            json!(1),
+            "invalid type: integer `1`, expected struct EndpointList",
+        ),
+        (
+            json!({"rev": 1.0}),
+            "invalid type: floating point `1.0`, expected u64",
+        ),
+        (json!({"rev": 1, "all": true}), "missing field `targets`"),
+        (
+            json!({"rev": 1, "all": true, "targets": [{"uid": 1}]}),
+            "invalid type: integer `1`, expected a string",
+        ),
+    ] {
+        let error = error_of(&config_with("", "known", Some(&list)));
+        assert_eq!(error, format!("RELAY_CONFIG: field known: {problem}"));
+    }
+}
+
+#[test]
+fn error_of_the_settings_names_their_object() {
+    for (object, field, value, text) in [
+        (
+            "/settings",
+            "PeersTotal",
+            json!(0.5),
+            "settings: field PeersTotal is not a whole number",
+        ),
+        (
+            "/settings/Rules",
+            "Cold",
+            json!(null),
+            "Rules: field Cold is missing",
+        ),
+        (
+            "/settings",
+            "Services",
+            json!([1]),
+            "settings: field Services holds something that is not an object",
+        ),
+    ] {
+        assert_eq!(error_of(&config_with(object, field, Some(&value))), text);
+    }
+}
+
+/// Of duplicate fields the last counts, also in the endpoint list.
+#[test]
+fn file_with_duplicate_fields_is_read() {
+    let text = config().to_string();
+    let text = text.replacen('{', r#"{"name":1,"#, 1);
+    let text = text.replacen(r#""all":true"#, r#""all":1,"all":true"#, 1);
+    let config: Value = serde_json::from_str(&text).unwrap();
+    assert_eq!(from_json(&config, |_| None).unwrap().name, "n3");
+}
--- a/crates/simulator-adapter/tests/adapter/load_reports.rs
+++ b/crates/simulator-adapter/tests/adapter/load_reports.rs
@@ -43,6 +43,10 @@
         r#","Gauge":{"rif":-5}"#,
         r#","Gauge":[1]"#,
         r#","Gauge":{"rate":99}"#,
+        r#","Gauge":{"rif":null,"q":38}"#,
+        r#","Gauge":{"rif":"many","q":38}"#,
+        r#","Gauge":null"#,
+        r#","Gauge":40"#,
     ] {
         let attempts = attempts_after_report(malformed);
         assert_eq!(attempts, without_report, "{malformed}");
--- a/crates/simulator-adapter/tests/adapter/main.rs
+++ b/crates/simulator-adapter/tests/adapter/main.rs
@@ -4,4 +4,5 @@
 mod gossip;
 mod invalid_input;
 mod load_reports;
+mod message_fields;
 mod script;
