--- a/crates/broker/src/listeners/tests.rs
+++ b/crates/broker/src/listeners/tests.rs
@@ -4,7 +4,6 @@
 use crate::clock::with_timeout;
 use crate::net::read_some;
 use broker_types::query::Names;
-use fanout_policy::json::JsonObject;
 use fanout_policy::settings::decode;
 use futures_lite::future::yield_now;
 use std::io::{Read, Write};
@@ -17,7 +16,7 @@
 fn context() -> Rc<ListenerContext> {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
-    let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode("settings", settings.as_object().unwrap()).unwrap();
     let names = Names {
         classes: vec!["a".into()],
         tenants: vec!["acme".into()],
--- a/crates/fanout-policy/src/json.rs
+++ b/crates/fanout-policy/src/json.rs
@@ -1,61 +1,11 @@
 //! Reads typed fields of JSON objects, with errors that name the object and the field.
 
 use serde_json::{Map, Value};
-use thiserror::Error;
+pub use wire_fields::{FieldError, FieldProblem};
 
 /// Floating-point numbers from here on are not accepted as whole numbers; it is just above 2^63.
 const WHOLE_NUMBER_LIMIT: f64 = 9.3e18;
 
-/// What is wrong with a field.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-pub enum FieldProblem {
-    /// It is absent or null.
-    #[error("is missing")]
-    Missing,
-    /// It is not a number.
-    #[error("is not a number")]
-    NotANumber,
-    /// It is not a whole number from 0.
-    #[error("is not a whole number")]
-    NotAWholeNumber,
-    /// It is not a string.
-    #[error("is not a string")]
-    NotAString,
-    /// It is not a boolean.
-    #[error("is not true or false")]
-    NotABoolean,
-    /// It is not an array.
-    #[error("is not a list")]
-    NotAList,
-    /// It is an array with an element that is not a number.
-    #[error("is not a list of numbers")]
-    NotAListOfNumbers,
-    /// It is not an object.
-    #[error("is not an object")]
-    NotAnObject,
-    /// It is an array with an element that is not an object.
-    #[error("holds something that is not an object")]
-    ElementNotAnObject,
-    /// It is an array with fewer elements than needed.
-    #[error("has too few entries")]
-    TooFewEntries,
-    /// It is a string that is none of the expected ones.
-    #[error("is unknown")]
-    UnknownValue,
-}
-
-/// A faulty field of a JSON object.
-#[derive(Clone, Debug, PartialEq, Eq, Error)]
-#[error("{object}: field {field} {problem}")]
-pub struct FieldError {
-    /// Name of the object.
-    pub object: String,
-    /// Name of the field.
-    pub field: String,
-    /// What is wrong with it.
-    pub problem: FieldProblem,
-}
-
 /// A JSON object under the name that errors give it.
 ///
 /// A field that is null counts as absent.
@@ -78,6 +28,12 @@
         self.name
     }
 
+    /// The fields.
+    #[must_use]
+    pub fn fields(&self) -> &'a Map<String, Value> {
+        self.fields
+    }
+
     /// An error about a field of this object.
     #[must_use]
     pub fn error(&self, field: &str, problem: FieldProblem) -> FieldError {
--- a/crates/fanout-policy/tests/policy/settings.rs
+++ b/crates/fanout-policy/tests/policy/settings.rs
@@ -1,9 +1,9 @@
 //! Decoding of the settings object.
 
 use fanout_policy::api::{EndpointListSource, RetrySafety};
-use fanout_policy::json::{FieldError, JsonObject};
 use fanout_policy::settings::{SiteSettings, decode};
 use serde_json::{Value, json};
+use wire_fields::FieldError;
 
 /// Settings with one class, one tenant and the optional fields.
 fn settings() -> Value {
@@ -24,7 +24,7 @@
 }
 
 fn decode_value(value: &Value) -> Result<SiteSettings, FieldError> {
-    decode(&JsonObject::new("Env", value.as_object().unwrap()))
+    decode("Env", value.as_object().unwrap())
 }
 
 /// The error text of the settings with this field replaced.
@@ -475,7 +475,7 @@
         json!("request"),
         json!(1),
         json!([]),
-        json!({}),
+        json!({"work": null}),
         Value::Null,
     ] {
         let site = accept(&settings_with("/WorthBy", value));
--- a/crates/platform-config/src/document.rs
+++ b/crates/platform-config/src/document.rs
@@ -49,7 +49,7 @@
 
     /// The settings of the site, if the broker can serve with them.
     pub(crate) fn site_settings(&self) -> Result<SiteSettings, ConfigError> {
-        let site = settings::decode(&self.root.object("settings")?)?;
+        let site = settings::decode("settings", self.root.object("settings")?.fields())?;
         check_classes(&site)?;
         check_layout(&site)?;
         check_tick(&site)?;
--- a/crates/policy-engine/src/engine/tests.rs
+++ b/crates/policy-engine/src/engine/tests.rs
@@ -1,7 +1,6 @@
 use super::*;
 use broker_types::query::{ClassIndex, PartIndex, PartSpec, TenantIndex};
 use broker_types::server::{Outcome, ServingState};
-use fanout_policy::json::JsonObject;
 use fanout_policy::settings::decode;
 use serde_json::Value;
 
@@ -22,7 +21,7 @@
 fn engine(max_in_flight: usize) -> PolicyEngine {
     let settings: Value =
         serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
-    let site = decode(&JsonObject::new("settings", settings.as_object().unwrap())).unwrap();
+    let site = decode("settings", settings.as_object().unwrap()).unwrap();
     let mut engine = PolicyEngine::new(site.settings, max_in_flight, 7);
     let names = ["s0", "s1"].map(|name| NodeId(name.into()));
     let servers = names.map(|name| server(name, ServingState::Serving));
--- a/crates/query-api/tests/invalid_request.rs
+++ b/crates/query-api/tests/invalid_request.rs
@@ -1,7 +1,6 @@
 //! Texts and status codes of invalid requests, which clients see.
 
 use broker_types::query::{ClassIndex, FinalResponse, Names, QueryRequest, TenantIndex};
-use fanout_policy::json::JsonObject;
 use fanout_policy::settings::decode as decode_settings;
 use http::Request;
 use query_api::{InvalidRequest, decode};
@@ -13,7 +12,7 @@
     let settings: Value =
         serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
     let fields = settings.as_object().unwrap();
-    let site = decode_settings(&JsonObject::new("settings", fields)).unwrap();
+    let site = decode_settings("settings", fields).unwrap();
     let names = Names {
         classes: site.class_names,
         tenants: site.tenant_names,
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -72,7 +72,7 @@
 
     /// Starts an aggregator, in place of one with the same number.
     fn launch(&mut self, number: u64, message: &JsonObject) -> Result<(), MessageError> {
-        let settings = settings::decode(&message.object("Env")?)?.settings;
+        let settings = settings::decode("Env", message.object("Env")?.fields())?.settings;
         let class_count = settings.classes.len();
         let aggregator = Aggregator::new(settings, message.whole_number("RngSeed")?);
         let instance = Instance {
