--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,9 +1,9 @@
 //! Errors in the input.
 
-use fanout_policy::json::FieldError;
 use std::fmt;
 use std::io;
 use thiserror::Error;
+use wire_fields::FieldError;
 
 /// Why a line cannot be processed.
 #[derive(Debug, Error)]
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -5,10 +5,11 @@
 //! a line, followed by `End`. The adapter makes no decision of its own.
 
 mod decode;
-mod encode;
 mod error;
 mod instances;
+mod message;
 mod session;
+mod wire;
 
 use std::io::{self, BufWriter};
 use std::process::ExitCode;
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,11 +1,10 @@
 //! The line protocol: batches in, replies out.
 
-use crate::encode::encode_end_of_batch;
 use crate::error::{InputError, MessageError};
 use crate::instances::Instances;
+use crate::message::Message;
+use crate::wire::{BatchNumberWire, BatchTimeWire, EndOfBatchWire, MessageKind};
 use fanout_policy::api::Ms;
-use fanout_policy::json::JsonObject;
-use serde_json::Value;
 use std::io::{self, BufRead, Write};
 
 /// A batch whose end has not been read yet.
@@ -47,25 +46,19 @@
         if line.trim().is_empty() {
             return Ok(());
         }
-        let value: Value = serde_json::from_str(&line).map_err(MessageError::NotJson)?;
-        let fields = value.as_object().ok_or(MessageError::NotAnObject)?;
-        let name = fields
-            .get("t")
-            .and_then(Value::as_str)
-            .ok_or(MessageError::MissingType)?;
-        let message = JsonObject::new(name, fields);
-        match name {
-            "Tick" => self.begin_batch(&message),
-            "EofBatch" => self.end_batch(),
-            _ if self.open_batch.is_none() => Err(no_open_batch(name)),
+        let message = Message::parse(&line)?;
+        match message.kind() {
+            Some(MessageKind::BatchBegin) => self.begin_batch(&message),
+            Some(MessageKind::BatchEnd) => self.end_batch(&message),
+            _ if self.open_batch.is_none() => Err(no_open_batch(&message)),
             _ => self.instances.on_message(&message),
         }
     }
 
-    fn begin_batch(&mut self, message: &JsonObject) -> Result<(), MessageError> {
-        let number = message.whole_number("n")?;
+    fn begin_batch(&mut self, message: &Message) -> Result<(), MessageError> {
+        let number: u64 = message.decode::<BatchNumberWire>()?.into();
         self.last_batch = Some(number);
-        let time = message.number("Moment")?;
+        let time: Ms = message.decode::<BatchTimeWire>()?.into();
         if self.open_batch.is_some() {
             return Err(MessageError::BatchStillOpen);
         }
@@ -73,23 +66,24 @@
         Ok(())
     }
 
-    fn end_batch(&mut self) -> Result<(), MessageError> {
-        let batch = self
-            .open_batch
-            .take()
-            .ok_or_else(|| no_open_batch("EofBatch"))?;
+    fn end_batch(&mut self, message: &Message) -> Result<(), MessageError> {
+        let batch = self.open_batch.take();
+        let batch = batch.ok_or_else(|| no_open_batch(message))?;
         self.reply(&batch).map_err(MessageError::Unwritable)
     }
 
     fn reply(&mut self, batch: &OpenBatch) -> io::Result<()> {
         self.instances.end_batch(batch.time, &mut self.output)?;
-        writeln!(self.output, "{}", encode_end_of_batch(batch.number))?;
+        let end = EndOfBatchWire {
+            batch: batch.number,
+        };
+        writeln!(self.output, "{end}")?;
         self.output.flush()
     }
 }
 
-fn no_open_batch(message: &str) -> MessageError {
+fn no_open_batch(message: &Message) -> MessageError {
     MessageError::NoOpenBatch {
-        message: message.to_owned(),
+        message: message.type_name(),
     }
 }
--- a/crates/wire-fields/src/collections.rs
+++ b/crates/wire-fields/src/collections.rs
@@ -108,15 +108,6 @@
     }
 }
 
-/// Methods of a visitor that refuse values of these types with a problem.
-macro_rules! refuse {
-    ($problem:expr, $($method:ident($value:ty)),*) => {$(
-        fn $method<E: Error>(self, _: $value) -> Result<Self::Value, E> {
-            Err(E::custom($problem(&self)))
-        }
-    )*};
-}
-
 /// Reads an object or null.
 struct ObjectVisitor<T> {
     /// The problem with anything else.
@@ -137,7 +128,7 @@
     type Value = Option<T>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("an object")
+        f.write_str(self.problem.expectation())
     }
 
     fn visit_map<A: MapAccess<'de>>(self, fields: A) -> Result<Self::Value, A::Error> {
@@ -147,19 +138,6 @@
     fn visit_unit<E: Error>(self) -> Result<Self::Value, E> {
         Ok(None)
     }
-
-    fn visit_seq<A: SeqAccess<'de>>(self, _: A) -> Result<Self::Value, A::Error> {
-        Err(A::Error::custom(self.problem))
-    }
-
-    refuse!(
-        |visitor: &Self| visitor.problem,
-        visit_bool(bool),
-        visit_i64(i64),
-        visit_u64(u64),
-        visit_f64(f64),
-        visit_str(&str)
-    );
 }
 
 /// Reads a list or null.
@@ -169,7 +147,7 @@
     type Value = Option<Vec<T>>;
 
     fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("a list")
+        f.write_str(FieldProblem::NotAList.expectation())
     }
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut sequence: A) -> Result<Self::Value, A::Error> {
@@ -183,17 +161,4 @@
     fn visit_unit<E: Error>(self) -> Result<Self::Value, E> {
         Ok(None)
     }
-
-    fn visit_map<A: MapAccess<'de>>(self, _: A) -> Result<Self::Value, A::Error> {
-        Err(A::Error::custom(FieldProblem::NotAList))
-    }
-
-    refuse!(
-        |_: &Self| FieldProblem::NotAList,
-        visit_bool(bool),
-        visit_i64(i64),
-        visit_u64(u64),
-        visit_f64(f64),
-        visit_str(&str)
-    );
 }
--- a/crates/wire-fields/src/error.rs
+++ b/crates/wire-fields/src/error.rs
@@ -71,10 +71,25 @@
         FieldProblem::UnknownValue,
     ];
 
-    /// The problem with the text of a deserializer's error, which is all that `serde_json` keeps of it.
+    /// What the deserializers of this crate expect where they find this problem with the type of a value.
+    pub(crate) fn expectation(self) -> &'static str {
+        match self {
+            FieldProblem::NotAString => "a string",
+            FieldProblem::NotAList => "a list",
+            FieldProblem::ElementNotAnObject => "a list of objects",
+            FieldProblem::NotAnObject => "an object",
+            _ => "another value",
+        }
+    }
+
+    /// The problem of a deserializer's error, of which `serde_json` keeps only the text. It ends with the expectation,
+    /// after a quote of the value, where the type is wrong.
     fn with_text(text: &str) -> FieldProblem {
         let mut problems = FieldProblem::REPORTED.into_iter();
-        let reported = problems.find(|problem| problem.to_string() == text);
+        let reported = match text.rsplit_once(", expected ") {
+            Some((_, expectation)) => problems.find(|problem| problem.expectation() == expectation),
+            None => problems.find(|problem| problem.to_string() == text),
+        };
         reported.unwrap_or(FieldProblem::Malformed)
     }
 }
--- a/crates/wire-fields/src/lib.rs
+++ b/crates/wire-fields/src/lib.rs
@@ -54,5 +54,9 @@
     object: &str,
     fields: &'de Map<String, Value>,
 ) -> Result<T, FieldError> {
-    serde_path_to_error::deserialize(fields).map_err(|error| FieldError::at_path(object, &error))
+    // Most objects are valid, and keeping track of the path takes longer than decoding them.
+    T::deserialize(fields).or_else(|_| {
+        let result = serde_path_to_error::deserialize(fields);
+        result.map_err(|error| FieldError::at_path(object, &error))
+    })
 }
--- a/crates/wire-fields/src/scalars.rs
+++ b/crates/wire-fields/src/scalars.rs
@@ -2,8 +2,9 @@
 
 use crate::FieldProblem;
 use serde::de::value::Error as ChoiceError;
-use serde::de::{Deserialize, Deserializer, Error, IntoDeserializer};
+use serde::de::{Deserialize, Deserializer, Error, IntoDeserializer, Visitor};
 use serde_json::Value;
+use std::fmt;
 
 /// Floating-point numbers from here on are not accepted as whole numbers; it is just above 2^63.
 const WHOLE_NUMBER_LIMIT: f64 = 9.3e18;
@@ -53,12 +54,12 @@
 /// # Errors
 ///
 /// The field is null or not a string.
-pub fn text<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
-    match Value::deserialize(deserializer)? {
-        Value::String(text) => Ok(text),
-        Value::Null => Err(D::Error::custom(FieldProblem::Missing)),
-        _ => Err(D::Error::custom(FieldProblem::NotAString)),
-    }
+pub fn text<'de, D, T>(deserializer: D) -> Result<T, D::Error>
+where
+    D: Deserializer<'de>,
+    T: for<'text> From<&'text str>,
+{
+    deserializer.deserialize_any(TextVisitor(|text: &str| Ok(T::from(text))))
 }
 
 /// A string; what is not a string counts as an empty one.
@@ -81,8 +82,8 @@
     D: Deserializer<'de>,
     T: for<'name> Deserialize<'name>,
 {
-    let name = text(deserializer)?;
-    variant(&name).ok_or_else(|| D::Error::custom(FieldProblem::UnknownValue))
+    let to_variant = |name: &str| variant(name).ok_or(FieldProblem::UnknownValue);
+    deserializer.deserialize_any(TextVisitor(to_variant))
 }
 
 /// The variant of an enum that a string names, if the field is a string and names one.
@@ -114,6 +115,28 @@
     T::deserialize(name).ok()
 }
 
+/// Reads a string and converts it.
+struct TextVisitor<F>(F);
+
+impl<T, F> Visitor<'_> for TextVisitor<F>
+where
+    F: FnOnce(&str) -> Result<T, FieldProblem>,
+{
+    type Value = T;
+
+    fn expecting(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(FieldProblem::NotAString.expectation())
+    }
+
+    fn visit_str<E: Error>(self, text: &str) -> Result<T, E> {
+        (self.0)(text).map_err(E::custom)
+    }
+
+    fn visit_unit<E: Error>(self) -> Result<T, E> {
+        Err(E::custom(FieldProblem::Missing))
+    }
+}
+
 /// A value that may be null, in which case there is none.
 fn optional<'de, D: Deserializer<'de>, T>(
     deserializer: D,
--- a/crates/wire-fields/tests/fields.rs
+++ b/crates/wire-fields/tests/fields.rs
@@ -236,6 +236,27 @@
     assert_eq!(error, "Env: field whole is not a string");
 }
 
+/// The texts of `serde`'s errors quote the value, which must not be taken for the problem.
+#[test]
+fn text_of_a_value_does_not_change_the_problem() {
+    for text in [
+        "x, expected a list",
+        "\", expected a string",
+        "is missing",
+        "missing field `x`",
+        "",
+    ] {
+        let fields = json!({"x": text});
+        let object: Result<ObjectWire, _> = decode("Env", fields.as_object().unwrap());
+        assert_eq!(object.unwrap_err().problem, FieldProblem::NotAnObject);
+        let list: Result<ObjectsWire, _> = decode("Env", fields.as_object().unwrap());
+        assert_eq!(list.unwrap_err().problem, FieldProblem::NotAList);
+        let fields = json!({"x": [text]});
+        let list: Result<ObjectsWire, _> = decode("Env", fields.as_object().unwrap());
+        assert_eq!(list.unwrap_err().problem, FieldProblem::ElementNotAnObject);
+    }
+}
+
 #[test]
 fn error_of_another_deserializer_names_the_field_without_the_value() {
     #[derive(Debug, Deserialize)]
