--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -1,5 +1,7 @@
 //! The list of data servers: as discovery sends it, and as the policy takes it.
 
+mod wire;
+
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -32,54 +34,33 @@
     Delta,
 }
 
-/// The list of data servers or its changes, as discovery sends it.
+/// The list of data servers or its changes, from discovery or from the configuration.
 #[derive(Clone, Debug, Deserialize)]
+#[serde(from = "wire::EndpointList")]
 pub struct EndpointList {
     /// Revision of the list.
-    #[serde(rename = "rev")]
     pub revision: u64,
     /// Whether the entries are all servers, or only those that have changed.
-    #[serde(rename = "all")]
     pub is_snapshot: bool,
     /// The data servers.
-    #[serde(rename = "targets")]
     pub endpoints: Vec<Endpoint>,
 }
 
 /// An entry of an [`EndpointList`].
-#[derive(Clone, Debug, Deserialize)]
+#[derive(Clone, Debug)]
 pub struct Endpoint {
     /// Name of the server.
-    #[serde(rename = "uid")]
     pub name: String,
     /// Address for connections from this broker; a removed server may have none.
-    #[serde(rename = "endpoint")]
     pub address: Option<SocketAddr>,
     /// Name of the server's zone.
-    #[serde(default, rename = "az")]
     pub zone: String,
     /// Index of the server's cell.
-    #[serde(default, rename = "pod_group")]
     pub cell: usize,
-    /// State of the server.
-    pub state: EndpointState,
-    /// Time at which the server's process started, in Unix milliseconds; 0 where that is long ago.
-    #[serde(default, rename = "boot_ms")]
-    pub started_unix_ms: f64,
-}
-
-/// State of a data server in an [`EndpointList`].
-#[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
-#[serde(rename_all = "lowercase")]
-pub enum EndpointState {
-    /// The server takes parts.
-    Active,
-    /// The server finishes the parts it has and takes no others.
-    #[serde(rename = "leaving")]
-    Draining,
-    /// The server has been removed.
-    #[serde(rename = "left")]
-    Removed,
+    /// Whether the server may be sent parts.
+    pub state: ServingState,
+    /// Time at which the server's process started, in Unix milliseconds; `None` where that is long ago.
+    pub started_unix_ms: Option<i64>,
 }
 
 impl EndpointList {
@@ -105,23 +86,12 @@
 
 impl Endpoint {
     fn server(&self, zones: &[String], from_unix_ms: impl Fn(i64) -> i64) -> ServerInfo {
-        let has_start_time = self.started_unix_ms > 0.0;
         ServerInfo {
             name: NodeId(self.name.as_str().into()),
             cell: self.cell,
-            state: self.state.into(),
+            state: self.state,
             zone: zones.iter().position(|zone| *zone == self.zone),
-            started_at: has_start_time.then(|| from_unix_ms(self.started_unix_ms as i64)),
-        }
-    }
-}
-
-impl From<EndpointState> for ServingState {
-    fn from(state: EndpointState) -> Self {
-        match state {
-            EndpointState::Active => ServingState::Serving,
-            EndpointState::Draining => ServingState::Draining,
-            EndpointState::Removed => ServingState::Removed,
+            started_at: self.started_unix_ms.map(from_unix_ms),
         }
     }
 }
