--- a/crates/platform-config/src/error.rs
+++ b/crates/platform-config/src/error.rs
@@ -1,8 +1,8 @@
 //! Errors of a configuration.
 
-use fanout_policy::json::FieldError;
 use std::io;
 use thiserror::Error;
+use wire_fields::FieldError;
 
 /// Why a configuration cannot be used. Printed, it is one line that names the faulty key.
 #[derive(Debug, Error)]
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -3,27 +3,28 @@
 //! The file's path is in the environment variable `RELAY_CONFIG`. Its name, listen address and discovery address can
 //! be overridden by `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY`.
 
-mod document;
+mod environment;
 mod error;
+mod overridable;
 mod resources;
+mod site_checks;
+mod wire;
 
+pub use environment::environment;
 pub use error::ConfigError;
 
 use admission::resource_limits::ClientResources;
 use broker_types::limits::PoolLimits;
 use broker_types::query::Names;
 use broker_types::server::EndpointList;
-use document::Document;
+use environment::{CONFIG_VARIABLE, DISCOVERY_VARIABLE};
 use fanout_policy::api::Settings;
-use fanout_policy::json::JsonObject;
 use resources::ResourceLimits;
 use serde_json::Value;
+use site_checks::check_site;
 use std::net::SocketAddr;
+use wire::PlatformFile;
 
-/// The environment variable with the file's path, by which errors call the file.
-const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// The environment variable that overrides the address of discovery.
-const DISCOVERY_VARIABLE: &str = "RELAY_DISCOVERY";
 /// Most queries and parts in flight where the settings name no limit.
 const DEFAULT_MAX_IN_FLIGHT: u64 = 256;
 
@@ -52,14 +53,6 @@
     pub pool: PoolLimits,
 }
 
-/// A variable of the program's environment; an empty one counts as not set.
-#[must_use]
-pub fn environment(variable: &str) -> Option<String> {
-    std::env::var(variable)
-        .ok()
-        .filter(|value| !value.is_empty())
-}
-
 /// Loads the configuration at the start of the program.
 ///
 /// # Errors
@@ -97,26 +90,22 @@
 ///
 /// # Errors
 ///
-/// The first field that is missing, has a wrong type or does not pass its check.
+/// One of the fields that are missing, have a wrong type or do not pass their checks.
 pub fn from_json(
     value: &Value,
     environment: impl Fn(&str) -> Option<String>,
 ) -> Result<Config, ConfigError> {
     let fields = value.as_object().ok_or(ConfigError::NotAnObject)?;
-    let document = Document {
-        root: JsonObject::new(CONFIG_VARIABLE, fields),
-        environment,
-    };
-    let seed = document.seed()?;
-    let site = document.site_settings()?;
-    let resources = ResourceLimits::decode(&document.root)?;
-    let cached_endpoints = document.cached_endpoints()?;
+    let file = PlatformFile::decode(fields)?;
+    let site = file.site;
+    check_site(&site)?;
+    let resources = ResourceLimits::new(file.limits)?;
     Ok(Config {
-        name: document.text("RELAY_NAME", "name")?,
-        listen: document.address("RELAY_LISTEN", "listen")?,
-        discovery: document.address(DISCOVERY_VARIABLE, "discovery")?,
-        seed,
-        cached_endpoints,
+        name: file.name.text(&environment)?,
+        listen: file.listen.address(&environment)?,
+        discovery: file.discovery.address(&environment)?,
+        seed: file.seed,
+        cached_endpoints: file.cached_endpoints,
         max_in_flight: site.max_in_flight.unwrap_or(DEFAULT_MAX_IN_FLIGHT) as usize,
         clients: resources.clients(),
         pool: resources.pool(&site),
--- a/crates/platform-config/src/resources.rs
+++ b/crates/platform-config/src/resources.rs
@@ -4,7 +4,6 @@
 use admission::resource_limits::ClientResources;
 use broker_types::limits::PoolLimits;
 use broker_types::time::millis;
-use fanout_policy::json::JsonObject;
 use fanout_policy::settings::SiteSettings;
 
 /// Descriptors that are used at the most, and where the configuration names no limit: the least that deployments
@@ -33,7 +32,16 @@
 /// Most parts on one connection at once where the settings name no limit.
 const DEFAULT_PARTS_PER_CONNECTION: u64 = 100;
 
-/// The platform's limits on the process.
+/// The platform's limits on the process; absent where the configuration names none.
+#[derive(Default)]
+pub(crate) struct PlatformLimits {
+    /// File descriptors.
+    pub(crate) descriptors: Option<u64>,
+    /// Memory.
+    pub(crate) memory_mebibytes: Option<u64>,
+}
+
+/// The limits on connections that follow from those on the process.
 pub(crate) struct ResourceLimits {
     /// Descriptors for connections of clients and data servers together.
     connection_descriptors: u64,
@@ -42,15 +50,11 @@
 }
 
 impl ResourceLimits {
-    /// Decodes the field `limits`, which may be absent.
-    pub(crate) fn decode(root: &JsonObject) -> Result<Self, ConfigError> {
-        let limits = match root.get("limits") {
-            Some(_) => Some(root.object("limits")?),
-            None => None,
-        };
+    /// Divides the platform's limits.
+    pub(crate) fn new(limits: PlatformLimits) -> Result<Self, ConfigError> {
         Ok(ResourceLimits {
-            connection_descriptors: decode_descriptors(limits.as_ref())?,
-            client_memory: decode_client_memory(limits.as_ref())?,
+            connection_descriptors: connection_descriptors(limits.descriptors)?,
+            client_memory: client_memory(limits.memory_mebibytes)?,
         })
     }
 
@@ -79,11 +83,7 @@
     }
 }
 
-fn decode_descriptors(limits: Option<&JsonObject>) -> Result<u64, ConfigError> {
-    let limit = match limits {
-        Some(limits) => limits.optional_whole_number("sockets")?,
-        None => None,
-    };
+fn connection_descriptors(limit: Option<u64>) -> Result<u64, ConfigError> {
     let descriptors = limit.unwrap_or(MAX_DESCRIPTORS);
     if descriptors < MIN_DESCRIPTORS {
         return Err(ConfigError::LimitTooSmall { field: "sockets" });
@@ -93,11 +93,7 @@
 
 /// The memory for client connections, in bytes. Without it, the limit on descriptors alone would let requests that
 /// are received in part fill the memory of a small machine.
-fn decode_client_memory(limits: Option<&JsonObject>) -> Result<Option<u64>, ConfigError> {
-    let limit = match limits {
-        Some(limits) => limits.optional_whole_number("memory_mb")?,
-        None => None,
-    };
+fn client_memory(limit: Option<u64>) -> Result<Option<u64>, ConfigError> {
     let Some(mebibytes) = limit else {
         return Ok(None);
     };
--- /dev/null
+++ b/crates/platform-config/src/site_checks.rs
@@ -0,0 +1,54 @@
+//! Checks that the broker can serve with the settings of the site.
+
+use crate::ConfigError;
+use fanout_policy::settings::SiteSettings;
+use std::ops::RangeInclusive;
+
+/// Bounds of the numbers that describe how data is laid out.
+const LAYOUT_BOUNDS: RangeInclusive<usize> = 1..=1_000_000;
+/// Longest time between two batches, in milliseconds.
+const MAX_TICK_MS: f64 = 1000.0;
+
+/// Checks that the broker can serve with these settings.
+pub(crate) fn check_site(site: &SiteSettings) -> Result<(), ConfigError> {
+    check_classes(site)?;
+    check_layout(site)?;
+    check_tick(site)
+}
+
+fn check_classes(site: &SiteSettings) -> Result<(), ConfigError> {
+    if site.class_names.is_empty() || site.class_names.iter().any(String::is_empty) {
+        return Err(ConfigError::UnnamedClass);
+    }
+    if site.settings.classes.iter().any(|c| c.has_second_step) {
+        return Err(ConfigError::SecondStep);
+    }
+    Ok(())
+}
+
+fn check_layout(site: &SiteSettings) -> Result<(), ConfigError> {
+    check_layout_number("Positions", site.settings.cells)?;
+    check_layout_number("Shards", site.settings.shards)?;
+    check_layout_number("Batch", site.settings.max_parts_per_call)
+}
+
+fn check_layout_number(field: &'static str, number: usize) -> Result<(), ConfigError> {
+    if LAYOUT_BOUNDS.contains(&number) {
+        Ok(())
+    } else {
+        let object = "FamilyInfo";
+        Err(ConfigError::OutOfBounds { object, field })
+    }
+}
+
+fn check_tick(site: &SiteSettings) -> Result<(), ConfigError> {
+    let tick = site.settings.tick;
+    if tick > 0.0 && tick <= MAX_TICK_MS {
+        Ok(())
+    } else {
+        Err(ConfigError::OutOfBounds {
+            object: "settings",
+            field: "Tick",
+        })
+    }
+}
