--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -90,7 +90,6 @@
 mod attempt_statistics;
 mod control_interval;
 mod gossip_exchange;
-pub mod json;
 mod policy;
 mod query_lifecycle;
 pub mod settings;
--- a/crates/fanout-policy/tests/policy/main.rs
+++ b/crates/fanout-policy/tests/policy/main.rs
@@ -8,7 +8,6 @@
 mod endpoint_list;
 mod hedging;
 mod idempotency;
-mod json_fields;
 mod load_reports;
 mod outlier_detection;
 mod replica_selection;
