--- a/crates/batch-window/tests/batch_window.rs
+++ b/crates/batch-window/tests/batch_window.rs
@@ -1,34 +1,37 @@
 //! Length of the batch window.
 
 use batch_window::BatchWindow;
+use broker_types::time::Timestamp;
 use proptest::prelude::*;
+use std::time::Duration;
 
 #[test]
 fn adaptive_window_grows_from_zero_with_the_queries_in_flight() {
-    let window = BatchWindow::Adaptive(4000);
+    let window = BatchWindow::Adaptive(Duration::from_micros(4000));
     let durations = [0, 1, 2, 5, 9, 10_000].map(|queries| window.duration(queries));
-    assert_eq!(durations, [0, 0, 500, 2000, 4000, 4000]);
+    let expected = [0, 0, 500, 2000, 4000, 4000].map(Duration::from_micros);
+    assert_eq!(durations, expected);
 }
 
 #[test]
 fn fixed_window_does_not_depend_on_the_queries_in_flight() {
-    let window = BatchWindow::Fixed(5000);
+    let window = BatchWindow::Fixed(Duration::from_micros(5000));
     let durations = [0, 1, 100].map(|queries| window.duration(queries));
-    assert_eq!(durations, [5000; 3]);
+    assert_eq!(durations, [Duration::from_micros(5000); 3]);
 }
 
 /// A client that sends one query after another never has more than one in flight, however fast it is served: if the
 /// window depended on the arrival rate, its second query would wait.
 #[test]
 fn client_that_sends_one_query_after_another_never_waits() {
-    let window = BatchWindow::Adaptive(5000);
-    let (mut now, mut waited) = (0, 0);
+    let window = BatchWindow::Adaptive(Duration::from_micros(5000));
+    let (mut now, mut waited) = (Timestamp::ORIGIN, Duration::ZERO);
     for _ in 0..1000 {
         let start = window.next_start(now, 1).max(now);
-        waited += start - now;
-        now = start + 50;
+        waited += start.saturating_since(now);
+        now = start + Duration::from_micros(50);
     }
-    assert_eq!(waited, 0);
+    assert_eq!(waited, Duration::ZERO);
 }
 
 proptest! {
@@ -36,6 +39,7 @@
     fn window_never_shrinks_with_more_queries_nor_exceeds_its_limit(
         max_duration in 0u64..50_000, a in 0usize..5000, b in 0usize..5000,
     ) {
+        let max_duration = Duration::from_micros(max_duration);
         let window = BatchWindow::Adaptive(max_duration);
         prop_assert!(window.duration(a.min(b)) <= window.duration(a.max(b)));
         prop_assert!(window.duration(a) <= max_duration);
--- a/crates/broker-types/src/query.rs
+++ b/crates/broker-types/src/query.rs
@@ -1,8 +1,8 @@
 //! Queries: what a client requests, their parts and attempts, and the one final response.
 
-use crate::time::Micros;
 use std::fmt;
 use std::rc::Rc;
+use std::time::Duration;
 
 pub use fanout_policy::api::{ClassIndex, TenantIndex};
 
@@ -45,7 +45,7 @@
     /// Share of the complete answer, from 0 to 1; the weights of a query add up to 1.
     pub weight: f64,
     /// The client's estimate of the work in the part, if it gave one.
-    pub work_hint: Option<Micros>,
+    pub work_hint: Option<Duration>,
 }
 
 /// A client's request for a query.
@@ -58,7 +58,7 @@
     /// Tenant of the query.
     pub tenant: TenantIndex,
     /// Time that the client waits for the response.
-    pub client_timeout: Micros,
+    pub client_timeout: Duration,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
     /// The idempotency key, where the class uses them.
@@ -91,7 +91,7 @@
     /// The query was not served and had no effect, so that the client may retry.
     Rejected {
         /// Time after which the client should retry.
-        retry_after: Option<Micros>,
+        retry_after: Option<Duration>,
     },
     /// The query was not served; whether it had an effect is unknown.
     Failed,
--- a/crates/broker-types/tests/time.rs
+++ b/crates/broker-types/tests/time.rs
@@ -1,9 +1,40 @@
-//! Conversion of time spans.
+//! Points in time and conversion of time spans.
 
-use broker_types::time::millis;
+use broker_types::time::{Timestamp, millis, whole_micros};
+use std::time::Duration;
 
 #[test]
 fn milliseconds_are_rounded_to_whole_microseconds_and_negative_spans_to_zero() {
-    assert_eq!(millis(1.2345), 1235);
-    assert_eq!(millis(-3.0), 0);
+    assert_eq!(millis(1.2345), Duration::from_micros(1235));
+    assert_eq!(millis(-3.0), Duration::ZERO);
+}
+
+#[test]
+fn timestamp_arithmetic_saturates() {
+    let at = Timestamp::from_micros(1000);
+    assert_eq!(at + Duration::from_millis(2), Timestamp::from_micros(3000));
+    assert_eq!(at + Duration::MAX, Timestamp::MAX);
+    assert_eq!(Timestamp::MAX + Duration::from_secs(1), Timestamp::MAX);
+    assert_eq!(at - Duration::from_micros(1), Timestamp::from_micros(999));
+    assert_eq!(at - Duration::MAX, Timestamp::ORIGIN);
+    assert_eq!(
+        at.saturating_since(Timestamp::ORIGIN),
+        Duration::from_millis(1)
+    );
+    assert_eq!(Timestamp::ORIGIN.saturating_since(at), Duration::ZERO);
+}
+
+#[test]
+fn spans_count_in_whole_microseconds() {
+    assert_eq!(whole_micros(Duration::from_nanos(1999)), 1);
+    assert_eq!(whole_micros(Duration::MAX), u64::MAX);
+    let at = Timestamp::ORIGIN + Duration::from_nanos(1999);
+    assert_eq!(at, Timestamp::from_micros(1));
+}
+
+/// The log shows timestamps within the debug form of other values.
+#[test]
+fn timestamp_is_shown_as_a_number_of_microseconds() {
+    let at = Timestamp::from_micros(1_250_000);
+    assert_eq!(format!("{at} {:?}", Some(at)), "1250000 Some(1250000)");
 }
--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -1,11 +1,14 @@
-//! The clock of the program, in microseconds on the monotonic clock since the program started, and time limits.
+//! The clock of the program, which counts time on the monotonic clock since the program started, and time limits.
 
 use async_io::Timer;
-use broker_types::time::{MILLI, Micros};
+use broker_types::time::{Timestamp, whole_micros};
 use futures_lite::FutureExt;
 use std::io;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLISECOND: i64 = 1000;
+
 /// The clock of the program. All copies of a clock have the same origin.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
@@ -27,16 +30,16 @@
         }
     }
 
-    /// Returns the time since the origin.
+    /// Returns the current time.
     #[must_use]
-    pub fn now(&self) -> Micros {
-        self.origin.elapsed().as_micros() as Micros
+    pub fn now(&self) -> Timestamp {
+        Timestamp::from_micros(whole_micros(self.origin.elapsed()))
     }
 
     /// Converts a time on this clock to an instant, as timers need it.
     #[must_use]
-    pub fn instant(&self, at: Micros) -> Instant {
-        self.origin + to_duration(at)
+    pub fn instant(&self, at: Timestamp) -> Instant {
+        self.origin + at.saturating_since(Timestamp::ORIGIN)
     }
 
     /// Converts a Unix time in milliseconds to microseconds on this clock; negative before the origin.
@@ -44,16 +47,10 @@
     pub fn at_unix_ms(&self, unix_ms: i64) -> i64 {
         unix_ms
             .saturating_sub(self.unix_origin_ms)
-            .saturating_mul(MILLI as i64)
+            .saturating_mul(MICROS_PER_MILLISECOND)
     }
 }
 
-/// Converts a number of microseconds to a duration.
-#[must_use]
-pub fn to_duration(time: Micros) -> Duration {
-    Duration::from_micros(time)
-}
-
 /// Runs an operation with a time limit. Once the limit has passed, the operation is dropped.
 ///
 /// # Errors
--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -25,15 +25,16 @@
 use async_io::Timer;
 use batch_window::BatchWindow;
 use broker_types::query::{AttemptId, PartIndex, QueryId};
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
 use policy_engine::{Dispatch, PolicyEngine};
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Longest time between two iterations.
-const MAX_WAIT: Micros = 1000 * SECOND;
+const MAX_WAIT: Duration = Duration::from_secs(1000);
 
 /// State of the broker.
 struct EventLoop {
@@ -41,7 +42,7 @@
     /// Names of the zones, in the order by which the policy numbers them.
     zones: Vec<String>,
     /// Least time from an iteration to the next one that only a deadline causes.
-    tick: Micros,
+    tick: Duration,
     /// Time for which events are gathered before an iteration.
     batch_window: BatchWindow,
     operator: OperatorConfig,
@@ -59,11 +60,11 @@
     unsent_attempts: Vec<EndedAttempt>,
     /// Queries and parts completed in this iteration, of which no unsent attempt is needed any more.
     completed: Vec<Completed>,
-    shutdown_started_at: Option<Micros>,
+    shutdown_started_at: Option<Timestamp>,
     /// Time of the next attempt to reload the configuration.
-    reload_at: Option<Micros>,
+    reload_at: Option<Timestamp>,
     /// Time of the next report on the policy's state.
-    next_policy_report: Micros,
+    next_policy_report: Timestamp,
 }
 
 /// A query or one of its parts that is complete.
@@ -87,7 +88,7 @@
     }
 
     /// Runs one iteration.
-    fn iterate(&mut self, now: Micros) {
+    fn iterate(&mut self, now: Timestamp) {
         let received = self.handle_events(now);
         self.reload_if_due(now);
         self.report_ended_attempts(now);
@@ -95,12 +96,12 @@
         self.poll_policy(now);
         self.cancel_completed(now);
         self.send_dispatches(now);
-        self.servers.close_expired_connections(now);
+        self.servers.close_expired_connections(now.as_micros());
         self.log_policy_state(now);
     }
 
     /// Handles all queued events, and returns the queries that were received and whose clients are still connected.
-    fn handle_events(&mut self, now: Micros) -> Vec<ReceivedQuery> {
+    fn handle_events(&mut self, now: Timestamp) -> Vec<ReceivedQuery> {
         let mut received = Vec::new();
         for event in self.event_queue.drain() {
             match event {
@@ -110,7 +111,8 @@
                     self.on_client_disconnected(now, query);
                 }
                 Event::ServerConnection { connection, event } => {
-                    self.servers.on_connection_event(now, connection, event);
+                    self.servers
+                        .on_connection_event(now.as_micros(), connection, event);
                 }
                 Event::EndpointsUpdated(list) => self.update_endpoints(now, list.scope(), &list),
                 Event::ReloadRequested => self.reload_at = Some(now),
@@ -120,27 +122,28 @@
         received
     }
 
-    fn on_client_disconnected(&mut self, now: Micros, query: QueryId) {
+    fn on_client_disconnected(&mut self, now: Timestamp, query: QueryId) {
         self.policy.abandon(query);
         self.queries.abandon(now, query);
         self.completed.push(Completed { query, part: None });
     }
 
     /// Returns when the next iteration is due even if no event occurs.
-    fn next_deadline(&self, now: Micros) -> Micros {
+    fn next_deadline(&self, now: Timestamp) -> Timestamp {
         let has_reports = self.servers.has_ended_attempts() || !self.unsent_attempts.is_empty();
         let deadlines = [
-            Some(self.policy.next_deadline()),
-            Some(self.servers.next_deadline()),
+            self.policy.next_deadline(),
+            Some(Timestamp::from_micros(self.servers.next_deadline())),
             self.shutdown_deadline(now),
             self.reload_at,
             has_reports.then_some(now),
         ];
-        deadlines.into_iter().flatten().min().unwrap_or(Micros::MAX)
+        let earliest = deadlines.into_iter().flatten().min();
+        earliest.unwrap_or(Timestamp::MAX)
     }
 
     /// Waits until an event has occurred or the deadline has passed, and then until the batch window has ended.
-    async fn wait(&self, now: Micros, deadline: Micros) {
+    async fn wait(&self, now: Timestamp, deadline: Timestamp) {
         let deadline = deadline.clamp(now + self.tick, now + MAX_WAIT);
         let timer = async {
             Timer::at(self.clock.instant(deadline)).await;
--- a/crates/broker/src/event_loop/decisions.rs
+++ b/crates/broker/src/event_loop/decisions.rs
@@ -6,13 +6,13 @@
 use crate::upstream::{EndedAttempt, OutgoingAttempt};
 use broker_types::query::{AttemptId, FinalResponse};
 use broker_types::server::Outcome;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use policy_engine::{Decisions, Dispatch, FinishedQuery, QueryOutcome};
 use tracing::warn;
 
 impl EventLoop {
     /// Submits the received queries that are admitted.
-    pub(super) fn submit_queries(&mut self, now: Micros, received: Vec<ReceivedQuery>) {
+    pub(super) fn submit_queries(&mut self, now: Timestamp, received: Vec<ReceivedQuery>) {
         let admitted = received
             .into_iter()
             .filter_map(|query| self.queries.admit(now, query))
@@ -22,13 +22,13 @@
     }
 
     /// Lets the policy act on the time that has passed.
-    pub(super) fn poll_policy(&mut self, now: Micros) {
+    pub(super) fn poll_policy(&mut self, now: Timestamp) {
         let decisions = self.policy.poll(now);
         self.execute(now, decisions);
     }
 
     /// Executes decisions. Attempts to be sent are collected until the end of the iteration.
-    pub(super) fn execute(&mut self, now: Micros, decisions: Decisions) {
+    pub(super) fn execute(&mut self, now: Timestamp, decisions: Decisions) {
         self.log_capacity(&decisions);
         for attempt in decisions.cancellations {
             self.cancel_attempt(now, attempt);
@@ -54,11 +54,11 @@
         }
     }
 
-    fn cancel_attempt(&mut self, now: Micros, attempt: AttemptId) {
+    fn cancel_attempt(&mut self, now: Timestamp, attempt: AttemptId) {
         if self.dispatches.remove(&attempt).is_some() {
             self.end_unsent(attempt);
         } else {
-            self.servers.cancel(now, attempt);
+            self.servers.cancel(now.as_micros(), attempt);
         }
     }
 
@@ -68,7 +68,7 @@
             .push(EndedAttempt::unsent(attempt, Outcome::NotSent));
     }
 
-    fn finish_query(&mut self, now: Micros, finished: FinishedQuery) {
+    fn finish_query(&mut self, now: Timestamp, finished: FinishedQuery) {
         let FinishedQuery { query, outcome } = finished;
         self.completed.push(Completed { query, part: None });
         self.queries.finish(now, query, |values| match outcome {
@@ -82,23 +82,23 @@
     }
 
     /// Cancels the unsent attempts of what was completed in this iteration.
-    pub(super) fn cancel_completed(&mut self, now: Micros) {
+    pub(super) fn cancel_completed(&mut self, now: Timestamp) {
         for Completed { query, part } in std::mem::take(&mut self.completed) {
-            self.servers.cancel_unsent(now, query, part);
+            self.servers.cancel_unsent(now.as_micros(), query, part);
         }
     }
 
     /// Sends the attempts that were dispatched in this iteration.
-    pub(super) fn send_dispatches(&mut self, now: Micros) {
+    pub(super) fn send_dispatches(&mut self, now: Timestamp) {
         let attempts = std::mem::take(&mut self.dispatches)
             .into_values()
             .filter_map(|dispatch| self.prepare_attempt(now, dispatch))
             .collect();
-        self.servers.send_attempts(now, attempts);
+        self.servers.send_attempts(now.as_micros(), attempts);
     }
 
     /// Completes a dispatch with what its frame needs. Returns `None` if it must not be sent.
-    fn prepare_attempt(&mut self, now: Micros, dispatch: Dispatch) -> Option<OutgoingAttempt> {
+    fn prepare_attempt(&mut self, now: Timestamp, dispatch: Dispatch) -> Option<OutgoingAttempt> {
         let attempt = dispatch.attempt;
         match self.queries.prepare_attempt(now, dispatch) {
             Ok(outgoing) => return Some(outgoing),
--- a/crates/broker/src/event_loop/policy_state.rs
+++ b/crates/broker/src/event_loop/policy_state.rs
@@ -1,15 +1,16 @@
 //! Regular reports on the policy's state in the log.
 
 use super::EventLoop;
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
+use std::time::Duration;
 use tracing::info;
 
 /// Time between two reports. It keeps the log of several weeks small.
-const REPORT_INTERVAL: Micros = 5 * SECOND;
+const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
 impl EventLoop {
     /// Logs the policy's state at regular intervals. No other event explains why queries are rejected on arrival.
-    pub(super) fn log_policy_state(&mut self, now: Micros) {
+    pub(super) fn log_policy_state(&mut self, now: Timestamp) {
         if now < self.next_policy_report {
             return;
         }
--- a/crates/broker/src/event_loop/reload.rs
+++ b/crates/broker/src/event_loop/reload.rs
@@ -3,16 +3,17 @@
 use super::EventLoop;
 use crate::operator::OperatorConfigError;
 use admission::resource_limits::{AllocationError, ListenerLimits, allocate};
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
 use operator_config::Settings;
 use platform_config::ConfigError;
 use std::net::SocketAddr;
+use std::time::Duration;
 use thiserror::Error;
 use tracing::{info, warn};
 
 /// Time after which a failed reload is repeated: the file may have been read while it was being written, and changes
 /// of the platform's configuration must take effect within seconds.
-const RETRY_DELAY: Micros = SECOND;
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What a reload changes.
 struct Reloaded {
@@ -37,7 +38,7 @@
 
 impl EventLoop {
     /// Reloads the configuration if that was requested or has to be repeated by now.
-    pub(super) fn reload_if_due(&mut self, now: Micros) {
+    pub(super) fn reload_if_due(&mut self, now: Timestamp) {
         if self.reload_at.take_if(|at| now >= *at).is_some() {
             self.reload(now);
         }
@@ -45,7 +46,7 @@
 
     /// Reloads the platform's configuration and the operator's file. If one of them is missing or invalid, neither
     /// takes effect, and the reload is repeated later.
-    fn reload(&mut self, now: Micros) {
+    fn reload(&mut self, now: Timestamp) {
         match self.read_configuration() {
             Ok(reloaded) => self.apply(reloaded),
             Err(error) => {
--- a/crates/broker/src/event_loop/shutdown.rs
+++ b/crates/broker/src/event_loop/shutdown.rs
@@ -1,16 +1,17 @@
 //! Graceful shutdown.
 
 use super::EventLoop;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
+use std::time::Duration;
 use tracing::info;
 
 /// Time for which connections are still accepted after the start of a shutdown: clients notice late that the broker is
 /// no longer ready.
-const ACCEPT_TIME: Micros = 600_000;
+const ACCEPT_TIME: Duration = Duration::from_millis(600);
 
 impl EventLoop {
     /// Starts the graceful shutdown, unless it has started before.
-    pub(super) fn start_shutdown(&mut self, now: Micros) {
+    pub(super) fn start_shutdown(&mut self, now: Timestamp) {
         if self.shutdown_started_at.is_none() {
             info!(name: "shutdown_started", queries_in_flight = self.queries.len());
             self.shutdown_started_at = Some(now);
@@ -20,7 +21,7 @@
 
     /// Closes the listeners once the time for new connections is over. Returns whether the shutdown is complete: no
     /// connection is open and no query is in flight.
-    pub(super) async fn continue_shutdown(&mut self, now: Micros) -> bool {
+    pub(super) async fn continue_shutdown(&mut self, now: Timestamp) -> bool {
         if self.accepts_until().is_none_or(|end| now < end) {
             return false;
         }
@@ -29,7 +30,7 @@
     }
 
     /// Returns when the next step of the shutdown is due.
-    pub(super) fn shutdown_deadline(&self, now: Micros) -> Option<Micros> {
+    pub(super) fn shutdown_deadline(&self, now: Timestamp) -> Option<Timestamp> {
         if self.listeners.is_closed() {
             return Some(now + self.tick);
         }
@@ -37,7 +38,7 @@
     }
 
     /// Returns when the listeners are to be closed, once the shutdown has started.
-    fn accepts_until(&self) -> Option<Micros> {
+    fn accepts_until(&self) -> Option<Timestamp> {
         self.shutdown_started_at.map(|start| start + ACCEPT_TIME)
     }
 }
--- a/crates/broker/src/event_loop/startup.rs
+++ b/crates/broker/src/event_loop/startup.rs
@@ -13,7 +13,7 @@
 use async_io::Async;
 use async_signal::{Signal, Signals};
 use broker_types::server::ListScope;
-use broker_types::time::millis;
+use broker_types::time::{Timestamp, millis};
 use futures_lite::StreamExt;
 use platform_config::Config;
 use policy_engine::PolicyEngine;
@@ -188,7 +188,7 @@
             completed: Vec::new(),
             shutdown_started_at: None,
             reload_at: None,
-            next_policy_report: 0,
+            next_policy_report: Timestamp::ORIGIN,
         };
         event_loop.update_endpoints(clock.now(), ListScope::Cached, &config.cached_endpoints);
         event_loop
--- a/crates/broker/src/event_queue/tests.rs
+++ b/crates/broker/src/event_queue/tests.rs
@@ -8,7 +8,7 @@
         id: "9b1f".into(),
         class: ClassIndex(0),
         tenant: TenantIndex(0),
-        client_timeout: 1000,
+        client_timeout: std::time::Duration::from_millis(1),
         is_retry: false,
         idempotency_key: None,
         parts: Vec::new(),
--- a/crates/broker/src/listeners/http1/connection.rs
+++ b/crates/broker/src/listeners/http1/connection.rs
@@ -11,7 +11,7 @@
 use crate::net::{LINGER, LINGER_IDLE, has_hung_up};
 use admission::ConnectionId;
 use async_io::{Async, Timer};
-use broker_types::time::Micros;
+use broker_types::time::whole_micros;
 use futures_lite::FutureExt;
 use futures_lite::future::yield_now;
 use http::{Method, Request};
@@ -159,8 +159,10 @@
             RoutedRequest::Replied(reply) => return Ok(reply),
         };
         // The client's timeout includes the time that a pipelined request has waited for the one before it.
-        let waited = self.input.last_read_at().elapsed().as_micros() as Micros;
-        query.client_timeout = query.client_timeout.saturating_sub(waited);
+        let waited = whole_micros(self.input.last_read_at().elapsed());
+        query.client_timeout = query
+            .client_timeout
+            .saturating_sub(Duration::from_micros(waited));
         let disconnected = wait_for_disconnect(self.stream, &mut self.input);
         self.context.submit(self.id, query, disconnected).await
     }
--- a/crates/broker/src/listeners/http2/connection.rs
+++ b/crates/broker/src/listeners/http2/connection.rs
@@ -8,7 +8,7 @@
 use crate::listeners::slots::{Evictable, EvictionPriority};
 use admission::ConnectionId;
 use async_io::Timer;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
 use h2::server::{self, SendResponse};
@@ -57,7 +57,7 @@
     pub(super) guard: SharedGuard,
     pub(super) phase: ConnectionPhase,
     /// When the last stream ended, or graceful shutdown started.
-    pub(super) idle_since: Micros,
+    pub(super) idle_since: Timestamp,
     /// Whether a valid request has been served.
     pub(super) has_served: bool,
     timer: Timer,
--- a/crates/broker/src/listeners/http2/guarded_socket.rs
+++ b/crates/broker/src/listeners/http2/guarded_socket.rs
@@ -2,7 +2,7 @@
 
 use crate::clock::Clock;
 use async_io::Async;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use futures_lite::{AsyncRead as _, AsyncWrite as _};
 use http2_flood_guard::{FloodGuard, Violation};
 use std::cell::RefCell;
@@ -34,7 +34,7 @@
         self.violation
     }
 
-    pub(super) fn incomplete_since(&self) -> Option<Micros> {
+    pub(super) fn incomplete_since(&self) -> Option<Timestamp> {
         self.guard.incomplete_since()
     }
 
@@ -43,7 +43,7 @@
     }
 
     /// Inspects received bytes. Returns whether they are free of violations.
-    fn inspect(&mut self, now: Micros, bytes: &[u8]) -> bool {
+    fn inspect(&mut self, now: Timestamp, bytes: &[u8]) -> bool {
         if let Err(violation) = self.guard.on_received(now, bytes) {
             self.violation = Some(violation);
         }
--- a/crates/broker/src/listeners/http2/handshake.rs
+++ b/crates/broker/src/listeners/http2/handshake.rs
@@ -4,7 +4,7 @@
 use super::connection::Http2Connection;
 use super::guarded_socket::{GuardState, GuardedSocket};
 use super::shutdown::CLOSE_TIMEOUT;
-use crate::clock::{to_duration, with_timeout};
+use crate::clock::with_timeout;
 use crate::listeners::http1::CLOSING_RESPONSE;
 use crate::listeners::request::error_reply;
 use crate::listeners::slots::EvictionPriority;
@@ -12,6 +12,7 @@
 use crate::net::{LINGER, linger, read_some};
 use admission::ConnectionId;
 use async_io::{Async, Timer};
+use broker_types::time::Timestamp;
 use bytes::Bytes;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use h2::server;
@@ -55,7 +56,7 @@
         stream: &Async<TcpStream>,
     ) -> Result<Vec<u8>, PrefaceError> {
         // This guard checks the preface alone, which costs no tokens.
-        let mut guard = FloodGuard::new(0, FloodLimits::new(1, 1));
+        let mut guard = FloodGuard::new(Timestamp::ORIGIN, FloodLimits::new(1, 1));
         let mut received = Vec::new();
         let evictable = self.slots.evictable(EvictionPriority::Unused);
         let read = async {
@@ -66,7 +67,7 @@
                     return Err(PrefaceError::Closed);
                 }
                 let end = received.len().min(PREFACE.len());
-                guard.on_received(0, &received[inspected..end])?;
+                guard.on_received(Timestamp::ORIGIN, &received[inspected..end])?;
             }
             Ok(())
         };
@@ -89,7 +90,7 @@
             let reply = error_reply(400, PRIOR_KNOWLEDGE_REQUIRED);
             let response = self.context.with_date(reply.response);
             let encoded = encode_response(&response, CLOSING_RESPONSE);
-            with_timeout(to_duration(CLOSE_TIMEOUT), (&*stream).write_all(&encoded)).await?;
+            with_timeout(CLOSE_TIMEOUT, (&*stream).write_all(&encoded)).await?;
         }
         linger(stream, LINGER).await
     }
--- a/crates/broker/src/listeners/http2/shutdown.rs
+++ b/crates/broker/src/listeners/http2/shutdown.rs
@@ -2,20 +2,18 @@
 
 use super::connection::Http2Connection;
 use crate::listeners::timeouts::SILENCE_TIMEOUT;
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
 use h2::Reason;
 use std::ops::ControlFlow;
+use std::time::Duration;
 use tracing::warn;
 
-/// [`SILENCE_TIMEOUT`] on the program's clock: for a connection without a first request, and for an incomplete frame
-/// or header block.
-const SILENCE_TIMEOUT_MICROS: Micros = SILENCE_TIMEOUT.as_micros() as Micros;
 /// Idle timeout of a connection that has served a request. Its client keeps it for further requests.
-const IDLE_TIMEOUT: Micros = 60 * SECOND;
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Longest time after GOAWAY that an idle connection stays open for its client to receive it.
-const GRACEFUL_SHUTDOWN_TIMEOUT: Micros = SECOND;
+const GRACEFUL_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
 /// Longest time for writing what remains to be sent when a connection is closed.
-pub(super) const CLOSE_TIMEOUT: Micros = SECOND / 2;
+pub(super) const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Phase of a connection's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +26,7 @@
     /// The last frames are being written.
     Closing {
         /// When the connection is dropped at the latest.
-        deadline: Micros,
+        deadline: Timestamp,
     },
 }
 
@@ -51,7 +49,7 @@
     }
 
     /// The next deadline, if there is one. [`Self::on_deadline`] has to be called when it has passed.
-    pub(super) fn next_deadline(&self) -> Option<Micros> {
+    pub(super) fn next_deadline(&self) -> Option<Timestamp> {
         if let ConnectionPhase::Closing { deadline } = self.phase {
             return Some(deadline);
         }
@@ -64,7 +62,7 @@
     /// Closes the connection if a deadline has passed. Breaks if it has to be dropped.
     pub(super) fn on_deadline(&mut self) -> ControlFlow<()> {
         let now = self.listener.clock.now();
-        let has_passed = |deadline: Option<Micros>| deadline.is_some_and(|at| now >= at);
+        let has_passed = |deadline: Option<Timestamp>| deadline.is_some_and(|at| now >= at);
         if !has_passed(self.next_deadline()) {
             return ControlFlow::Continue(());
         }
@@ -90,19 +88,19 @@
     }
 
     /// When an incomplete frame or header block has to be complete.
-    fn stall_deadline(&self) -> Option<Micros> {
+    fn stall_deadline(&self) -> Option<Timestamp> {
         let incomplete_since = self.guard.borrow().incomplete_since()?;
-        Some(incomplete_since + SILENCE_TIMEOUT_MICROS)
+        Some(incomplete_since + SILENCE_TIMEOUT)
     }
 
     /// When a connection without streams is closed.
-    fn idle_deadline(&self) -> Option<Micros> {
+    fn idle_deadline(&self) -> Option<Timestamp> {
         if !self.streams.is_empty() {
             return None;
         }
         let timeout = match self.phase {
             ConnectionPhase::Serving if self.has_served => IDLE_TIMEOUT,
-            ConnectionPhase::Serving => SILENCE_TIMEOUT_MICROS,
+            ConnectionPhase::Serving => SILENCE_TIMEOUT,
             ConnectionPhase::Draining | ConnectionPhase::Closing { .. } => {
                 GRACEFUL_SHUTDOWN_TIMEOUT
             }
--- a/crates/broker/src/listeners/http2/stream.rs
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -1,7 +1,7 @@
 //! One HTTP/2 stream: receives a request, submits its query, and sends the response.
 
 use super::request_body::{ReceivedBody, check_authority, receive_body};
-use crate::clock::{to_duration, with_timeout};
+use crate::clock::with_timeout;
 use crate::listeners::context::ListenerContext;
 use crate::listeners::request::{Reply, RoutedRequest, error_reply, request_timeout_reply};
 use crate::listeners::timeouts::MESSAGE_TIMEOUT;
@@ -67,7 +67,7 @@
     let received = with_timeout(MESSAGE_TIMEOUT, receive).await;
     let pending = match route(&context, head, received) {
         Ok(RoutedRequest::Query(query)) => {
-            let deadline = received_at + to_duration(query.client_timeout);
+            let deadline = received_at + query.client_timeout;
             let reset = poll_fn(|cx| respond.poll_reset(cx));
             match context.submit(connection, query, reset).await {
                 Ok(reply) => PendingReply { reply, deadline },
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -2,12 +2,12 @@
 
 use admission::resource_limits::Http2Overrides;
 use batch_window::BatchWindow;
-use broker_types::time::Micros;
 use logging::Format;
 use operator_config::{ConfigFileErrors, LogFormat, LogLevel, MAX_FILE_BYTES, Settings, parse};
 use std::fs::File;
 use std::io::{self, Read};
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 use thiserror::Error;
 use tracing::{Level, info, warn};
 
@@ -134,7 +134,7 @@
 
     /// Returns the batch window. `tick` is the least time between iterations in the platform's settings.
     #[must_use]
-    pub fn batch_window(&self, tick: Micros) -> BatchWindow {
+    pub fn batch_window(&self, tick: Duration) -> BatchWindow {
         self.settings
             .gather_time
             .map_or(BatchWindow::Fixed(tick), BatchWindow::Adaptive)
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -10,12 +10,13 @@
 use ::idempotency::KeyAdmission;
 use admission::ConnectionQuota;
 use broker_types::query::{FinalResponse, QueryId, QueryRequest, ShardValue};
-use broker_types::time::{Micros, millis};
+use broker_types::time::{Timestamp, millis};
 use fanout_policy::api::Settings;
 use in_flight::InFlightQuery;
 use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
+use std::time::Duration;
 use thiserror::Error;
 use tracing::info;
 
@@ -42,7 +43,7 @@
     quota: ConnectionQuota,
     idempotency: IdempotencyGuard,
     /// Longest time after which clients are asked to retry.
-    max_retry_after: Option<Micros>,
+    max_retry_after: Option<Duration>,
 }
 
 impl QueryTable {
@@ -68,7 +69,7 @@
     }
 
     /// Admits a query, or sends its final response and returns `None`.
-    pub(crate) fn admit(&mut self, now: Micros, query: ReceivedQuery) -> Option<QuerySpec> {
+    pub(crate) fn admit(&mut self, now: Timestamp, query: ReceivedQuery) -> Option<QuerySpec> {
         let deadline = now + query.request.client_timeout;
         if let Err(response) = self.check_admission(now, &query, deadline) {
             // The client may have disconnected.
@@ -94,9 +95,9 @@
     /// of these is not available.
     fn check_admission(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         query: &ReceivedQuery,
-        deadline: Micros,
+        deadline: Timestamp,
     ) -> Result<(), FinalResponse> {
         let request = &query.request;
         if self.request_ids.contains(&request.id) {
@@ -123,9 +124,9 @@
     /// Reserves the query's idempotency key, if it has one.
     fn check_idempotency_key(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         query: &ReceivedQuery,
-        deadline: Micros,
+        deadline: Timestamp,
     ) -> Result<(), FinalResponse> {
         let request = &query.request;
         let Some(key) = &request.idempotency_key else {
@@ -137,7 +138,7 @@
             KeyAdmission::RetryAt(time) => FinalResponse::Rejected {
                 retry_after: self
                     .max_retry_after
-                    .map(|max| max.min(time.saturating_sub(now))),
+                    .map(|max| max.min(time.saturating_since(now))),
             },
             KeyAdmission::WindowExpired => FinalResponse::Failed,
         };
@@ -151,7 +152,7 @@
     }
 
     /// Removes a query whose client has disconnected. Its final response may have been sent already.
-    pub(crate) fn abandon(&mut self, now: Micros, id: QueryId) {
+    pub(crate) fn abandon(&mut self, now: Timestamp, id: QueryId) {
         if let Some(query) = self.queries.remove(&id) {
             self.release(now, &query, false);
             query.log_abandoned(id);
@@ -161,7 +162,7 @@
     /// Removes a query and sends its one final response, which `respond` makes of the values received so far.
     pub(crate) fn finish(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         id: QueryId,
         respond: impl FnOnce(Vec<ShardValue>) -> FinalResponse,
     ) {
@@ -181,7 +182,7 @@
     }
 
     /// Releases what a removed query had reserved.
-    fn release(&mut self, now: Micros, query: &InFlightQuery, is_answered: bool) {
+    fn release(&mut self, now: Timestamp, query: &InFlightQuery, is_answered: bool) {
         let request = query.request();
         self.request_ids.remove(&request.id);
         self.quota.release(query.connection(), quota_units(request));
@@ -197,7 +198,7 @@
     /// The attempt must not be sent.
     pub(crate) fn prepare_attempt(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         dispatch: Dispatch,
     ) -> Result<OutgoingAttempt, DispatchError> {
         let query = self
@@ -215,7 +216,7 @@
     }
 
     /// Records the end of an attempt and moves its value to its query.
-    pub(crate) fn on_attempt_ended(&mut self, now: Micros, ended: &mut EndedAttempt) {
+    pub(crate) fn on_attempt_ended(&mut self, now: Timestamp, ended: &mut EndedAttempt) {
         self.idempotency
             .on_attempt_ended(now, ended.attempt, ended.outcome);
         if let Some(query) = self.queries.get_mut(&ended.attempt.query) {
--- a/crates/broker/src/queries/attempt_log.rs
+++ b/crates/broker/src/queries/attempt_log.rs
@@ -2,7 +2,7 @@
 
 use broker_types::query::AttemptId;
 use broker_types::server::{NodeId, Outcome};
-use broker_types::time::{MILLI, Micros};
+use broker_types::time::Timestamp;
 use std::fmt;
 
 /// The attempts of one query, in the order in which they were sent. Their number is bounded by the number of parts and
@@ -17,7 +17,7 @@
 struct AttemptRecord {
     attempt: AttemptId,
     server: NodeId,
-    sent_at: Micros,
+    sent_at: Timestamp,
     end: Option<AttemptEnd>,
 }
 
@@ -25,12 +25,12 @@
 #[derive(Debug)]
 struct AttemptEnd {
     outcome: Outcome,
-    at: Micros,
+    at: Timestamp,
 }
 
 impl AttemptLog {
     /// Records that an attempt is sent.
-    pub(super) fn record_sent(&mut self, now: Micros, attempt: AttemptId, server: NodeId) {
+    pub(super) fn record_sent(&mut self, now: Timestamp, attempt: AttemptId, server: NodeId) {
         self.records.push(AttemptRecord {
             attempt,
             server,
@@ -40,7 +40,7 @@
     }
 
     /// Records the end of an attempt.
-    pub(super) fn record_ended(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
+    pub(super) fn record_ended(&mut self, now: Timestamp, attempt: AttemptId, outcome: Outcome) {
         let record = self.records.iter_mut().rfind(|r| r.attempt == attempt);
         if let Some(record) = record {
             record.end = Some(AttemptEnd { outcome, at: now });
@@ -54,7 +54,7 @@
 
     /// Returns the attempts that were not served, as text for the log. The served ones are left out to keep the line
     /// short. Times are relative to `received_at`, the time at which the query was received.
-    pub(super) fn unserved(&self, received_at: Micros) -> String {
+    pub(super) fn unserved(&self, received_at: Timestamp) -> String {
         let unserved = self.records.iter().filter(|record| !record.is_served());
         let texts: Vec<String> = unserved
             .map(|record| RelativeRecord {
@@ -80,12 +80,12 @@
 /// in flight.
 struct RelativeRecord<'a> {
     record: &'a AttemptRecord,
-    received_at: Micros,
+    received_at: Timestamp,
 }
 
 impl fmt::Display for RelativeRecord<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let relative_ms = |time: Micros| time.saturating_sub(self.received_at) / MILLI;
+        let relative_ms = |time: Timestamp| time.saturating_since(self.received_at).as_millis();
         let AttemptRecord {
             attempt,
             server,
--- a/crates/broker/src/queries/idempotency.rs
+++ b/crates/broker/src/queries/idempotency.rs
@@ -4,16 +4,17 @@
 use ::idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
 use broker_types::query::{AttemptId, PartSpec};
 use broker_types::server::Outcome;
-use broker_types::time::{Micros, SECOND, millis};
+use broker_types::time::{Timestamp, millis};
 use fanout_policy::api::{RetrySafety, Settings};
 use policy_engine::Dispatch;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Largest number of idempotency keys in the register. Each takes 200 to 300 bytes.
 const MAX_KEYS: usize = 8192;
 /// Window of the register if no class has idempotency keys. No key is registered then.
-const UNUSED_WINDOW: Micros = 5 * SECOND;
+const UNUSED_WINDOW: Duration = Duration::from_secs(5);
 
 /// The register of idempotency keys, and the attempts in flight that belong to a key.
 pub(super) struct IdempotencyGuard {
@@ -44,7 +45,7 @@
         IdempotencyGuard {
             register: IdempotencyRegister::new(RegisterLimits {
                 window: windows.min().unwrap_or(UNUSED_WINDOW),
-                retention: client_timeouts.max().unwrap_or(0),
+                retention: client_timeouts.max().unwrap_or_default(),
                 max_keys: MAX_KEYS,
             }),
             in_flight: BTreeMap::new(),
@@ -54,10 +55,10 @@
     /// Reserves a key for a query with these parts, until the query ends.
     pub(super) fn admit(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         key: &Rc<str>,
         parts: &[PartSpec],
-        deadline: Micros,
+        deadline: Timestamp,
     ) -> KeyAdmission {
         let shards = parts.iter().map(|part| part.shard);
         self.register.admit(now, key, shards, deadline)
@@ -71,11 +72,11 @@
     /// That time has come already.
     pub(super) fn reserve(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         key: &Rc<str>,
         shard: usize,
         dispatch: &Dispatch,
-    ) -> Result<Option<Micros>, DispatchError> {
+    ) -> Result<Option<Timestamp>, DispatchError> {
         if !self.register.may_send(now, key, shard) {
             return Err(DispatchError::IdempotencyWindowClosed);
         }
@@ -89,7 +90,12 @@
     }
 
     /// Records the end of an attempt, also after its query has ended.
-    pub(super) fn on_attempt_ended(&mut self, now: Micros, attempt: AttemptId, outcome: Outcome) {
+    pub(super) fn on_attempt_ended(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        outcome: Outcome,
+    ) {
         if let Some(KeyedPart { key, shard }) = self.in_flight.remove(&attempt) {
             let evidence = execution_evidence(outcome);
             self.register.on_attempt_ended(now, &key, shard, evidence);
@@ -97,7 +103,7 @@
     }
 
     /// Releases the key of a query that has ended.
-    pub(super) fn on_query_ended(&mut self, now: Micros, key: &Rc<str>, is_answered: bool) {
+    pub(super) fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, is_answered: bool) {
         self.register.on_query_ended(now, key, is_answered);
     }
 }
--- a/crates/broker/src/queries/in_flight.rs
+++ b/crates/broker/src/queries/in_flight.rs
@@ -7,7 +7,7 @@
 use async_channel::Sender;
 use broker_types::query::{FinalResponse, PartIndex, QueryId, QueryRequest, ShardValue};
 use broker_types::server::Outcome;
-use broker_types::time::{MILLI, Micros};
+use broker_types::time::Timestamp;
 use policy_engine::Dispatch;
 use tracing::{Span, debug, debug_span, info};
 
@@ -19,14 +19,14 @@
     reply: Sender<FinalResponse>,
     /// The values received, by part.
     values: Vec<Option<String>>,
-    received_at: Micros,
+    received_at: Timestamp,
     attempts: AttemptLog,
     span: Span,
 }
 
 impl InFlightQuery {
     /// Returns a query that has just been admitted.
-    pub(super) fn new(now: Micros, received: ReceivedQuery) -> Self {
+    pub(super) fn new(now: Timestamp, received: ReceivedQuery) -> Self {
         let ReceivedQuery {
             id,
             connection,
@@ -66,10 +66,10 @@
     /// Records an attempt and returns it with all that its frame needs.
     pub(super) fn start_attempt(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         dispatch: Dispatch,
         shard: usize,
-        send_before: Option<Micros>,
+        send_before: Option<Timestamp>,
     ) -> OutgoingAttempt {
         let Dispatch {
             attempt,
@@ -86,8 +86,8 @@
             part: OutgoingPart {
                 wire_id: format!("{}.{shard}", self.request.id),
                 shard,
-                deadline,
-                send_before,
+                deadline: deadline.as_micros(),
+                send_before: send_before.map(Timestamp::as_micros),
                 idempotency_key: self.request.idempotency_key.clone(),
                 text: self.request.payload.clone(),
             },
@@ -95,7 +95,7 @@
     }
 
     /// Records the end of an attempt and takes its value.
-    pub(super) fn on_attempt_ended(&mut self, now: Micros, ended: &mut EndedAttempt) {
+    pub(super) fn on_attempt_ended(&mut self, now: Timestamp, ended: &mut EndedAttempt) {
         let EndedAttempt {
             attempt, outcome, ..
         } = *ended;
@@ -144,7 +144,7 @@
     /// Logs a query that was rejected or has failed, with its attempts that were not served.
     pub(super) fn log_unserved(
         &self,
-        now: Micros,
+        now: Timestamp,
         response: &FinalResponse,
         answered_parts: usize,
     ) {
@@ -155,8 +155,8 @@
             class = request.class.0,
             is_retry = request.is_retry,
             rejected = matches!(response, FinalResponse::Rejected { .. }),
-            elapsed_ms = now.saturating_sub(self.received_at) / MILLI,
-            client_timeout_ms = request.client_timeout / MILLI,
+            elapsed_ms = now.saturating_since(self.received_at).as_millis() as u64,
+            client_timeout_ms = request.client_timeout.as_millis() as u64,
             parts = request.parts.len(),
             answered_parts,
             attempts = self.attempts.len(),
--- a/crates/broker/src/upstream/socket.rs
+++ b/crates/broker/src/upstream/socket.rs
@@ -106,7 +106,7 @@
     }
     loop {
         send_queue.wait_for_frame().await;
-        let Some(started) = send_queue.start_frame(clock.now()) else {
+        let Some(started) = send_queue.start_frame(clock.now().as_micros()) else {
             continue;
         };
         let result = match write_first_bytes(stream, send_queue, started) {
--- a/crates/http2-flood-guard/src/guard.rs
+++ b/crates/http2-flood-guard/src/guard.rs
@@ -3,7 +3,7 @@
 use crate::frame_scanner::{FrameHeader, FrameKind, FrameScanner};
 use crate::token_bucket::TokenBucket;
 use crate::violation::Violation;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 
 /// Tokens of [`FloodLimits::new`] beyond two for each stream, for the control frames of an ordinary client. The figures
 /// here are choices of this project; RFC 9113, section 10.5, names none.
@@ -48,7 +48,7 @@
     limits: FloodLimits,
     tokens: TokenBucket,
     scanner: FrameScanner,
-    incomplete_since: Option<Micros>,
+    incomplete_since: Option<Timestamp>,
     has_received_settings: bool,
     /// Length of the current header block so far, in bytes; 0 between header blocks.
     header_block_bytes: u32,
@@ -57,7 +57,7 @@
 impl FloodGuard {
     /// Creates a guard for a new connection.
     #[must_use]
-    pub fn new(now: Micros, limits: FloodLimits) -> Self {
+    pub fn new(now: Timestamp, limits: FloodLimits) -> Self {
         FloodGuard {
             limits,
             tokens: TokenBucket::new(now, limits.burst_tokens, limits.tokens_per_second),
@@ -73,7 +73,7 @@
     /// # Errors
     ///
     /// Returns a [`Violation`] if the connection has to be closed. The guard cannot be used any further then.
-    pub fn on_received(&mut self, now: Micros, mut bytes: &[u8]) -> Result<(), Violation> {
+    pub fn on_received(&mut self, now: Timestamp, mut bytes: &[u8]) -> Result<(), Violation> {
         while !bytes.is_empty() {
             let scanned = self.scanner.scan(bytes)?;
             bytes = &bytes[scanned.consumed..];
@@ -105,7 +105,7 @@
 
     /// Since when the preface, a frame or a header block has been incomplete.
     #[must_use]
-    pub fn incomplete_since(&self) -> Option<Micros> {
+    pub fn incomplete_since(&self) -> Option<Timestamp> {
         self.incomplete_since
     }
 
@@ -115,7 +115,7 @@
         self.has_received_settings
     }
 
-    fn on_frame(&mut self, now: Micros, frame: FrameHeader) -> Result<(), Violation> {
+    fn on_frame(&mut self, now: Timestamp, frame: FrameHeader) -> Result<(), Violation> {
         let is_first = !std::mem::replace(&mut self.has_received_settings, true);
         if is_first && frame.kind != FrameKind::Settings {
             return Err(Violation::MissingSettings);
--- a/crates/http2-flood-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -1,5 +1,6 @@
 //! Which frames the guard accepts and which it reports, with frames written by hand.
 
+use broker_types::time::Timestamp;
 use http2_flood_guard::{FloodGuard, FloodLimits, FrameKind, PREFACE, Violation};
 use proptest::prelude::*;
 
@@ -9,7 +10,16 @@
     tokens_per_response: 2,
     max_header_block_bytes: 100,
 };
-const SECOND: u64 = 1_000_000;
+
+/// A time in microseconds.
+const fn at(micros: u64) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
+
+/// A time in seconds.
+const fn seconds(seconds: u64) -> Timestamp {
+    Timestamp::from_micros(seconds * 1_000_000)
+}
 
 // Frame types (RFC 9113, section 6).
 const DATA: u8 = 0;
@@ -41,9 +51,12 @@
 
 /// A guard that has received the preface and SETTINGS, at time 0.
 fn guard_after_settings() -> FloodGuard {
-    let mut guard = FloodGuard::new(0, LIMITS);
+    let mut guard = FloodGuard::new(at(0), LIMITS);
     guard
-        .on_received(0, &[&PREFACE[..], &frame(SETTINGS, NO_FLAGS, 6)].concat())
+        .on_received(
+            at(0),
+            &[&PREFACE[..], &frame(SETTINGS, NO_FLAGS, 6)].concat(),
+        )
         .unwrap();
     guard
 }
@@ -67,7 +80,7 @@
 /// Passes the same bytes to a guard, up to `times` times.
 fn send_repeatedly(
     guard: &mut FloodGuard,
-    now: u64,
+    now: Timestamp,
     bytes: &[u8],
     times: usize,
 ) -> Result<(), Rejected> {
@@ -96,12 +109,12 @@
     ] {
         let mut guard = guard_after_settings();
         assert_eq!(
-            send_repeatedly(&mut guard, 0, &bytes, 1000),
+            send_repeatedly(&mut guard, at(0), &bytes, 1000),
             Err(Rejected::flood(9, kind))
         );
         let mut slow = guard_after_settings();
         assert!(
-            (1..1000).all(|s| send_repeatedly(&mut slow, s * SECOND, &bytes, 5).is_ok()),
+            (1..1000).all(|s| send_repeatedly(&mut slow, seconds(s), &bytes, 5).is_ok()),
             "{kind} at a slow rate"
         );
     }
@@ -117,7 +130,7 @@
         frame(DATA, END_STREAM, 0),
         frame(HEADERS, END_STREAM | END_HEADERS, 20),
     ] {
-        assert_eq!(send_repeatedly(&mut guard, 0, &bytes, 1000), Ok(()));
+        assert_eq!(send_repeatedly(&mut guard, at(0), &bytes, 1000), Ok(()));
     }
 }
 
@@ -130,12 +143,12 @@
     ]
     .concat();
     assert_eq!(
-        send_repeatedly(&mut guard_after_settings(), 0, &request_and_reset, 1000),
+        send_repeatedly(&mut guard_after_settings(), at(0), &request_and_reset, 1000),
         Err(Rejected::flood(9, FrameKind::ResetStream))
     );
     let mut ordinary = guard_after_settings();
     for _ in 0..1000 {
-        ordinary.on_received(0, &request_and_reset).unwrap();
+        ordinary.on_received(at(0), &request_and_reset).unwrap();
         ordinary.on_response_sent(0);
     }
 }
@@ -144,18 +157,18 @@
 fn header_block_without_end_is_reported() {
     let mut guard = guard_after_settings();
     guard
-        .on_received(0, &frame(HEADERS, END_STREAM, 60))
+        .on_received(at(0), &frame(HEADERS, END_STREAM, 60))
         .unwrap();
     assert_eq!(
-        guard.on_received(0, &frame(CONTINUATION, NO_FLAGS, 60)),
+        guard.on_received(at(0), &frame(CONTINUATION, NO_FLAGS, 60)),
         Err(Violation::HeaderBlockTooLong)
     );
     let mut guard = guard_after_settings();
     guard
-        .on_received(0, &frame(HEADERS, END_STREAM, 1))
+        .on_received(at(0), &frame(HEADERS, END_STREAM, 1))
         .unwrap();
     assert_eq!(
-        send_repeatedly(&mut guard, 0, &frame(CONTINUATION, NO_FLAGS, 0), 1000),
+        send_repeatedly(&mut guard, at(0), &frame(CONTINUATION, NO_FLAGS, 0), 1000),
         Err(Rejected::flood(9, FrameKind::Continuation))
     );
 }
@@ -171,46 +184,48 @@
         (b"PRI * HTTP/2.0\r\n\r\nXX", Violation::Http1Request),
     ] {
         assert_eq!(
-            FloodGuard::new(0, LIMITS).on_received(0, bytes),
+            FloodGuard::new(at(0), LIMITS).on_received(at(0), bytes),
             Err(violation),
             "{bytes:?}"
         );
     }
-    let mut guard = FloodGuard::new(0, LIMITS);
+    let mut guard = FloodGuard::new(at(0), LIMITS);
     assert_eq!(
-        guard.on_received(0, &[&PREFACE[..], &frame(PING, NO_FLAGS, 8)].concat()),
+        guard.on_received(at(0), &[&PREFACE[..], &frame(PING, NO_FLAGS, 8)].concat()),
         Err(Violation::MissingSettings)
     );
 }
 
 #[test]
 fn incomplete_since_is_start_of_incomplete_element() {
-    let mut guard = FloodGuard::new(5, LIMITS);
+    let mut guard = FloodGuard::new(at(5), LIMITS);
     assert_eq!(
         (guard.incomplete_since(), guard.has_received_settings()),
-        (Some(5), false)
+        (Some(at(5)), false)
     );
-    guard.on_received(6, PREFACE).unwrap();
+    guard.on_received(at(6), PREFACE).unwrap();
     assert_eq!(
         guard.incomplete_since(),
-        Some(5),
+        Some(at(5)),
         "silence after the preface"
     );
-    guard.on_received(7, &frame(SETTINGS, NO_FLAGS, 0)).unwrap();
+    guard
+        .on_received(at(7), &frame(SETTINGS, NO_FLAGS, 0))
+        .unwrap();
     assert_eq!(
         (guard.incomplete_since(), guard.has_received_settings()),
         (None, true)
     );
     let headers = frame(HEADERS, NO_FLAGS, 20);
-    guard.on_received(8, &headers[..12]).unwrap();
-    guard.on_received(9, &headers[12..]).unwrap();
+    guard.on_received(at(8), &headers[..12]).unwrap();
+    guard.on_received(at(9), &headers[12..]).unwrap();
     assert_eq!(
         guard.incomplete_since(),
-        Some(8),
+        Some(at(8)),
         "the block has no end yet"
     );
     guard
-        .on_received(10, &frame(CONTINUATION, END_HEADERS, 0))
+        .on_received(at(10), &frame(CONTINUATION, END_HEADERS, 0))
         .unwrap();
     assert_eq!(guard.incomplete_since(), None);
 }
@@ -221,14 +236,14 @@
     fn result_is_independent_of_read_boundaries(kinds in prop::collection::vec((0u8..12, any::<u8>(), 0usize..30), 0..40), read_lengths in prop::collection::vec(1usize..20, 1..6)) {
         let mut bytes = [&PREFACE[..], &frame(SETTINGS, NO_FLAGS, 6)].concat();
         for (kind, flags, length) in kinds { bytes.extend(frame(kind, flags, length)); }
-        let at_once = FloodGuard::new(0, LIMITS).on_received(0, &bytes);
-        let mut guard = FloodGuard::new(0, LIMITS);
+        let at_once = FloodGuard::new(at(0), LIMITS).on_received(at(0), &bytes);
+        let mut guard = FloodGuard::new(at(0), LIMITS);
         let mut rest = &bytes[..];
         let mut read_lengths = read_lengths.iter().cycle();
         let mut in_parts = Ok(());
         while !rest.is_empty() && in_parts.is_ok() {
             let n = (*read_lengths.next().unwrap()).min(rest.len());
-            in_parts = guard.on_received(0, &rest[..n]);
+            in_parts = guard.on_received(at(0), &rest[..n]);
             rest = &rest[n..];
         }
         prop_assert_eq!(at_once, in_parts);
@@ -236,8 +251,8 @@
 
     #[test]
     fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), preface in any::<bool>()) {
-        let mut guard = FloodGuard::new(0, LIMITS);
-        if preface { guard.on_received(0, PREFACE).unwrap(); }
-        let _ = guard.on_received(0, &bytes);
+        let mut guard = FloodGuard::new(at(0), LIMITS);
+        if preface { guard.on_received(at(0), PREFACE).unwrap(); }
+        let _ = guard.on_received(at(0), &bytes);
     }
 }
--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -1,30 +1,31 @@
 //! What is known of one idempotency key and of the parts that were sent under it.
 
 use crate::register::{ExecutionEvidence, KeyAdmission};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// What is known of one part under a key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PartState {
     /// Time at which the first attempt that may have been executed was sent.
-    first_sent_at: Option<Micros>,
+    first_sent_at: Option<Timestamp>,
     /// Number of attempts in flight.
     in_flight: u32,
     /// Number of ended attempts that were or may have been executed.
     possibly_executed: u32,
     /// Time until which an attempt may still be executed after it was cancelled.
-    busy_until: Micros,
+    busy_until: Timestamp,
 }
 
 impl PartState {
-    pub(crate) fn on_attempt_sent(&mut self, now: Micros, deadline: Micros) {
+    pub(crate) fn on_attempt_sent(&mut self, now: Timestamp, deadline: Timestamp) {
         self.first_sent_at.get_or_insert(now);
         self.in_flight += 1;
         self.busy_until = self.busy_until.max(deadline);
     }
 
-    fn on_attempt_ended(&mut self, now: Micros, evidence: ExecutionEvidence) {
+    fn on_attempt_ended(&mut self, now: Timestamp, evidence: ExecutionEvidence) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match evidence {
             ExecutionEvidence::NotExecuted => {}
@@ -42,22 +43,22 @@
     }
 
     /// Whether an attempt is in flight or may still be executed.
-    fn is_busy(&self, now: Micros) -> bool {
+    fn is_busy(&self, now: Timestamp) -> bool {
         self.in_flight > 0 || self.busy_until > now
     }
 
     /// Time from which on the part may not be sent; `None` where no attempt may have been executed.
-    pub(crate) fn window_ends_at(&self, window: Micros) -> Option<Micros> {
+    pub(crate) fn window_ends_at(&self, window: Duration) -> Option<Timestamp> {
         self.first_sent_at.map(|sent_at| sent_at + window)
     }
 
-    fn is_window_expired(&self, now: Micros, window: Micros) -> bool {
+    fn is_window_expired(&self, now: Timestamp, window: Duration) -> bool {
         self.window_ends_at(window)
             .is_some_and(|ends_at| now >= ends_at)
     }
 
     /// Whether the part may be sent now.
-    pub(crate) fn may_send(&self, now: Micros, window: Micros) -> bool {
+    pub(crate) fn may_send(&self, now: Timestamp, window: Duration) -> bool {
         self.in_flight == 0 && !self.is_window_expired(now, window)
     }
 }
@@ -66,19 +67,19 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyState {
     /// Deadline of the key's query, while one is in flight.
-    pub(crate) query_deadline: Option<Micros>,
+    pub(crate) query_deadline: Option<Timestamp>,
     /// The parts that were sent, by shard.
     pub(crate) parts: BTreeMap<usize, PartState>,
     /// Time at which the key may be forgotten; meaningful only while no query is in flight.
-    pub(crate) forget_at: Micros,
+    pub(crate) forget_at: Timestamp,
 }
 
 impl KeyState {
     /// Whether another query of this key, with parts for these shards, may be served now.
     pub(crate) fn admission(
         &self,
-        now: Micros,
-        window: Micros,
+        now: Timestamp,
+        window: Duration,
         shards: impl Iterator<Item = usize>,
     ) -> KeyAdmission {
         if let Some(deadline) = self.query_deadline {
@@ -98,7 +99,7 @@
     /// Records the end of an attempt. A part of which nothing may have been executed is forgotten at once.
     pub(crate) fn on_attempt_ended(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         shard: usize,
         evidence: ExecutionEvidence,
     ) {
@@ -116,7 +117,7 @@
     }
 
     /// The latest time at which an attempt was sent first or may be executed; `now` where there are no parts.
-    pub(crate) fn latest_activity(&self, now: Micros) -> Micros {
+    pub(crate) fn latest_activity(&self, now: Timestamp) -> Timestamp {
         let activity = |part: &PartState| part.first_sent_at.unwrap_or(now).max(part.busy_until);
         self.parts.values().map(activity).max().unwrap_or(now)
     }
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -2,9 +2,10 @@
 
 use crate::key_state::{KeyState, PartState};
 use crate::retention::{RetainedKey, RetentionQueue};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Whether a query may be served under its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,7 +14,7 @@
     Admitted,
     /// Another query of the key is in flight, one of its attempts may still be executed, or the register is full. The
     /// client may retry at this time.
-    RetryAt(Micros),
+    RetryAt(Timestamp),
     /// A part of an earlier query may have been executed, and servers no longer drop its repetitions.
     WindowExpired,
 }
@@ -33,9 +34,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisterLimits {
     /// Time after the first attempt in which servers drop repetitions.
-    pub window: Micros,
+    pub window: Duration,
     /// Time after the window in which clients may still retry: for so long a key is remembered.
-    pub retention: Micros,
+    pub retention: Duration,
     /// Most keys that are remembered.
     pub max_keys: usize,
 }
@@ -66,10 +67,10 @@
     #[must_use]
     pub fn admit(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         key: &Rc<str>,
         shards: impl Iterator<Item = usize>,
-        deadline: Micros,
+        deadline: Timestamp,
     ) -> KeyAdmission {
         self.forget_expired_keys(now);
         let admission = match self.keys.get(key) {
@@ -90,19 +91,25 @@
     /// Whether the part may be sent now: not while an attempt is in flight, nor after the window of an attempt that
     /// may have been executed.
     #[must_use]
-    pub fn may_send(&self, now: Micros, key: &str, shard: usize) -> bool {
+    pub fn may_send(&self, now: Timestamp, key: &str, shard: usize) -> bool {
         self.part(key, shard)
             .is_none_or(|part| part.may_send(now, self.limits.window))
     }
 
     /// Time from which on the part may not be sent; `None` where no attempt at it may have been executed.
     #[must_use]
-    pub fn window_ends_at(&self, key: &str, shard: usize) -> Option<Micros> {
+    pub fn window_ends_at(&self, key: &str, shard: usize) -> Option<Timestamp> {
         self.part(key, shard)?.window_ends_at(self.limits.window)
     }
 
     /// Records that an attempt at a part is sent, which times out at `deadline`.
-    pub fn on_attempt_sent(&mut self, now: Micros, key: &str, shard: usize, deadline: Micros) {
+    pub fn on_attempt_sent(
+        &mut self,
+        now: Timestamp,
+        key: &str,
+        shard: usize,
+        deadline: Timestamp,
+    ) {
         if let Some(state) = self.keys.get_mut(key) {
             let part = state.parts.entry(shard).or_default();
             part.on_attempt_sent(now, deadline);
@@ -112,7 +119,7 @@
     /// Records that an attempt at a part has ended.
     pub fn on_attempt_ended(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         key: &str,
         shard: usize,
         evidence: ExecutionEvidence,
@@ -124,7 +131,7 @@
 
     /// Records that the query of this key has ended, with an answer or without one. After an answer its client has no
     /// reason to retry.
-    pub fn on_query_ended(&mut self, now: Micros, key: &Rc<str>, is_answered: bool) {
+    pub fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, is_answered: bool) {
         let Some(state) = self.keys.get_mut(key) else {
             return;
         };
@@ -161,7 +168,7 @@
 
     /// Admits a key that is not remembered, where there is space for it or a key whose query was answered can be
     /// forgotten. A full register must not let a retry through by forgetting the key that it repeats.
-    fn admit_new_key(&mut self, deadline: Micros) -> KeyAdmission {
+    fn admit_new_key(&mut self, deadline: Timestamp) -> KeyAdmission {
         if self.keys.len() < self.limits.max_keys {
             return KeyAdmission::Admitted;
         }
@@ -173,7 +180,7 @@
         KeyAdmission::RetryAt(retry_at)
     }
 
-    fn forget_expired_keys(&mut self, now: Micros) {
+    fn forget_expired_keys(&mut self, now: Timestamp) {
         while let Some(expired) = self.retention.first_expired(now).cloned() {
             let is_answered = self.retention.remove(&expired);
             self.forget_or_postpone(now, expired, is_answered);
@@ -182,7 +189,7 @@
 
     /// Forgets a key, unless it has an attempt in flight: such an attempt is past its deadline and its end should have
     /// been reported, but the key must not be forgotten all the same.
-    fn forget_or_postpone(&mut self, now: Micros, expired: RetainedKey, is_answered: bool) {
+    fn forget_or_postpone(&mut self, now: Timestamp, expired: RetainedKey, is_answered: bool) {
         let Some(state) = self.keys.get_mut(&expired.key) else {
             return;
         };
--- a/crates/idempotency/src/retention.rs
+++ b/crates/idempotency/src/retention.rs
@@ -1,13 +1,13 @@
 //! The order in which keys are forgotten.
 
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::BTreeSet;
 use std::rc::Rc;
 
 /// A key without a query in flight, and the time at which it may be forgotten.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct RetainedKey {
-    pub(crate) forget_at: Micros,
+    pub(crate) forget_at: Timestamp,
     pub(crate) key: Rc<str>,
 }
 
@@ -41,12 +41,12 @@
     }
 
     /// The first time at which a key may be forgotten.
-    pub(crate) fn earliest(&self) -> Option<Micros> {
+    pub(crate) fn earliest(&self) -> Option<Timestamp> {
         self.retained.first().map(|first| first.forget_at)
     }
 
     /// The first key, where it may be forgotten now.
-    pub(crate) fn first_expired(&self, now: Micros) -> Option<&RetainedKey> {
+    pub(crate) fn first_expired(&self, now: Timestamp) -> Option<&RetainedKey> {
         self.retained.first().filter(|first| first.forget_at <= now)
     }
 }
--- a/crates/idempotency/tests/random_retries.rs
+++ b/crates/idempotency/tests/random_retries.rs
@@ -1,12 +1,14 @@
 //! Random retries under idempotency keys, checked against a model.
 
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
 use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
 use std::rc::Rc;
+use std::time::Duration;
 
-const WINDOW: Micros = 5 * SECOND;
+const SECOND: Duration = Duration::from_secs(1);
+const WINDOW: Duration = Duration::from_secs(5);
 const KEYS: usize = 4;
 const SHARDS: usize = 2;
 /// One key less than clients use.
@@ -31,7 +33,7 @@
     EndQuery {
         key: usize,
     },
-    Wait(Micros),
+    Wait(Duration),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
@@ -51,7 +53,7 @@
         (0..KEYS, 0..SHARDS).prop_map(|(key, shard)| Step::Send { key, shard }),
         end_attempt,
         (0..KEYS).prop_map(|key| Step::EndQuery { key }),
-        (0..3 * SECOND).prop_map(Step::Wait),
+        (0..3_000_000u64).prop_map(|micros| Step::Wait(Duration::from_micros(micros))),
     ];
     prop::collection::vec(step, 0..200)
 }
@@ -65,14 +67,14 @@
 struct PartModel {
     in_flight: u32,
     /// Time at which the first attempt that may have been executed was sent.
-    first_sent_at: Option<Micros>,
+    first_sent_at: Option<Timestamp>,
     possibly_executed: u32,
 }
 
 /// The register together with what really happened.
 struct Model {
     register: IdempotencyRegister,
-    now: Micros,
+    now: Timestamp,
     has_query: [bool; KEYS],
     parts: [[PartModel; SHARDS]; KEYS],
 }
@@ -86,7 +88,7 @@
         };
         Model {
             register: IdempotencyRegister::new(limits),
-            now: 0,
+            now: Timestamp::ORIGIN,
             has_query: [false; KEYS],
             parts: Default::default(),
         }
@@ -102,7 +104,7 @@
                 evidence,
             } => self.end_attempt(key, shard, evidence),
             Step::EndQuery { key } => self.end_query(key),
-            Step::Wait(time) => self.now += time,
+            Step::Wait(time) => self.now = self.now + time,
         }
         prop_assert!(self.register.len() <= MAX_KEYS);
         Ok(())
--- a/crates/idempotency/tests/register.rs
+++ b/crates/idempotency/tests/register.rs
@@ -1,10 +1,26 @@
 //! Retries under idempotency keys, one case at a time.
 
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
 use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
 use std::rc::Rc;
+use std::time::Duration;
 
-const WINDOW: Micros = 5 * SECOND;
+const WINDOW: Duration = Duration::from_secs(5);
+
+/// A time in microseconds.
+const fn at(micros: u64) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
+
+/// A time in seconds.
+const fn seconds(seconds: u64) -> Timestamp {
+    Timestamp::from_micros(seconds * 1_000_000)
+}
+
+/// The end of the window of an attempt that was sent at the origin.
+fn window_end() -> Timestamp {
+    Timestamp::ORIGIN + WINDOW
+}
 
 fn register(max_keys: usize) -> IdempotencyRegister {
     IdempotencyRegister::new(RegisterLimits {
@@ -19,57 +35,62 @@
 }
 
 /// Asks for a query with parts for shards 0 and 1, whose client waits for four seconds.
-fn admit(register: &mut IdempotencyRegister, now: Micros, number: usize) -> KeyAdmission {
-    register.admit(now, &key(number), [0, 1].into_iter(), now + 4 * SECOND)
+fn admit(register: &mut IdempotencyRegister, now: Timestamp, number: usize) -> KeyAdmission {
+    register.admit(
+        now,
+        &key(number),
+        [0, 1].into_iter(),
+        now + Duration::from_secs(4),
+    )
 }
 
-fn must_admit(register: &mut IdempotencyRegister, now: Micros, number: usize) {
+fn must_admit(register: &mut IdempotencyRegister, now: Timestamp, number: usize) {
     assert_eq!(admit(register, now, number), KeyAdmission::Admitted);
 }
 
 #[test]
 fn key_with_a_query_in_flight_is_rejected() {
     let mut register = register(100);
-    must_admit(&mut register, 0, 1);
-    let retry = admit(&mut register, SECOND, 1);
-    assert_eq!(retry, KeyAdmission::RetryAt(4 * SECOND));
-    must_admit(&mut register, SECOND, 2);
+    must_admit(&mut register, at(0), 1);
+    let retry = admit(&mut register, seconds(1), 1);
+    assert_eq!(retry, KeyAdmission::RetryAt(seconds(4)));
+    must_admit(&mut register, seconds(1), 2);
 }
 
 /// The client disconnects while an attempt is in flight: that may be executed until its deadline.
 #[test]
 fn retry_is_rejected_while_a_cancelled_attempt_may_be_executed() {
     let mut register = register(100);
-    must_admit(&mut register, 0, 1);
-    register.on_attempt_sent(0, "k1", 0, 2 * SECOND);
-    register.on_query_ended(SECOND, &key(1), false);
-    let retry_at_deadline = KeyAdmission::RetryAt(2 * SECOND);
-    assert_eq!(admit(&mut register, SECOND, 1), retry_at_deadline);
-    register.on_attempt_ended(SECOND, "k1", 0, ExecutionEvidence::PossiblyExecuted);
-    assert_eq!(admit(&mut register, SECOND, 1), retry_at_deadline);
-    must_admit(&mut register, 2 * SECOND, 1);
-    assert!(register.may_send(WINDOW - 1, "k1", 0));
-    assert!(!register.may_send(WINDOW, "k1", 0));
+    must_admit(&mut register, at(0), 1);
+    register.on_attempt_sent(at(0), "k1", 0, seconds(2));
+    register.on_query_ended(seconds(1), &key(1), false);
+    let retry_at_deadline = KeyAdmission::RetryAt(seconds(2));
+    assert_eq!(admit(&mut register, seconds(1), 1), retry_at_deadline);
+    register.on_attempt_ended(seconds(1), "k1", 0, ExecutionEvidence::PossiblyExecuted);
+    assert_eq!(admit(&mut register, seconds(1), 1), retry_at_deadline);
+    must_admit(&mut register, seconds(2), 1);
+    assert!(register.may_send(window_end() - Duration::from_micros(1), "k1", 0));
+    assert!(!register.may_send(window_end(), "k1", 0));
     assert!(
-        register.may_send(WINDOW, "k1", 1),
+        register.may_send(window_end(), "k1", 1),
         "a part that was never sent is no repetition"
     );
 }
 
 /// Ends an attempt at shard 0 with the evidence, and the query without an answer; returns what a retry gets.
-fn retry_after_attempt(evidence: ExecutionEvidence, retry_at: Micros) -> KeyAdmission {
+fn retry_after_attempt(evidence: ExecutionEvidence, retry_at: Timestamp) -> KeyAdmission {
     let mut register = register(100);
-    must_admit(&mut register, 0, 1);
-    register.on_attempt_sent(0, "k1", 0, 2 * SECOND);
-    register.on_attempt_ended(10, "k1", 0, evidence);
-    register.on_query_ended(10, &key(1), false);
+    must_admit(&mut register, at(0), 1);
+    register.on_attempt_sent(at(0), "k1", 0, seconds(2));
+    register.on_attempt_ended(at(10), "k1", 0, evidence);
+    register.on_query_ended(at(10), &key(1), false);
     admit(&mut register, retry_at, 1)
 }
 
 #[test]
 fn retry_within_the_window_is_admitted_once_execution_is_over_or_ruled_out() {
     for evidence in [ExecutionEvidence::Executed, ExecutionEvidence::NotExecuted] {
-        let retry = retry_after_attempt(evidence, 20);
+        let retry = retry_after_attempt(evidence, at(20));
         assert_eq!(retry, KeyAdmission::Admitted, "{evidence:?}");
     }
 }
@@ -84,7 +105,7 @@
         ),
         (ExecutionEvidence::NotExecuted, KeyAdmission::Admitted),
     ] {
-        let retry = retry_after_attempt(evidence, WINDOW);
+        let retry = retry_after_attempt(evidence, window_end());
         assert_eq!(retry, expected, "{evidence:?}");
     }
 }
@@ -94,17 +115,20 @@
 fn full_register_forgets_answered_keys_and_rejects_new_keys_otherwise() {
     let mut register = register(2);
     for number in 0..2 {
-        must_admit(&mut register, 0, number);
-        register.on_attempt_sent(0, &key(number), 0, SECOND);
-        register.on_attempt_ended(10, &key(number), 0, ExecutionEvidence::Executed);
-        register.on_query_ended(10, &key(number), number == 1);
+        must_admit(&mut register, at(0), number);
+        register.on_attempt_sent(at(0), &key(number), 0, seconds(1));
+        register.on_attempt_ended(at(10), &key(number), 0, ExecutionEvidence::Executed);
+        register.on_query_ended(at(10), &key(number), number == 1);
     }
-    must_admit(&mut register, 20, 2);
+    must_admit(&mut register, at(20), 2);
+    assert_eq!(
+        admit(&mut register, at(20), 3),
+        KeyAdmission::RetryAt(at(10) + 2 * WINDOW)
+    );
     assert_eq!(
-        admit(&mut register, 20, 3),
-        KeyAdmission::RetryAt(10 + 2 * WINDOW)
+        admit(&mut register, window_end(), 0),
+        KeyAdmission::WindowExpired
     );
-    assert_eq!(admit(&mut register, WINDOW, 0), KeyAdmission::WindowExpired);
     assert_eq!(register.len(), 2);
-    must_admit(&mut register, 20 + 2 * WINDOW, 3);
+    must_admit(&mut register, at(20) + 2 * WINDOW, 3);
 }
--- a/crates/operator-config/src/parser.rs
+++ b/crates/operator-config/src/parser.rs
@@ -6,9 +6,9 @@
 use crate::keywords::{self, KEYWORDS, Keyword};
 use crate::settings::{Http2Settings, LogFormat, LogLevel, LogSettings, Settings};
 use crate::values::{self, InvalidValue};
-use broker_types::time::{MILLI, Micros};
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
+use std::time::Duration;
 
 const LOG_FORMATS: &[(&str, LogFormat)] =
     &[("logfmt", LogFormat::Logfmt), ("json", LogFormat::Json)];
@@ -21,7 +21,7 @@
 ];
 
 /// Bounds of `gather-time`.
-const GATHER_TIME_BOUNDS: RangeInclusive<Micros> = 0..=50 * MILLI;
+const GATHER_TIME_BOUNDS: RangeInclusive<Duration> = Duration::ZERO..=Duration::from_millis(50);
 /// Bounds of `http2-connections`.
 const CONNECTIONS_BOUNDS: RangeInclusive<u64> = 1..=65_536;
 /// Bounds of `http2-streams`.
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -1,9 +1,9 @@
 //! The settings of a file, and what changes when the file is read again.
 
 use crate::keywords::{Effect, KEYWORDS};
-use broker_types::time::Micros;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// Form of the log's lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -63,7 +63,7 @@
     /// The HTTP/2 listener, if there is to be one.
     pub http2: Option<Http2Settings>,
     /// Longest wait for parts that could share a batch; `None` means a tick of the platform's settings.
-    pub gather_time: Option<Micros>,
+    pub gather_time: Option<Duration>,
     /// The arguments as written in the file, by keyword.
     pub(crate) arguments: BTreeMap<&'static str, String>,
 }
--- a/crates/operator-config/src/values.rs
+++ b/crates/operator-config/src/values.rs
@@ -1,8 +1,9 @@
 //! Arguments as typed values.
 
-use broker_types::time::{MILLI, Micros, SECOND};
+use broker_types::time::whole_micros;
 use std::net::SocketAddr;
 use std::ops::RangeInclusive;
+use std::time::Duration;
 use thiserror::Error;
 
 /// What an argument should have been. Bounds are inclusive.
@@ -31,17 +32,17 @@
         /// The greatest, in bytes.
         max: u64,
     },
-    /// A duration with its unit, within bounds in microseconds.
+    /// A duration with its unit, within bounds.
     #[error(
         "expected a time from {} to {} with its unit (us, ms, s, min)",
-        format_with_unit(*.min, DURATION_UNITS),
-        format_with_unit(*.max, DURATION_UNITS)
+        format_with_unit(whole_micros(*.min), DURATION_UNITS),
+        format_with_unit(whole_micros(*.max), DURATION_UNITS)
     )]
     Duration {
-        /// The shortest, in microseconds.
-        min: Micros,
-        /// The longest, in microseconds.
-        max: Micros,
+        /// The shortest.
+        min: Duration,
+        /// The longest.
+        max: Duration,
     },
     /// One of some words.
     #[error("expected one of {}", .names.join(", "))]
@@ -63,9 +64,9 @@
 /// Units of a duration, smallest first; factors in microseconds.
 const DURATION_UNITS: &[Unit] = &[
     unit("us", 1),
-    unit("ms", MILLI),
-    unit("s", SECOND),
-    unit("min", 60 * SECOND),
+    unit("ms", 1000),
+    unit("s", 1_000_000),
+    unit("min", 60_000_000),
 ];
 
 const fn unit(name: &'static str, factor: u64) -> Unit {
@@ -97,21 +98,26 @@
 
 /// Parses a size with its unit, into bytes.
 pub(crate) fn parse_size(word: &str, bounds: &RangeInclusive<u64>) -> Result<u64, InvalidValue> {
-    parse_with_unit(word, SIZE_UNITS, bounds).ok_or_else(|| InvalidValue::Size {
-        min: *bounds.start(),
-        max: *bounds.end(),
-    })
+    parse_with_unit(word, SIZE_UNITS)
+        .filter(|size| bounds.contains(size))
+        .ok_or_else(|| InvalidValue::Size {
+            min: *bounds.start(),
+            max: *bounds.end(),
+        })
 }
 
 /// Parses a duration with its unit.
 pub(crate) fn parse_duration(
     word: &str,
-    bounds: &RangeInclusive<Micros>,
-) -> Result<Micros, InvalidValue> {
-    parse_with_unit(word, DURATION_UNITS, bounds).ok_or_else(|| InvalidValue::Duration {
-        min: *bounds.start(),
-        max: *bounds.end(),
-    })
+    bounds: &RangeInclusive<Duration>,
+) -> Result<Duration, InvalidValue> {
+    parse_with_unit(word, DURATION_UNITS)
+        .map(Duration::from_micros)
+        .filter(|duration| bounds.contains(duration))
+        .ok_or_else(|| InvalidValue::Duration {
+            min: *bounds.start(),
+            max: *bounds.end(),
+        })
 }
 
 /// The value whose name the word is.
@@ -128,14 +134,12 @@
 }
 
 /// Digits and one of the units, as a number of the smallest unit.
-fn parse_with_unit(word: &str, units: &[Unit], bounds: &RangeInclusive<u64>) -> Option<u64> {
+fn parse_with_unit(word: &str, units: &[Unit]) -> Option<u64> {
     let digits = word.bytes().take_while(u8::is_ascii_digit).count();
     let (number, unit_name) = word.split_at(digits);
     let unit = units.iter().find(|unit| unit.name == unit_name)?;
     let number: u64 = number.parse().ok()?;
-    number
-        .checked_mul(unit.factor)
-        .filter(|value| bounds.contains(value))
+    number.checked_mul(unit.factor)
 }
 
 /// A value in the largest unit that writes it as a whole number.
--- a/crates/operator-config/src/values/tests.rs
+++ b/crates/operator-config/src/values/tests.rs
@@ -2,9 +2,14 @@
 
 use super::*;
 
+const SECOND: Duration = Duration::from_secs(1);
+
 #[test]
 fn units_are_converted_and_values_out_of_bounds_are_rejected() {
-    assert_eq!(parse_duration("250ms", &(0..=SECOND)), Ok(250_000));
+    assert_eq!(
+        parse_duration("250ms", &(Duration::ZERO..=SECOND)),
+        Ok(Duration::from_millis(250))
+    );
     assert_eq!(parse_size("64KiB", &(0..=1 << 20)), Ok(65_536));
     for word in [
         "250",
@@ -17,7 +22,7 @@
         "18446744073709551615s",
     ] {
         let expected = "expected a time from 1us to 1s with its unit (us, ms, s, min)";
-        let error = parse_duration(word, &(1..=SECOND)).expect_err(word);
+        let error = parse_duration(word, &(Duration::from_micros(1)..=SECOND)).expect_err(word);
         assert_eq!(error.to_string(), expected, "{word}");
     }
     let error = parse_size("1kb", &(1..=3 << 20)).unwrap_err();
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -2,6 +2,7 @@
 
 use operator_config::{Effect, KEYWORDS, LogFormat, LogLevel, Settings, parse};
 use proptest::prelude::*;
+use std::time::Duration;
 
 const FULL: &str = "\
 # An installation with both listeners.
@@ -31,7 +32,7 @@
         (settings.log.format, settings.log.level),
         (LogFormat::Json, LogLevel::Debug)
     );
-    assert_eq!(settings.gather_time, Some(500));
+    assert_eq!(settings.gather_time, Some(Duration::from_micros(500)));
     let http2 = settings.http2.unwrap();
     assert_eq!(
         (http2.listen.port(), http2.connections, http2.streams),
--- a/crates/policy-engine/src/commands.rs
+++ b/crates/policy-engine/src/commands.rs
@@ -2,7 +2,8 @@
 
 use broker_types::query::{AttemptId, ClassIndex, PartSpec, QueryId, TenantIndex};
 use broker_types::server::{NodeId, Outcome};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
+use std::time::Duration;
 
 /// A query to be fanned out to the servers of its shards.
 #[derive(Clone, Debug)]
@@ -14,7 +15,7 @@
     /// Tenant of the query.
     pub tenant: TenantIndex,
     /// Time at which the client stops waiting.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// Whether the client marked the query as a retry.
     pub is_retry: bool,
     /// The parts of the query, one for each shard.
@@ -29,7 +30,7 @@
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Time from the dispatch to the end of the attempt.
-    pub elapsed: Micros,
+    pub elapsed: Duration,
     /// Outstanding work that the server reported with its answer, if it did.
     pub load: Option<f64>,
 }
@@ -42,7 +43,7 @@
     /// The server to send it to.
     pub server: NodeId,
     /// Time at which the attempt times out.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
 }
 
 /// How a query ends.
@@ -56,7 +57,7 @@
     /// The query was not served and had no effect, so that the client may retry.
     Rejected {
         /// Time after which the client should retry, where clients take such advice.
-        retry_after: Option<Micros>,
+        retry_after: Option<Duration>,
     },
     /// The query was not served; whether it had an effect is unknown.
     Failed,
--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -7,10 +7,11 @@
 use crate::summary::PolicySummary;
 use broker_types::query::{AttemptId, QueryId};
 use broker_types::server::{ListScope, NodeId, ServerInfo};
-use broker_types::time::{Micros, millis};
+use broker_types::time::{Timestamp, millis};
 use fanout_policy::Aggregator;
 use fanout_policy::api::{Action, Event, Ms, PartId, QueryId as PolicyQueryId, Settings};
 use fanout_policy::over_capacity_retry_after;
+use std::time::Duration;
 
 /// The fan-out policy together with the queries in flight.
 pub struct PolicyEngine {
@@ -20,7 +21,7 @@
     /// Events for the next run of the policy.
     staged: Vec<Event>,
     /// Time at which the policy asked to be run again.
-    wake_at: Option<Micros>,
+    wake_at: Option<Timestamp>,
 }
 
 impl PolicyEngine {
@@ -33,7 +34,7 @@
             settings,
             in_flight: InFlightTable::new(max_in_flight),
             staged: Vec::new(),
-            wake_at: Some(0),
+            wake_at: Some(Timestamp::ORIGIN),
         }
     }
 
@@ -52,7 +53,7 @@
     }
 
     /// Reports attempts that have ended.
-    pub fn on_attempts_ended(&mut self, now: Micros, reports: Vec<AttemptReport>) -> Decisions {
+    pub fn on_attempts_ended(&mut self, now: Timestamp, reports: Vec<AttemptReport>) -> Decisions {
         if reports.is_empty() {
             return Decisions::default();
         }
@@ -62,7 +63,7 @@
     }
 
     /// Submits new queries. A query that exceeds the capacity is rejected without asking the policy.
-    pub fn submit(&mut self, now: Micros, queries: Vec<QuerySpec>) -> Decisions {
+    pub fn submit(&mut self, now: Timestamp, queries: Vec<QuerySpec>) -> Decisions {
         if queries.is_empty() {
             return Decisions::default();
         }
@@ -81,7 +82,7 @@
     }
 
     /// Runs the policy where it asked for it or where events are staged, and fails queries that are about to expire.
-    pub fn poll(&mut self, now: Micros) -> Decisions {
+    pub fn poll(&mut self, now: Timestamp) -> Decisions {
         let is_wake_due = self.wake_at.take_if(|at| now >= *at).is_some();
         if is_wake_due {
             self.staged.push(Event::TimerFired);
@@ -95,26 +96,22 @@
         decisions
     }
 
-    /// The latest time at which [`PolicyEngine::poll`] has to be called next; [`Micros::MAX`] where there is none.
+    /// The latest time at which [`PolicyEngine::poll`] has to be called next; `None` where there is none.
     #[must_use]
-    pub fn next_deadline(&self) -> Micros {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         let query_expires = self.in_flight.earliest_deadline();
-        let fail_at = query_expires.map(|deadline| deadline.saturating_sub(self.expiry_margin()));
+        let fail_at = query_expires.map(|deadline| deadline - self.expiry_margin());
         let run_at = if self.staged.is_empty() {
             self.wake_at
         } else {
-            Some(0)
+            Some(Timestamp::ORIGIN)
         };
-        [fail_at, run_at]
-            .into_iter()
-            .flatten()
-            .min()
-            .unwrap_or(Micros::MAX)
+        [fail_at, run_at].into_iter().flatten().min()
     }
 
     /// A summary of the policy's state for the log.
     #[must_use]
-    pub fn summary(&self, now: Micros) -> PolicySummary {
+    pub fn summary(&self, now: Timestamp) -> PolicySummary {
         PolicySummary::of(&self.policy, to_policy_time(now))
     }
 
@@ -125,7 +122,7 @@
     }
 
     /// Time before its deadline at which an undecided query fails: one tick of the settings.
-    fn expiry_margin(&self) -> Micros {
+    fn expiry_margin(&self) -> Duration {
         millis(self.settings.tick)
     }
 
@@ -138,7 +135,7 @@
     }
 
     /// Guarantees an answer before the deadline, whatever the policy does.
-    fn fail_expiring_queries(&mut self, now: Micros, decisions: &mut Decisions) {
+    fn fail_expiring_queries(&mut self, now: Timestamp, decisions: &mut Decisions) {
         let latest = now + self.expiry_margin();
         while let Some(query) = self.in_flight.first_due_by(latest) {
             self.abandon(query);
@@ -151,7 +148,7 @@
     }
 
     /// Runs the policy on the staged events.
-    fn run_policy(&mut self, now: Micros) -> Decisions {
+    fn run_policy(&mut self, now: Timestamp) -> Decisions {
         let events = std::mem::take(&mut self.staged);
         let actions = self.policy.on_batch(to_policy_time(now), events);
         let mut decisions = Decisions::default();
@@ -161,7 +158,7 @@
         decisions
     }
 
-    fn apply(&mut self, now: Micros, action: Action, decisions: &mut Decisions) {
+    fn apply(&mut self, now: Timestamp, action: Action, decisions: &mut Decisions) {
         match action {
             Action::SendAttempt {
                 part,
@@ -201,7 +198,7 @@
     /// Starts an attempt that the policy asked for; `None` where its query is no longer in flight.
     fn dispatch(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         part: &PartId,
         server: NodeId,
         timeout: Option<Ms>,
--- a/crates/policy-engine/src/engine/tests.rs
+++ b/crates/policy-engine/src/engine/tests.rs
@@ -6,7 +6,12 @@
 use serde_json::Value;
 
 /// Deadline of all queries here.
-const DEADLINE: Micros = 1_000_000;
+const DEADLINE: Timestamp = Timestamp::from_micros(1_000_000);
+
+/// A time in microseconds.
+const fn at(micros: u64) -> Timestamp {
+    Timestamp::from_micros(micros)
+}
 
 fn server(name: NodeId, state: ServingState) -> ServerInfo {
     ServerInfo {
@@ -51,7 +56,7 @@
     AttemptReport {
         attempt,
         outcome,
-        elapsed: 20_000,
+        elapsed: Duration::from_millis(20),
         load: None,
     }
 }
@@ -66,7 +71,7 @@
 #[test]
 fn query_is_dispatched_retried_and_finished_once() {
     let mut engine = engine(10);
-    let first = engine.submit(1000, vec![query(1, &[0, 1])]).dispatches;
+    let first = engine.submit(at(1000), vec![query(1, &[0, 1])]).dispatches;
     let parts: Vec<_> = first.iter().map(|d| d.attempt.part).collect();
     assert_eq!(parts, [PartIndex(0), PartIndex(1)]);
     assert!(
@@ -78,7 +83,7 @@
         ended(first[0].attempt, Outcome::Served),
         ended(first[1].attempt, Outcome::Overloaded),
     ];
-    let second = engine.on_attempts_ended(30_000, reports);
+    let second = engine.on_attempts_ended(at(30_000), reports);
     assert_eq!(second.finished, []);
     let retry = second.dispatches[0].attempt;
     assert_eq!(
@@ -89,18 +94,18 @@
             attempt: 1
         }
     );
-    let last = engine.on_attempts_ended(60_000, vec![ended(retry, Outcome::Served)]);
+    let last = engine.on_attempts_ended(at(60_000), vec![ended(retry, Outcome::Served)]);
     let answered = QueryOutcome::Answered { is_complete: true };
     assert_eq!(last.finished, [finished(1, answered)]);
     assert_eq!(engine.in_flight(), 0);
-    assert_eq!(engine.poll(2 * DEADLINE).finished, []);
+    assert_eq!(engine.poll(at(2_000_000)).finished, []);
 }
 
 /// The simulator never submits a query beyond `MaxOpen`, so that the policy does not expect one.
 #[test]
 fn query_over_capacity_is_rejected_with_advice_and_capacity_is_released() {
     let mut engine = engine(3);
-    let both = engine.submit(1000, vec![query(1, &[0, 1]), query(2, &[2])]);
+    let both = engine.submit(at(1000), vec![query(1, &[0, 1]), query(2, &[2])]);
     assert!(matches!(
         both.finished[..],
         [FinishedQuery {
@@ -115,7 +120,7 @@
     engine.abandon(QueryId(1));
     engine.abandon(QueryId(1));
     assert_eq!(engine.in_flight(), 0);
-    let next = engine.submit(6000, vec![query(3, &[2])]);
+    let next = engine.submit(at(6000), vec![query(3, &[2])]);
     assert_eq!(engine.in_flight(), 2);
     assert_eq!((next.cancellations.len(), next.dispatches.len()), (2, 1));
 }
@@ -123,10 +128,12 @@
 #[test]
 fn query_that_the_policy_forgets_fails_before_its_deadline() {
     let mut engine = engine(10);
-    engine.submit(1000, vec![query(1, &[0])]);
+    engine.submit(at(1000), vec![query(1, &[0])]);
     engine.policy = Aggregator::new(engine.settings.clone(), 7);
-    assert!(engine.next_deadline() <= DEADLINE - 5000);
-    let decisions = engine.poll(DEADLINE - 5000);
+    let tick = Duration::from_millis(5);
+    let next_deadline = engine.next_deadline();
+    assert!(next_deadline.is_some_and(|next| next <= DEADLINE - tick));
+    let decisions = engine.poll(DEADLINE - tick);
     assert_eq!(decisions.finished, [finished(1, QueryOutcome::Failed)]);
     assert_eq!((decisions.expired, engine.in_flight()), (1, 0));
 }
@@ -134,12 +141,12 @@
 #[test]
 fn draining_server_is_sent_nothing_from_the_next_batch_on() {
     let mut engine = engine(100);
-    let first = engine.submit(1000, vec![query(1, &[0])]).dispatches;
+    let first = engine.submit(at(1000), vec![query(1, &[0])]).dispatches;
     let name = first[0].server.clone();
     let draining = server(name.clone(), ServingState::Draining);
     engine.update_endpoints(ListScope::Delta, vec![draining]);
     for id in 2..20 {
-        let sent = engine.submit(6000, vec![query(id, &[0])]).dispatches;
+        let sent = engine.submit(at(6000), vec![query(id, &[0])]).dispatches;
         assert!(sent.iter().all(|d| d.server != name));
     }
 }
--- a/crates/policy-engine/src/events.rs
+++ b/crates/policy-engine/src/events.rs
@@ -1,17 +1,31 @@
 //! Translation of the engine's inputs into the policy's events.
 //!
-//! The policy counts time in milliseconds; [`to_policy_time`] is the only place where whole microseconds are given up.
+//! The policy counts points in time and time spans in milliseconds; [`from_micros`] is the only place where whole
+//! microseconds are given up.
 
 use crate::commands::{AttemptReport, QuerySpec};
 use crate::names::{part_name, query_name};
 use broker_types::query::{PartIndex, PartSpec, QueryId};
 use broker_types::server::{ListScope, ServerInfo};
-use broker_types::time::{MILLI, Micros};
-use fanout_policy::api::{Endpoint, Event, ListUpdate, Part, Query};
+use broker_types::time::{Timestamp, whole_micros};
+use fanout_policy::api::{Endpoint, Event, ListUpdate, Ms, Part, Query};
+use std::time::Duration;
 
-/// A time or time span in the policy's milliseconds.
-pub(crate) fn to_policy_time(time: Micros) -> f64 {
-    time as f64 / MILLI as f64
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLISECOND: f64 = 1000.0;
+
+/// A point in time on the policy's clock.
+pub(crate) fn to_policy_time(at: Timestamp) -> Ms {
+    from_micros(at.as_micros() as f64)
+}
+
+/// A time span as the policy counts it.
+fn to_policy_span(span: Duration) -> Ms {
+    from_micros(whole_micros(span) as f64)
+}
+
+fn from_micros(micros: f64) -> Ms {
+    micros / MICROS_PER_MILLISECOND
 }
 
 /// The event of a changed endpoint list.
@@ -34,7 +48,7 @@
         state: server.state,
         zone: server.zone,
         // Unlike other times, this one may lie before the origin of the program's clock.
-        started: server.started_at.map(|at| at as f64 / MILLI as f64),
+        started: server.started_at.map(|at| from_micros(at as f64)),
     }
 }
 
@@ -44,7 +58,7 @@
         part: part_name(report.attempt.query, report.attempt.part),
         attempt: report.attempt.attempt,
         outcome: report.outcome,
-        elapsed: to_policy_time(report.elapsed),
+        elapsed: to_policy_span(report.elapsed),
         load: report.load,
     }
 }
@@ -73,6 +87,6 @@
         group: query.0,
         shard: part.shard,
         weight: part.weight,
-        cost_hint: part.work_hint.map(to_policy_time),
+        cost_hint: part.work_hint.map(to_policy_span),
     })
 }
--- a/crates/policy-engine/src/in_flight.rs
+++ b/crates/policy-engine/src/in_flight.rs
@@ -2,7 +2,7 @@
 
 use crate::commands::QuerySpec;
 use broker_types::query::{AttemptId, PartIndex, QueryId};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A query in flight.
@@ -10,7 +10,7 @@
     /// Number of attempts started so far for each part. The policy numbers them by their order alone.
     attempts: Vec<u32>,
     /// Time at which the client stops waiting.
-    deadline: Micros,
+    deadline: Timestamp,
 }
 
 impl InFlightQuery {
@@ -25,7 +25,7 @@
     /// The attempt.
     pub(crate) id: AttemptId,
     /// Deadline of the attempt's query.
-    pub(crate) query_deadline: Micros,
+    pub(crate) query_deadline: Timestamp,
 }
 
 /// All queries in flight, bounded by a capacity in queries and parts together.
@@ -34,7 +34,7 @@
     in_use: usize,
     queries: BTreeMap<QueryId, InFlightQuery>,
     /// The queries in the order of their deadlines.
-    deadlines: BTreeSet<(Micros, QueryId)>,
+    deadlines: BTreeSet<(Timestamp, QueryId)>,
 }
 
 impl InFlightTable {
@@ -99,12 +99,12 @@
     }
 
     /// The earliest deadline of all queries.
-    pub(crate) fn earliest_deadline(&self) -> Option<Micros> {
+    pub(crate) fn earliest_deadline(&self) -> Option<Timestamp> {
         self.deadlines.first().map(|(deadline, _)| *deadline)
     }
 
     /// The query with the earliest deadline, where that is not after `time`.
-    pub(crate) fn first_due_by(&self, time: Micros) -> Option<QueryId> {
+    pub(crate) fn first_due_by(&self, time: Timestamp) -> Option<QueryId> {
         let (deadline, query) = self.deadlines.first()?;
         (*deadline <= time).then_some(*query)
     }
--- a/crates/query-api/src/deadline.rs
+++ b/crates/query-api/src/deadline.rs
@@ -1,15 +1,18 @@
 //! The `X-Deadline` header: how long a client waits.
 
 use crate::decode::MAX_CLIENT_TIMEOUT;
-use broker_types::time::{MILLI, Micros};
+use std::time::Duration;
+
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
 /// Parses a time span such as `480m`, in milliseconds, or `1500u`, in microseconds. Returns `None` where it has no such
 /// form or exceeds [`MAX_CLIENT_TIMEOUT`].
-pub(crate) fn parse_deadline(text: &str) -> Option<Micros> {
+pub(crate) fn parse_deadline(text: &str) -> Option<Duration> {
     let unit_position = text.len().checked_sub(1)?;
     let (number, unit) = text.split_at_checked(unit_position)?;
     let micros_per_unit = match unit {
-        "m" => MILLI as f64,
+        "m" => MICROS_PER_MILLISECOND,
         "u" => 1.0,
         _ => return None,
     };
@@ -19,7 +22,8 @@
         return None;
     }
     let micros = number.parse::<f64>().ok()? * micros_per_unit;
-    (micros <= MAX_CLIENT_TIMEOUT as f64).then_some(micros as Micros)
+    let max_micros = MAX_CLIENT_TIMEOUT.as_micros() as f64;
+    (micros <= max_micros).then(|| Duration::from_micros(micros as u64))
 }
 
 #[cfg(test)]
--- a/crates/query-api/src/deadline/tests.rs
+++ b/crates/query-api/src/deadline/tests.rs
@@ -2,9 +2,9 @@
 
 #[test]
 fn deadline_with_a_unit_is_parsed() {
-    assert_eq!(parse_deadline("480m"), Some(480_000));
-    assert_eq!(parse_deadline("1.5m"), Some(1500));
-    assert_eq!(parse_deadline("480u"), Some(480));
+    assert_eq!(parse_deadline("480m"), Some(Duration::from_micros(480_000)));
+    assert_eq!(parse_deadline("1.5m"), Some(Duration::from_micros(1500)));
+    assert_eq!(parse_deadline("480u"), Some(Duration::from_micros(480)));
     assert_eq!(parse_deadline("3600000m"), Some(MAX_CLIENT_TIMEOUT));
 }
 
--- a/crates/query-api/src/decode.rs
+++ b/crates/query-api/src/decode.rs
@@ -5,15 +5,16 @@
 use crate::parts::{Body, check_parts};
 use crate::route::is_standard_method;
 use broker_types::query::{ClassIndex, Names, QueryRequest, TenantIndex};
-use broker_types::time::{Micros, millis};
+use broker_types::time::millis;
 use fanout_policy::api::{RetrySafety, Settings};
 use http::{HeaderMap, Method, Request, Uri};
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Longest request id and longest idempotency key, in bytes: both are part of each frame to a server.
 const MAX_TOKEN_BYTES: usize = 256;
 /// Longest time that a client may ask the broker to take: one hour.
-pub(crate) const MAX_CLIENT_TIMEOUT: Micros = 3_600_000_000;
+pub(crate) const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3600);
 
 const CLASS_HEADER: &str = "x-class";
 const TENANT_HEADER: &str = "x-tenant";
@@ -117,7 +118,7 @@
 }
 
 /// The time that the client waits: what the header says, up to the class's own limit.
-fn client_timeout(headers: &HeaderMap, max_timeout: Micros) -> Result<Micros, InvalidRequest> {
+fn client_timeout(headers: &HeaderMap, max_timeout: Duration) -> Result<Duration, InvalidRequest> {
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(max_timeout);
     };
--- a/crates/query-api/src/parts.rs
+++ b/crates/query-api/src/parts.rs
@@ -3,11 +3,11 @@
 use crate::decode::MAX_CLIENT_TIMEOUT;
 use crate::invalid_request::InvalidRequest;
 use broker_types::query::PartSpec;
-use broker_types::time::Micros;
 use serde::Deserialize;
+use std::time::Duration;
 
 /// Largest estimate of the work in a part.
-const MAX_WORK_HINT: Micros = MAX_CLIENT_TIMEOUT;
+const MAX_WORK_HINT: Duration = MAX_CLIENT_TIMEOUT;
 /// Largest difference between 1 and the sum of a query's weights: clients round them, and there may be a hundred.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
@@ -26,6 +26,7 @@
     shard: usize,
     #[serde(rename = "portion")]
     weight: f64,
+    /// In microseconds.
     #[serde(rename = "price")]
     work_hint: Option<f64>,
 }
@@ -35,15 +36,17 @@
         if !(0.0..=1.0).contains(&self.weight) {
             return Err(InvalidRequest::WeightOutOfBounds);
         }
-        let bounds = 0.0..=MAX_WORK_HINT as f64;
+        let bounds = 0.0..=MAX_WORK_HINT.as_micros() as f64;
         if !self.work_hint.is_none_or(|hint| bounds.contains(&hint)) {
             return Err(InvalidRequest::WorkHintOutOfBounds);
         }
-        let work_hint = self.work_hint.map(|hint| hint as Micros);
+        let work_hint = self
+            .work_hint
+            .map(|hint| Duration::from_micros(hint as u64));
         Ok(PartSpec {
             shard: self.shard,
             weight: self.weight,
-            work_hint: work_hint.filter(|hint| *hint > 0),
+            work_hint: work_hint.filter(|hint| !hint.is_zero()),
         })
     }
 }
--- a/crates/query-api/src/response.rs
+++ b/crates/query-api/src/response.rs
@@ -1,16 +1,19 @@
 //! Encoding of final responses.
 
 use broker_types::query::{FinalResponse, ShardValue};
-use broker_types::time::{Micros, SECOND, millis};
+use broker_types::time::millis;
 use fanout_policy::api::Settings;
 use http::header::{ALLOW, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use http::{HeaderMap, StatusCode};
 use serde::Serialize;
-use std::time::SystemTime;
+use std::time::{Duration, SystemTime};
 
 /// Retry-after advice for a client whose connection is rejected: by then the idle connections and the incomplete
 /// requests of others have been ended.
-const CONNECTION_RETRY_AFTER: Micros = 2 * SECOND;
+const CONNECTION_RETRY_AFTER: Duration = Duration::from_secs(2);
+
+/// Durationeconds in a second.
+const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
 /// Methods of the broker as a whole, for `OPTIONS *`.
 const ALL_METHODS: &str = "GET, HEAD, OPTIONS, POST";
@@ -114,7 +117,7 @@
     response
 }
 
-fn rejected_response(retry_after: Option<Micros>) -> Response {
+fn rejected_response(retry_after: Option<Duration>) -> Response {
     let mut response = error_response(503, "", "refused: trying again is harmless");
     if let Some(retry_after) = retry_after {
         insert_retry_after(response.headers_mut(), retry_after);
@@ -123,8 +126,8 @@
 }
 
 /// Inserts the `Retry-After` header. It is in seconds with three decimals: clients of this protocol take fractions.
-fn insert_retry_after(headers: &mut HeaderMap, retry_after: Micros) {
-    let seconds = format!("{:.3}", retry_after as f64 / SECOND as f64);
+fn insert_retry_after(headers: &mut HeaderMap, retry_after: Duration) {
+    let seconds = format!("{:.3}", retry_after.as_micros() as f64 / MICROS_PER_SECOND);
     if let Ok(value) = HeaderValue::try_from(seconds) {
         headers.insert(RETRY_AFTER, value);
     }
--- a/crates/query-api/tests/response.rs
+++ b/crates/query-api/tests/response.rs
@@ -7,7 +7,7 @@
 #[test]
 fn rejection_has_retry_after_in_seconds_with_three_decimals() {
     let response = encode_final_response(&FinalResponse::Rejected {
-        retry_after: Some(1_250_400),
+        retry_after: Some(Duration::from_micros(1_250_400)),
     });
     assert_eq!(response.status(), 503);
     assert_eq!(response.headers()["retry-after"], "1.250");
