--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -35,7 +35,7 @@
             Ok(Some(fired.into()))
         }
         Some(MessageKind::Gossip) => Ok(decode_gossip(message)?),
-        Some(MessageKind::FirstStepAnswered | MessageKind::HealthCheckAnswered) => Ok(None),
+        Some(MessageKind::StreamStarted | MessageKind::ProbeAnswered) => Ok(None),
         _ => Err(MessageError::UnknownMessage {
             message: message.type_name(),
         }),
--- a/crates/simulator-adapter/src/wire/incoming.rs
+++ b/crates/simulator-adapter/src/wire/incoming.rs
@@ -58,12 +58,12 @@
     /// Gossip from another aggregator.
     #[serde(rename = "Memo")]
     Gossip,
-    /// A first step was answered. It follows only on an action that the adapter never sends.
+    /// A streamed answer has begun. No class is streamed.
     #[serde(rename = "Begun")]
-    FirstStepAnswered,
-    /// A health check was answered. It follows only on an action that the adapter never sends.
+    StreamStarted,
+    /// A load probe was answered. The adapter sends none.
     #[serde(rename = "Probed")]
-    HealthCheckAnswered,
+    ProbeAnswered,
 }
 
 impl MessageKind {
--- a/crates/simulator-adapter/src/wire/outgoing.rs
+++ b/crates/simulator-adapter/src/wire/outgoing.rs
@@ -73,9 +73,9 @@
     PollEndpointList {
         #[serde(rename = "I")]
         instance: u64,
-        /// Whether the answer may be the full list.
+        /// Whether updates are requested, in place of no longer requested.
         #[serde(rename = "Full")]
-        full: bool,
+        subscribe: bool,
     },
     #[serde(rename = "After")]
     SetTimer {
@@ -128,7 +128,7 @@
             },
             Action::PollEndpointList => ActionWire::PollEndpointList {
                 instance,
-                full: true,
+                subscribe: true,
             },
             Action::SetTimer { after } => ActionWire::SetTimer {
                 instance,
