--- a/crates/server-protocol/tests/server_side.rs
+++ b/crates/server-protocol/tests/server_side.rs
@@ -4,8 +4,11 @@
 
 use common::frame;
 use server_protocol::broker::{self, ServerMessage, encode_call, encode_cancel};
-use server_protocol::server::{BrokerMessage, PartRequest, decode, encode_part_response};
-use server_protocol::{Decoded, PartStatus};
+use server_protocol::server::{
+    BrokerMessage, PartRequest, ProbeKind, decode, encode_frame_rejection, encode_part_response,
+    encode_probe_response,
+};
+use server_protocol::{Decoded, InvalidFrame, PartStatus};
 
 /// What decoding returns for a message whose frame is all of `bytes`.
 fn whole<M>(message: M, bytes: &[u8]) -> Option<Decoded<M>> {
@@ -61,6 +64,33 @@
     );
 }
 
+#[test]
+fn frame_of_an_unknown_kind_is_rejected_once_it_is_complete() {
+    let bytes = frame(b'x', b"abc");
+    for cut in 0..bytes.len() {
+        assert_eq!(decode(&bytes[..cut]), Ok(None));
+    }
+    assert_eq!(decode(&bytes), Err(InvalidFrame::UnknownKind));
+    // Responses are for brokers.
+    for kind in [b'q', b'r'] {
+        assert_eq!(decode(&frame(kind, b"")), Err(InvalidFrame::UnknownKind));
+    }
+}
+
+#[test]
+fn probe_is_decoded_and_its_response_has_the_form_of_the_protocol() {
+    for (kind, letter, response) in [
+        (ProbeKind::Health, b'o', &b"good"[..]),
+        (ProbeKind::Load, b'p', b"inflight=7"),
+    ] {
+        let bytes = frame(letter, b"");
+        let probe = BrokerMessage::Probe(kind);
+        assert_eq!(decode(&bytes), Ok(whole(probe, &bytes)));
+        assert_eq!(encode_probe_response(kind, 7), frame(letter, response));
+    }
+    assert_eq!(encode_frame_rejection("too long"), frame(b'r', b"too long"));
+}
+
 #[test]
 fn malformed_call_is_rejected() {
     for payload in [
