--- a/crates/server-protocol/src/broker.rs
+++ b/crates/server-protocol/src/broker.rs
@@ -1,17 +1,17 @@
 //! The broker's side: encodes calls and cancellations, decodes what data servers send.
 
-use crate::frame::{self, PartialFrame, split_line, utf8};
+use crate::fields::{
+    IDEMPOTENCY_KEY_OPTION, REQUESTS_IN_FLIGHT, REQUESTS_IN_FLIGHT_IN_SETTINGS, WAIT_OPTION,
+};
+use crate::frame::{self, FrameKind, PartialFrame, split_line, utf8};
 use crate::{Decoded, InvalidFrame, PartStatus};
 use fanout_policy::api::Outcome;
-use std::fmt::Write;
+use std::fmt::{self, Write};
 
 /// Longest body accepted from a data server, in bytes: a value as long as the longest HTTP body, and its line.
 const MAX_BODY_LEN: usize = 66 * 1024;
 /// Longest line of a response, in bytes: it carries an id no longer than a client may choose, and short fields.
 pub const MAX_RESPONSE_LINE_LEN: usize = 1024;
-/// Names of the load report's field with the number of requests in flight: that of the settings and that of
-/// the protocol.
-const REQUESTS_IN_FLIGHT: [&str; 2] = ["rif", "inflight"];
 
 /// One part of a call, to be encoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -54,20 +54,33 @@
 pub fn encode_call<'a>(parts: impl IntoIterator<Item = PartRequest<'a>>) -> Vec<u8> {
     let mut payload = String::new();
     for part in parts {
-        let _ = write!(payload, "{} {} d={}", part.id, part.shard, part.wait_ms);
-        if let Some(key) = part.idempotency_key {
-            let _ = write!(payload, ",k={key}");
-        }
-        let _ = writeln!(payload, " {}", part.text.len());
-        payload.push_str(part.text);
+        // Writing to a string cannot fail.
+        let _ = write_part(&mut payload, &part);
+    }
+    frame::encode(FrameKind::Call, payload.as_bytes())
+}
+
+/// Writes `ID SHARD OPTIONS LENGTH\nTEXT`.
+fn write_part(payload: &mut String, part: &PartRequest) -> fmt::Result {
+    let PartRequest {
+        id,
+        shard,
+        wait_ms,
+        idempotency_key,
+        text,
+    } = part;
+    write!(payload, "{id} {shard} {WAIT_OPTION}={wait_ms}")?;
+    if let Some(key) = idempotency_key {
+        write!(payload, ",{IDEMPOTENCY_KEY_OPTION}={key}")?;
     }
-    frame::encode(frame::CALL, payload.as_bytes())
+    writeln!(payload, " {}", text.len())?;
+    payload.write_str(text)
 }
 
 /// Encodes the cancellation of the part with this id.
 #[must_use]
 pub fn encode_cancel(id: &str) -> Vec<u8> {
-    frame::encode(frame::CANCEL, id.as_bytes())
+    frame::encode(FrameKind::Cancel, id.as_bytes())
 }
 
 /// Decodes the frame that `input` begins with. `Ok(None)`: it has not arrived completely.
@@ -81,38 +94,42 @@
     let Some(frame) = PartialFrame::parse(input, MAX_BODY_LEN)? else {
         return Ok(None);
     };
-    let Some(kind) = frame.kind() else {
-        return Ok(None);
-    };
-    // Brokers send no probes, so the response to one is unexpected as well.
-    if !matches!(kind, frame::PART_RESPONSE | frame::REJECTION) {
-        return Err(InvalidFrame::UnknownKind);
-    }
-    let Some(payload) = frame.payload() else {
-        return if kind == frame::PART_RESPONSE && exceeds_line_limit(frame.received()) {
-            Err(InvalidFrame::UnterminatedResponseLine)
-        } else {
-            Ok(None)
-        };
-    };
-    let message = if kind == frame::PART_RESPONSE {
-        ServerMessage::PartResponse(decode_part_response(payload)?)
-    } else {
-        ServerMessage::FrameRejected(String::from_utf8_lossy(payload).into_owned())
+    let message = match frame.kind()? {
+        None => None,
+        Some(FrameKind::PartResponse) => decode_part_response(&frame)?,
+        Some(FrameKind::Rejection) => frame.payload().map(decode_rejection),
+        // Brokers send no probes, so the response to one is unexpected as well.
+        Some(_) => return Err(InvalidFrame::UnknownKind),
     };
-    Ok(Some(Decoded {
+    Ok(message.map(|message| Decoded {
         message,
         frame_len: frame.frame_len(),
     }))
 }
 
-/// Whether the beginning of a response contains more than the longest line, and no newline within it.
+fn decode_rejection(payload: &[u8]) -> ServerMessage {
+    ServerMessage::FrameRejected(String::from_utf8_lossy(payload).into_owned())
+}
+
+/// Decodes the response to a part. `None`: it has not arrived completely.
+fn decode_part_response(frame: &PartialFrame) -> Result<Option<ServerMessage>, InvalidFrame> {
+    match frame.payload() {
+        Some(payload) => {
+            let response = parse_part_response(payload)?;
+            Ok(Some(ServerMessage::PartResponse(response)))
+        }
+        None if exceeds_line_limit(frame.received()) => Err(InvalidFrame::UnterminatedResponseLine),
+        None => Ok(None),
+    }
+}
+
+/// Whether the beginning of a response contains more than the longest line, and no line feed within it.
 fn exceeds_line_limit(received: &[u8]) -> bool {
     received.len() > MAX_RESPONSE_LINE_LEN && !received[..MAX_RESPONSE_LINE_LEN].contains(&b'\n')
 }
 
-/// Decodes `ID STATUS SCORE LOAD_REPORT\nVALUE`.
-fn decode_part_response(payload: &[u8]) -> Result<PartResponse, InvalidFrame> {
+/// Parses `ID STATUS SCORE LOAD_REPORT\nVALUE`.
+fn parse_part_response(payload: &[u8]) -> Result<PartResponse, InvalidFrame> {
     let (line, value) = split_line(payload).ok_or(InvalidFrame::UnterminatedResponseLine)?;
     let mut fields = line.splitn(4, |byte| *byte == b' ');
     let (Some(id), Some(status), Some(score), Some(load_report)) =
@@ -136,10 +153,11 @@
 /// the number is unknown.
 fn parse_requests_in_flight(load_report: &[u8]) -> Option<f64> {
     let load_report = utf8(load_report).ok()?;
+    let names = [REQUESTS_IN_FLIGHT, REQUESTS_IN_FLIGHT_IN_SETTINGS];
     let mut entries = load_report
         .split(',')
         .filter_map(|entry| entry.split_once('='));
-    let (_, number) = entries.find(|(name, _)| REQUESTS_IN_FLIGHT.contains(name))?;
+    let (_, number) = entries.find(|(name, _)| names.contains(name))?;
     number
         .parse()
         .ok()
--- a/crates/server-protocol/src/frame.rs
+++ b/crates/server-protocol/src/frame.rs
@@ -2,29 +2,57 @@
 
 use crate::InvalidFrame;
 
-/// Kind of a frame with a call: one or more parts of queries.
-pub(crate) const CALL: u8 = b'm';
-/// Kind of a frame that cancels a part.
-pub(crate) const CANCEL: u8 = b'n';
-/// Kind of a frame with the response to a part.
-pub(crate) const PART_RESPONSE: u8 = b'q';
-/// Kind of a frame that says that the previous frame was rejected.
-pub(crate) const REJECTION: u8 = b'r';
-/// Kind of a health probe, and of its response.
-pub(crate) const HEALTH_PROBE: u8 = b'o';
-/// Kind of a load probe, and of its response.
-pub(crate) const LOAD_PROBE: u8 = b'p';
-
 /// Size of the length that precedes each frame, in bytes.
 const LENGTH_SIZE: usize = size_of::<u32>();
 /// Size of the kind, which the length counts, in bytes.
 const KIND_SIZE: usize = 1;
 
+/// What a frame is, with its letter on the wire.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[repr(u8)]
+pub(crate) enum FrameKind {
+    /// A call: one or more parts of queries.
+    Call = b'm',
+    /// The cancellation of a part.
+    Cancel = b'n',
+    /// A health probe, or the response to one.
+    HealthProbe = b'o',
+    /// A load probe, or the response to one.
+    LoadProbe = b'p',
+    /// The response to a part.
+    PartResponse = b'q',
+    /// The message that the previous frame was rejected.
+    Rejection = b'r',
+}
+
+impl FrameKind {
+    const ALL: [FrameKind; 6] = [
+        FrameKind::Call,
+        FrameKind::Cancel,
+        FrameKind::HealthProbe,
+        FrameKind::LoadProbe,
+        FrameKind::PartResponse,
+        FrameKind::Rejection,
+    ];
+
+    /// The kind with a letter.
+    ///
+    /// # Errors
+    ///
+    /// No kind has this letter.
+    fn of_letter(letter: u8) -> Result<Self, InvalidFrame> {
+        let mut kinds = FrameKind::ALL.into_iter();
+        let kind = kinds.find(|kind| *kind as u8 == letter);
+        kind.ok_or(InvalidFrame::UnknownKind)
+    }
+}
+
 /// Encodes a frame.
-pub(crate) fn encode(kind: u8, payload: &[u8]) -> Vec<u8> {
-    let mut frame = Vec::with_capacity(LENGTH_SIZE + KIND_SIZE + payload.len());
-    frame.extend((payload.len() as u32 + 1).to_be_bytes());
-    frame.push(kind);
+pub(crate) fn encode(kind: FrameKind, payload: &[u8]) -> Vec<u8> {
+    let body_len = KIND_SIZE + payload.len();
+    let mut frame = Vec::with_capacity(LENGTH_SIZE + body_len);
+    frame.extend((body_len as u32).to_be_bytes());
+    frame.push(kind as u8);
     frame.extend(payload);
     frame
 }
@@ -58,8 +86,13 @@
     }
 
     /// The frame's kind, once it has arrived.
-    pub(crate) fn kind(&self) -> Option<u8> {
-        self.input.first().copied()
+    ///
+    /// # Errors
+    ///
+    /// The kind is unknown.
+    pub(crate) fn kind(&self) -> Result<Option<FrameKind>, InvalidFrame> {
+        let letter = self.input.first().copied();
+        letter.map(FrameKind::of_letter).transpose()
     }
 
     /// The payload, once all of it has arrived.
@@ -87,8 +120,8 @@
     std::str::from_utf8(bytes).map_err(|_| InvalidFrame::NotUtf8)
 }
 
-/// Splits off the first line; the newline belongs to neither half. `None`: there is no newline.
+/// Splits off the first line; the line feed belongs to neither half. `None`: there is no line feed.
 pub(crate) fn split_line(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
-    let newline = bytes.iter().position(|byte| *byte == b'\n')?;
-    Some((&bytes[..newline], &bytes[newline + 1..]))
+    let line_feed = bytes.iter().position(|byte| *byte == b'\n')?;
+    Some((&bytes[..line_feed], &bytes[line_feed + 1..]))
 }
--- a/crates/server-protocol/src/part_status.rs
+++ b/crates/server-protocol/src/part_status.rs
@@ -15,6 +15,12 @@
 }
 
 impl PartStatus {
+    const ALL: [PartStatus; 3] = [
+        PartStatus::Succeeded,
+        PartStatus::Failed,
+        PartStatus::Rejected,
+    ];
+
     /// The status as it stands in a frame.
     pub(crate) fn as_wire(self) -> &'static str {
         match self {
@@ -30,12 +36,9 @@
     ///
     /// The status is unknown.
     pub(crate) fn from_wire(bytes: &[u8]) -> Result<Self, InvalidFrame> {
-        match bytes {
-            b"good" => Ok(PartStatus::Succeeded),
-            b"bad" => Ok(PartStatus::Failed),
-            b"later" => Ok(PartStatus::Rejected),
-            _ => Err(InvalidFrame::UnknownStatus),
-        }
+        let mut statuses = PartStatus::ALL.into_iter();
+        let status = statuses.find(|status| status.as_wire().as_bytes() == bytes);
+        status.ok_or(InvalidFrame::UnknownStatus)
     }
 }
 
--- a/crates/server-protocol/src/server.rs
+++ b/crates/server-protocol/src/server.rs
@@ -1,11 +1,13 @@
 //! The data server's side, for test doubles of data servers: decodes what brokers send, encodes responses.
 
-use crate::frame::{self, PartialFrame, split_line, utf8};
+use crate::fields::{IDEMPOTENCY_KEY_OPTION, REQUESTS_IN_FLIGHT, WAIT_OPTION};
+use crate::frame::{self, FrameKind, PartialFrame, split_line, utf8};
 use crate::{Decoded, InvalidFrame, PartStatus};
-use std::fmt::Write;
 
 /// Longest body accepted from a broker, in bytes: a call with the most parts, each with the longest text.
 const MAX_BODY_LEN: usize = 4 << 20;
+/// Score of each response; brokers make no use of it.
+const SCORE: u32 = 1;
 
 /// One part of a call, as decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,29 +52,35 @@
     requests_in_flight: usize,
     value: &str,
 ) -> Vec<u8> {
-    let mut payload = String::with_capacity(id.len() + value.len() + 32);
     let status = status.as_wire();
-    let _ = writeln!(payload, "{id} {status} 1 inflight={requests_in_flight}");
-    payload.push_str(value);
-    frame::encode(frame::PART_RESPONSE, payload.as_bytes())
+    let load_report = encode_load_report(requests_in_flight);
+    let payload = format!("{id} {status} {SCORE} {load_report}\n{value}");
+    frame::encode(FrameKind::PartResponse, payload.as_bytes())
 }
 
 /// Encodes the response to a probe.
 #[must_use]
 pub fn encode_probe_response(kind: ProbeKind, requests_in_flight: usize) -> Vec<u8> {
     match kind {
-        ProbeKind::Health => frame::encode(frame::HEALTH_PROBE, b"good"),
+        ProbeKind::Health => {
+            let status = PartStatus::Succeeded.as_wire();
+            frame::encode(FrameKind::HealthProbe, status.as_bytes())
+        }
         ProbeKind::Load => {
-            let load_report = format!("inflight={requests_in_flight}");
-            frame::encode(frame::LOAD_PROBE, load_report.as_bytes())
+            let load_report = encode_load_report(requests_in_flight);
+            frame::encode(FrameKind::LoadProbe, load_report.as_bytes())
         }
     }
 }
 
+fn encode_load_report(requests_in_flight: usize) -> String {
+    format!("{REQUESTS_IN_FLIGHT}={requests_in_flight}")
+}
+
 /// Encodes the message that the broker's previous frame was rejected.
 #[must_use]
 pub fn encode_frame_rejection(reason: &str) -> Vec<u8> {
-    frame::encode(frame::REJECTION, reason.as_bytes())
+    frame::encode(FrameKind::Rejection, reason.as_bytes())
 }
 
 /// Decodes the frame that `input` begins with. `Ok(None)`: it has not arrived completely.
@@ -84,14 +92,16 @@
     let Some(frame) = PartialFrame::parse(input, MAX_BODY_LEN)? else {
         return Ok(None);
     };
-    let (Some(kind), Some(payload)) = (frame.kind(), frame.payload()) else {
+    let Some(payload) = frame.payload() else {
         return Ok(None);
     };
-    let message = match kind {
-        frame::CALL => BrokerMessage::Call(decode_call(payload)?),
-        frame::CANCEL => BrokerMessage::Cancel(utf8(payload)?.to_owned()),
-        frame::HEALTH_PROBE if payload.is_empty() => BrokerMessage::Probe(ProbeKind::Health),
-        frame::LOAD_PROBE if payload.is_empty() => BrokerMessage::Probe(ProbeKind::Load),
+    let message = match frame.kind()? {
+        Some(FrameKind::Call) => BrokerMessage::Call(decode_call(payload)?),
+        Some(FrameKind::Cancel) => BrokerMessage::Cancel(utf8(payload)?.to_owned()),
+        Some(FrameKind::HealthProbe) if payload.is_empty() => {
+            BrokerMessage::Probe(ProbeKind::Health)
+        }
+        Some(FrameKind::LoadProbe) if payload.is_empty() => BrokerMessage::Probe(ProbeKind::Load),
         _ => return Err(InvalidFrame::UnknownKind),
     };
     Ok(Some(Decoded {
@@ -133,15 +143,21 @@
         text: utf8(text)?.to_owned(),
     };
     for option in options.split(',') {
-        match option.split_once('=') {
-            Some(("d", wait_ms)) => part.wait_ms = parse_number(wait_ms)? as u64,
-            Some(("k", key)) => part.idempotency_key = Some(key.to_owned()),
-            _ => return Err(InvalidFrame::InvalidPartOptions),
-        }
+        decode_option(option, &mut part)?;
     }
     Ok((part, rest))
 }
 
+/// Decodes one option of a part.
+fn decode_option(option: &str, part: &mut PartRequest) -> Result<(), InvalidFrame> {
+    match option.split_once('=') {
+        Some((WAIT_OPTION, wait_ms)) => part.wait_ms = parse_number(wait_ms)? as u64,
+        Some((IDEMPOTENCY_KEY_OPTION, key)) => part.idempotency_key = Some(key.to_owned()),
+        _ => return Err(InvalidFrame::InvalidPartOptions),
+    }
+    Ok(())
+}
+
 /// Reads a number of a part's line.
 fn parse_number(field: &str) -> Result<usize, InvalidFrame> {
     field.parse().map_err(|_| InvalidFrame::InvalidNumber)
