--- /dev/null
+++ b/crates/fanout-policy/src/api/identifiers.rs
@@ -0,0 +1,23 @@
+//! Names of servers, queries and parts, and indexes of classes and tenants.
+
+use std::sync::Arc;
+
+/// Name of a data server. It is the same at every aggregator and survives restarts of the server's process.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct NodeId(pub Arc<str>);
+
+/// Identifier of a query, never used twice. Queries that wait at the same time are processed in its order.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QueryId(pub Arc<str>);
+
+/// Identifier of one part of a query, never used twice.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PartId(pub Arc<str>);
+
+/// Index of a query class in [`Settings::classes`](super::Settings::classes).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ClassIndex(pub usize);
+
+/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). Any index is accepted where a deployment has no tenants.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct TenantIndex(pub usize);
