--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -3,13 +3,16 @@
 //! What it decides is in [`crate::policy`]; this module only applies and records it.
 
 use crate::api::{
-    Action, Class, Endpoint, EndpointListSource, Event, ListUpdate, Ms, Part, Query, ServingState,
-    Settings,
+    Action, Class, Endpoint, Event, ListUpdate, Ms, Part, Query, ServingState, Settings,
 };
-use crate::policy::tuning::{CONTROL_INTERVAL, INITIAL_LATENCY_PER_WORK, INITIAL_PART_COST};
+use crate::policy::batch_context::BatchContext;
+use crate::policy::batch_timer::{BatchTimer, ControlTimer, Punctuality, QueryLoad};
+use crate::policy::endpoint_list_poller::{EndpointListPoller, PollDecision};
+use crate::policy::fanout_width::FanoutWidthController;
+use crate::policy::retry_budget::RetryBudget;
+use crate::policy::tuning::{INITIAL_LATENCY_PER_WORK, INITIAL_PART_COST};
 use crate::state::{
-    ClassState, FanoutWidth, Fleet, InFlightQuery, QueryTable, RandomSource, ServerIndex,
-    SlidingWindow,
+    ClassState, Fleet, InFlightQuery, QueryTable, RandomSource, ServerIndex, SlidingWindow,
 };
 use std::collections::BTreeSet;
 
@@ -27,10 +30,9 @@
     pub(crate) classes: Vec<ClassState>,
     /// Median latency per outstanding work over the fleet.
     pub(crate) fleet_latency_per_work: f64,
-    /// Queries and parts accepted.
-    pub(crate) accepted: SlidingWindow,
-    /// Retries and hedged requests sent.
-    pub(crate) retries: SlidingWindow,
+    /// Controllers of the fan-out width, by class.
+    pub(crate) fanout_widths: Vec<FanoutWidthController>,
+    pub(crate) retry_budget: RetryBudget,
     /// Queries accepted, by tenant.
     pub(crate) tenant_queries: Vec<SlidingWindow>,
     /// Highest weight per work of any query so far.
@@ -45,34 +47,24 @@
     pub(crate) next_publish_at: Ms,
     /// When gossip last arrived.
     pub(crate) gossip_received_at: Ms,
-    /// Whether this aggregator was paused before the current batch.
-    pub(crate) was_paused: bool,
-    /// Start of the next control interval.
-    pub(crate) next_interval_at: Ms,
-    /// When to poll for the endpoint list next.
-    pub(crate) poll_at: Option<Ms>,
-    /// Current delay before the list is polled again after a failure.
-    pub(crate) poll_backoff: Ms,
-    /// When the timer fires; infinite while none is set.
-    pub(crate) timer_at: Ms,
+    pub(crate) list_poller: EndpointListPoller,
+    pub(crate) batch_timer: BatchTimer,
+    pub(crate) control_timer: ControlTimer,
 }
 
 impl Aggregator {
-    /// An aggregator that knows nothing but its settings. The same seed and events lead to the same actions.
+    /// An aggregator that knows nothing but its settings. The same seed and events lead to
+    /// the same actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         let part_cost = settings.call_cost.max(1.0) * INITIAL_PART_COST;
         let class = ClassState {
-            fanout: FanoutWidth {
-                rows: settings.replica_cells.max(1) as f64,
-                ..FanoutWidth::default()
-            },
             part_cost,
             second_step_duration: part_cost,
             ..ClassState::default()
         };
-        let is_polled = settings.list_source == EndpointListSource::Polled;
-        let mut aggregator = Aggregator {
+        let fanout_width = FanoutWidthController::new(settings.replica_cells.max(1));
+        Aggregator {
             random: RandomSource::new(seed),
             now: 0.0,
             actions: Vec::new(),
@@ -80,8 +72,8 @@
             queries: QueryTable::default(),
             classes: vec![class; settings.classes.len()],
             fleet_latency_per_work: INITIAL_LATENCY_PER_WORK,
-            accepted: SlidingWindow::default(),
-            retries: SlidingWindow::default(),
+            fanout_widths: vec![fanout_width; settings.classes.len()],
+            retry_budget: RetryBudget::default(),
             tenant_queries: vec![SlidingWindow::default(); settings.tenants.len()],
             highest_density: 0.0,
             served_work: 0.0,
@@ -89,33 +81,33 @@
             unpublished: BTreeSet::new(),
             next_publish_at: 0.0,
             gossip_received_at: f64::NEG_INFINITY,
-            was_paused: false,
-            next_interval_at: f64::NEG_INFINITY,
-            poll_at: is_polled.then_some(f64::NEG_INFINITY),
-            poll_backoff: 0.0,
-            timer_at: f64::INFINITY,
+            list_poller: EndpointListPoller::new(&settings),
+            batch_timer: BatchTimer::new(),
+            control_timer: ControlTimer::new(),
             settings,
-        };
-        aggregator.poll_backoff = aggregator.initial_poll_backoff();
-        aggregator
+        }
     }
 
-    /// Processes all events of one point in time and returns the actions to carry out, in order. Attempts are
-    /// decided after all events, so that parts for one server share calls.
+    /// Processes all events of one point in time and returns the actions to carry out, in
+    /// order. Attempts are decided after all events, so that parts for one server share
+    /// calls.
     pub fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
         self.now = now;
-        self.was_paused = self.is_late_batch(now);
+        let batch = BatchContext {
+            now,
+            settings: &self.settings,
+        };
+        self.batch_timer.on_batch(&batch);
         for server in self.fleet.servers.iter_mut() {
             server.parts_in_batch = 0;
         }
         for event in events {
             self.handle_event(event);
         }
-        if self.poll_at.take_if(|at| now >= *at).is_some() {
+        if self.list_poller.poll_if_due(now) == PollDecision::Poll {
             self.actions.push(Action::PollEndpointList);
         }
-        if now >= self.next_interval_at {
-            self.next_interval_at = now + CONTROL_INTERVAL;
+        if self.control_timer.start_interval_if_due(now) {
             self.run_control_loops();
         }
         for id in self.queries.ids() {
@@ -126,10 +118,17 @@
             }
         }
         self.publish_load();
-        if self.timer_at == f64::INFINITY {
-            let after = self.batch_interval();
+        let load = if self.queries.is_empty() {
+            QueryLoad::Idle
+        } else {
+            QueryLoad::Busy
+        };
+        let batch = BatchContext {
+            now,
+            settings: &self.settings,
+        };
+        if let Some(after) = self.batch_timer.set_if_unset(&batch, load) {
             self.actions.push(Action::SetTimer { after });
-            self.timer_at = now + after;
         }
         std::mem::take(&mut self.actions)
     }
@@ -167,7 +166,7 @@
                 }
             }
             Event::Gossip { from, bytes } => self.on_gossip(from, &bytes),
-            Event::TimerFired => self.timer_at = f64::INFINITY,
+            Event::TimerFired => self.batch_timer.on_fired(),
         }
     }
 
@@ -175,7 +174,7 @@
         if self.settings.classes.is_empty() {
             return self.actions.push(Action::Fail { query: query.id });
         }
-        self.accepted.record(self.now);
+        self.retry_budget.record_accepted(self.now);
         if let Some(queries) = self.tenant_queries.get_mut(query.tenant.0) {
             queries.record(self.now);
         }
@@ -193,16 +192,18 @@
     }
 
     fn on_part(&mut self, part: Part) {
-        self.accepted.record(self.now);
+        self.retry_budget.record_accepted(self.now);
         self.queries.add_part(part);
     }
 
     fn on_endpoint_list(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
         if update == ListUpdate::Failed {
-            return self.back_off_polling();
+            return self
+                .list_poller
+                .on_failure(self.now, &self.settings, &mut self.random);
         }
         if update != ListUpdate::Cached {
-            self.poll_backoff = self.initial_poll_backoff();
+            self.list_poller.on_success(&self.settings);
         }
         if update != ListUpdate::Delta {
             for server in self.fleet.servers.iter_mut() {
@@ -232,28 +233,36 @@
         }
     }
 
+    /// Time and settings of the current batch.
+    pub(crate) fn batch(&self) -> BatchContext<'_> {
+        BatchContext {
+            now: self.now,
+            settings: &self.settings,
+        }
+    }
+
+    /// Whether this aggregator was paused before the current batch.
+    pub(crate) fn was_paused(&self) -> bool {
+        self.batch_timer.punctuality() == Punctuality::Paused
+    }
+
     /// Class of a query in flight.
     pub(crate) fn class_of(&self, query: &InFlightQuery) -> &Class {
-        &self.settings.classes[query.class]
+        self.batch().class_of(query)
     }
 
     /// Latency objective of the class of a query.
     pub(crate) fn objective(&self, query: &InFlightQuery) -> Ms {
-        self.class_of(query).latency_objective
+        self.batch().objective(query)
     }
 
     /// When the latency objective of a query ends.
     pub(crate) fn objective_end(&self, query: &InFlightQuery) -> Ms {
-        query.first_sent_at + self.objective(query)
+        self.batch().objective_end(query)
     }
 
     /// Shortest latency objective of all classes; a large finite time if there are none.
     pub(crate) fn shortest_objective(&self) -> Ms {
-        let objectives = self
-            .settings
-            .classes
-            .iter()
-            .map(|class| class.latency_objective);
-        objectives.fold(f64::INFINITY, f64::min).min(1e9)
+        self.batch().shortest_objective()
     }
 }
--- a/crates/fanout-policy/src/api.rs
+++ b/crates/fanout-policy/src/api.rs
@@ -1,5 +1,5 @@
-//! Public interface of the policy: the settings it starts with, the events it takes and the actions it
-//! returns.
+//! Public interface of the policy: the settings it starts with, the events it takes and the
+//! actions it returns.
 //!
 //! The types here carry no decisions. All times are milliseconds on the caller's clock.
 
--- a/crates/fanout-policy/src/api/events.rs
+++ b/crates/fanout-policy/src/api/events.rs
@@ -26,8 +26,8 @@
         outcome: Outcome,
         /// Time since it was sent.
         elapsed: Ms,
-        /// Number of requests that the server reported as waiting or in execution, if it did. The report may
-        /// be late or wrong.
+        /// Number of requests that the server reported as waiting or in execution, if
+        /// it did. The report may be late or wrong.
         load: Option<f64>,
     },
     /// The client has disconnected; the query needs no answer.
--- a/crates/fanout-policy/src/api/identifiers.rs
+++ b/crates/fanout-policy/src/api/identifiers.rs
@@ -2,11 +2,13 @@
 
 use std::sync::Arc;
 
-/// Name of a data server. It is the same at every aggregator and survives restarts of the server's process.
+/// Name of a data server. It is the same at every aggregator and survives restarts of the
+/// server's process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub Arc<str>);
 
-/// Identifier of a query, never used twice. Queries that wait at the same time are processed in its order.
+/// Identifier of a query, never used twice. Queries that wait at the same time are processed in
+/// its order.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryId(pub Arc<str>);
 
@@ -18,6 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). Any index is accepted where a deployment has no tenants.
+/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). Any index is accepted
+/// where a deployment has no tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantIndex(pub usize);
--- a/crates/fanout-policy/src/api/settings.rs
+++ b/crates/fanout-policy/src/api/settings.rs
@@ -44,7 +44,8 @@
     pub tenants: Vec<Tenant>,
     /// Number of aggregators, including this one.
     pub aggregators: usize,
-    /// Zone of this aggregator, where the deployment has zones. Servers name theirs in [`Endpoint::zone`](super::Endpoint::zone).
+    /// Zone of this aggregator, where the deployment has zones. Servers name theirs in
+    /// [`Endpoint::zone`](super::Endpoint::zone).
     pub zone: Option<usize>,
     /// Fraction of its priority weight that a query over its tenant's quota keeps.
     pub over_quota_weight: f64,
--- a/crates/fanout-policy/src/attempt_statistics.rs
+++ b/crates/fanout-policy/src/attempt_statistics.rs
@@ -2,7 +2,7 @@
 
 use crate::aggregator::Aggregator;
 use crate::api::Ms;
-use crate::policy::tuning::{DEFAULT_BUDGET_WINDOW, PART_COST_QUANTILE, PART_COST_STEP, SMOOTHING};
+use crate::policy::tuning::{PART_COST_QUANTILE, PART_COST_STEP, SMOOTHING};
 use crate::state::{InFlightAttempt, decay, smooth};
 
 impl Aggregator {
@@ -12,12 +12,12 @@
         self.fleet.servers[attempt.server].record_end(attempt.work, attempt.sent());
     }
 
-    /// Updates the statistics of a server and a class with an attempt that was served, with this weight in
-    /// the average of latencies.
+    /// Updates the statistics of a server and a class with an attempt that was served, with
+    /// this weight in the average of latencies.
     pub(crate) fn record_answer(&mut self, attempt: &InFlightAttempt, elapsed: Ms, weight: f64) {
         self.served_work += attempt.work;
+        self.fanout_widths[attempt.class].record_success();
         let class = &mut self.classes[attempt.class];
-        class.fanout.record_end(false);
         let is_above = elapsed > class.part_cost;
         let step = if is_above {
             PART_COST_QUANTILE
@@ -40,10 +40,9 @@
         server.unreachable_until = f64::NEG_INFINITY;
     }
 
-    /// Mean time between two parts that this aggregator sends to one server, from what it accepted of late.
+    /// Mean time between two parts that this aggregator sends to one server.
     pub(crate) fn mean_send_interval(&self) -> Ms {
-        let window = DEFAULT_BUDGET_WINDOW * self.shortest_objective();
-        let accepted = self.accepted.count_since(self.now - window);
-        window * self.fleet.rows.server_count() as f64 / accepted.max(1) as f64
+        let servers = self.fleet.rows.server_count();
+        self.retry_budget.mean_send_interval(&self.batch(), servers)
     }
 }
--- a/crates/fanout-policy/src/control_interval.rs
+++ b/crates/fanout-policy/src/control_interval.rs
@@ -1,18 +1,21 @@
-//! What runs once in each control interval: the controllers, moving averages and the removal of old state.
+//! What runs once in each control interval: the controllers, moving averages and the removal of
+//! old state.
 
 use crate::aggregator::Aggregator;
 use crate::api::{Ms, ServingState};
+use crate::policy::batch_context::BatchContext;
+use crate::policy::batch_timer::CONTROL_INTERVAL_MS as CONTROL_INTERVAL;
 use crate::policy::tuning::{
-    CONTROL_INTERVAL, DECAY, FLEET_LATENCY_WINDOW, INITIAL_LATENCY_PER_WORK, PEER_REPORT_LIFETIME,
-    SMOOTHING,
+    DECAY, FLEET_LATENCY_WINDOW, INITIAL_LATENCY_PER_WORK, PEER_REPORT_LIFETIME, SMOOTHING,
 };
 use crate::state::{Server, decay, smooth};
 
 impl Aggregator {
     /// Runs all controllers and updates all averages.
     pub(crate) fn run_control_loops(&mut self) {
-        for class in 0..self.classes.len() {
-            self.adjust_fanout_width(class);
+        let max_rows = self.fleet.rows.max_holders();
+        for width in &mut self.fanout_widths {
+            width.adjust(max_rows);
         }
         self.update_fleet_latency();
         self.decay_server_statistics();
@@ -20,12 +23,16 @@
         self.update_served_rate();
         self.expire_peer_reports();
         self.forget_removed_servers();
-        // Discards what lies before the window of the retry budget.
-        self.has_retry_budget(false);
+        let batch = BatchContext {
+            now: self.now,
+            settings: &self.settings,
+        };
+        self.retry_budget.discard_expired(&batch);
     }
 
-    /// Sets the fleet's latency to the median of the servers observed of late. Without any it decays to the
-    /// default: else it would be believed for ever where all queries are rejected after a bad period.
+    /// Sets the fleet's latency to the median of the servers observed of late. Without any
+    /// it decays to the default: else it would be believed for ever where all queries are
+    /// rejected after a bad period.
     fn update_fleet_latency(&mut self) {
         let observed_since = self.now - FLEET_LATENCY_WINDOW;
         let observed = self
@@ -45,7 +52,8 @@
         }
     }
 
-    /// Lets statistics without new samples return to their defaults, so that slow servers are tried again.
+    /// Lets statistics without new samples return to their defaults, so that slow servers
+    /// are tried again.
     fn decay_server_statistics(&mut self) {
         let unobserved_since = self.now - CONTROL_INTERVAL;
         for server in self.fleet.servers.iter_mut() {
@@ -88,7 +96,8 @@
         smooth(&mut self.served_rate, SMOOTHING, rate);
     }
 
-    /// Discards expired reports of other aggregators and marks servers with outstanding work for publication.
+    /// Discards expired reports of other aggregators and marks servers with outstanding
+    /// work for publication.
     fn expire_peer_reports(&mut self) {
         let deadline = self.now - PEER_REPORT_LIFETIME;
         for index in self.fleet.servers.indexes() {
@@ -100,7 +109,8 @@
         }
     }
 
-    /// Forgets removed servers to which nothing refers, so that records stay bounded as servers are replaced.
+    /// Forgets removed servers to which nothing refers, so that records stay bounded as
+    /// servers are replaced.
     fn forget_removed_servers(&mut self) {
         let in_use = self.queries.servers_in_use();
         let unobserved_since = self.now - self.settings.warm_up.duration;
--- a/crates/fanout-policy/src/gossip_exchange.rs
+++ b/crates/fanout-policy/src/gossip_exchange.rs
@@ -5,8 +5,8 @@
 use crate::state::{GossipEntry, GossipStatus, PeerLoadReport, ServerIndex, ShortName};
 
 impl Aggregator {
-    /// Publishes what has changed at each server. Entries state totals, so that the next message makes up for
-    /// a lost one.
+    /// Publishes what has changed at each server. Entries state totals, so that the next
+    /// message makes up for a lost one.
     pub(crate) fn publish_load(&mut self) {
         if !self.is_publish_due() {
             return;
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -1,12 +1,12 @@
 //! Decisions of an aggregator that answers each query from many shards.
 //!
-//! For each query the policy selects how many complete replica rows to contact, distributes the parts of the
-//! query over those rows and batches the parts for one server into one call. From the outcomes of its own
-//! attempts it detects failing and slow servers, retries and hedges within a budget, answers, and rejects
-//! queries that cannot be answered in time.
+//! For each query the policy selects how many complete replica rows to contact, distributes the
+//! parts of the query over those rows and batches the parts for one server into one call. From
+//! the outcomes of its own attempts it detects failing and slow servers, retries and hedges
+//! within a budget, answers, and rejects queries that cannot be answered in time.
 //!
-//! The crate performs no input or output: the caller passes events in and carries out the actions that come
-//! back.
+//! The crate performs no input or output: the caller passes events in and carries out the
+//! actions that come back.
 //!
 //! ```
 //! use fanout_policy::Aggregator;
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -9,9 +9,10 @@
 use crate::state::{InFlightQuery, MS_PER_SECOND, QueryForecast};
 
 impl Aggregator {
-    /// When the client first sent the query. All its attempts share one timeout, so one with less time than
-    /// usual is a retry that ends with it: without this, a retry storm fills the fleet with late answers.
-    /// Where clients do not mark retries, this relies on an estimate of the usual timeout.
+    /// When the client first sent the query. All its attempts share one timeout, so one
+    /// with less time than usual is a retry that ends with it: without this, a retry storm
+    /// fills the fleet with late answers. Where clients do not mark retries, this relies on
+    /// an estimate of the usual timeout.
     pub(crate) fn first_sent_at(&mut self, class: usize, query: &Query) -> Ms {
         let time_left = query.client_deadline - self.now;
         let estimate = &mut self.classes[class].client_timeout;
@@ -25,13 +26,15 @@
         }
     }
 
-    /// Whether a query can be answered in time. Under load the lowest weights per work are rejected first.
+    /// Whether a query can be answered in time. Under load the lowest weights per work are
+    /// rejected first.
     pub(crate) fn admit(&mut self, query: &mut InFlightQuery) -> bool {
         let is_over_quota = self.is_over_quota(query.tenant);
         let forecast = self.query_forecast(query);
         let limit = self.admission_limit(query, forecast.work, is_over_quota);
         let class = self.class_of(query);
-        // The slowest part counts in full where the answer needs it and one aggregator observes little load.
+        // The slowest part counts in full where the answer needs it and one aggregator
+        // observes little load.
         let needs_all = class.required_share >= 1.0;
         let visibility = if needs_all {
             self.load_visibility()
@@ -41,8 +44,9 @@
         let slowest_weight = 1.0 - (1.0 - SLOWEST_PART_WEIGHT) * visibility;
         let latency = forecast.mean + slowest_weight * (forecast.slowest - forecast.mean);
         query.forecast = latency;
-        // A possible partial answer justifies more risk, a possible late one a larger forecast error. Neither
-        // counts where the client leaves before the objective: its retries would fill the fleet.
+        // A possible partial answer justifies more risk, a possible late one a larger
+        // forecast error. Neither counts where the client leaves before the objective:
+        // its retries would fill the fleet.
         let client_stays = query.client_deadline > self.objective_end(query);
         let may_be_partial = client_stays && class.minimum_share < class.required_share;
         let partial = f64::from(may_be_partial) * class.partial_weight * class.minimum_share
@@ -71,7 +75,8 @@
         forecast
     }
 
-    /// Share of the time left that the forecast may take, by the query's weight per work against the highest.
+    /// Share of the time left that the forecast may take, by the query's weight per work
+    /// against the highest.
     fn admission_limit(&mut self, query: &InFlightQuery, work: Ms, is_over_quota: bool) -> f64 {
         let by_work = self.settings.weight_by_work;
         let divisor = if by_work { 1.0 } else { work.max(1.0) };
--- a/crates/fanout-policy/src/policy/completion.rs
+++ b/crates/fanout-policy/src/policy/completion.rs
@@ -49,15 +49,17 @@
         part.has_attempt_in_flight() || (can_send && has_holders)
     }
 
-    /// Whether to answer from the parts served so far. Before the latency objective each further part adds to
-    /// the answer; after it, waiting pays only if the answer can become complete and earns more then.
+    /// Whether to answer from the parts served so far. Before the latency objective each
+    /// further part adds to the answer; after it, waiting pays only if the answer can
+    /// become complete and earns more then.
     fn should_answer_partially(&self, query: &InFlightQuery, progress: &StepProgress) -> bool {
         let class = self.class_of(query);
         let served = progress.served;
         if served <= 0.0 || served + SHARE_TOLERANCE < class.minimum_share {
             return false;
         }
-        // After a partial first answer both ways earn its share, so that only the second step counts.
+        // After a partial first answer both ways earn its share, so that only the second
+        // step counts.
         let is_partial = query.first_answer_complete == Some(false);
         let weight = if is_partial {
             1.0
@@ -81,7 +83,8 @@
     fn should_give_up(&self, query: &InFlightQuery, progress: &StepProgress) -> bool {
         let class = self.class_of(query);
         let smallest_answer = class.minimum_share.min(class.required_share);
-        // Between the first answer and the arrival of the second step's parts there is nothing to wait for.
+        // Between the first answer and the arrival of the second step's parts there is
+        // nothing to wait for.
         let awaits_parts = query.in_second_step() && query.step_parts().is_empty();
         let is_hopeless = !awaits_parts && progress.possible + SHARE_TOLERANCE < smallest_answer;
         let is_harmful = progress.is_poison && progress.served == 0.0;
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -1,8 +1,7 @@
 //! Latency forecasts and what they are learned from.
 
 use super::tuning::{
-    ERROR_PENALTY, FULL_VISIBILITY_AGGREGATORS, MAX_HINT_FACTOR, MIN_DIVISOR, OVERDUE_FACTOR,
-    REPORTED_WORK_DRAIN,
+    ERROR_PENALTY, MAX_HINT_FACTOR, MIN_DIVISOR, OVERDUE_FACTOR, REPORTED_WORK_DRAIN,
 };
 use crate::aggregator::Aggregator;
 use crate::api::Ms;
@@ -18,14 +17,16 @@
         server.latency_per_work * total_work + self.known_delay(server) + errors
     }
 
-    /// Time by which the oldest unanswered attempt is late, and the rest of an overload or unreachability.
+    /// Time by which the oldest unanswered attempt is late, and the rest of an overload or
+    /// unreachability.
     fn known_delay(&self, server: &Server) -> Ms {
         let late = server.unanswered_lateness(self.now);
         late + (server.overloaded_until.max(server.unreachable_until) - self.now).max(0.0)
     }
 
-    /// Error rate of a server for a class. One not observed for an objective is assumed to be as silent as
-    /// its zone, so that a network partition is not discovered at each server anew.
+    /// Error rate of a server for a class. One not observed for an objective is assumed to
+    /// be as silent as its zone, so that a network partition is not discovered at each
+    /// server anew.
     fn error_rate(&self, server: &Server, class: usize) -> f64 {
         let is_unobserved = server.last_observed_at < self.now - self.shortest_objective();
         let zone_silence = self.fleet.zone_silence(server);
@@ -43,7 +44,8 @@
         query.parts[part].cost_hint.map_or(cost, bounded)
     }
 
-    /// Cost of the call that another part would open at a server; parts sent in one batch share calls.
+    /// Cost of the call that another part would open at a server; parts sent in one batch
+    /// share calls.
     pub(crate) fn call_cost(&self, server: ServerIndex) -> Ms {
         let parts = self.fleet.servers[server].parts_in_batch;
         let opens_call = parts.is_multiple_of(self.settings.max_parts_per_call.max(1));
@@ -61,7 +63,8 @@
         server.peer_work + (server.reported_work.work - drained).max(0.0)
     }
 
-    /// Takes over a server's report of its load. It is late and may be wrong, so it only affects forecasts.
+    /// Takes over a server's report of its load. It is late and may be wrong, so it only
+    /// affects forecasts.
     pub(crate) fn on_load_report(&mut self, attempt: &InFlightAttempt, load: f64) {
         let latency_per_work = self.fleet_latency_per_work.max(MIN_DIVISOR);
         let max_work = OVERDUE_FACTOR * self.shortest_objective() / latency_per_work;
@@ -69,8 +72,9 @@
         self.fleet.servers[attempt.server].record_load_report(self.now, load, part_cost, max_work);
     }
 
-    /// Share of a server's load that this aggregator observes in its own answers: among many, very little.
+    /// Share of a server's load that this aggregator observes in its own answers: among
+    /// many, very little.
     pub(crate) fn load_visibility(&self) -> f64 {
-        (FULL_VISIBILITY_AGGREGATORS / self.settings.aggregators.max(1) as f64).min(1.0)
+        self.batch().load_visibility()
     }
 }
--- a/crates/fanout-policy/src/policy/gossip.rs
+++ b/crates/fanout-policy/src/policy/gossip.rs
@@ -1,4 +1,5 @@
-//! Gossip between aggregators: what is published about servers, and what a report from another one changes.
+//! Gossip between aggregators: what is published about servers, and what a report from another
+//! one changes.
 
 use super::tuning::{
     GOSSIP_INTERVAL, GOSSIP_WORK_STEP, JITTER_RANGE, MIN_DIVISOR, MIN_EJECTION, MIN_JITTER,
@@ -39,7 +40,8 @@
             * (MIN_JITTER + JITTER_RANGE * self.random.fraction())
     }
 
-    /// Ejects a server that fails for another aggregator, unless it has answered this one as recently.
+    /// Ejects a server that fails for another aggregator, unless it has answered this one
+    /// as recently.
     pub(crate) fn on_peer_failure(&mut self, server: ServerIndex, ejection: Ms) {
         let server = &mut self.fleet.servers[server];
         if server.last_served_sent_at < self.now - ejection {
@@ -47,8 +49,8 @@
         }
     }
 
-    /// Ends the ejection of a server that answers another aggregator again. All aggregators return to it at
-    /// once, so it is assumed to be slow at first.
+    /// Ends the ejection of a server that answers another aggregator again. All aggregators
+    /// return to it at once, so it is assumed to be slow at first.
     pub(crate) fn on_peer_recovery(&mut self, server: ServerIndex) {
         let initial_capacity = self.settings.warm_up.initial_capacity.max(MIN_DIVISOR);
         let latency_per_work = self.fleet_latency_per_work / initial_capacity;
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -1,4 +1,5 @@
-//! Outlier detection: what the outcome of an attempt says about its server, and when a server is ejected.
+//! Outlier detection: what the outcome of an attempt says about its server, and when a server
+//! is ejected.
 
 use super::tuning::{
     EJECTION_CONSECUTIVE_FAILURES, EJECTION_ERROR_RATE, JITTER_RANGE, MAX_EJECTION, MIN_EJECTION,
@@ -15,8 +16,9 @@
     pub(crate) fn on_outcome(&mut self, attempt: &InFlightAttempt, outcome: Outcome, elapsed: Ms) {
         let elapsed = attempt.valid_elapsed(elapsed, self.now);
         let jitter = MIN_JITTER + JITTER_RANGE * self.random.fraction();
-        // Overdue, and nothing sent later was answered: a failure, even if a hedge was faster and this
-        // attempt was cancelled. The forecast grows with load, so that load alone does not count.
+        // Overdue, and nothing sent later was answered: a failure, even if a hedge was
+        // faster and this attempt was cancelled. The forecast grows with load, so that
+        // load alone does not count.
         let is_overdue = self.was_overdue(attempt, elapsed);
         let is_silent =
             is_overdue && attempt.sent_at > self.fleet.servers[attempt.server].last_served_sent_at;
@@ -25,7 +27,7 @@
         self.update_class_health(attempt, outcome, is_overdue);
         match outcome {
             Outcome::NotSent => {}
-            Outcome::TimedOut if self.was_paused => {}
+            Outcome::TimedOut if self.was_paused() => {}
             Outcome::Cancelled if !is_silent => {}
             Outcome::Served => self.on_served(attempt, elapsed),
             Outcome::Overloaded => self.on_overloaded(attempt, jitter),
@@ -46,7 +48,7 @@
 
     fn was_overdue(&self, attempt: &InFlightAttempt, elapsed: Ms) -> bool {
         let min_age = OVERDUE_MIN * self.shortest_objective();
-        !self.was_paused && elapsed > (OVERDUE_FACTOR * attempt.expected_latency).max(min_age)
+        !self.was_paused() && elapsed > (OVERDUE_FACTOR * attempt.expected_latency).max(min_age)
     }
 
     fn update_zone_silence(
@@ -56,7 +58,7 @@
         is_silent: bool,
     ) {
         let is_unanswered = got_no_response(outcome) || outcome == Outcome::Cancelled && is_silent;
-        if !self.was_paused && (is_unanswered || outcome == Outcome::Served) {
+        if !self.was_paused() && (is_unanswered || outcome == Outcome::Served) {
             let sample = f64::from(u8::from(is_unanswered));
             self.fleet
                 .record_silence(attempt.server, ZONE_SMOOTHING, sample);
@@ -81,7 +83,11 @@
 
     fn on_served(&mut self, attempt: &InFlightAttempt, elapsed: Ms) {
         let shortened = elapsed.min(attempt.expected_latency);
-        let elapsed = if self.was_paused { shortened } else { elapsed };
+        let elapsed = if self.was_paused() {
+            shortened
+        } else {
+            elapsed
+        };
         let is_overdue = elapsed > OVERDUE_FACTOR * attempt.expected_latency;
         let weight = if is_overdue {
             STRONG_SMOOTHING
@@ -98,10 +104,10 @@
         self.record_answer(attempt, elapsed, weight);
     }
 
-    /// Ejects a server that rejected a part for lack of capacity, each time for twice as long until it
-    /// answers.
+    /// Ejects a server that rejected a part for lack of capacity, each time for twice as
+    /// long until it answers.
     fn on_overloaded(&mut self, attempt: &InFlightAttempt, jitter: f64) {
-        self.classes[attempt.class].fanout.record_end(true);
+        self.fanout_widths[attempt.class].record_overload();
         let objective = self.shortest_objective();
         let max = MAX_EJECTION * objective;
         let min = (OVERLOAD_EJECTION * objective)
@@ -112,14 +118,20 @@
         server.ejected_until = server.overloaded_until;
     }
 
-    /// Learns from a timeout. Returns whether it counts as a failure: not if an attempt sent later was
-    /// answered, since the backlog of a stall times out long after the stall.
+    /// Learns from a timeout. Returns whether it counts as a failure: not if an attempt
+    /// sent later was answered, since the backlog of a stall times out long after the
+    /// stall.
     fn on_timeout(&mut self, attempt: &InFlightAttempt, elapsed: Ms) -> bool {
         let server = &mut self.fleet.servers[attempt.server];
         let is_new = attempt.sent_at > server.last_served_sent_at;
-        self.classes[attempt.class].fanout.record_end(is_new);
         if is_new {
-            // The answer would have taken longer still: without this, an overloaded server looks fast.
+            self.fanout_widths[attempt.class].record_overload();
+        } else {
+            self.fanout_widths[attempt.class].record_success();
+        }
+        if is_new {
+            // The answer would have taken longer still: without this, an overloaded
+            // server looks fast.
             let latency = elapsed / attempt.work_ahead.max(1.0);
             let latency = latency.min(TIMEOUT_LATENCY_LIMIT * self.fleet_latency_per_work);
             server.latency_per_work += SMOOTHING * (latency - server.latency_per_work).max(0.0);
@@ -134,7 +146,8 @@
         let server = &mut self.fleet.servers[attempt.server];
         smooth(&mut server.error_rate, SMOOTHING, 1.0);
         server.consecutive_failures += 1;
-        // A server that answered what was sent later, or just before, has lost a connection but is up.
+        // A server that answered what was sent later, or just before, has lost a
+        // connection but is up.
         let is_up = outcome == Outcome::ConnectionLost
             && server.last_served_sent_at + RECENT_ANSWER * objective > attempt.sent_at;
         let is_unreachable =
@@ -145,7 +158,8 @@
         if !(is_unreachable || is_failing) || self.now < server.ejected_until {
             return;
         }
-        // An unreachable server is ejected beyond the next sends to it, or each of them would fail as well.
+        // An unreachable server is ejected beyond the next sends to it, or each of them
+        // would fail as well.
         let interval = if is_unreachable { send_interval } else { 0.0 };
         let min = interval.max(MIN_EJECTION * objective);
         let max = (UNREACHABLE_MAX_SENDS * interval).max(MAX_EJECTION * objective);
--- a/crates/fanout-policy/src/policy/retries.rs
+++ b/crates/fanout-policy/src/policy/retries.rs
@@ -1,12 +1,12 @@
 //! First attempts, retries and hedged requests.
 
+use super::batch_context::BatchContext;
 use super::tuning::{
-    CANCEL_AGE, CANCEL_MAX_FORECAST, DEFAULT_BUDGET_WINDOW, DEFAULT_FREE_ATTEMPTS,
-    DEFAULT_PER_REQUEST, HEDGE_FACTOR, MIN_HEDGES_PER_REQUEST, OVERDUE_FACTOR, OVERDUE_MIN,
-    OVERLOAD_EJECTION, POISON_LOST_CONNECTIONS,
+    CANCEL_AGE, CANCEL_MAX_FORECAST, HEDGE_FACTOR, OVERDUE_FACTOR, OVERDUE_MIN, OVERLOAD_EJECTION,
+    POISON_LOST_CONNECTIONS,
 };
 use crate::aggregator::Aggregator;
-use crate::api::{Ms, RetryBudget, RetrySafety};
+use crate::api::{Ms, RetrySafety};
 use crate::state::{Attempt, InFlightQuery, PartState, ServerIndex};
 
 impl Aggregator {
@@ -36,16 +36,17 @@
     }
 
     fn retry(&mut self, query: &mut InFlightQuery, index: usize) {
-        if self.has_retry_budget(false)
+        if self.allows_retry()
             && let Some(server) = self.select_server(query, index)
             && !self.must_wait_for_capacity(&query.parts[index], server)
         {
-            self.retries.record(self.now);
+            self.retry_budget.record_sent(self.now);
             self.send(query, index, server);
         }
     }
 
-    /// Whether all holders are overloaded: retried at once, the remaining attempts would be rejected as well.
+    /// Whether all holders are overloaded: retried at once, the remaining attempts would be
+    /// rejected as well.
     fn must_wait_for_capacity(&self, part: &PartState, server: ServerIndex) -> bool {
         let wait = OVERLOAD_EJECTION * self.shortest_objective() * part.attempts.len() as f64;
         part.last_attempt_age(self.now) < wait
@@ -53,7 +54,7 @@
     }
 
     fn hedge(&mut self, query: &mut InFlightQuery, index: usize) {
-        if !self.is_overdue(query, &query.parts[index]) || !self.has_retry_budget(true) {
+        if !self.is_overdue(query, &query.parts[index]) || !self.allows_hedge() {
             return;
         }
         let Some(server) = self.select_server(query, index) else {
@@ -68,22 +69,24 @@
             return;
         }
         if self.settings.hedging {
-            self.retries.record(self.now);
+            self.retry_budget.record_sent(self.now);
             self.send(query, index, server);
         } else if self.may_cancel_overdue(query, part, forecast) {
             self.cancel_last_attempt(part);
         }
     }
 
-    /// Whether the last attempt is late by more than a hedge takes: late against its own forecast or that of
-    /// the hedge, whichever is less, since an attempt at a slow server is not waited for.
+    /// Whether the last attempt is late by more than a hedge takes: late against its own
+    /// forecast or that of the hedge, whichever is less, since an attempt at a slow server
+    /// is not waited for.
     fn is_hedge_faster(&self, part: &PartState, forecast: Ms) -> bool {
         let expected = part.last_expected_latency().min(forecast);
         part.last_attempt_age(self.now) > expected + HEDGE_FACTOR * forecast
     }
 
-    /// Whether to cancel an overdue attempt where two may not be in flight; the retry is sent once that is
-    /// reported. An attempt that is only slow has most of its work done already, which would be lost.
+    /// Whether to cancel an overdue attempt where two may not be in flight; the retry is
+    /// sent once that is reported. An attempt that is only slow has most of its work done
+    /// already, which would be lost.
     fn may_cancel_overdue(&self, query: &InFlightQuery, part: &PartState, forecast: Ms) -> bool {
         let objective = self.objective(query);
         let min_age = (OVERDUE_FACTOR * part.last_expected_latency()).min(CANCEL_AGE * objective);
@@ -100,8 +103,9 @@
         part.last_attempt_age(self.now) > part.last_expected_latency().max(min_age)
     }
 
-    /// Whether the query itself may crash each server that runs it: attempts of several parts lost their
-    /// connections, more than were served. It is not retried further. A server that has answered since is up.
+    /// Whether the query itself may crash each server that runs it: attempts of several
+    /// parts lost their connections, more than were served. It is not retried further. A
+    /// server that has answered since is up.
     pub(crate) fn is_poison_query(&self, query: &InFlightQuery) -> bool {
         let is_down = |attempt: &Attempt| self.fleet.servers[attempt.server].is_unresponsive;
         let lost_server = |attempt: &&Attempt| attempt.lost_connection() && is_down(attempt);
@@ -125,32 +129,20 @@
         }
     }
 
-    /// Whether the retry budget allows one more retry or hedge, so that these cannot amplify an overload.
-    pub(crate) fn has_retry_budget(&mut self, is_hedge: bool) -> bool {
-        let budget = self.retry_budget(is_hedge);
-        let window_start = self.now - budget.window;
-        // The ends of the window are chosen so that neither interpretation of them exceeds the rule.
-        self.accepted
-            .discard_before(window_start + self.settings.tick);
-        self.retries
-            .discard_before(window_start - self.settings.tick);
-        let allowed = budget.free_attempts + budget.per_request * self.accepted.len() as f64;
-        (self.retries.len() + 1) as f64 <= allowed
+    fn allows_retry(&mut self) -> bool {
+        let batch = BatchContext {
+            now: self.now,
+            settings: &self.settings,
+        };
+        self.retry_budget.allows_retry(&batch)
     }
 
-    /// The budget of the settings, or a default. By default many aggregators hedge less, down to the slowest
-    /// tenth of parts: their hedges add up and go to servers of whose load one aggregator knows little.
-    fn retry_budget(&self, is_hedge: bool) -> RetryBudget {
-        let visibility = if is_hedge {
-            self.load_visibility()
-        } else {
-            1.0
+    fn allows_hedge(&mut self) -> bool {
+        let batch = BatchContext {
+            now: self.now,
+            settings: &self.settings,
         };
-        self.settings.retry_budget.unwrap_or(RetryBudget {
-            free_attempts: DEFAULT_FREE_ATTEMPTS * visibility,
-            per_request: (DEFAULT_PER_REQUEST * visibility).max(MIN_HEDGES_PER_REQUEST),
-            window: DEFAULT_BUDGET_WINDOW * self.shortest_objective(),
-        })
+        self.retry_budget.allows_hedge(&batch)
     }
 
     fn send(&mut self, query: &mut InFlightQuery, index: usize, server: ServerIndex) {
--- a/crates/fanout-policy/src/policy/retry_after.rs
+++ b/crates/fanout-policy/src/policy/retry_after.rs
@@ -15,7 +15,8 @@
 }
 
 impl Aggregator {
-    /// Retry-after for a query that ends now; the longest that clients respect if no retry would be in time.
+    /// Retry-after for a query that ends now; the longest that clients respect if no retry
+    /// would be in time.
     pub(crate) fn retry_after(&self, query: &InFlightQuery) -> Option<Ms> {
         let objective = self.objective(query);
         let time_left = self.objective_end(query) - self.now;
@@ -26,8 +27,9 @@
         self.settings.max_retry_after.map(|max| max.min(useful))
     }
 
-    /// Whether the client may repeat the query. With an idempotency key this holds until the window of any
-    /// attempt that may have run ends; clients may come back later than advised.
+    /// Whether the client may repeat the query. With an idempotency key this holds until
+    /// the window of any attempt that may have run ends; clients may come back later than
+    /// advised.
     pub(crate) fn is_retry_safe(&self, query: &InFlightQuery, retry_after: Option<Ms>) -> bool {
         let retried_by = self.now + RETRY_DELAY_FACTOR * retry_after.unwrap_or(f64::INFINITY);
         let retry_safety = self.class_of(query).retry_safety;
--- a/crates/fanout-policy/src/policy/row_planner.rs
+++ b/crates/fanout-policy/src/policy/row_planner.rs
@@ -5,12 +5,13 @@
 use crate::state::{InFlightQuery, PartForecast};
 
 impl Aggregator {
-    /// Assigns the parts of the current step to adjacent rows, starting at a random one, in round-robin
-    /// order. Parts with the same holders go to the same row, and rows are used from last to first: where
-    /// shards overlap, the parts of neighbouring shards then go to the same server and share a call.
+    /// Assigns the parts of the current step to adjacent rows, starting at a random one, in
+    /// round-robin order. Parts with the same holders go to the same row, and rows are used
+    /// from last to first: where shards overlap, the parts of neighbouring shards then go
+    /// to the same server and share a call.
     pub(crate) fn assign_rows(&mut self, query: &mut InFlightQuery) {
         let rows = self.fleet.rows.rows_for(query.step_parts());
-        let width = self.draw_fanout_width(query.class, rows);
+        let width = self.fanout_widths[query.class].draw(rows, &mut self.random);
         let first_row = self.random.below(rows);
         let offset = self.random.below(width);
         let mut homes: Vec<usize> = Vec::new();
@@ -27,8 +28,9 @@
         }
     }
 
-    /// Defers parts that a class with a required share below 1 can do without, those with the slowest
-    /// forecasts first. They are sent once another part is overdue or has failed.
+    /// Defers parts that a class with a required share below 1 can do without, those with
+    /// the slowest forecasts first. They are sent once another part is overdue or has
+    /// failed.
     pub(crate) fn defer_spare_parts(&self, query: &mut InFlightQuery) {
         let mut spare = 1.0 - self.class_of(query).required_share;
         if query.step_start != 0 || spare <= SHARE_TOLERANCE {
--- a/crates/fanout-policy/src/policy/server_selection.rs
+++ b/crates/fanout-policy/src/policy/server_selection.rs
@@ -6,9 +6,10 @@
 use crate::state::{Candidate, InFlightQuery, ServerIndex};
 
 impl Aggregator {
-    /// The server of the part's row, unless it is ineligible or clearly slower than the best eligible holder.
-    /// With no eligible holder, the best of the others, so that the last one is never ejected. Holders not
-    /// tried yet go first. `None` if all are removed, or warming up without allowance.
+    /// The server of the part's row, unless it is ineligible or clearly slower than the
+    /// best eligible holder. With no eligible holder, the best of the others, so that the
+    /// last one is never ejected. Holders not tried yet go first. `None` if all are
+    /// removed, or warming up without allowance.
     pub(crate) fn select_server(&self, query: &InFlightQuery, index: usize) -> Option<ServerIndex> {
         let part = &query.parts[index];
         let work = self.part_cost(query, index);
@@ -47,7 +48,8 @@
         }
     }
 
-    /// Whether a server is not ejected and may be sent work. After failures it gets one attempt at a time.
+    /// Whether a server is not ejected and may be sent work. After failures it gets one
+    /// attempt at a time.
     pub(crate) fn is_eligible(&self, server: ServerIndex, work: Ms) -> bool {
         let record = &self.fleet.servers[server];
         let may_try = record.consecutive_failures < EJECTION_CONSECUTIVE_FAILURES
--- a/crates/fanout-policy/src/policy/slow_start.rs
+++ b/crates/fanout-policy/src/policy/slow_start.rs
@@ -1,15 +1,17 @@
 //! Slow start: how much work a server may be sent while it warms up.
 
-use super::tuning::{CONTROL_INTERVAL, SLOW_START_SAFETY};
+use super::batch_timer::CONTROL_INTERVAL_MS as CONTROL_INTERVAL;
+use super::tuning::SLOW_START_SAFETY;
 use crate::aggregator::Aggregator;
 use crate::api::Ms;
 use crate::state::ServerIndex;
 
 impl Aggregator {
-    /// Whether a server that may be warming up can be sent `work` within the overload window of rule 4. The
-    /// limit holds for all aggregators together. What they have all served by a warm server is no more than
-    /// that can do, so each keeps to the limit times what it has served by one itself; before that is known,
-    /// to an even share on one core.
+    /// Whether a server that may be warming up can be sent `work` within the overload
+    /// window of rule 4. The limit holds for all aggregators together. What they have all
+    /// served by a warm server is no more than that can do, so each keeps to the limit
+    /// times what it has served by one itself; before that is known, to an even share on
+    /// one core.
     pub(crate) fn has_slow_start_allowance(&self, server: ServerIndex, work: Ms) -> bool {
         let server = &self.fleet.servers[server];
         let Some(since) = server.warming_since else {
@@ -28,8 +30,9 @@
         if sent + work <= allowance {
             return true;
         }
-        // An allowance below the work of one part: sent with that probability, drawn in each control
-        // interval, or where gossip shows that the outstanding work leaves capacity within the window.
+        // An allowance below the work of one part: sent with that probability, drawn in
+        // each control interval, or where gossip shows that the outstanding work leaves
+        // capacity within the window.
         let spare = (rule.overload_factor - 1.0) * capacity * rule.overload_window;
         let is_informed = self.gossip_received_at > self.now - CONTROL_INTERVAL;
         let has_spare = is_informed && server.peer_work + work <= spare;
--- a/crates/fanout-policy/src/policy/tuning.rs
+++ b/crates/fanout-policy/src/policy/tuning.rs
@@ -1,22 +1,11 @@
-//! Tuned values. Those without a stated source were chosen in simulator runs, which `journal/` records.
+//! Tuned values. Those without a stated source were chosen in simulator runs, which `journal/`
+//! records.
 
+use super::batch_timer::CONTROL_INTERVAL_MS as CONTROL_INTERVAL;
 use crate::api::Ms;
 
-/// Time between two runs of the control loops, in ms. Source: the paper's design.
-pub(crate) const CONTROL_INTERVAL: Ms = 1000.0;
-
-/// Share of attempts rejected or timed out that the fan-out width is steered to. Source: the paper's design.
-pub(super) const FANOUT_TARGET_FAILURE_RATE: f64 = 0.02;
-/// Proportional gain of the fan-out width controller. Source: the paper's design.
-pub(super) const FANOUT_PROPORTIONAL_GAIN: f64 = 1.0;
-/// Derivative gain of the fan-out width controller. Source: the paper's design.
-pub(super) const FANOUT_DERIVATIVE_GAIN: f64 = 0.5;
-/// Change of the width in rows per control interval and unit of controller output.
-pub(super) const FANOUT_STEP: f64 = 0.25;
-/// Largest negative relative error that counts, so that one bad interval does not undo the width.
-pub(super) const FANOUT_ERROR_LIMIT: f64 = 2.0;
-
-/// Margin by which another server's forecast must be better for a part to leave its row, in objectives.
+/// Margin by which another server's forecast must be better for a part to leave its row, in
+/// objectives.
 pub(super) const FALLBACK_MARGIN: f64 = 0.06;
 /// Added to the forecast of a server in another zone for the cost of the crossing, in objectives.
 pub(super) const CROSS_ZONE_PENALTY: f64 = 0.05;
@@ -29,7 +18,8 @@
 pub(crate) const STRONG_SMOOTHING: f64 = 0.3;
 /// Share by which statistics without new samples return to their defaults in each control interval.
 pub(crate) const DECAY: f64 = 0.12;
-/// Weight of a sample in the share of unanswered attempts of a zone: about the last ten samples count.
+/// Weight of a sample in the share of unanswered attempts of a zone: about the last ten samples
+/// count.
 pub(crate) const ZONE_SMOOTHING: f64 = 0.1;
 /// Latency in ms per ms of outstanding work before any observation.
 pub(crate) const INITIAL_LATENCY_PER_WORK: f64 = 0.8;
@@ -37,7 +27,8 @@
 pub(super) const MIN_DIVISOR: f64 = 0.2;
 /// Age of the observations from which the fleet's latency is taken, in ms.
 pub(crate) const FLEET_LATENCY_WINDOW: Ms = 4.0 * CONTROL_INTERVAL;
-/// Limit of the latency taken from a timeout, in multiples of the fleet's: the part may have been lost.
+/// Limit of the latency taken from a timeout, in multiples of the fleet's: the part may have
+/// been lost.
 pub(super) const TIMEOUT_LATENCY_LIMIT: f64 = 4.0;
 /// Quantile of answer times taken as the cost of a part.
 pub(crate) const PART_COST_QUANTILE: f64 = 0.2;
@@ -60,39 +51,31 @@
 pub(super) const MAX_EJECTION: f64 = 4.0;
 /// Longest ejection of an unreachable server, in intervals between this aggregator's sends to it.
 pub(super) const UNREACHABLE_MAX_SENDS: f64 = 8.0;
-/// A lost connection does not count after an answer to an attempt sent this much earlier, in objectives.
+/// A lost connection does not count after an answer to an attempt sent this much earlier, in
+/// objectives.
 pub(super) const RECENT_ANSWER: f64 = 0.25;
 /// First ejection of a server that rejected a part for lack of capacity, in shortest objectives.
 pub(super) const OVERLOAD_EJECTION: f64 = 0.15;
-/// The same in intervals between this aggregator's sends to the server; the longer of the two holds.
+/// The same in intervals between this aggregator's sends to the server; the longer of the two
+/// holds.
 pub(super) const OVERLOAD_EJECTION_SENDS: f64 = 0.5;
 /// Smallest random factor on the length of an ejection.
 pub(super) const MIN_JITTER: f64 = 0.75;
 /// Range of the random factor on the length of an ejection.
 pub(super) const JITTER_RANGE: f64 = 0.5;
-/// Delay of a batch from which this aggregator counts as paused, in shortest objectives.
-pub(super) const PAUSE: f64 = 0.05;
 
-/// An attempt is overdue after this multiple of its forecast: earlier hedges double work that only waits.
+/// An attempt is overdue after this multiple of its forecast: earlier hedges double work that
+/// only waits.
 pub(super) const OVERDUE_FACTOR: f64 = 3.0;
 /// Least age of an overdue attempt, in objectives.
 pub(super) const OVERDUE_MIN: f64 = 0.25;
 /// A hedged request is sent once an attempt is late by this multiple of the hedge's own forecast.
 pub(super) const HEDGE_FACTOR: f64 = 2.0;
-/// Without hedging: highest forecast at which an overdue attempt is cancelled for a retry, in objectives.
+/// Without hedging: highest forecast at which an overdue attempt is cancelled for a retry, in
+/// objectives.
 pub(super) const CANCEL_MAX_FORECAST: f64 = 0.15;
 /// Age in objectives from which an attempt is cancelled even before it is overdue.
 pub(super) const CANCEL_AGE: f64 = 0.4;
-/// Free attempts in a window where the settings have no retry budget.
-pub(super) const DEFAULT_FREE_ATTEMPTS: f64 = 6.0;
-/// Attempts per accepted query or part where the settings have no retry budget.
-pub(super) const DEFAULT_PER_REQUEST: f64 = 0.3;
-/// Window of the retry budget where the settings have none, in shortest objectives.
-pub(crate) const DEFAULT_BUDGET_WINDOW: f64 = 1.5;
-/// Least number of hedged requests per accepted query or part among many aggregators.
-pub(super) const MIN_HEDGES_PER_REQUEST: f64 = 0.1;
-/// Aggregators up to which each observes most of a server's load in its own answers.
-pub(super) const FULL_VISIBILITY_AGGREGATORS: f64 = 4.0;
 
 /// Lowest admission limit, for the smallest weight: forecast latency as a share of the time left.
 pub(super) const MIN_ADMISSION_LIMIT: f64 = 0.5;
@@ -100,7 +83,8 @@
 pub(super) const MAX_ADMISSION_LIMIT: f64 = 0.75;
 /// Weight of a sample in the moving average of forecast errors.
 pub(crate) const FORECAST_ERROR_SMOOTHING: f64 = 0.1;
-/// Largest forecast error, in objectives: below the admission limit, so that an idle fleet always admits.
+/// Largest forecast error, in objectives: below the admission limit, so that an idle fleet
+/// always admits.
 pub(crate) const MAX_FORECAST_ERROR: f64 = 0.45;
 /// Weight of the slowest part's forecast against the mean where the answer does not need all parts.
 pub(super) const SLOWEST_PART_WEIGHT: f64 = 0.5;
@@ -108,7 +92,8 @@
 pub(super) const QUOTA_SLACK: f64 = 1.3;
 /// Ratio of two client timeouts within which they count as equal.
 pub(crate) const CLIENT_TIMEOUT_TOLERANCE: f64 = 0.99;
-/// Votes that a query with another timeout takes from the estimate: in a retry storm few are first attempts.
+/// Votes that a query with another timeout takes from the estimate: in a retry storm few are
+/// first attempts.
 pub(crate) const CLIENT_TIMEOUT_DISSENT: f64 = 0.15;
 /// Largest number of votes for the client timeout estimate.
 pub(crate) const MAX_CLIENT_TIMEOUT_VOTES: f64 = 16.0;
@@ -119,7 +104,8 @@
 pub(super) const POISON_LOST_CONNECTIONS: usize = 2;
 /// Largest reserve for a second step, in objectives: the first step has more parts.
 pub(crate) const MAX_SECOND_STEP: f64 = 0.5;
-/// Retry-after as a share of the time left: long enough for queues to shrink, short enough to be in time.
+/// Retry-after as a share of the time left: long enough for queues to shrink, short enough to
+/// be in time.
 pub(super) const RETRY_AFTER_SHARE: f64 = 0.3;
 /// Least time left for a retry to be in time, in objectives.
 pub(super) const RETRY_MIN_TIME_LEFT: f64 = 0.1;
@@ -143,12 +129,3 @@
 pub(super) const GOSSIP_WORK_STEP: f64 = 1.0 / 128.0;
 /// Time in ms after which a report of another aggregator expires, since that may have failed.
 pub(crate) const PEER_REPORT_LIFETIME: Ms = 1.5 * CONTROL_INTERVAL;
-
-/// First delay before the endpoint list is polled again, as a share of the poll deadline.
-pub(super) const MIN_POLL_BACKOFF: f64 = 0.03;
-/// Longest delay before the endpoint list is polled again, as a share of the poll deadline.
-pub(super) const MAX_POLL_BACKOFF: f64 = 0.3;
-/// Smallest random factor on the delay before the endpoint list is polled again.
-pub(super) const MIN_POLL_JITTER: f64 = 0.5;
-/// Ticks between batches while no query is in flight.
-pub(super) const IDLE_TICKS: f64 = 50.0;
--- a/crates/fanout-policy/src/query_lifecycle.rs
+++ b/crates/fanout-policy/src/query_lifecycle.rs
@@ -118,7 +118,8 @@
         });
     }
 
-    /// Cancels all attempts of the current step that are in flight, where attempts may be cancelled.
+    /// Cancels all attempts of the current step that are in flight, where attempts may be
+    /// cancelled.
     fn cancel_attempts(&mut self, query: &InFlightQuery) {
         if !self.settings.cancellation {
             return;
--- a/crates/fanout-policy/src/state/class.rs
+++ b/crates/fanout-policy/src/state/class.rs
@@ -14,24 +14,9 @@
     pub(crate) votes: f64,
 }
 
-/// State of the fan-out width controller of a class.
-#[derive(Clone, Default)]
-pub(crate) struct FanoutWidth {
-    /// Replica rows to contact.
-    pub(crate) rows: f64,
-    /// Attempts that ended in the current control interval.
-    pub(crate) ended: u32,
-    /// Of these, the attempts that were rejected or timed out.
-    pub(crate) failed: u32,
-    /// Relative error of the last control interval.
-    pub(crate) last_error: f64,
-}
-
 /// What is learned about one class.
 #[derive(Clone, Default)]
 pub(crate) struct ClassState {
-    /// Its fan-out width controller.
-    pub(crate) fanout: FanoutWidth,
     /// Estimated cost of one part.
     pub(crate) part_cost: Ms,
     /// How much longer than forecast queries take, smoothed.
@@ -43,8 +28,8 @@
 }
 
 impl ClientTimeoutEstimate {
-    /// Counts a query with this time left as a vote for the estimate if the two are equal within the
-    /// tolerance, and against it if not. An outvoted estimate is replaced.
+    /// Counts a query with this time left as a vote for the estimate if the two are equal
+    /// within the tolerance, and against it if not. An outvoted estimate is replaced.
     pub(crate) fn vote(&mut self, time_left: Ms) {
         let tolerance = (1.0 - CLIENT_TIMEOUT_TOLERANCE) * self.timeout;
         let is_same = (time_left - self.timeout).abs() <= tolerance;
@@ -62,11 +47,3 @@
         }
     }
 }
-
-impl FanoutWidth {
-    /// Counts an attempt that has ended.
-    pub(crate) fn record_end(&mut self, has_failed: bool) {
-        self.ended += 1;
-        self.failed += u32::from(has_failed);
-    }
-}
--- a/crates/fanout-policy/src/state/fleet.rs
+++ b/crates/fanout-policy/src/state/fleet.rs
@@ -59,7 +59,8 @@
         silence.copied().unwrap_or(0.0)
     }
 
-    /// Forgets the removed servers that have not been observed since `unobserved_since` and are not in use.
+    /// Forgets the removed servers that have not been observed since `unobserved_since` and
+    /// are not in use.
     pub(crate) fn forget_removed(
         &mut self,
         unobserved_since: Ms,
--- a/crates/fanout-policy/src/state/gossip_codec.rs
+++ b/crates/fanout-policy/src/state/gossip_codec.rs
@@ -24,7 +24,8 @@
     },
 }
 
-/// A short name for a server. Two servers may share one, which only makes the information less precise.
+/// A short name for a server. Two servers may share one, which only makes the information less
+/// precise.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ShortName([u8; 2]);
 
--- a/crates/fanout-policy/src/state/mod.rs
+++ b/crates/fanout-policy/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! Plain state of an aggregator: records, indexes, moving averages and windows. Nothing here decides or is
-//! tuned.
+//! Plain state of an aggregator: records, indexes, moving averages and windows. Nothing here
+//! decides or is tuned.
 
 mod average;
 mod class;
@@ -14,7 +14,7 @@
 mod sliding_window;
 
 pub(crate) use average::{decay, smooth};
-pub(crate) use class::{ClassState, FanoutWidth};
+pub(crate) use class::ClassState;
 pub(crate) use fleet::Fleet;
 pub(crate) use gossip_codec::{GossipEntry, GossipStatus, ShortName};
 pub(crate) use query::{
--- a/crates/fanout-policy/src/state/query.rs
+++ b/crates/fanout-policy/src/state/query.rs
@@ -152,7 +152,8 @@
     pub(crate) tenant: usize,
     pub(crate) group: u64,
     pub(crate) arrived_at: Ms,
-    /// When the client first sent the query, as far as is known. The latency objective counts from here.
+    /// When the client first sent the query, as far as is known. The latency objective
+    /// counts from here.
     pub(crate) first_sent_at: Ms,
     pub(crate) client_deadline: Ms,
     pub(crate) parts: Vec<PartState>,
--- a/crates/fanout-policy/src/state/replica_rows.rs
+++ b/crates/fanout-policy/src/state/replica_rows.rs
@@ -11,8 +11,8 @@
     pub(crate) cell: usize,
 }
 
-/// The holders of each shard, rebuilt with each endpoint list: by distance of their cell, then by server
-/// name.
+/// The holders of each shard, rebuilt with each endpoint list: by distance of their cell, then
+/// by server name.
 #[derive(Default)]
 pub(crate) struct ReplicaRows(Vec<Vec<ServerIndex>>);
 
--- a/crates/fanout-policy/src/state/server.rs
+++ b/crates/fanout-policy/src/state/server.rs
@@ -183,7 +183,8 @@
         }
     }
 
-    /// Time by which the oldest attempt in flight is late that was sent after the newest served one.
+    /// Time by which the oldest attempt in flight is late that was sent after the newest
+    /// served one.
     pub(crate) fn unanswered_lateness(&self, now: Ms) -> Ms {
         let mut in_flight = self.in_flight.iter();
         let oldest = in_flight.find(|attempt| attempt.sent_at > self.last_served_sent_at);
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -1,13 +1,16 @@
 //! Read access to what an aggregator has learned, and input of outcomes that others observed.
 //!
-//! Nothing here decides anything: load reports update the same statistics as the aggregator's own attempts.
+//! Nothing here decides anything: load reports update the same statistics as the aggregator's
+//! own attempts.
 
 use crate::aggregator::Aggregator;
 use crate::api::{ClassIndex, Ms, NodeId, Outcome, ServingState};
+use crate::policy::fanout_width::FanoutWidthController;
 use crate::state::{ClassState, InFlightAttempt, Server, ServerIndex};
 
-/// Largest number of attempts that one report counts as. Outlier detection works on shares and on consecutive
-/// failures, so that more samples add nothing and would outweigh the reports of others.
+/// Largest number of attempts that one report counts as. Outlier detection works on shares and
+/// on consecutive failures, so that more samples add nothing and would outweigh the reports of
+/// others.
 const MAX_SAMPLES: u64 = 8;
 
 /// Lower bound of the fleet's latency per work as a divisor.
@@ -64,12 +67,13 @@
     /// All classes, in order of their indexes.
     #[must_use]
     pub fn class_views(&self) -> Vec<ClassView> {
-        let view = |class: &ClassState| ClassView {
-            fanout_rows: class.fanout.rows,
+        let view = |(class, width): (&ClassState, &FanoutWidthController)| ClassView {
+            fanout_rows: width.rows(),
             part_cost: class.part_cost,
             forecast_error: class.forecast_error,
         };
-        self.classes.iter().map(view).collect()
+        let classes = self.classes.iter().zip(&self.fanout_widths);
+        classes.map(view).collect()
     }
 
     /// Median latency per outstanding work over the fleet.
@@ -105,8 +109,9 @@
         }
     }
 
-    /// Takes over what others observed since their last reports. Each report counts as a few attempts in the same
-    /// proportion, failures first, so that the answers beside them show that the server is up.
+    /// Takes over what others observed since their last reports. Each report counts as a
+    /// few attempts in the same proportion, failures first, so that the answers beside them
+    /// show that the server is up.
     pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
         let Some(state) = self.classes.get(class.0) else {
             return;
