--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -1,55 +1,62 @@
-//! The state of one aggregator and the dispatch of its events.
+//! The aggregator: composes the components of the policy and keeps the order of a batch.
 //!
-//! What it decides is in [`crate::policy`]; this module only applies and records it.
+//! [`Aggregator`] owns the settings, the queries in flight and the timers, [`Components`] what
+//! the decisions are based on. [`query_driver`] advances queries, [`learning`] takes note of
+//! outcomes, [`views`] gives read access.
+
+mod learning;
+mod query_driver;
+mod views;
 
 use crate::api::{
-    Action, Class, Endpoint, Event, ListUpdate, Ms, Part, Query, ServingState, Settings,
+    Action, Endpoint, Event, ListUpdate, Ms, Outcome, PartId, Query, QueryId, Settings,
 };
+use crate::fleet::{Fleet, ServerIndex};
+use crate::policy::admission::AdmissionController;
 use crate::policy::batch_context::BatchContext;
-use crate::policy::batch_timer::{BatchTimer, ControlTimer, Punctuality, QueryLoad};
+use crate::policy::batch_timer::{BatchTimer, ControlTimer, QueryLoad};
+use crate::policy::class_estimates::ClassEstimates;
+use crate::policy::ended_attempt::AttemptEnd;
 use crate::policy::endpoint_list_poller::{EndpointListPoller, PollDecision};
 use crate::policy::fanout_width::FanoutWidthController;
+use crate::policy::load_gossip::{GossipMessage, LoadGossip};
 use crate::policy::retry_budget::RetryBudget;
-use crate::policy::tuning::{INITIAL_LATENCY_PER_WORK, INITIAL_PART_COST};
-use crate::state::{
-    ClassState, Fleet, InFlightQuery, QueryTable, RandomSource, ServerIndex, SlidingWindow,
-};
+use crate::queries::{Arrival, AttemptTable, InFlightQuery, QueryTable};
+use crate::random::RandomSource;
+use query_driver::QueryDriver;
 use std::collections::BTreeSet;
 
 /// The policy of one aggregator.
 pub struct Aggregator {
-    pub(crate) settings: Settings,
-    pub(crate) random: RandomSource,
-    /// Time of the current batch.
-    pub(crate) now: Ms,
-    /// Actions of the current batch so far.
-    pub(crate) actions: Vec<Action>,
-    pub(crate) fleet: Fleet,
-    pub(crate) queries: QueryTable,
-    /// What is learned about each class.
-    pub(crate) classes: Vec<ClassState>,
-    /// Median latency per outstanding work over the fleet.
-    pub(crate) fleet_latency_per_work: f64,
-    /// Controllers of the fan-out width, by class.
-    pub(crate) fanout_widths: Vec<FanoutWidthController>,
-    pub(crate) retry_budget: RetryBudget,
-    /// Queries accepted, by tenant.
-    pub(crate) tenant_queries: Vec<SlidingWindow>,
-    /// Highest weight per work of any query so far.
-    pub(crate) highest_density: f64,
-    /// Work served in the current control interval.
-    pub(crate) served_work: Ms,
-    /// Work served per warm server and millisecond, smoothed.
-    pub(crate) served_rate: f64,
-    /// Servers whose outstanding work has changed since it was last published.
-    pub(crate) unpublished: BTreeSet<ServerIndex>,
-    /// Earliest time of the next gossip message.
-    pub(crate) next_publish_at: Ms,
-    /// When gossip last arrived.
-    pub(crate) gossip_received_at: Ms,
-    pub(crate) list_poller: EndpointListPoller,
-    pub(crate) batch_timer: BatchTimer,
-    pub(crate) control_timer: ControlTimer,
+    settings: Settings,
+    queries: QueryTable,
+    components: Components,
+    list_poller: EndpointListPoller,
+    batch_timer: BatchTimer,
+    control_timer: ControlTimer,
+}
+
+/// What the decisions on queries are based on.
+struct Components {
+    random: RandomSource,
+    fleet: Fleet,
+    attempts: AttemptTable,
+    /// Estimates by class.
+    classes: Vec<ClassEstimates>,
+    /// Controllers of the fan-out width by class.
+    fanout_widths: Vec<FanoutWidthController>,
+    admission: AdmissionController,
+    retry_budget: RetryBudget,
+    gossip: LoadGossip,
+}
+
+/// An attempt that the caller reports as ended.
+struct AttemptReport {
+    part: PartId,
+    number: u32,
+    outcome: Outcome,
+    elapsed: Ms,
+    load: Option<f64>,
 }
 
 impl Aggregator {
@@ -57,30 +64,9 @@
     /// the same actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
-        let part_cost = settings.call_cost.max(1.0) * INITIAL_PART_COST;
-        let class = ClassState {
-            part_cost,
-            second_step_duration: part_cost,
-            ..ClassState::default()
-        };
-        let fanout_width = FanoutWidthController::new(settings.replica_cells.max(1));
         Aggregator {
-            random: RandomSource::new(seed),
-            now: 0.0,
-            actions: Vec::new(),
-            fleet: Fleet::default(),
             queries: QueryTable::default(),
-            classes: vec![class; settings.classes.len()],
-            fleet_latency_per_work: INITIAL_LATENCY_PER_WORK,
-            fanout_widths: vec![fanout_width; settings.classes.len()],
-            retry_budget: RetryBudget::default(),
-            tenant_queries: vec![SlidingWindow::default(); settings.tenants.len()],
-            highest_density: 0.0,
-            served_work: 0.0,
-            served_rate: 0.0,
-            unpublished: BTreeSet::new(),
-            next_publish_at: 0.0,
-            gossip_received_at: f64::NEG_INFINITY,
+            components: Components::new(&settings, seed),
             list_poller: EndpointListPoller::new(&settings),
             batch_timer: BatchTimer::new(),
             control_timer: ControlTimer::new(),
@@ -92,177 +78,207 @@
     /// order. Attempts are decided after all events, so that parts for one server share
     /// calls.
     pub fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
-        self.now = now;
-        let batch = BatchContext {
-            now,
-            settings: &self.settings,
-        };
-        self.batch_timer.on_batch(&batch);
-        for server in self.fleet.servers.iter_mut() {
-            server.parts_in_batch = 0;
-        }
+        let mut actions = Vec::new();
+        self.batch_timer
+            .on_batch(&BatchContext::new(now, &self.settings));
+        self.components.fleet.on_batch();
         for event in events {
-            self.handle_event(event);
+            self.handle_event(now, event, &mut actions);
         }
         if self.list_poller.poll_if_due(now) == PollDecision::Poll {
-            self.actions.push(Action::PollEndpointList);
+            actions.push(Action::PollEndpointList);
         }
         if self.control_timer.start_interval_if_due(now) {
-            self.run_control_loops();
+            self.run_control_loops(now);
         }
-        for id in self.queries.ids() {
-            if let Some(mut query) = self.queries.take(&id)
-                && !self.advance_query(&id, &mut query)
-            {
-                self.queries.put_back(id, query);
-            }
-        }
-        self.publish_load();
-        let load = if self.queries.is_empty() {
-            QueryLoad::Idle
-        } else {
-            QueryLoad::Busy
-        };
-        let batch = BatchContext {
-            now,
-            settings: &self.settings,
-        };
-        if let Some(after) = self.batch_timer.set_if_unset(&batch, load) {
-            self.actions.push(Action::SetTimer { after });
-        }
-        std::mem::take(&mut self.actions)
+        self.advance_queries(now, &mut actions);
+        self.publish_load(now, &mut actions);
+        self.set_timer(now, &mut actions);
+        actions
     }
 
     /// Number of servers of which records are held.
     #[must_use]
     pub fn servers_known(&self) -> usize {
-        self.fleet.servers.len()
+        self.components.fleet.record_count()
     }
 
     /// Applies one event.
-    fn handle_event(&mut self, event: Event) {
+    fn handle_event(&mut self, now: Ms, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::EndpointList { update, endpoints } => self.on_endpoint_list(update, endpoints),
-            Event::Query(query) => self.on_query(query),
-            Event::Part(part) => self.on_part(part),
+            Event::EndpointList { update, endpoints } => {
+                self.on_endpoint_list(now, update, endpoints);
+            }
+            Event::Query(query) => self.on_query(now, query, actions),
+            Event::Part(part) => {
+                self.components.retry_budget.record_accepted(now);
+                self.queries.add_part(part);
+            }
             Event::AttemptEnded {
                 part,
-                attempt,
+                attempt: number,
                 outcome,
                 elapsed,
                 load,
-            } => {
-                if let Some(attempt) = self.queries.take_attempt(&part, attempt) {
-                    self.on_outcome(&attempt, outcome, elapsed);
-                    if let Some(load) = load {
-                        self.on_load_report(&attempt, load);
-                    }
-                }
-                self.queries.record_outcome(&part, attempt, outcome);
-            }
-            Event::ClientDisconnected(id) => {
-                if let Some(query) = self.queries.take(&id) {
-                    self.finish(&query);
-                }
+            } => self.on_attempt_ended(
+                now,
+                &AttemptReport {
+                    part,
+                    number,
+                    outcome,
+                    elapsed,
+                    load,
+                },
+            ),
+            Event::ClientDisconnected(id) => self.on_client_disconnected(now, &id, actions),
+            Event::Gossip { from, bytes } => {
+                let message = GossipMessage {
+                    from,
+                    bytes: &bytes,
+                };
+                self.on_gossip(now, message);
             }
-            Event::Gossip { from, bytes } => self.on_gossip(from, &bytes),
             Event::TimerFired => self.batch_timer.on_fired(),
         }
     }
 
-    fn on_query(&mut self, query: Query) {
-        if self.settings.classes.is_empty() {
-            return self.actions.push(Action::Fail { query: query.id });
+    fn on_endpoint_list(&mut self, now: Ms, update: ListUpdate, endpoints: Vec<Endpoint>) {
+        let batch = BatchContext::new(now, &self.settings);
+        match update {
+            ListUpdate::Failed => {
+                let random = &mut self.components.random;
+                return self.list_poller.on_failure(now, &self.settings, random);
+            }
+            ListUpdate::Delta | ListUpdate::Snapshot => self.list_poller.on_success(&self.settings),
+            ListUpdate::Cached => {}
         }
-        self.retry_budget.record_accepted(self.now);
-        if let Some(queries) = self.tenant_queries.get_mut(query.tenant.0) {
-            queries.record(self.now);
+        self.components.fleet.apply_list(&batch, update, endpoints);
+    }
+
+    fn on_query(&mut self, now: Ms, query: Query, actions: &mut Vec<Action>) {
+        if self.settings.classes.is_empty() {
+            return actions.push(Action::Fail { query: query.id });
         }
+        let batch = BatchContext::new(now, &self.settings);
+        self.components.retry_budget.record_accepted(now);
         let class = query.class.0.min(self.settings.classes.len() - 1);
-        let in_flight = InFlightQuery {
+        let arrival = Arrival {
             class,
-            tenant: query.tenant.0,
-            group: query.group,
-            arrived_at: self.now,
-            first_sent_at: self.first_sent_at(class, &query),
-            client_deadline: query.client_deadline,
-            ..InFlightQuery::default()
+            arrived_at: now,
+            first_sent_at: self.components.admission.on_arrival(&batch, class, &query),
         };
+        let in_flight = InFlightQuery::new(&query, arrival);
         self.queries.add(query.id, in_flight);
     }
 
-    fn on_part(&mut self, part: Part) {
-        self.retry_budget.record_accepted(self.now);
-        self.queries.add_part(part);
-    }
-
-    fn on_endpoint_list(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
-        if update == ListUpdate::Failed {
-            return self
-                .list_poller
-                .on_failure(self.now, &self.settings, &mut self.random);
-        }
-        if update != ListUpdate::Cached {
-            self.list_poller.on_success(&self.settings);
-        }
-        if update != ListUpdate::Delta {
-            for server in self.fleet.servers.iter_mut() {
-                server.state = ServingState::Removed;
+    fn on_attempt_ended(&mut self, now: Ms, report: &AttemptReport) {
+        let batch = BatchContext::new(now, &self.settings);
+        if let Some(attempt) = self.components.attempts.remove(&report.part, report.number) {
+            let end = AttemptEnd {
+                outcome: report.outcome,
+                elapsed: report.elapsed,
+                punctuality: self.batch_timer.punctuality(),
+            };
+            self.components.learn_from_end(&batch, &attempt, end);
+            if let Some(load) = report.load {
+                self.components
+                    .learn_from_load_report(&batch, &attempt, load);
             }
         }
-        for endpoint in endpoints {
-            self.update_server(endpoint);
-        }
-        self.fleet
-            .rebuild_rows(self.settings.cells, self.settings.replica_cells);
+        self.queries
+            .record_outcome(&report.part, report.number, report.outcome);
     }
 
-    /// Takes over the entry of a server in an endpoint list.
-    fn update_server(&mut self, endpoint: Endpoint) {
-        let server = self
-            .fleet
-            .server_or_new(endpoint.node, self.fleet_latency_per_work);
-        server.cell = endpoint.cell;
-        server.state = endpoint.state;
-        server.zone = endpoint.zone;
-        if let Some(started) = endpoint.started
-            && started + self.settings.warm_up.duration > self.now
-            && server.warming_since.is_none_or(|since| since < started)
-        {
-            server.warming_since = Some(started);
+    fn on_client_disconnected(&mut self, now: Ms, id: &QueryId, actions: &mut Vec<Action>) {
+        if let Some(query) = self.queries.remove(id) {
+            let batch = BatchContext::new(now, &self.settings);
+            QueryDriver::new(batch, &mut self.components, actions).finish(&query);
         }
     }
 
-    /// Time and settings of the current batch.
-    pub(crate) fn batch(&self) -> BatchContext<'_> {
-        BatchContext {
-            now: self.now,
-            settings: &self.settings,
+    fn on_gossip(&mut self, now: Ms, message: GossipMessage) {
+        let batch = BatchContext::new(now, &self.settings);
+        let Components {
+            gossip,
+            fleet,
+            random,
+            ..
+        } = &mut self.components;
+        gossip.on_message(&batch, message, fleet, random);
+    }
+
+    /// Starts a control interval: adjusts all controllers and discards old state.
+    fn run_control_loops(&mut self, now: Ms) {
+        let batch = BatchContext::new(now, &self.settings);
+        let in_use = self.servers_in_use();
+        let Components {
+            random,
+            fleet,
+            fanout_widths,
+            retry_budget,
+            gossip,
+            ..
+        } = &mut self.components;
+        let max_rows = fleet.rows().max_holders();
+        for width in fanout_widths {
+            width.adjust(max_rows);
+        }
+        fleet.start_interval(&batch, random);
+        for server in fleet.loaded() {
+            gossip.mark_changed(server);
         }
+        fleet.forget_removed(&batch, &in_use);
+        gossip.discard_unknown(fleet);
+        retry_budget.discard_expired(&batch);
     }
 
-    /// Whether this aggregator was paused before the current batch.
-    pub(crate) fn was_paused(&self) -> bool {
-        self.batch_timer.punctuality() == Punctuality::Paused
+    /// Servers that queries or attempts refer to.
+    fn servers_in_use(&self) -> BTreeSet<ServerIndex> {
+        let attempts = self.components.attempts.servers();
+        self.queries.servers().chain(attempts).collect()
     }
 
-    /// Class of a query in flight.
-    pub(crate) fn class_of(&self, query: &InFlightQuery) -> &Class {
-        self.batch().class_of(query)
+    /// Advances all queries and removes those that have ended.
+    fn advance_queries(&mut self, now: Ms, actions: &mut Vec<Action>) {
+        let batch = BatchContext::new(now, &self.settings);
+        let mut driver = QueryDriver::new(batch, &mut self.components, actions);
+        self.queries
+            .advance_each(|id, query| driver.advance(id, query));
     }
 
-    /// Latency objective of the class of a query.
-    pub(crate) fn objective(&self, query: &InFlightQuery) -> Ms {
-        self.batch().objective(query)
+    fn publish_load(&mut self, now: Ms, actions: &mut Vec<Action>) {
+        let batch = BatchContext::new(now, &self.settings);
+        let Components { gossip, fleet, .. } = &mut self.components;
+        let messages = gossip.publish_if_due(&batch, fleet).into_iter();
+        actions.extend(messages.map(|bytes| Action::PublishLoad { bytes }));
     }
 
-    /// When the latency objective of a query ends.
-    pub(crate) fn objective_end(&self, query: &InFlightQuery) -> Ms {
-        self.batch().objective_end(query)
+    fn set_timer(&mut self, now: Ms, actions: &mut Vec<Action>) {
+        let batch = BatchContext::new(now, &self.settings);
+        let load = if self.queries.is_empty() {
+            QueryLoad::Idle
+        } else {
+            QueryLoad::Busy
+        };
+        if let Some(after) = self.batch_timer.set_if_unset(&batch, load) {
+            actions.push(Action::SetTimer { after });
+        }
     }
+}
 
-    /// Shortest latency objective of all classes; a large finite time if there are none.
-    pub(crate) fn shortest_objective(&self) -> Ms {
-        self.batch().shortest_objective()
+impl Components {
+    fn new(settings: &Settings, seed: u64) -> Self {
+        let classes = settings.classes.len();
+        let fanout_width = FanoutWidthController::new(settings.replica_cells.max(1));
+        Components {
+            random: RandomSource::new(seed),
+            fleet: Fleet::new(),
+            attempts: AttemptTable::default(),
+            classes: vec![ClassEstimates::new(settings); classes],
+            fanout_widths: vec![fanout_width; classes],
+            admission: AdmissionController::new(settings),
+            retry_budget: RetryBudget::default(),
+            gossip: LoadGossip::new(),
+        }
     }
 }
--- /dev/null
+++ b/crates/fanout-policy/src/aggregator/query_driver.rs
@@ -0,0 +1,272 @@
+//! Advances queries within a batch: carries out what the components decide.
+
+use super::Components;
+use crate::api::{Action, QueryId};
+use crate::fleet::ServerIndex;
+use crate::policy::admission::AdmissionDecision;
+use crate::policy::batch_context::BatchContext;
+use crate::policy::completion::{Completion, CompletionDecision};
+use crate::policy::forecast::Forecaster;
+use crate::policy::retry_after::{Refusal, RetryAfter};
+use crate::policy::retry_policy::{HedgeDecision, PartStep, RetryPolicy};
+use crate::policy::row_planner::RowPlanner;
+use crate::policy::server_selection::ServerSelector;
+use crate::policy::time_limits::TimeLimits;
+use crate::queries::{AnswerKind, InFlightQuery, QueryProgress};
+
+/// Advances the queries of one batch.
+pub(super) struct QueryDriver<'a> {
+    batch: BatchContext<'a>,
+    components: &'a mut Components,
+    actions: &'a mut Vec<Action>,
+}
+
+impl<'a> QueryDriver<'a> {
+    /// A driver that adds to these actions.
+    pub(super) fn new(
+        batch: BatchContext<'a>,
+        components: &'a mut Components,
+        actions: &'a mut Vec<Action>,
+    ) -> Self {
+        QueryDriver {
+            batch,
+            components,
+            actions,
+        }
+    }
+
+    /// Advances a query: answers it, gives it up, or plans and sends its parts.
+    pub(super) fn advance(&mut self, id: &QueryId, query: &mut InFlightQuery) -> QueryProgress {
+        let progress = match self.completion().decide(query) {
+            CompletionDecision::Wait => QueryProgress::InFlight,
+            CompletionDecision::Answer(answer) => self.answer(id, query, answer),
+            CompletionDecision::GiveUp => self.refuse(id, query),
+        };
+        if progress == QueryProgress::Ended {
+            return progress;
+        }
+        if query.needs_planning() && self.plan(id, query) == QueryProgress::Ended {
+            return QueryProgress::Ended;
+        }
+        for index in query.step_part_indexes() {
+            self.advance_part(query, index);
+        }
+        QueryProgress::InFlight
+    }
+
+    /// Cancels what is left of a query that has ended, and learns from its duration.
+    pub(super) fn finish(&mut self, query: &InFlightQuery) {
+        self.cancel_attempts(query);
+        let objective = self.batch.objective(query);
+        let class = &mut self.components.classes[query.class()];
+        if let Some(error) = query.forecast_error(self.batch.now) {
+            class.record_forecast_error(error, objective);
+        }
+        if let Some(duration) = query.second_step_duration(self.batch.now) {
+            class.record_second_step(duration, objective);
+        }
+    }
+
+    /// Admits a query, assigns its parts to replica rows and defers those that the answer
+    /// can do without.
+    fn plan(&mut self, id: &QueryId, query: &mut InFlightQuery) -> QueryProgress {
+        query.start_planning();
+        if !query.in_second_step() && self.admit(id, query) == QueryProgress::Ended {
+            return QueryProgress::Ended;
+        }
+        let Components {
+            random,
+            fleet,
+            classes,
+            fanout_widths,
+            ..
+        } = &mut *self.components;
+        let forecaster = Forecaster::new(&self.batch, fleet, classes);
+        let width = &fanout_widths[query.class()];
+        RowPlanner::new(&self.batch, fleet, forecaster).plan(query, width, random);
+        QueryProgress::InFlight
+    }
+
+    fn admit(&mut self, id: &QueryId, query: &mut InFlightQuery) -> QueryProgress {
+        let Components {
+            fleet,
+            classes,
+            admission,
+            ..
+        } = &mut *self.components;
+        let forecaster = Forecaster::new(&self.batch, fleet, classes);
+        let limits = TimeLimits::new(&self.batch, classes);
+        match admission.decide(&self.batch, query, &forecaster, &limits) {
+            AdmissionDecision::Admit { forecast } => {
+                query.admit(forecast);
+                QueryProgress::InFlight
+            }
+            AdmissionDecision::Reject => {
+                classes[query.class()].record_rejection();
+                query.discard_forecast();
+                self.refuse(id, query)
+            }
+        }
+    }
+
+    /// Sends what a part needs next.
+    fn advance_part(&mut self, query: &mut InFlightQuery, index: usize) {
+        match self.retry_policy().next_step(query, &query.parts()[index]) {
+            PartStep::Wait => {}
+            PartStep::FirstAttempt => self.send_first_attempt(query, index),
+            PartStep::Retry => self.retry(query, index),
+            PartStep::Hedge => self.hedge(query, index),
+        }
+    }
+
+    fn send_first_attempt(&mut self, query: &mut InFlightQuery, index: usize) {
+        if let Some(server) = self.selector().select(query, &query.parts()[index]) {
+            self.send(query, index, server);
+        }
+    }
+
+    fn retry(&mut self, query: &mut InFlightQuery, index: usize) {
+        if !self.components.retry_budget.allows_retry(&self.batch) {
+            return;
+        }
+        let part = &query.parts()[index];
+        let Some(server) = self.selector().select(query, part) else {
+            return;
+        };
+        if self.retry_policy().must_wait_for_capacity(part, server) {
+            return;
+        }
+        self.send_again(query, index, server);
+    }
+
+    fn hedge(&mut self, query: &mut InFlightQuery, index: usize) {
+        let part = &query.parts()[index];
+        if !self.retry_policy().is_overdue(query, part)
+            || !self.components.retry_budget.allows_hedge(&self.batch)
+        {
+            return;
+        }
+        let Some(server) = self.selector().select(query, part) else {
+            return;
+        };
+        if part.is_in_flight_to(server) || !self.selector().is_eligible(server, 0.0) {
+            return;
+        }
+        let work = self.forecaster().attempt_work(query, part, server);
+        let forecast = self.forecaster().latency(server, query.class(), work);
+        match self.retry_policy().hedge_decision(query, part, forecast) {
+            HedgeDecision::Wait => {}
+            HedgeDecision::Send => self.send_again(query, index, server),
+            HedgeDecision::CancelFirst => {
+                let part_id = part.id().clone();
+                let last = part.last_number();
+                self.actions
+                    .extend(last.map(|attempt| Action::CancelAttempt {
+                        part: part_id,
+                        attempt,
+                    }));
+            }
+        }
+    }
+
+    /// Sends a retry or a hedged request.
+    fn send_again(&mut self, query: &mut InFlightQuery, index: usize, server: ServerIndex) {
+        self.components.retry_budget.record_sent(self.batch.now);
+        self.send(query, index, server);
+    }
+
+    /// Sends an attempt for a part and records it.
+    fn send(&mut self, query: &mut InFlightQuery, index: usize, server: ServerIndex) {
+        let timeout = self.limits().attempt_timeout(query);
+        let attempt = self
+            .forecaster()
+            .attempt(query, &query.parts()[index], server);
+        let Some(part) = query.part_mut(index) else {
+            return;
+        };
+        let number = part.record_send(&attempt);
+        self.actions.push(Action::SendAttempt {
+            part: part.id().clone(),
+            node: self.components.fleet.server(server).node().clone(),
+            timeout,
+        });
+        self.components.fleet.record_send(&attempt);
+        self.components.gossip.on_send(self.batch.now, server);
+        self.components
+            .attempts
+            .insert(part.id().clone(), number, attempt);
+    }
+
+    /// Answers a query. It remains in flight if its second step follows.
+    fn answer(
+        &mut self,
+        id: &QueryId,
+        query: &mut InFlightQuery,
+        kind: AnswerKind,
+    ) -> QueryProgress {
+        self.actions.push(Action::Answer {
+            query: id.clone(),
+            complete: kind == AnswerKind::Complete,
+        });
+        if !self.batch.class_of(query).has_second_step || query.in_second_step() {
+            self.finish(query);
+            return QueryProgress::Ended;
+        }
+        self.cancel_attempts(query);
+        query.start_second_step(self.batch.now, kind);
+        QueryProgress::InFlight
+    }
+
+    /// Ends a query without an answer.
+    fn refuse(&mut self, id: &QueryId, query: &InFlightQuery) -> QueryProgress {
+        let query_id = id.clone();
+        let refusal = RetryAfter::new(&self.batch, self.retry_policy()).refuse(query);
+        self.actions.push(match refusal {
+            Refusal::Reject { retry_after } => Action::Reject {
+                query: query_id,
+                retry_after,
+            },
+            Refusal::Fail => Action::Fail { query: query_id },
+        });
+        self.finish(query);
+        QueryProgress::Ended
+    }
+
+    /// Cancels all attempts of the current step that are in flight, where attempts may be
+    /// cancelled.
+    fn cancel_attempts(&mut self, query: &InFlightQuery) {
+        if !self.batch.settings.cancellation {
+            return;
+        }
+        for part in query.step_parts() {
+            for attempt in part.in_flight_numbers() {
+                self.actions.push(Action::CancelAttempt {
+                    part: part.id().clone(),
+                    attempt,
+                });
+            }
+        }
+    }
+
+    fn forecaster(&self) -> Forecaster<'_> {
+        let Components { fleet, classes, .. } = &*self.components;
+        Forecaster::new(&self.batch, fleet, classes)
+    }
+
+    fn limits(&self) -> TimeLimits<'_> {
+        TimeLimits::new(&self.batch, &self.components.classes)
+    }
+
+    fn selector(&self) -> ServerSelector<'_> {
+        let Components { fleet, gossip, .. } = &*self.components;
+        ServerSelector::new(&self.batch, fleet, gossip, self.forecaster())
+    }
+
+    fn retry_policy(&self) -> RetryPolicy<'_> {
+        RetryPolicy::new(&self.batch, &self.components.fleet, self.limits())
+    }
+
+    fn completion(&self) -> Completion<'_> {
+        Completion::new(&self.batch, self.limits(), self.retry_policy())
+    }
+}
--- /dev/null
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -0,0 +1,131 @@
+//! Views of what an aggregator has learned, and input of outcomes that others observed.
+//!
+//! Nothing here decides anything: load reports update the same statistics as the aggregator's
+//! own attempts.
+
+use super::{Aggregator, Components};
+use crate::api::{ClassIndex, Ms, Outcome};
+use crate::fleet::Server;
+use crate::policy::batch_context::BatchContext;
+use crate::policy::class_estimates::ClassEstimates;
+use crate::policy::ended_attempt::AttemptEnd;
+use crate::policy::fanout_width::FanoutWidthController;
+use crate::queries::InFlightAttempt;
+use crate::view::{ClassView, LoadReport, ServerView};
+
+/// Largest number of attempts that one report counts as. Outlier detection works on shares and
+/// on consecutive failures, so that more samples add nothing and would outweigh the reports of
+/// others.
+const MAX_SAMPLES: u64 = 8;
+
+/// Lower bound of the fleet's latency per work as a divisor.
+const MIN_LATENCY_PER_WORK: f64 = 1e-9;
+/// Least work that a reported attempt is assumed to be.
+const MIN_REPORTED_WORK_MS: Ms = 1.0;
+
+impl Aggregator {
+    /// All classes, in order of their indexes.
+    #[must_use]
+    pub fn class_views(&self) -> Vec<ClassView> {
+        let view = |(class, width): (&ClassEstimates, &FanoutWidthController)| ClassView {
+            fanout_rows: width.rows(),
+            part_cost: class.part_cost(),
+            forecast_error: class.forecast_error(),
+        };
+        let Components {
+            classes,
+            fanout_widths,
+            ..
+        } = &self.components;
+        classes.iter().zip(fanout_widths).map(view).collect()
+    }
+
+    /// Median latency per outstanding work over the fleet.
+    #[must_use]
+    pub fn fleet_latency_per_work(&self) -> f64 {
+        self.components.fleet.latency().per_work()
+    }
+
+    /// All servers that serve or drain, in order of their names.
+    #[must_use]
+    pub fn server_views(&self, now: Ms) -> Vec<ServerView> {
+        let servers = self.components.fleet.listed();
+        servers
+            .map(|server| self.server_view(server, now))
+            .collect()
+    }
+
+    fn server_view(&self, server: &Server, now: Ms) -> ServerView {
+        let warm_up = self.settings.warm_up.duration;
+        let fleet_latency = self.fleet_latency_per_work().max(MIN_LATENCY_PER_WORK);
+        let is_warming = |since: &Ms| since + warm_up > now;
+        ServerView {
+            node: server.node().clone(),
+            cell: server.cell(),
+            zone: server.zone(),
+            state: server.state(),
+            ejected_until: server.outliers().ejected_until(now),
+            warming_since: server.slow_start().warming_since().filter(is_warming),
+            relative_latency: server.latency().per_work() / fleet_latency,
+            error_rate: server.health().error_rate(),
+        }
+    }
+
+    /// Takes over what others observed since their last reports. Each report counts as a
+    /// few attempts in the same proportion, failures first, so that the answers beside them
+    /// show that the server is up.
+    pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
+        let Some(estimates) = self.components.classes.get(class.0) else {
+            return;
+        };
+        let work = estimates.part_cost().max(MIN_REPORTED_WORK_MS);
+        let fleet_latency = self.fleet_latency_per_work();
+        for report in reports {
+            let Some(server) = self.components.fleet.find(&report.node) else {
+                continue;
+            };
+            let expected_latency = work * fleet_latency;
+            let elapsed = report.mean_latency.unwrap_or(expected_latency);
+            let attempt = InFlightAttempt {
+                server,
+                class: class.0,
+                work: 0.0,
+                work_ahead: work,
+                sent_at: now - elapsed.min(expected_latency),
+                expected_latency,
+            };
+            self.apply_load_report(now, &attempt, report);
+        }
+    }
+
+    /// Learns from the samples of a report, each of which counts as this attempt.
+    fn apply_load_report(&mut self, now: Ms, attempt: &InFlightAttempt, report: &LoadReport) {
+        let batch = BatchContext::new(now, &self.settings);
+        let elapsed = report.mean_latency.unwrap_or(attempt.expected_latency);
+        let total = report.served + report.errors + report.connection_failures;
+        let outcomes = [
+            (Outcome::ConnectionLost, report.connection_failures),
+            (Outcome::Error, report.errors),
+            (Outcome::Served, report.served),
+        ];
+        for (outcome, attempts) in outcomes {
+            let end = AttemptEnd {
+                outcome,
+                elapsed,
+                punctuality: self.batch_timer.punctuality(),
+            };
+            for _ in 0..sample_count(attempts, total) {
+                self.components.learn_from_end(&batch, attempt, end);
+            }
+        }
+    }
+}
+
+/// Number of samples that stand for these attempts out of a report's total.
+fn sample_count(attempts: u64, total: u64) -> u64 {
+    if total <= MAX_SAMPLES {
+        attempts
+    } else {
+        (attempts * MAX_SAMPLES).div_ceil(total)
+    }
+}
--- a/crates/fanout-policy/src/state/replica_rows.rs
+++ b/crates/fanout-policy/src/fleet/replica_rows.rs
@@ -1,24 +1,28 @@
 //! The replica rows: which servers hold each shard, in row order.
 
-use super::{PartState, ServerIndex};
+use super::ServerIndex;
 use std::collections::BTreeSet;
 
 /// A server that serves.
-pub(crate) struct ServingServer {
+pub(super) struct ServingServer {
     /// Its index.
-    pub(crate) index: ServerIndex,
+    pub(super) index: ServerIndex,
     /// Its cell.
-    pub(crate) cell: usize,
+    pub(super) cell: usize,
 }
 
-/// The holders of each shard, rebuilt with each endpoint list: by distance of their cell, then
-/// by server name.
+/// The holders of each shard, rebuilt with each endpoint list.
 #[derive(Default)]
-pub(crate) struct ReplicaRows(Vec<Vec<ServerIndex>>);
+pub(crate) struct ReplicaRows {
+    /// Holders by home cell of a shard: by distance of their cell, then by server name.
+    holders: Vec<Vec<ServerIndex>>,
+    /// Number of different servers.
+    servers: usize,
+}
 
 impl ReplicaRows {
     /// Rows of the serving servers, given in order of name.
-    pub(crate) fn new(
+    pub(super) fn new(
         cells: usize,
         replica_cells: usize,
         serving: impl Iterator<Item = ServingServer>,
@@ -34,31 +38,27 @@
                 .flat_map(|distance| servers_by_cell[(home + distance) % cells].clone())
                 .collect()
         };
-        ReplicaRows((0..cells).map(row).collect())
+        let holders: Vec<Vec<ServerIndex>> = (0..cells).map(row).collect();
+        let servers = holders.iter().flatten().collect::<BTreeSet<_>>().len();
+        ReplicaRows { holders, servers }
     }
 
     /// Servers that hold the shard.
     pub(crate) fn holders(&self, shard: usize) -> &[ServerIndex] {
-        if self.0.is_empty() {
+        if self.holders.is_empty() {
             &[]
         } else {
-            &self.0[shard % self.0.len()]
+            &self.holders[shard % self.holders.len()]
         }
     }
 
-    /// Largest number of holders of any of these parts' shards, at least 1.
-    pub(crate) fn rows_for(&self, parts: &[PartState]) -> usize {
-        let holders = parts.iter().map(|part| self.holders(part.shard).len());
-        holders.max().unwrap_or(0).max(1)
-    }
-
     /// Number of different servers.
     pub(crate) fn server_count(&self) -> usize {
-        self.0.iter().flatten().collect::<BTreeSet<_>>().len()
+        self.servers
     }
 
     /// Largest number of holders of any shard.
     pub(crate) fn max_holders(&self) -> usize {
-        self.0.iter().map(Vec::len).max().unwrap_or(0)
+        self.holders.iter().map(Vec::len).max().unwrap_or(0)
     }
 }
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -8,6 +8,18 @@
 //! The crate performs no input or output: the caller passes events in and carries out the
 //! actions that come back.
 //!
+//! # Main types
+//!
+//! [`Aggregator`] composes the components and keeps the order of a batch: events, control loops,
+//! queries, gossip, timer. Its input and output are in [`api`], its statistics in [`view`].
+//!
+//! The private module `policy` holds the components that decide. Each owns the state of one
+//! decision, and gets time, settings and random numbers as arguments. `fleet` holds the servers of
+//! the endpoint list; each composes its components for health, ejections, slow start, latency and
+//! outstanding work. `queries` holds the queries in flight, their parts and attempts.
+//!
+//! # Example
+//!
 //! ```
 //! use fanout_policy::Aggregator;
 //! use fanout_policy::api::*;
@@ -87,14 +99,13 @@
 
 mod aggregator;
 pub mod api;
-mod attempt_statistics;
-mod control_interval;
-mod gossip_exchange;
+mod fleet;
 pub mod json;
 mod policy;
-mod query_lifecycle;
+mod queries;
+mod random;
 pub mod settings;
-mod state;
+mod statistics;
 pub mod view;
 
 pub use aggregator::Aggregator;
--- a/crates/fanout-policy/src/policy/batch_context.rs
+++ b/crates/fanout-policy/src/policy/batch_context.rs
@@ -1,7 +1,7 @@
 //! What every decision of one batch may depend on: the time and the settings.
 
 use crate::api::{Class, Ms, Settings};
-use crate::state::InFlightQuery;
+use crate::queries::InFlightQuery;
 
 /// Aggregators up to which each observes most of a server's load in its own answers.
 const FULL_VISIBILITY_AGGREGATORS: f64 = 4.0;
@@ -18,9 +18,14 @@
 }
 
 impl<'a> BatchContext<'a> {
+    /// The batch at this time.
+    pub(crate) fn new(now: Ms, settings: &'a Settings) -> Self {
+        BatchContext { now, settings }
+    }
+
     /// Class of a query in flight.
     pub(crate) fn class_of(&self, query: &InFlightQuery) -> &'a Class {
-        &self.settings.classes[query.class]
+        &self.settings.classes[query.class()]
     }
 
     /// Latency objective of the class of a query.
@@ -30,7 +35,7 @@
 
     /// When the latency objective of a query ends.
     pub(crate) fn objective_end(&self, query: &InFlightQuery) -> Ms {
-        query.first_sent_at + self.objective(query)
+        query.first_sent_at() + self.objective(query)
     }
 
     /// Shortest latency objective of all classes; a large finite time if there are none.
--- /dev/null
+++ b/crates/fanout-policy/src/policy/ended_attempt.rs
@@ -0,0 +1,159 @@
+//! What the end of an attempt says before any statistics: whether it was overdue, and what to
+//! learn from it.
+
+use super::batch_context::BatchContext;
+use super::batch_timer::Punctuality;
+use super::latency::{SAMPLE_WEIGHT, STRONG_SAMPLE_WEIGHT};
+use super::zone_silence::Response;
+use crate::api::{Ms, Outcome};
+use crate::fleet::Server;
+use crate::queries::InFlightAttempt;
+
+/// An attempt is overdue after this multiple of its forecast: earlier hedges double work that
+/// only waits.
+pub(crate) const OVERDUE_FORECAST_FACTOR: f64 = 3.0;
+/// Least age of an overdue attempt, in latency objectives.
+pub(crate) const MIN_OVERDUE_OBJECTIVES: f64 = 0.25;
+
+/// What the statistics learn from the end of an attempt.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum Lesson {
+    /// Nothing.
+    Nothing,
+    /// The server answered.
+    Answer,
+    /// The server rejected the part for lack of capacity.
+    Overload,
+    /// No answer came in time, nor to any attempt sent later.
+    Timeout,
+    /// No answer came in time, but an attempt sent later was answered: the backlog of a
+    /// stall times out long after the stall.
+    OutdatedTimeout,
+    /// The attempt failed. Quick errors tell of the server, not of its load.
+    Failure,
+}
+
+/// An attempt that has ended.
+pub(crate) struct EndedAttempt<'a> {
+    attempt: &'a InFlightAttempt,
+    outcome: Outcome,
+    elapsed: Ms,
+    punctuality: Punctuality,
+    is_overdue: bool,
+    /// Whether the server answered no attempt that was sent later.
+    is_newest: bool,
+}
+
+impl<'a> EndedAttempt<'a> {
+    /// An attempt that has ended at `server` after this time, or after the time since it
+    /// was sent if the one given is not a number.
+    pub(crate) fn new(
+        batch: &BatchContext,
+        attempt: &'a InFlightAttempt,
+        end: AttemptEnd,
+        server: &Server,
+    ) -> Self {
+        let elapsed = if end.elapsed.is_finite() {
+            end.elapsed.max(0.0)
+        } else {
+            batch.now - attempt.sent_at
+        };
+        let min_age = MIN_OVERDUE_OBJECTIVES * batch.shortest_objective();
+        let overdue_age = (OVERDUE_FORECAST_FACTOR * attempt.expected_latency).max(min_age);
+        EndedAttempt {
+            attempt,
+            outcome: end.outcome,
+            elapsed,
+            punctuality: end.punctuality,
+            is_overdue: end.punctuality == Punctuality::OnTime && elapsed > overdue_age,
+            is_newest: server.health().is_newest(attempt),
+        }
+    }
+
+    /// The attempt.
+    pub(crate) fn attempt(&self) -> &'a InFlightAttempt {
+        self.attempt
+    }
+
+    /// How it ended.
+    pub(crate) fn outcome(&self) -> Outcome {
+        self.outcome
+    }
+
+    /// Time since it was sent.
+    pub(crate) fn elapsed(&self) -> Ms {
+        self.elapsed
+    }
+
+    /// Whether it took much longer than forecast. The forecast grows with load, so that
+    /// load alone does not make an attempt overdue.
+    pub(crate) fn is_overdue(&self) -> bool {
+        self.is_overdue
+    }
+
+    /// What to learn from it.
+    pub(crate) fn lesson(&self) -> Lesson {
+        match self.outcome {
+            Outcome::NotSent => Lesson::Nothing,
+            Outcome::TimedOut if self.punctuality == Punctuality::Paused => Lesson::Nothing,
+            Outcome::Cancelled if !self.is_silent() => Lesson::Nothing,
+            Outcome::Served => Lesson::Answer,
+            Outcome::Overloaded => Lesson::Overload,
+            Outcome::TimedOut if self.is_newest => Lesson::Timeout,
+            Outcome::TimedOut => Lesson::OutdatedTimeout,
+            Outcome::Error
+            | Outcome::Cancelled
+            | Outcome::Unreachable
+            | Outcome::ConnectionLost => Lesson::Failure,
+        }
+    }
+
+    /// Whether the server responded; `None` if the attempt does not show it.
+    pub(crate) fn response(&self) -> Option<Response> {
+        if self.punctuality == Punctuality::Paused {
+            return None;
+        }
+        match self.outcome {
+            Outcome::TimedOut | Outcome::Unreachable | Outcome::ConnectionLost => {
+                Some(Response::Missing)
+            }
+            Outcome::Cancelled if self.is_silent() => Some(Response::Missing),
+            Outcome::Served => Some(Response::Received),
+            _ => None,
+        }
+    }
+
+    /// Time that the answer took, without a pause of this aggregator.
+    pub(crate) fn answer_time(&self) -> Ms {
+        match self.punctuality {
+            Punctuality::OnTime => self.elapsed,
+            Punctuality::Paused => self.elapsed.min(self.attempt.expected_latency),
+        }
+    }
+
+    /// Weight of the answer in the average of latencies.
+    pub(crate) fn answer_weight(&self) -> f64 {
+        if self.answer_time() > OVERDUE_FORECAST_FACTOR * self.attempt.expected_latency {
+            STRONG_SAMPLE_WEIGHT
+        } else {
+            SAMPLE_WEIGHT
+        }
+    }
+
+    /// Whether it was overdue and nothing sent later was answered. That is a failure, even
+    /// if a hedged request was faster and this attempt was cancelled.
+    fn is_silent(&self) -> bool {
+        self.is_overdue && self.is_newest
+    }
+}
+
+/// How an attempt ended, as the caller reports it.
+#[derive(Clone, Copy)]
+pub(crate) struct AttemptEnd {
+    /// How it ended.
+    pub(crate) outcome: Outcome,
+    /// Reported time since it was sent.
+    pub(crate) elapsed: Ms,
+    /// Whether this aggregator was paused in that time.
+    pub(crate) punctuality: Punctuality,
+}
--- a/crates/fanout-policy/src/policy/endpoint_list_poller.rs
+++ b/crates/fanout-policy/src/policy/endpoint_list_poller.rs
@@ -3,7 +3,7 @@
 //! [`EndpointListPoller`] owns the time of the next poll and the backoff after failed polls.
 
 use crate::api::{EndpointListSource, Ms, Settings};
-use crate::state::RandomSource;
+use crate::random::RandomSource;
 
 /// First delay after a failed poll, as a share of the poll deadline.
 const MIN_BACKOFF_SHARE: f64 = 0.03;
--- a/crates/fanout-policy/src/policy/fanout_width.rs
+++ b/crates/fanout-policy/src/policy/fanout_width.rs
@@ -3,7 +3,7 @@
 //! [`FanoutWidthController`] owns the width of one class and the counts of attempts that it is
 //! adjusted to.
 
-use crate::state::RandomSource;
+use crate::random::RandomSource;
 
 /// Share of attempts rejected or timed out that the width is steered to.
 const TARGET_FAILURE_SHARE: f64 = 0.02;
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -1,80 +1,127 @@
-//! Latency forecasts and what they are learned from.
+//! Latency forecasts.
+//!
+//! [`Forecaster`] derives them from the servers and the estimates of the classes; it owns nothing.
 
-use super::tuning::{
-    ERROR_PENALTY, MAX_HINT_FACTOR, MIN_DIVISOR, OVERDUE_FACTOR, REPORTED_WORK_DRAIN,
-};
-use crate::aggregator::Aggregator;
+use super::batch_context::BatchContext;
+use super::class_estimates::ClassEstimates;
 use crate::api::Ms;
-use crate::state::{InFlightAttempt, InFlightQuery, Server, ServerIndex};
+use crate::fleet::{Fleet, ServerIndex};
+use crate::queries::{InFlightAttempt, InFlightQuery, PartState};
 
-impl Aggregator {
-    /// Forecast time until the answer to `work` more work at a server: the server's latency for all
-    /// outstanding work, its known delay, and a penalty for its error rate.
-    pub(crate) fn forecast(&self, server: ServerIndex, class: usize, work: Ms) -> Ms {
-        let server = &self.fleet.servers[server];
-        let errors = self.error_rate(server, class) * ERROR_PENALTY * self.shortest_objective();
-        let total_work = self.peer_work(server) + server.outstanding_work + work;
-        server.latency_per_work * total_work + self.known_delay(server) + errors
-    }
+/// Added to the forecast per unit of error rate for the attempt that an error costs, in
+/// shortest latency objectives.
+const ERROR_PENALTY_OBJECTIVES: f64 = 0.5;
+
+/// Forecast for the parts of a query, each at its best holder.
+#[derive(Default)]
+pub(crate) struct QueryForecast {
+    /// Mean latency.
+    pub(crate) mean: Ms,
+    /// Latency of the slowest part.
+    pub(crate) slowest: Ms,
+    /// Total work.
+    pub(crate) work: Ms,
+}
+
+/// Forecasts latencies for one batch.
+#[derive(Clone, Copy)]
+pub(crate) struct Forecaster<'a> {
+    batch: &'a BatchContext<'a>,
+    fleet: &'a Fleet,
+    classes: &'a [ClassEstimates],
+}
 
-    /// Time by which the oldest unanswered attempt is late, and the rest of an overload or
-    /// unreachability.
-    fn known_delay(&self, server: &Server) -> Ms {
-        let late = server.unanswered_lateness(self.now);
-        late + (server.overloaded_until.max(server.unreachable_until) - self.now).max(0.0)
+impl<'a> Forecaster<'a> {
+    /// A forecaster with this knowledge.
+    pub(crate) fn new(
+        batch: &'a BatchContext<'a>,
+        fleet: &'a Fleet,
+        classes: &'a [ClassEstimates],
+    ) -> Self {
+        Forecaster {
+            batch,
+            fleet,
+            classes,
+        }
     }
 
-    /// Error rate of a server for a class. One not observed for an objective is assumed to
-    /// be as silent as its zone, so that a network partition is not discovered at each
-    /// server anew.
-    fn error_rate(&self, server: &Server, class: usize) -> f64 {
-        let is_unobserved = server.last_observed_at < self.now - self.shortest_objective();
-        let zone_silence = self.fleet.zone_silence(server);
-        let zone_silence = if is_unobserved { zone_silence } else { 0.0 };
-        server
-            .error_rate
-            .max(zone_silence)
-            .max(server.class_error_rate(class))
+    /// Forecast time until the answer to `work` more work at a server: the server's latency
+    /// for all outstanding work, its known delay, and a penalty for its error rate.
+    pub(crate) fn latency(&self, server: ServerIndex, class: usize, work: Ms) -> Ms {
+        let server = self.fleet.server(server);
+        let error_rate = self.fleet.error_rate(self.batch, server, class);
+        let errors = error_rate * ERROR_PENALTY_OBJECTIVES * self.batch.shortest_objective();
+        let now = self.batch.now;
+        let total_work = server.peer_work(now) + server.outstanding().own() + work;
+        server.latency().per_work() * total_work + server.known_delay(now) + errors
     }
 
     /// Estimated cost of a part.
-    pub(crate) fn part_cost(&self, query: &InFlightQuery, part: usize) -> Ms {
-        let cost = self.classes[query.class].part_cost;
-        let bounded = |hint: Ms| hint.clamp(cost / MAX_HINT_FACTOR, cost * MAX_HINT_FACTOR);
-        query.parts[part].cost_hint.map_or(cost, bounded)
+    pub(crate) fn part_cost(&self, query: &InFlightQuery, part: &PartState) -> Ms {
+        self.classes[query.class()].hinted_part_cost(part.cost_hint())
     }
 
     /// Cost of the call that another part would open at a server; parts sent in one batch
     /// share calls.
     pub(crate) fn call_cost(&self, server: ServerIndex) -> Ms {
-        let parts = self.fleet.servers[server].parts_in_batch;
-        let opens_call = parts.is_multiple_of(self.settings.max_parts_per_call.max(1));
-        if opens_call {
-            self.settings.call_cost
+        let settings = self.batch.settings;
+        let outstanding = self.fleet.server(server).outstanding();
+        if outstanding.next_part_opens_call(settings.max_parts_per_call) {
+            settings.call_cost
         } else {
             0.0
         }
     }
 
-    /// Outstanding work of other aggregators at a server, from gossip and from its own load report.
-    pub(crate) fn peer_work(&self, server: &Server) -> Ms {
-        let age = self.now - server.reported_work.received_at;
-        let drained = REPORTED_WORK_DRAIN * age / server.latency_per_work.max(MIN_DIVISOR);
-        server.peer_work + (server.reported_work.work - drained).max(0.0)
+    /// Work that an attempt for a part adds at a server.
+    pub(crate) fn attempt_work(
+        &self,
+        query: &InFlightQuery,
+        part: &PartState,
+        server: ServerIndex,
+    ) -> Ms {
+        self.part_cost(query, part) + self.call_cost(server)
     }
 
-    /// Takes over a server's report of its load. It is late and may be wrong, so it only
-    /// affects forecasts.
-    pub(crate) fn on_load_report(&mut self, attempt: &InFlightAttempt, load: f64) {
-        let latency_per_work = self.fleet_latency_per_work.max(MIN_DIVISOR);
-        let max_work = OVERDUE_FACTOR * self.shortest_objective() / latency_per_work;
-        let part_cost = self.classes[attempt.class].part_cost;
-        self.fleet.servers[attempt.server].record_load_report(self.now, load, part_cost, max_work);
+    /// An attempt for a part that is sent now.
+    pub(crate) fn attempt(
+        &self,
+        query: &InFlightQuery,
+        part: &PartState,
+        server: ServerIndex,
+    ) -> InFlightAttempt {
+        let work = self.attempt_work(query, part, server);
+        let record = self.fleet.server(server);
+        let now = self.batch.now;
+        InFlightAttempt {
+            server,
+            class: query.class(),
+            work,
+            work_ahead: record.peer_work(now) + (record.outstanding().own() + work),
+            sent_at: now,
+            expected_latency: self.latency(server, query.class(), work),
+        }
+    }
+
+    /// Forecast for all parts of a query that has arrived.
+    pub(crate) fn query(&self, query: &InFlightQuery) -> QueryForecast {
+        let mut forecast = QueryForecast::default();
+        for part in query.parts() {
+            let work = self.part_cost(query, part);
+            forecast.work += work;
+            let holders = self.fleet.holders(part.shard()).iter();
+            let latencies = holders.map(|server| self.latency(*server, query.class(), work));
+            let best = latencies.fold(f64::INFINITY, f64::min);
+            if best.is_finite() {
+                forecast.mean += best / query.parts().len() as f64;
+                forecast.slowest = forecast.slowest.max(best);
+            }
+        }
+        forecast
     }
 
-    /// Share of a server's load that this aggregator observes in its own answers: among
-    /// many, very little.
-    pub(crate) fn load_visibility(&self) -> f64 {
-        self.batch().load_visibility()
+    /// By how much queries of the same class take longer than forecast.
+    pub(crate) fn expected_error(&self, query: &InFlightQuery) -> Ms {
+        self.classes[query.class()].forecast_error()
     }
 }
--- a/crates/fanout-policy/src/policy/retry_budget.rs
+++ b/crates/fanout-policy/src/policy/retry_budget.rs
@@ -5,7 +5,7 @@
 
 use super::batch_context::BatchContext;
 use crate::api::{Ms, RetryBudget as BudgetSettings};
-use crate::state::SlidingWindow;
+use crate::statistics::SlidingWindow;
 
 /// Free attempts in a window where the settings have no retry budget.
 const DEFAULT_FREE_ATTEMPTS: f64 = 6.0;
--- /dev/null
+++ b/crates/fanout-policy/src/statistics.rs
@@ -0,0 +1,7 @@
+//! Moving averages and counts within sliding windows.
+
+mod average;
+mod sliding_window;
+
+pub(crate) use average::{decay, smooth};
+pub(crate) use sliding_window::SlidingWindow;
