--- a/crates/fanout-policy/src/policy/gossip_codec.rs
+++ b/crates/fanout-policy/src/policy/gossip_codec.rs
@@ -1,11 +1,8 @@
 //! Codec of gossip messages: three bytes for each server, its short name and its status.
 
 use crate::api::{MAX_GOSSIP_BYTES, NodeId};
+use const_fnv1a_hash::fnv1a_hash_16_xor;
 
-/// Offset basis of the 32-bit FNV-1a hash.
-const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
-/// Prime of the 32-bit FNV-1a hash.
-const FNV_PRIME: u32 = 0x0100_0193;
 /// Size of an encoded entry.
 const ENTRY_BYTES: usize = 3;
 /// Status byte of a server at which attempts have just failed.
@@ -32,9 +29,8 @@
 impl ShortName {
     /// The short name of a server: a hash of its name.
     pub(crate) fn of(node: &NodeId) -> Self {
-        let mix = |hash: u32, byte: u8| (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME);
-        let hash = node.0.bytes().fold(FNV_OFFSET_BASIS, mix);
-        ShortName(((hash >> 16) as u16 ^ hash as u16).to_be_bytes())
+        let hash = fnv1a_hash_16_xor(node.0.as_bytes(), None);
+        ShortName(hash.to_be_bytes())
     }
 }
 
