--- a/crates/http1-codec/src/decode.rs
+++ b/crates/http1-codec/src/decode.rs
@@ -2,17 +2,9 @@
 
 use crate::error::ParseError;
 use crate::head::{PartialMessage, parse_request_head, parse_response_head};
+use crate::limits::Limits;
 use http::{Request, Response};
 
-/// Largest message that a decoder accepts.
-#[derive(Clone, Copy, Debug)]
-pub struct Limits {
-    /// Longest head in bytes, including its start line.
-    pub head_bytes: usize,
-    /// Longest body in bytes, excluding the framing of its chunks.
-    pub body_bytes: usize,
-}
-
 /// A complete message.
 #[derive(Debug)]
 pub struct Message<T> {
--- a/crates/http1-codec/src/head.rs
+++ b/crates/http1-codec/src/head.rs
@@ -1,9 +1,9 @@
 //! Parsing of the heads of requests and responses (RFC 9112, sections 2 to 5).
 
 use crate::body::{BodyDecoder, BodyFraming};
-use crate::decode::Limits;
 use crate::error::ParseError;
 use crate::fields;
+use crate::limits::Limits;
 use http::header::{EXPECT, HeaderMap};
 use http::{Method, Request, Response, StatusCode, Version};
 
--- a/crates/http1-codec/src/lib.rs
+++ b/crates/http1-codec/src/lib.rs
@@ -19,7 +19,9 @@
 mod error;
 mod fields;
 mod head;
+mod limits;
 
-pub use decode::{Limits, Message, Progress, RequestDecoder, ResponseDecoder};
+pub use decode::{Message, Progress, RequestDecoder, ResponseDecoder};
 pub use encode::{ResponseOptions, encode_response};
 pub use error::ParseError;
+pub use limits::Limits;
--- a/crates/http2-flood-guard/src/guard.rs
+++ b/crates/http2-flood-guard/src/guard.rs
@@ -1,6 +1,7 @@
 //! The guard of one connection and its limits.
 
-use crate::frame_scanner::{FrameHeader, FrameKind, FrameScanner};
+use crate::frame::{FrameHeader, FrameKind};
+use crate::frame_scanner::FrameScanner;
 use crate::token_bucket::TokenBucket;
 use crate::violation::Violation;
 use broker_types::time::Micros;
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -9,12 +9,14 @@
 //! The guard also reports since when a frame or a header block has been incomplete, and whether the connection speaks
 //! HTTP/2 at all.
 
+mod frame;
 mod frame_scanner;
 mod guard;
 mod token_bucket;
 mod violation;
 
-pub use frame_scanner::{FrameKind, PREFACE};
+pub use frame::FrameKind;
+pub use frame_scanner::PREFACE;
 pub use guard::{FloodGuard, FloodLimits};
 pub use token_bucket::TokenBucket;
 pub use violation::Violation;
--- a/crates/http2-flood-guard/src/violation.rs
+++ b/crates/http2-flood-guard/src/violation.rs
@@ -1,6 +1,6 @@
 //! Reasons to close a connection.
 
-use crate::frame_scanner::FrameKind;
+use crate::frame::FrameKind;
 use thiserror::Error;
 
 /// Why a connection has to be closed.
--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -1,6 +1,7 @@
 //! What is known of one idempotency key and of the parts that were sent under it.
 
-use crate::register::{ExecutionEvidence, KeyAdmission};
+use crate::execution::ExecutionEvidence;
+use crate::key_admission::KeyAdmission;
 use broker_types::time::Micros;
 use std::collections::BTreeMap;
 
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -12,8 +12,12 @@
 //! bounded number of keys: when it is full, keys whose query was answered are forgotten first; where there are none, a
 //! new key is rejected rather than an old one forgotten. It does no I/O and reads no clock.
 
+mod execution;
+mod key_admission;
 mod key_state;
 mod register;
 mod retention;
 
-pub use register::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
+pub use execution::ExecutionEvidence;
+pub use key_admission::KeyAdmission;
+pub use register::{IdempotencyRegister, RegisterLimits};
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -1,34 +1,13 @@
 //! The register of idempotency keys.
 
+use crate::execution::ExecutionEvidence;
+use crate::key_admission::KeyAdmission;
 use crate::key_state::{KeyState, PartState};
 use crate::retention::{RetainedKey, RetentionQueue};
 use broker_types::time::Micros;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Whether a query may be served under its key.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyAdmission {
-    /// The query may be served.
-    Admitted,
-    /// Another query of the key is in flight, one of its attempts may still be executed, or the register is full. The
-    /// client may retry at this time.
-    RetryAt(Micros),
-    /// A part of an earlier query may have been executed, and servers no longer drop its repetitions.
-    WindowExpired,
-}
-
-/// What the end of an attempt proves about its execution.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ExecutionEvidence {
-    /// The attempt was not executed and will not be.
-    NotExecuted,
-    /// The attempt was executed, and its execution is over.
-    Executed,
-    /// The attempt may have been executed, or may yet be until its deadline.
-    PossiblyExecuted,
-}
-
 /// Time limits and size of an [`IdempotencyRegister`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisterLimits {
--- a/crates/query-api/src/deadline.rs
+++ b/crates/query-api/src/deadline.rs
@@ -1,6 +1,6 @@
 //! The `X-Deadline` header: how long a client waits.
 
-use crate::decode::MAX_CLIENT_TIMEOUT;
+use crate::limits::MAX_CLIENT_TIMEOUT;
 use broker_types::time::{MILLI, Micros};
 
 /// Parses a time span such as `480m`, in milliseconds, or `1500u`, in microseconds. Returns `None` where it has no such
--- a/crates/query-api/src/decode.rs
+++ b/crates/query-api/src/decode.rs
@@ -2,8 +2,8 @@
 
 use crate::deadline::parse_deadline;
 use crate::invalid_request::InvalidRequest;
+use crate::method::is_standard_method;
 use crate::parts::{Body, check_parts};
-use crate::route::is_standard_method;
 use broker_types::query::{ClassIndex, Names, QueryRequest, TenantIndex};
 use broker_types::time::{Micros, millis};
 use fanout_policy::api::{RetrySafety, Settings};
@@ -12,8 +12,6 @@
 
 /// Longest request id and longest idempotency key, in bytes: both are part of each frame to a server.
 const MAX_TOKEN_BYTES: usize = 256;
-/// Longest time that a client may ask the broker to take: one hour.
-pub(crate) const MAX_CLIENT_TIMEOUT: Micros = 3_600_000_000;
 
 const CLASS_HEADER: &str = "x-class";
 const TENANT_HEADER: &str = "x-tenant";
--- a/crates/query-api/src/lib.rs
+++ b/crates/query-api/src/lib.rs
@@ -7,17 +7,14 @@
 mod deadline;
 mod decode;
 mod invalid_request;
+mod limits;
+mod method;
 mod parts;
 mod response;
 mod route;
 
 pub use decode::decode;
 pub use invalid_request::InvalidRequest;
+pub use limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 pub use response::{Response, connection_rejected, date_header_value, encode_final_response};
 pub use route::{Routed, route};
-
-/// Longest body of a request, in bytes.
-pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Longest head of a request, in bytes: of the text in HTTP/1.1, of the header list as RFC 9113, section 6.5.2, counts
-/// it in HTTP/2.
-pub const MAX_HEAD_BYTES: usize = 16 * 1024;
--- a/crates/query-api/src/parts.rs
+++ b/crates/query-api/src/parts.rs
@@ -1,7 +1,7 @@
 //! The body of a query and its parts.
 
-use crate::decode::MAX_CLIENT_TIMEOUT;
 use crate::invalid_request::InvalidRequest;
+use crate::limits::MAX_CLIENT_TIMEOUT;
 use broker_types::query::PartSpec;
 use broker_types::time::Micros;
 use serde::Deserialize;
--- a/crates/query-api/src/route.rs
+++ b/crates/query-api/src/route.rs
@@ -1,6 +1,7 @@
 //! What a request asks for: a query, or something that is answered at once.
 
 use crate::decode::decode;
+use crate::method::is_standard_method;
 use crate::response::{
     Response, encode_final_response, error_response, options_response, readiness_response,
 };
@@ -72,19 +73,3 @@
         Routed::invalid(error_response(501, "", ""))
     }
 }
-
-/// Whether RFC 9110, section 9, or RFC 5789 defines the method; any other is not implemented.
-pub(crate) fn is_standard_method(method: &Method) -> bool {
-    [
-        Method::GET,
-        Method::HEAD,
-        Method::POST,
-        Method::PUT,
-        Method::DELETE,
-        Method::CONNECT,
-        Method::OPTIONS,
-        Method::TRACE,
-        Method::PATCH,
-    ]
-    .contains(method)
-}
