--- a/crates/admission/src/resource_limits.rs
+++ b/crates/admission/src/resource_limits.rs
@@ -106,7 +106,7 @@
 pub enum AllocationError {
     /// Not even one connection fits.
     #[error(
-        "a connection may hold {connection_bytes} bytes, but {available_bytes} are there for all: lower \
+        "a connection may use {connection_bytes} bytes, but only {available_bytes} are available for all: lower \
          http2-streams, http2-header-list or http2-connection-window"
     )]
     ConnectionTooLarge {
@@ -117,8 +117,8 @@
     },
     /// The limit of connections is too high.
     #[error(
-        "http2-connections {requested} do not fit: {fitting} do, with {connection_bytes} bytes each of \
-         {available_bytes} and {available_descriptors} descriptors"
+        "http2-connections {requested} exceeds the limit of {fitting} connections, with {connection_bytes} bytes each \
+         of {available_bytes} and {available_descriptors} descriptors"
     )]
     TooManyConnections {
         /// The limit that the operator set.
--- a/crates/admission/tests/resource_limits.rs
+++ b/crates/admission/tests/resource_limits.rs
@@ -38,7 +38,7 @@
     ));
     let text = error.to_string();
     assert!(
-        text.starts_with("http2-connections 100 do not fit: 19 do, with "),
+        text.starts_with("http2-connections 100 exceeds the limit of 19 connections, with "),
         "{text}"
     );
 }
--- a/crates/load-generator/src/direct.rs
+++ b/crates/load-generator/src/direct.rs
@@ -21,7 +21,7 @@
     #[error("{0}")]
     CallRejected(String),
     /// The server answered a part that the call does not hold.
-    #[error("an answer to part {0}, which was not asked for")]
+    #[error("a response to part {0}, which was not requested")]
     UnknownPart(String),
     /// The connection failed or ended.
     #[error(transparent)]
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors in an operator's file: what is wrong, where, and what would be right.
+//! Errors in an operator's file, each with its place and what is expected instead.
 
 use crate::MAX_FILE_BYTES;
 use crate::values::InvalidValue;
@@ -11,33 +11,33 @@
 /// Longest part of a word from the file that a message quotes, in characters.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// What is wrong at one place of a file. The message quotes the word; [`ErrorKind::expected`] says what is right.
+/// Kind of an error in a file. The message quotes the word; [`ErrorKind::expected`] describes what is expected instead.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ErrorKind {
     /// The file is longer than [`MAX_FILE_BYTES`].
-    #[error("the file holds {bytes} bytes")]
+    #[error("the file is {bytes} bytes long")]
     FileTooLong {
         /// Length of the text, in bytes.
         bytes: usize,
     },
-    /// A line begins with a word that is no keyword.
+    /// A line starts with a word that is not a keyword.
     #[error("unknown keyword {}", quote(.keyword))]
     UnknownKeyword {
-        /// The word as it stands in the file.
+        /// The word as written in the file.
         keyword: String,
         /// The keyword that was probably meant.
         nearest: Option<&'static str>,
     },
-    /// A keyword stands on a second line.
-    #[error("{keyword} is given twice")]
+    /// A keyword occurs on a second line.
+    #[error("duplicate keyword {keyword}")]
     RepeatedKeyword {
         /// Name of the keyword.
         keyword: &'static str,
-        /// Line where the keyword stands first, from 1.
+        /// Line of the keyword's first occurrence, from 1.
         first_line: usize,
     },
-    /// A keyword stands alone.
-    #[error("{keyword} lacks its argument")]
+    /// A keyword has no argument.
+    #[error("{keyword} requires an argument")]
     MissingArgument {
         /// Name of the keyword.
         keyword: &'static str,
@@ -45,27 +45,27 @@
         argument: &'static str,
     },
     /// A keyword has a second argument.
-    #[error("{} is one too many for {keyword}", quote(.surplus))]
+    #[error("unexpected second argument {} for {keyword}", quote(.surplus))]
     SurplusArgument {
         /// Name of the keyword.
         keyword: &'static str,
         /// Description of its argument.
         argument: &'static str,
-        /// The second argument as it stands in the file.
+        /// The second argument as written in the file.
         surplus: String,
     },
     /// An argument is not of the keyword's type or out of its bounds.
-    #[error("{} is no argument for {keyword}", quote(.argument))]
+    #[error("invalid argument {} for {keyword}", quote(.argument))]
     InvalidArgument {
         /// Name of the keyword.
         keyword: &'static str,
-        /// The argument as it stands in the file.
+        /// The argument as written in the file.
         argument: String,
         /// What an argument must be.
         expected: InvalidValue,
     },
     /// A keyword has an effect only beside another one, which is absent.
-    #[error("{keyword} says something of what is not there")]
+    #[error("{keyword} has no effect")]
     MissingRequirement {
         /// Name of the keyword.
         keyword: &'static str,
@@ -75,35 +75,37 @@
 }
 
 impl ErrorKind {
-    /// What would be right, where that is known.
+    /// What is expected instead, where that is known.
     #[must_use]
     pub fn expected(&self) -> Option<String> {
         match self {
-            ErrorKind::FileTooLong { .. } => Some(format!("expected {MAX_FILE_BYTES} at most")),
+            ErrorKind::FileTooLong { .. } => Some(format!("expected at most {MAX_FILE_BYTES}")),
             ErrorKind::UnknownKeyword { nearest, .. } => {
                 nearest.map(|keyword| format!("did you mean {keyword}?"))
             }
             ErrorKind::RepeatedKeyword { first_line, .. } => {
-                Some(format!("it stands on line {first_line}"))
+                Some(format!("first given on line {first_line}"))
             }
             ErrorKind::MissingArgument { argument, .. } => Some(format!("expected {argument}")),
             ErrorKind::SurplusArgument { argument, .. } => {
-                Some(format!("expected {argument} and no more"))
+                Some(format!("expected only {argument}"))
             }
             ErrorKind::InvalidArgument { expected, .. } => Some(expected.to_string()),
-            ErrorKind::MissingRequirement { requires, .. } => Some(format!("it needs {requires}")),
+            ErrorKind::MissingRequirement { requires, .. } => {
+                Some(format!("it requires {requires}"))
+            }
         }
     }
 }
 
 /// One error in a file, with its place.
 ///
-/// Printed, it is one line: file, line, column, what is wrong and what would be right. As a [`Diagnostic`] it also
+/// Displayed as one line: file, line, column, the error and what is expected instead. As a [`Diagnostic`] it also
 /// shows the line of the file.
 #[derive(Clone, Debug)]
 pub struct ConfigFileError {
     pub(crate) file: Arc<NamedSource<String>>,
-    /// The faulty word, as a range of bytes of the text.
+    /// The invalid word, as a range of bytes of the text.
     pub span: Range<usize>,
     /// Line of the word, from 1.
     pub line: usize,
--- a/crates/operator-config/src/values.rs
+++ b/crates/operator-config/src/values.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum InvalidValue {
     /// A socket address.
-    #[error("expected an address with a port, as 127.0.0.1:8081 or [::1]:8081")]
+    #[error("expected an address with a port, such as 127.0.0.1:8081 or [::1]:8081")]
     Address,
     /// A whole number within bounds.
     #[error("expected a whole number from {min} to {max}")]
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -56,12 +56,12 @@
         errors(text),
         [
             "f:1:1: unknown keyword log-levle; did you mean log-level?",
-            "f:2:11: loud is no argument for log-level; expected one of error, warn, info, debug, trace",
-            "f:3:17: json is one too many for log-format; expected logfmt or json and no more",
-            "f:4:1: http2-streams says something of what is not there; it needs listen-http2",
-            "f:4:15: 0 is no argument for http2-streams; expected a whole number from 1 to 65536",
-            "f:5:1: log-level is given twice; it stands on line 2",
-            "f:6:1: gather-time lacks its argument; expected a time, 0us to 50ms",
+            "f:2:11: invalid argument loud for log-level; expected one of error, warn, info, debug, trace",
+            "f:3:17: unexpected second argument json for log-format; expected only logfmt or json",
+            "f:4:1: http2-streams has no effect; it requires listen-http2",
+            "f:4:15: invalid argument 0 for http2-streams; expected a whole number from 1 to 65536",
+            "f:5:1: duplicate keyword log-level; first given on line 2",
+            "f:6:1: gather-time requires an argument; expected a time, 0us to 50ms",
             "f:7:1: unknown keyword \"x\u{e9}\\\"y\"",
         ]
     );
--- a/crates/query-broker/src/bench/error.rs
+++ b/crates/query-broker/src/bench/error.rs
@@ -1,4 +1,4 @@
-//! Why the benchmark could not be run.
+//! Errors of the benchmark.
 
 use std::io;
 use test_fleet::BrokerProcessError;
@@ -17,6 +17,6 @@
     #[error("the broker does not listen for HTTP/2")]
     NoHttp2Listener,
     /// The thread that sends a flood panicked.
-    #[error("the attacker broke")]
+    #[error("the attacker thread panicked")]
     AttackerPanicked,
 }
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -13,7 +13,7 @@
 /// Streams of an HTTP/2 connection.
 const STREAMS_PER_CONNECTION: usize = 100;
 
-/// Time for the broker to read what was sent. A request that stops is given up after 2 s.
+/// Time for the broker to read what was sent. The broker abandons an incomplete request after 2 s.
 const SETTLE_TIME: Duration = Duration::from_millis(700);
 
 /// The broker's resident memory, in bytes.
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -25,7 +25,7 @@
     match measure_and_print(arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            let _ = writeln!(io::stderr(), "the benchmark could not be run: {error}");
+            let _ = writeln!(io::stderr(), "the benchmark failed: {error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/query-broker/src/bench/report.rs
+++ b/crates/query-broker/src/bench/report.rs
@@ -56,9 +56,9 @@
 fn load_table(rows: &[LoadFigures]) -> String {
     let mut text = format!(
         "{:<40} {:<7} {:>9} {:>9} {:>8} {:>8} {:>8} {:>8} {:>11} {:>8}\n",
-        "front",
-        "turns",
-        "asked/s",
+        "listener",
+        "pacing",
+        "offered/s",
         "served/s",
         "p50 ms",
         "p99 ms",
@@ -84,7 +84,8 @@
             figures.unserved
         );
     }
-    text + "Latency counts from when a query was due. CPU is the broker's, a query. Two parts a query; servers answer at once.\n"
+    text + "Latency is measured from the time at which a query was due. CPU is the broker's processor time for each query.\n\
+         Each query has two parts, and the data servers respond immediately.\n"
 }
 
 fn version_name(version: HttpVersion) -> &'static str {
@@ -104,7 +105,7 @@
 fn memory_table(rows: &[MemoryFigures]) -> String {
     let mut text = format!(
         "\n{:<26} {:>8} {:>11} {:>11} {:>9}\n",
-        "front", "requests", "before MiB", "with MiB", "KiB each"
+        "listener", "requests", "before MiB", "with MiB", "KiB each"
     );
     for figures in rows {
         text += &format!(
@@ -116,7 +117,7 @@
             figures.kib_per_request()
         );
     }
-    text + "Resident memory of the broker with so many requests whose body is still to come.\n"
+    text + "Resident memory of the broker with this number of requests whose bodies have not arrived.\n"
 }
 
 fn flood_json(figures: &FloodFigures) -> Value {
@@ -144,5 +145,6 @@
             figures.attack.longest.as_secs_f64()
         );
     }
-    text + "Usual clients ask 500 queries a second over two connections; one attacker comes back as soon as it is ended.\n"
+    text + "Regular clients send 500 queries a second over two connections. One attacker reconnects as soon as its connection\n\
+         is closed.\n"
 }
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -9,7 +9,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// What checking a file led to.
+/// Result of checking a file.
 enum CheckResult {
     /// The file can be used.
     Usable,
@@ -38,7 +38,7 @@
     }
 }
 
-/// Says whether a file can be used, and why not.
+/// Checks a file and prints the result.
 pub(crate) fn run(arguments: &CheckArguments) -> ExitCode {
     let Some(file) = &arguments.file else {
         print(&keyword_table());
@@ -53,7 +53,7 @@
     result.exit_code()
 }
 
-/// Prints to standard output. It may be a pipe whose reader has gone: that says nothing about the file.
+/// Prints to standard output. An error is ignored, because a closed pipe does not change the result of the check.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
@@ -64,19 +64,19 @@
 
 fn print_report(file: &Path, result: &CheckResult) {
     match result {
-        CheckResult::Usable => print(&format!("{}: it can be used\n", file.display())),
+        CheckResult::Usable => print(&format!("{}: valid\n", file.display())),
         CheckResult::Unreadable(error) => print_error(&format!("{error}\n")),
         CheckResult::Invalid(errors) => print_error(&graphical_report(errors)),
     }
 }
 
 fn json_report(file: &Path, result: &CheckResult) -> Value {
-    let faults: Vec<Value> = match result {
+    let errors: Vec<Value> = match result {
         CheckResult::Usable => Vec::new(),
         CheckResult::Unreadable(error) => vec![json!({"what": error.to_string()})],
         CheckResult::Invalid(errors) => errors.errors.iter().map(json_error).collect(),
     };
-    json!({"file": file.display().to_string(), "usable": faults.is_empty(), "faults": faults})
+    json!({"file": file.display().to_string(), "usable": errors.is_empty(), "faults": errors})
 }
 
 fn json_error(error: &ConfigFileError) -> Value {
@@ -99,15 +99,15 @@
         }
     }
     let count = match errors.errors.len() {
-        1 => "one fault".to_owned(),
-        count => format!("{count} faults"),
+        1 => "1 error".to_owned(),
+        count => format!("{count} errors"),
     };
-    text + &format!("{count} to mend\n")
+    text + &count + "\n"
 }
 
 /// All keywords of an operator's file.
 fn keyword_table() -> String {
-    let mut text = keyword_row("keyword", "takes", "a change holds", "what it is");
+    let mut text = keyword_row("keyword", "argument", "change takes effect", "description");
     for keyword in KEYWORDS {
         text += &keyword_row(
             keyword.name,
@@ -126,7 +126,7 @@
 /// When a change takes effect.
 fn effect_name(effect: Effect) -> &'static str {
     match effect {
-        Effect::Immediate => "at once",
+        Effect::Immediate => "immediately",
         Effect::NewConnections => "for new connections",
         Effect::Restart => "at a restart",
     }
--- a/crates/query-broker/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -6,15 +6,15 @@
 use std::path::PathBuf;
 
 /// The program in one sentence.
-const ABOUT: &str = "A query broker: clients ask it over HTTP, it asks the data servers that hold the parts of each \
-    query, and answers";
+const ABOUT: &str = "A query broker: accepts queries over HTTP, sends calls to the data servers that hold the parts \
+    of each query, and responds with the combined answer";
 
 /// The program in a few sentences.
-const LONG_ABOUT: &str = "A query broker: clients ask it over HTTP, it asks the data servers that hold the parts of \
-    each query, and answers.\n\n\
-    Without a sub-command it serves. What it serves is said by the platform's configuration, JSON, at the path in \
-    RELAY_CONFIG; RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY go before that file. SIGHUP reads it again, SIGTERM and \
-    Ctrl-C end the program in order.";
+const LONG_ABOUT: &str = "A query broker: accepts queries over HTTP, sends calls to the data servers that hold the \
+    parts of each query, and responds with the combined answer.\n\n\
+    Without a sub-command it serves. It is configured by the platform's JSON file at the path in RELAY_CONFIG; \
+    RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY override values of that file. SIGHUP reloads the configuration. \
+    SIGTERM and Ctrl-C shut the program down gracefully.";
 
 /// The command line.
 #[derive(Debug, Parser)]
@@ -27,15 +27,15 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Serve, with the operator's own file beside the platform's configuration
+    /// Serve, with an operator's file in addition to the platform's configuration
     Serve(ServeArguments),
-    /// Check an operator's file: 0 if it can be used, 1 with every fault in it
+    /// Check an operator's file: exits with 0 if it is valid, otherwise prints all its errors and exits with 1
     Check(CheckArguments),
-    /// Serve on this machine alone: a broker with test doubles of data servers, until Ctrl-C
+    /// Run a broker with test doubles of data servers on this machine until Ctrl-C
     Demo(DemoArguments),
     /// Measure both listeners side by side, against test doubles on this machine
     Bench(BenchArguments),
-    /// Print completions for a shell
+    /// Print the completion script for a shell
     Completions {
         /// The shell
         shell: Shell,
@@ -44,7 +44,7 @@
 
 #[derive(Args, Debug)]
 pub(crate) struct ServeArguments {
-    /// The operator's own file; without it, only the platform's configuration holds
+    /// The operator's file; without it, only the platform's configuration applies
     #[arg(long, value_name = "FILE")]
     pub(crate) config: Option<PathBuf>,
 }
@@ -54,39 +54,39 @@
     /// The file
     #[arg(value_name = "FILE", required_unless_present = "keywords")]
     pub(crate) file: Option<PathBuf>,
-    /// Print the faults as JSON
+    /// Print the errors as JSON
     #[arg(long)]
     pub(crate) json: bool,
-    /// Print what may stand in such a file, and when a change takes effect
+    /// Print all keywords of such a file, and when a change of each takes effect
     #[arg(long, conflicts_with = "file")]
     pub(crate) keywords: bool,
 }
 
 #[derive(Args, Debug)]
 pub(crate) struct DemoArguments {
-    /// Where clients with HTTP/1.1 connect
+    /// Address of the HTTP/1.1 listener
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8080")]
     pub(crate) listen: SocketAddr,
-    /// Where clients with HTTP/2 connect
+    /// Address of the HTTP/2 listener
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8081")]
     pub(crate) http2: SocketAddr,
-    /// Test doubles of data servers
+    /// Number of test doubles of data servers
     #[arg(long, value_name = "N", default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=64))]
     pub(crate) servers: u16,
 }
 
 #[derive(Args, Debug)]
 pub(crate) struct BenchArguments {
-    /// How long each measurement takes, in seconds
+    /// Duration of each measurement, in seconds
     #[arg(long, value_name = "S", default_value_t = 5.0, value_parser = seconds)]
     pub(crate) seconds: f64,
     /// Print the figures as JSON
     #[arg(long)]
     pub(crate) json: bool,
-    /// Another build of the broker, to be measured in place of this one
+    /// Executable of another build of the broker, to measure in place of this one
     #[arg(long, value_name = "FILE")]
     pub(crate) exe: Option<PathBuf>,
-    /// HTTP/1.1 alone, for builds that speak nothing else
+    /// Measure HTTP/1.1 only, for builds without HTTP/2
     #[arg(long)]
     pub(crate) http1_only: bool,
 }
--- a/crates/query-broker/src/configuration.rs
+++ b/crates/query-broker/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What the program serves by: the platform's configuration, and the operator's own file.
+//! The configuration of the program: the platform's file and the operator's file.
 
 use broker::operator::{OperatorConfig, OperatorConfigError};
 use platform_config::{Config, ConfigError};
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -1,4 +1,4 @@
-//! `query-broker demo`: the main job on a new machine, without set-up.
+//! `query-broker demo`: a broker and test doubles of data servers in one process, without set-up.
 
 use crate::cli::DemoArguments;
 use crate::configuration::{Configuration, ConfigurationError};
@@ -12,7 +12,7 @@
 
 /// Serves with data servers of its own until Ctrl-C.
 pub(crate) fn run(arguments: &DemoArguments) -> ExitCode {
-    // Before the fleet, so that what keeps it from starting is logged too.
+    // Before the fleet starts, so that an error of its start is logged too.
     logging::init(logging::Format::Logfmt, tracing::Level::INFO);
     let plan = FleetPlan {
         servers: arguments.servers.into(),
@@ -53,7 +53,7 @@
             curl_command("--http2-prior-knowledge ", http2)
         );
     }
-    text += "\nCtrl-C ends it.\n\n";
+    text += "\nPress Ctrl-C to stop.\n\n";
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
--- a/crates/query-broker/tests/scenarios/broker_process.rs
+++ b/crates/query-broker/tests/scenarios/broker_process.rs
@@ -83,7 +83,10 @@
         loop {
             let time_left = until.saturating_duration_since(Instant::now());
             let Ok(line) = self.log.recv_timeout(time_left) else {
-                panic!("no line with {words:?}; seen: {:?}", self.seen)
+                panic!(
+                    "the log has no line with {words:?}; its lines are {:?}",
+                    self.seen
+                )
             };
             self.seen.push_back(line.clone());
             if words.iter().all(|word| line.contains(word.as_ref())) {
@@ -99,7 +102,7 @@
             if let Some(status) = self.child.try_wait().unwrap() {
                 return assert!(status.success(), "{status}");
             }
-            assert!(Instant::now() < until, "it runs on");
+            assert!(Instant::now() < until, "the process did not exit in time");
             std::thread::sleep(EXIT_POLL);
         }
     }
--- a/crates/test-fleet/src/attempt_log.rs
+++ b/crates/test-fleet/src/attempt_log.rs
@@ -93,7 +93,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
     /// More attempts arrived than are logged, so that the rest was not checked.
-    #[error("only {logged} of {received} attempts were kept to be checked")]
+    #[error("only {logged} of {received} attempts were logged and could be checked")]
     IncompleteLog {
         /// Attempts in the log.
         logged: usize,
@@ -101,7 +101,7 @@
         received: u64,
     },
     /// An attempt arrived after the grace period of its server's drain.
-    #[error("{part_id} came to {server} {delay_ms} ms after its drain was told")]
+    #[error("{part_id} was sent to {server} {delay_ms} ms after its drain was published")]
     SentToDrainingServer {
         /// The part.
         part_id: String,
@@ -119,7 +119,7 @@
         attempts: usize,
     },
     /// Two attempts at the same part, or at the same shard under the same key, were in flight at the same time.
-    #[error("{subject} had two attempts out, on {first_server} and {second_server}")]
+    #[error("{subject} had two attempts in flight, on {first_server} and {second_server}")]
     ConcurrentAttempts {
         /// What was attempted twice.
         subject: AttemptSubject,
--- a/crates/test-fleet/src/attempt_log/tests.rs
+++ b/crates/test-fleet/src/attempt_log/tests.rs
@@ -67,11 +67,11 @@
     );
     assert!(
         violations(&[attempt("a", 0, Some(500)), attempt("a", 20, None)])[0]
-            .contains("a had two attempts out")
+            .contains("a had two attempts in flight")
     );
     assert!(
         violations(&[attempt("a", 0, Some(500)), attempt("b", 20, None)])[0]
-            .contains("key k had two attempts out")
+            .contains("key k had two attempts in flight")
     );
     let five_attempts: Vec<_> = (0..5)
         .map(|n| attempt("a", 100 * n, Some(100 * n)))
--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum BrokerProcessError {
     /// The log does not hold the expected words in time.
-    #[error("no line with {words:?}; seen: {seen:?}")]
+    #[error("the log has no line with {words:?}; its lines are {seen:?}")]
     LogLineMissing {
         /// The expected words.
         words: String,
@@ -39,13 +39,13 @@
         seen: VecDeque<String>,
     },
     /// A log line does not hold the address of a listener.
-    #[error("no address in {0}")]
+    #[error("log line without the address of a listener: {0}")]
     AddressMissing(String),
     /// The signal could not be sent.
-    #[error("kill ended with {0}")]
+    #[error("the command kill failed with {0}")]
     SignalNotSent(ExitStatus),
     /// The process does not end in time.
-    #[error("it runs on")]
+    #[error("the process did not exit in time")]
     StillRunning,
     /// The system refused an operation on the process or its files.
     #[error(transparent)]
--- a/crates/test-fleet/src/deployment.rs
+++ b/crates/test-fleet/src/deployment.rs
@@ -66,7 +66,7 @@
     /// The whole configuration of a broker beside this fleet that listens on this address, in the platform's format.
     #[must_use]
     pub fn configuration(&self, fleet: &Fleet, listen: &str) -> Value {
-        json!({"name": "stand-in", "listen": listen, "discovery": fleet.discovery_address.to_string(),
+        json!({"name": "test-double", "listen": listen, "discovery": fleet.discovery_address.to_string(),
             "seed": "8c1f30d27a5be964",
             "limits": {"sockets": self.max_sockets, "memory_mb": self.memory_limit_mb},
             "known": fleet.initial_endpoint_list(), "settings": self.settings()})
