--- a/crates/query-broker/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -99,3 +99,6 @@
         .filter(|s: &f64| (0.5..=600.0).contains(s));
     number.ok_or_else(|| "expected seconds, 0.5 to 600".to_owned())
 }
+
+#[cfg(test)]
+mod tests;
