--- a/crates/query-broker/src/bench/broker_build.rs
+++ b/crates/query-broker/src/bench/broker_build.rs
@@ -12,12 +12,21 @@
 /// The broker's memory limit: more than any measurement needs.
 const MEMORY_LIMIT_MB: usize = 1024;
 
+/// The listeners of a build.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Listeners {
+    /// HTTP/1.1 only, as in builds from before HTTP/2 and the batch window.
+    Http1Only,
+    /// HTTP/1.1 and HTTP/2.
+    Http1AndHttp2,
+}
+
 /// The build that is measured.
 pub(super) struct BrokerBuild {
     /// Its executable.
     pub(super) executable: PathBuf,
-    /// Whether it can listen for HTTP/2.
-    pub(super) has_http2: bool,
+    /// Its listeners.
+    pub(super) listeners: Listeners,
 }
 
 impl BrokerBuild {
@@ -40,7 +49,7 @@
 
     fn operator_config(&self, pacing: Pacing) -> String {
         let mut text = String::new();
-        if self.has_http2 {
+        if self.listeners == Listeners::Http1AndHttp2 {
             text += "listen-http2 127.0.0.1:0\nhttp2-streams 400\n";
         }
         match pacing {
--- a/crates/query-broker/src/bench/measurements.rs
+++ b/crates/query-broker/src/bench/measurements.rs
@@ -1,5 +1,6 @@
 //! What is measured: routes, rates and sizes.
 
+use super::broker_build::Listeners;
 use super::flood::FloodKind;
 
 /// Queries a second of clients that ask one after another, far from any load.
@@ -83,19 +84,19 @@
     pub(super) requests: usize,
 }
 
-/// All measurements of load that a build can take part in. One without HTTP/2 knows no batch window either.
-pub(super) fn load_measurements(has_http2: bool) -> Vec<LoadMeasurement> {
-    let pacings: &[Pacing] = if has_http2 {
-        &[Pacing::Ticks, Pacing::BatchWindow]
-    } else {
-        &[Pacing::Ticks]
-    };
-    let mut measurements: Vec<LoadMeasurement> = pacings
-        .iter()
-        .flat_map(|pacing| load_measurements_with(*pacing))
-        .collect();
-    measurements.retain(|m| has_http2 || !matches!(m.route, Route::Http2 { .. }));
-    measurements
+/// All measurements of load that a build with these listeners can take part in. One without HTTP/2 has no batch window
+/// either.
+pub(super) fn load_measurements(listeners: Listeners) -> Vec<LoadMeasurement> {
+    match listeners {
+        Listeners::Http1AndHttp2 => [Pacing::Ticks, Pacing::BatchWindow]
+            .into_iter()
+            .flat_map(load_measurements_with)
+            .collect(),
+        Listeners::Http1Only => load_measurements_with(Pacing::Ticks)
+            .into_iter()
+            .filter(|measurement| !matches!(measurement.route, Route::Http2 { .. }))
+            .collect(),
+    }
 }
 
 fn load_measurements_with(pacing: Pacing) -> Vec<LoadMeasurement> {
@@ -128,8 +129,8 @@
     .collect()
 }
 
-/// All measurements of memory that a build can take part in.
-pub(super) fn memory_measurements(has_http2: bool) -> Vec<MemoryMeasurement> {
+/// All measurements of memory that a build with these listeners can take part in.
+pub(super) fn memory_measurements(listeners: Listeners) -> Vec<MemoryMeasurement> {
     let mut measurements = [
         (HttpVersion::Http1, 250),
         (HttpVersion::Http1, 500),
@@ -139,15 +140,16 @@
     ]
     .map(|(version, requests)| MemoryMeasurement { version, requests })
     .to_vec();
-    measurements.retain(|m| has_http2 || m.version == HttpVersion::Http1);
+    if listeners == Listeners::Http1Only {
+        measurements.retain(|measurement| measurement.version == HttpVersion::Http1);
+    }
     measurements
 }
 
-/// All floods that a build can be exposed to.
-pub(super) fn flood_kinds(has_http2: bool) -> Vec<FloodKind> {
-    if has_http2 {
-        FloodKind::ALL.to_vec()
-    } else {
-        Vec::new()
+/// All floods that a build with these listeners can be exposed to.
+pub(super) fn flood_kinds(listeners: Listeners) -> &'static [FloodKind] {
+    match listeners {
+        Listeners::Http1AndHttp2 => &FloodKind::ALL,
+        Listeners::Http1Only => &[],
     }
 }
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -9,7 +9,7 @@
 mod report;
 
 use crate::cli::BenchArguments;
-use broker_build::BrokerBuild;
+use broker_build::{BrokerBuild, Listeners};
 use error::BenchError;
 use indicatif::{ProgressBar, ProgressStyle};
 use report::Results;
@@ -31,6 +31,16 @@
     }
 }
 
+impl BenchArguments {
+    fn listeners(&self) -> Listeners {
+        if self.http1_only {
+            Listeners::Http1Only
+        } else {
+            Listeners::Http1AndHttp2
+        }
+    }
+}
+
 fn measure_and_print(arguments: &BenchArguments) -> Result<(), BenchError> {
     let executable = arguments
         .exe
@@ -38,9 +48,9 @@
         .map_or_else(std::env::current_exe, Ok)?;
     let build = BrokerBuild {
         executable,
-        has_http2: !arguments.http1_only,
+        listeners: arguments.listeners(),
     };
-    let results = measure_all(&build, Duration::from_secs_f64(arguments.seconds))?;
+    let results = measure_all(&build, arguments.duration)?;
     let text = if arguments.json {
         results.to_json().to_string() + "\n"
     } else {
@@ -52,9 +62,9 @@
 
 /// Runs the measurements one after another, each of which takes about this long.
 fn measure_all(build: &BrokerBuild, duration: Duration) -> Result<Results, BenchError> {
-    let loads = measurements::load_measurements(build.has_http2);
-    let memory = measurements::memory_measurements(build.has_http2);
-    let floods = measurements::flood_kinds(build.has_http2);
+    let loads = measurements::load_measurements(build.listeners);
+    let memory = measurements::memory_measurements(build.listeners);
+    let floods = measurements::flood_kinds(build.listeners);
     let progress = progress_bar(loads.len() + memory.len() + floods.len())?;
     let mut results = Results::default();
     for measurement in loads {
@@ -69,7 +79,7 @@
         results.memory.push(memory::measure(build, measurement)?);
         progress.inc(1);
     }
-    for kind in floods {
+    for &kind in floods {
         progress.set_message(format!("flood: {}", kind.name()));
         results.floods.push(flood::measure(build, kind, duration)?);
         progress.inc(1);
--- a/crates/query-broker/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -3,7 +3,10 @@
 use clap::{Args, Parser, Subcommand};
 use clap_complete::Shell;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
+use std::time::Duration;
+use thiserror::Error;
 
 /// The program in one sentence.
 const ABOUT: &str = "A query broker: accepts queries over HTTP, sends calls to the data servers that hold the parts \
@@ -78,8 +81,8 @@
 #[derive(Args, Debug)]
 pub(crate) struct BenchArguments {
     /// Duration of each measurement, in seconds
-    #[arg(long, value_name = "S", default_value_t = 5.0, value_parser = seconds)]
-    pub(crate) seconds: f64,
+    #[arg(long = "seconds", value_name = "S", default_value = "5", value_parser = parse_measurement_duration)]
+    pub(crate) duration: Duration,
     /// Print the figures as JSON
     #[arg(long)]
     pub(crate) json: bool,
@@ -91,13 +94,22 @@
     pub(crate) http1_only: bool,
 }
 
-/// Parses the duration of a measurement; the error says what is expected.
-fn seconds(text: &str) -> Result<f64, String> {
-    let number = text
-        .parse()
-        .ok()
-        .filter(|s: &f64| (0.5..=600.0).contains(s));
-    number.ok_or_else(|| "expected seconds, 0.5 to 600".to_owned())
+/// Bounds of the duration of a measurement, in seconds.
+const MEASUREMENT_SECONDS: RangeInclusive<f64> = 0.5..=600.0;
+
+/// The duration of a measurement is not a number of seconds within [`MEASUREMENT_SECONDS`].
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("expected seconds, {} to {}", MEASUREMENT_SECONDS.start(), MEASUREMENT_SECONDS.end())]
+struct InvalidMeasurementDuration;
+
+/// Parses the duration of a measurement: a number of seconds without a unit.
+fn parse_measurement_duration(text: &str) -> Result<Duration, InvalidMeasurementDuration> {
+    let seconds: f64 = text.parse().map_err(|_| InvalidMeasurementDuration)?;
+    if MEASUREMENT_SECONDS.contains(&seconds) {
+        Ok(Duration::from_secs_f64(seconds))
+    } else {
+        Err(InvalidMeasurementDuration)
+    }
 }
 
 #[cfg(test)]
--- a/crates/query-broker/src/cli/tests.rs
+++ b/crates/query-broker/src/cli/tests.rs
@@ -38,7 +38,7 @@
         ("600", 600.0),
     ] {
         let arguments = parse_bench("--seconds", text).unwrap();
-        assert_eq!(arguments.seconds, seconds, "{text}");
+        assert_eq!(arguments.duration.as_secs_f64(), seconds, "{text}");
     }
 }
 
