--- a/crates/http1-codec/src/fields.rs
+++ b/crates/http1-codec/src/fields.rs
@@ -112,7 +112,7 @@
 /// Whether a target is an absolute URI of HTTP with a host (RFC 9112, section 3.2.2).
 fn is_absolute_form(uri: &Uri) -> bool {
     match (uri.scheme_str(), uri.authority()) {
-        (Some("http" | "https"), Some(authority)) => is_valid_authority(authority.as_str(), false),
+        (Some("http" | "https"), Some(authority)) => is_valid_authority(authority.as_str()),
         _ => false,
     }
 }
@@ -122,21 +122,27 @@
     let mut hosts = fields.get_all(HOST).iter();
     match (hosts.next(), hosts.next()) {
         (None, _) if version < Version::HTTP_11 => Ok(()),
-        (Some(host), None) if host.to_str().is_ok_and(|h| is_valid_authority(h, true)) => Ok(()),
+        (Some(host), None) if host.to_str().is_ok_and(|h| is_valid_host_field(h)) => Ok(()),
         _ => Err(ParseError::InvalidHost),
     }
 }
 
-/// Whether `text` is `uri-host [ ":" port ]` (RFC 3986, section 3.2.2). User information before the host is invalid
-/// (RFC 9110, section 4.2.4).
-fn is_valid_authority(text: &str, allows_empty_host: bool) -> bool {
+/// Whether `text` is the authority of an HTTP URI: the same as a `Host` field, but with a host that is not empty.
+fn is_valid_authority(text: &str) -> bool {
+    let is_host_empty = text.is_empty() || text.starts_with(':');
+    !is_host_empty && is_valid_host_field(text)
+}
+
+/// Whether `text` is `uri-host [ ":" port ]` (RFC 9110, section 7.2; RFC 3986, section 3.2.2), whose host may be empty.
+/// User information before the host is invalid (RFC 9110, section 4.2.4).
+fn is_valid_host_field(text: &str) -> bool {
     if let Some((address, rest)) = text.strip_prefix('[').and_then(|t| t.split_once(']')) {
         let port = rest.strip_prefix(':').or(rest.is_empty().then_some(""));
         return address.parse::<Ipv6Addr>().is_ok() && port.is_some_and(is_valid_port);
     }
     let (host, port) = text.split_once(':').unwrap_or((text, ""));
     let is_host_char = |b: u8| b.is_ascii_alphanumeric() || b"-._~%!$&'()*+,;=".contains(&b);
-    host.bytes().all(is_host_char) && is_valid_port(port) && (allows_empty_host || !host.is_empty())
+    host.bytes().all(is_host_char) && is_valid_port(port)
 }
 
 fn is_valid_port(text: &str) -> bool {
