--- a/crates/admission/src/resource_limits.rs
+++ b/crates/admission/src/resource_limits.rs
@@ -9,17 +9,17 @@
 
 /// Memory in bytes that an HTTP/2 stream uses beside its header list and its share of the connection's window: its
 /// task and its table entries.
-pub const STREAM_OVERHEAD_BYTES: u64 = 4 * 1024;
+const STREAM_OVERHEAD_BYTES: u64 = 4 * 1024;
 /// Memory in bytes that an HTTP/2 connection uses beside its streams: its tables for header compression, and its read
 /// and write buffers.
-pub const CONNECTION_OVERHEAD_BYTES: u64 = 64 * 1024;
+const CONNECTION_OVERHEAD_BYTES: u64 = 64 * 1024;
 
 /// Default for [`Http2Overrides::max_streams`]. RFC 9113, section 6.5.2, asks for at least 100.
-pub const DEFAULT_MAX_STREAMS: u32 = 200;
+const DEFAULT_MAX_STREAMS: u32 = 200;
 /// Default for [`Http2Overrides::connection_window`], in bytes: several of the longest bodies.
-pub const DEFAULT_CONNECTION_WINDOW: u32 = 512 * 1024;
+const DEFAULT_CONNECTION_WINDOW: u32 = 512 * 1024;
 /// Default for [`Http2Overrides::max_header_list`], in bytes.
-pub const DEFAULT_MAX_HEADER_LIST: u32 = 8 * 1024;
+const DEFAULT_MAX_HEADER_LIST: u32 = 8 * 1024;
 
 /// What the platform gives to client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/http2-flood-guard/src/guard.rs
+++ b/crates/http2-flood-guard/src/guard.rs
@@ -50,6 +50,7 @@
     tokens: TokenBucket,
     scanner: FrameScanner,
     incomplete_since: Option<Micros>,
+    /// Whether the client has sent its first SETTINGS frame, which completes the start of a connection.
     has_received_settings: bool,
     /// Length of the current header block so far, in bytes; 0 between header blocks.
     header_block_bytes: u32,
@@ -110,12 +111,6 @@
         self.incomplete_since
     }
 
-    /// Whether the client has sent its first SETTINGS frame, which completes the start of a connection.
-    #[must_use]
-    pub fn has_received_settings(&self) -> bool {
-        self.has_received_settings
-    }
-
     fn on_frame(&mut self, now: Micros, frame: FrameHeader) -> Result<(), Violation> {
         let is_first = !std::mem::replace(&mut self.has_received_settings, true);
         if is_first && frame.kind != FrameKind::Settings {
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -18,5 +18,4 @@
 pub use frame::FrameKind;
 pub use frame_scanner::PREFACE;
 pub use guard::{FloodGuard, FloodLimits};
-pub use token_bucket::TokenBucket;
 pub use violation::Violation;
--- a/crates/http2-flood-guard/src/token_bucket.rs
+++ b/crates/http2-flood-guard/src/token_bucket.rs
@@ -4,7 +4,7 @@
 
 /// Tokens that refill at a constant rate up to a capacity.
 #[derive(Clone, Copy, Debug)]
-pub struct TokenBucket {
+pub(crate) struct TokenBucket {
     /// In millionths of a token, like `level`.
     capacity: u64,
     refill_per_second: u64,
@@ -15,8 +15,7 @@
 
 impl TokenBucket {
     /// Creates a full bucket of `capacity` tokens, which refills by `refill_per_second` tokens a second.
-    #[must_use]
-    pub fn new(now: Micros, capacity: u32, refill_per_second: u32) -> Self {
+    pub(crate) fn new(now: Micros, capacity: u32, refill_per_second: u32) -> Self {
         let capacity = u64::from(capacity) * SECOND;
         TokenBucket {
             capacity,
@@ -27,7 +26,7 @@
     }
 
     /// Takes tokens if there are enough, and returns whether that was the case. Otherwise none is taken.
-    pub fn try_take(&mut self, now: Micros, tokens: u32) -> bool {
+    pub(crate) fn try_take(&mut self, now: Micros, tokens: u32) -> bool {
         self.refill(now);
         let cost = u64::from(tokens) * SECOND;
         let is_affordable = self.level >= cost;
@@ -38,7 +37,7 @@
     }
 
     /// Adds tokens. Those beyond the capacity are lost.
-    pub fn add(&mut self, tokens: u32) {
+    pub(crate) fn add(&mut self, tokens: u32) {
         self.add_millionths(u64::from(tokens) * SECOND);
     }
 
@@ -53,3 +52,6 @@
         self.level = self.level.saturating_add(millionths).min(self.capacity);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/http2-flood-guard/tests/token_bucket.rs
+++ b/crates/http2-flood-guard/src/token_bucket/tests.rs
@@ -1,6 +1,6 @@
 //! The token bucket by itself.
 
-use http2_flood_guard::TokenBucket;
+use super::TokenBucket;
 
 #[test]
 fn tokens_refill_with_time_up_to_capacity() {
--- a/crates/http2-flood-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -187,8 +187,9 @@
 fn incomplete_since_is_start_of_incomplete_element() {
     let mut guard = FloodGuard::new(5, LIMITS);
     assert_eq!(
-        (guard.incomplete_since(), guard.has_received_settings()),
-        (Some(5), false)
+        guard.incomplete_since(),
+        Some(5),
+        "the preface has not arrived"
     );
     guard.on_received(6, PREFACE).unwrap();
     assert_eq!(
@@ -197,9 +198,12 @@
         "silence after the preface"
     );
     guard.on_received(7, &frame(SETTINGS, NO_FLAGS, 0)).unwrap();
+    assert_eq!(guard.incomplete_since(), None);
+    guard.on_received(7, &frame(PING, NO_FLAGS, 8)).unwrap();
     assert_eq!(
-        (guard.incomplete_since(), guard.has_received_settings()),
-        (None, true)
+        guard.incomplete_since(),
+        None,
+        "a first frame other than SETTINGS would be a violation"
     );
     let headers = frame(HEADERS, NO_FLAGS, 20);
     guard.on_received(8, &headers[..12]).unwrap();
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -124,16 +124,10 @@
 
     /// Number of keys that are remembered.
     #[must_use]
-    pub fn len(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
-    /// Whether no key is remembered.
-    #[must_use]
-    pub fn is_empty(&self) -> bool {
-        self.keys.is_empty()
-    }
-
     fn part(&self, key: &str, shard: usize) -> Option<&PartState> {
         self.keys.get(key)?.parts.get(&shard)
     }
--- a/crates/idempotency/tests/random_retries.rs
+++ b/crates/idempotency/tests/random_retries.rs
@@ -104,7 +104,7 @@
             Step::EndQuery { key } => self.end_query(key),
             Step::Wait(time) => self.now += time,
         }
-        prop_assert!(self.register.len() <= MAX_KEYS);
+        prop_assert!(self.register.key_count() <= MAX_KEYS);
         Ok(())
     }
 
--- a/crates/idempotency/tests/register.rs
+++ b/crates/idempotency/tests/register.rs
@@ -105,6 +105,6 @@
         KeyAdmission::RetryAt(10 + 2 * WINDOW)
     );
     assert_eq!(admit(&mut register, WINDOW, 0), KeyAdmission::WindowExpired);
-    assert_eq!(register.len(), 2);
+    assert_eq!(register.key_count(), 2);
     must_admit(&mut register, 20 + 2 * WINDOW, 3);
 }
--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -47,7 +47,7 @@
     /// # Errors
     ///
     /// If the connection fails or the response is malformed.
-    pub async fn send_or_reconnect(
+    pub(crate) async fn send_or_reconnect(
         &mut self,
         request: &Request<Vec<u8>>,
     ) -> io::Result<Response<Vec<u8>>> {
--- a/crates/test-fleet/src/attempt_log.rs
+++ b/crates/test-fleet/src/attempt_log.rs
@@ -54,7 +54,7 @@
 
 /// The place of an attempt in its [`AttemptLog`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct AttemptNumber(u64);
+pub(crate) struct AttemptNumber(u64);
 
 /// How much the data servers received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -165,12 +165,12 @@
 
 impl AttemptLog {
     /// Counts a call.
-    pub fn record_call(&mut self) {
+    pub(crate) fn record_call(&mut self) {
         self.counts.calls += 1;
     }
 
     /// Records an attempt. Once the log is full, attempts are only counted.
-    pub fn record_attempt(&mut self, attempt: Attempt) -> AttemptNumber {
+    pub(crate) fn record_attempt(&mut self, attempt: Attempt) -> AttemptNumber {
         let number = AttemptNumber(self.counts.parts);
         self.counts.parts += 1;
         if self.attempts.len() < MAX_LOGGED_ATTEMPTS {
@@ -180,14 +180,19 @@
     }
 
     /// Records the end of an attempt. Only its first end counts.
-    pub fn record_end(&mut self, number: AttemptNumber, outcome: AttemptOutcome, at: Instant) {
+    pub(crate) fn record_end(
+        &mut self,
+        number: AttemptNumber,
+        outcome: AttemptOutcome,
+        at: Instant,
+    ) {
         if let Some(attempt) = self.attempts.get_mut(number.0 as usize) {
             attempt.end.get_or_insert(AttemptEnd { outcome, at });
         }
     }
 
     /// Records a delay with which the fleet's thread ran, as it does on a busy machine.
-    pub fn record_lag(&mut self, lag: Duration) {
+    pub(crate) fn record_lag(&mut self, lag: Duration) {
         self.max_lag = self.max_lag.max(lag);
     }
 
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -62,15 +62,13 @@
 /// The discovery service.
 pub(crate) struct Discovery {
     state: RefCell<State>,
-    /// Notified when the list changes or the service is silenced or resumed.
+    /// Notified when the list changes.
     changed: Notifier,
 }
 
 struct State {
     revision: u64,
     endpoints: BTreeMap<String, PublishedEndpoint>,
-    /// Whether the service accepts requests and answers none.
-    silent: bool,
 }
 
 struct PublishedEndpoint {
@@ -81,8 +79,8 @@
 
 /// The state of a watch at one moment.
 struct WatchState {
-    has_news: bool,
-    silent: bool,
+    /// Whether the list differs from the revision that the client knows.
+    is_outdated: bool,
     changed: Subscription,
 }
 
@@ -91,7 +89,6 @@
         let state = State {
             revision: 1,
             endpoints: BTreeMap::new(),
-            silent: false,
         };
         Rc::new(Discovery {
             state: RefCell::new(state),
@@ -111,12 +108,6 @@
         self.changed.notify_all();
     }
 
-    /// Makes the service accept requests without answering them, or answer again.
-    pub(crate) fn set_silent(&self, silent: bool) {
-        self.state.borrow_mut().silent = silent;
-        self.changed.notify_all();
-    }
-
     /// The whole list, or what changed after a revision. A revision of the future is treated as none.
     pub(crate) fn list(&self, after: Option<u64>) -> Value {
         let state = self.state.borrow();
@@ -181,29 +172,23 @@
         Response::new(self.list(known_revision).to_string().into_bytes())
     }
 
-    /// Waits until the list differs from the known revision, at most for this time. While the service is silent, it
-    /// waits for its end.
+    /// Waits until the list differs from the known revision, at most for this time.
     async fn watch(&self, known_revision: Option<u64>, duration: Duration) {
         let deadline = Instant::now() + duration;
         loop {
             let watch = self.watch_state(known_revision);
-            if !watch.silent && (watch.has_news || Instant::now() >= deadline) {
+            if watch.is_outdated || Instant::now() >= deadline {
                 return;
             }
-            if watch.silent {
-                watch.changed.notified().await;
-            } else {
-                let timeout = async { _ = Timer::at(deadline).await };
-                watch.changed.notified().or(timeout).await;
-            }
+            let timeout = async { _ = Timer::at(deadline).await };
+            watch.changed.notified().or(timeout).await;
         }
     }
 
     fn watch_state(&self, known_revision: Option<u64>) -> WatchState {
         let state = self.state.borrow();
         WatchState {
-            has_news: known_revision.is_none_or(|known| known != state.revision),
-            silent: state.silent,
+            is_outdated: known_revision.is_none_or(|known| known != state.revision),
             changed: self.changed.subscribe(),
         }
     }
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -146,11 +146,6 @@
         self.send(FleetCommand::Restart(server));
     }
 
-    /// Makes discovery accept requests without answering them, or answer again.
-    pub fn set_discovery_silent(&self, silent: bool) {
-        self.send(FleetCommand::SetDiscoverySilent(silent));
-    }
-
     fn send(&self, command: FleetCommand) {
         let _ = self.commands.try_send(command);
     }
--- a/crates/test-fleet/src/fleet/runtime.rs
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -21,8 +21,6 @@
 pub(super) enum FleetCommand {
     /// Publishes in the endpoint list that a server drains.
     Drain(usize),
-    /// Makes discovery accept requests without answering them, or answer again.
-    SetDiscoverySilent(bool),
     /// Closes a server's listener and resets its connections.
     Kill(usize),
     /// Lets a killed server listen again.
@@ -118,7 +116,6 @@
 
     async fn execute(&mut self, command: FleetCommand) {
         match command {
-            FleetCommand::SetDiscoverySilent(silent) => self.discovery.set_silent(silent),
             FleetCommand::Drain(number) => {
                 if let Some(server) = self.servers.get(number) {
                     server.server.fault_injection().draining_since = Some(Instant::now());
--- a/crates/test-fleet/src/lib.rs
+++ b/crates/test-fleet/src/lib.rs
@@ -16,8 +16,8 @@
 mod server;
 
 pub use attempt_log::{
-    Attempt, AttemptEnd, AttemptLimits, AttemptLog, AttemptNumber, AttemptOutcome, AttemptSubject,
-    ReceivedCounts, Violation,
+    Attempt, AttemptEnd, AttemptLimits, AttemptLog, AttemptOutcome, AttemptSubject, ReceivedCounts,
+    Violation,
 };
 pub use broker_process::{BrokerProcess, BrokerProcessError};
 pub use deployment::Deployment;
