--- a/crates/endpoint-control/src/slow_start.rs
+++ b/crates/endpoint-control/src/slow_start.rs
@@ -15,14 +15,12 @@
 //! longer than `K`, and a server that fails is ejected, see [`crate::ejection_quorum`].
 
 use broker_types::time::Micros;
+use const_fnv1a_hash::fnv1a_hash_str_32;
 
 /// The part of the limit that is used, since the work of requests varies.
 const SAFETY_FACTOR: f64 = 0.75;
 /// The largest limit that is computed; it keeps the conversion to an integer defined.
 const MAX_LIMIT: f64 = 1e6;
-/// Offset basis and prime of the FNV-1a hash of 32 bits.
-const FNV_OFFSET_BASIS: u32 = 0x811c_9dc5;
-const FNV_PRIME: u32 = 0x0100_0193;
 
 /// The figures of a deployment that determine the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -82,15 +80,8 @@
     #[must_use]
     pub fn share_of_limit(self, limit: u32, server: &str) -> u32 {
         let count = self.count.max(1);
-        let offset = fnv_hash(server) % count;
+        let offset = fnv1a_hash_str_32(server) % count;
         let position = (self.number % count + offset) % count;
         limit / count + u32::from(position < limit % count)
     }
 }
-
-/// The FNV-1a hash of a name.
-fn fnv_hash(name: &str) -> u32 {
-    name.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| {
-        (hash ^ u32::from(byte)).wrapping_mul(FNV_PRIME)
-    })
-}
--- a/crates/endpoint-control/tests/endpoint_control/slow_start.rs
+++ b/crates/endpoint-control/tests/endpoint_control/slow_start.rs
@@ -68,6 +68,31 @@
     assert!(requests.len() > 100);
 }
 
+/// A limit of one request goes to the instance whose number and the hash of the server's name add up to the number of
+/// instances. Control instances of different builds divide a limit only if their hashes agree.
+#[test]
+fn remainder_of_the_limit_goes_by_the_fnv1a_hash_of_the_server_name() {
+    const COUNT: u32 = u32::MAX;
+    for (server, hash) in [
+        ("", 2_166_136_261),
+        ("a", 3_826_002_220),
+        ("s0", 122_795_830),
+        ("s00", 2_342_723_186),
+        ("rack-7/node-12", 749_702_921),
+        ("\u{e9}", 513_665_217),
+    ] {
+        let share = |number| {
+            let instance = ControlInstance {
+                number,
+                count: COUNT,
+            };
+            instance.share_of_limit(1, server)
+        };
+        let holder = COUNT - hash;
+        assert_eq!([share(holder - 1), share(holder)], [0, 1], "{server:?}");
+    }
+}
+
 proptest! {
     #[test]
     fn shares_of_all_instances_add_up_to_the_limit(
