--- a/crates/endpoint-control/src/endpoint_assignment.rs
+++ b/crates/endpoint-control/src/endpoint_assignment.rs
@@ -72,8 +72,7 @@
 }
 
 /// Whether the server is warming up at this moment.
-#[must_use]
-pub fn is_warming_up(view: &ServerView, now: Micros, rule: &SlowStartRule) -> bool {
+fn is_warming_up(view: &ServerView, now: Micros, rule: &SlowStartRule) -> bool {
     view.started_at
         .is_some_and(|started_at| !rule.is_warmed_up(now.saturating_sub(started_at)))
 }
@@ -119,6 +118,13 @@
             .iter()
             .filter(|view| self.takes_usual_traffic(view))
             .all(|view| self.is_ejected(view));
+        let health = |view| {
+            if all_ejected {
+                health_without_ejections(view)
+            } else {
+                self.health(view)
+            }
+        };
         let endpoints = views
             .into_iter()
             .enumerate()
@@ -128,7 +134,7 @@
                 address: view.address,
                 zone: view.zone,
                 row,
-                health: self.health(view, all_ejected),
+                health: health(view),
                 weight: weight(view.relative_latency),
             });
         CellCluster {
@@ -137,13 +143,11 @@
         }
     }
 
-    fn health(&self, view: &ServerView, ignore_ejections: bool) -> Health {
-        match view.state {
-            ServingState::Serving if !ignore_ejections && self.is_ejected(view) => {
-                Health::Unhealthy
-            }
-            ServingState::Serving => Health::Healthy,
-            _ => Health::Draining,
+    fn health(&self, view: &ServerView) -> Health {
+        if view.state == ServingState::Serving && self.is_ejected(view) {
+            Health::Unhealthy
+        } else {
+            health_without_ejections(view)
         }
     }
 
@@ -166,6 +170,14 @@
     }
 }
 
+/// The health of a server whose ejection, if any, is ignored.
+fn health_without_ejections(view: &ServerView) -> Health {
+    match view.state {
+        ServingState::Serving => Health::Healthy,
+        _ => Health::Draining,
+    }
+}
+
 /// The weight of an endpoint of this latency. A latency that is not a positive number counts as the usual one.
 fn weight(relative_latency: f64) -> u32 {
     let latency = if relative_latency.is_finite() && relative_latency > 0.0 {
@@ -181,45 +193,65 @@
     WEIGHTS[(USUAL_WEIGHT as f64 + steps) as usize]
 }
 
-/// Grants and renews leases on the servers that are warming up, and returns the endpoints that each proxy of this
-/// control instance receives. It has to be called again well within the leases' time to live. Holders of a lease keep
-/// it; other proxies follow in rotation, which begins at another proxy for each server.
-pub fn assign_slow_start_endpoints(
-    now: Micros,
-    views: &[ServerView],
-    proxies: &[ProxyName],
-    rule: &SlowStartRule,
-    leases: &mut LeaseTable,
-    instance: ControlInstance,
-) -> BTreeMap<ProxyName, Vec<SlowStartEndpoint>> {
-    let mut assigned: BTreeMap<ProxyName, Vec<SlowStartEndpoint>> = BTreeMap::new();
-    for view in views {
-        if view.state != ServingState::Serving || !is_warming_up(view, now, rule) {
-            continue;
+/// The servers and the proxies of one control instance, between which it assigns the servers that are warming up.
+#[derive(Clone, Copy, Debug)]
+pub struct SlowStartAssigner<'a> {
+    /// All servers.
+    pub views: &'a [ServerView],
+    /// The proxies that are connected to this control instance.
+    pub proxies: &'a [ProxyName],
+    /// The rule that limits the requests in flight at each server.
+    pub rule: &'a SlowStartRule,
+    /// This control instance.
+    pub instance: ControlInstance,
+}
+
+impl SlowStartAssigner<'_> {
+    /// Grants and renews leases on the servers that are warming up, and returns the endpoints that each proxy receives.
+    /// It has to be called again well within the leases' time to live. Holders of a lease keep it; other proxies follow
+    /// in rotation, which begins at another proxy for each server.
+    pub fn assign_endpoints(
+        &self,
+        now: Micros,
+        leases: &mut LeaseTable,
+    ) -> BTreeMap<ProxyName, Vec<SlowStartEndpoint>> {
+        let mut assigned: BTreeMap<ProxyName, Vec<SlowStartEndpoint>> = BTreeMap::new();
+        for view in self.views {
+            if view.state != ServingState::Serving || !is_warming_up(view, now, self.rule) {
+                continue;
+            }
+            for holder in in_grant_order(&view.name, self.proxies, leases) {
+                let max_in_flight = leases.grant(now, self.lease_request(now, view, holder));
+                if max_in_flight > 0 {
+                    let endpoint = SlowStartEndpoint {
+                        name: view.name.clone(),
+                        cell: view.cell,
+                        address: view.address,
+                        max_in_flight,
+                    };
+                    assigned.entry(holder.clone()).or_default().push(endpoint);
+                }
+            }
         }
+        assigned
+    }
+
+    /// The request for a lease on a server that is warming up.
+    fn lease_request<'a>(
+        &self,
+        now: Micros,
+        view: &'a ServerView,
+        holder: &'a ProxyName,
+    ) -> LeaseRequest<'a> {
         let age = now.saturating_sub(view.started_at.unwrap_or(now));
-        let server_limit = instance.share_of_limit(rule.max_in_flight(age), &view.name.0);
-        let wanted_units = fair_units(rule, age, proxies.len());
-        for holder in in_grant_order(&view.name, proxies, leases) {
-            let request = LeaseRequest {
-                server: &view.name,
-                holder,
-                wanted_units,
-                server_limit,
-            };
-            let max_in_flight = leases.grant(now, request);
-            if max_in_flight > 0 {
-                let endpoint = SlowStartEndpoint {
-                    name: view.name.clone(),
-                    cell: view.cell,
-                    address: view.address,
-                    max_in_flight,
-                };
-                assigned.entry(holder.clone()).or_default().push(endpoint);
-            }
+        let limit = self.rule.max_in_flight(age);
+        LeaseRequest {
+            server: &view.name,
+            holder,
+            wanted_units: fair_units(self.rule, age, self.proxies.len()),
+            server_limit: self.instance.share_of_limit(limit, &view.name.0),
         }
     }
-    assigned
 }
 
 /// The proxies in the order in which they are granted leases on a server: holders first.
--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -188,8 +188,7 @@
 }
 
 /// The units that each of so many proxies requests at a server of this age: an even share of its limit, at least one.
-#[must_use]
-pub fn fair_units(rule: &SlowStartRule, age: Micros, proxies: usize) -> u32 {
+pub(crate) fn fair_units(rule: &SlowStartRule, age: Micros, proxies: usize) -> u32 {
     let limit = rule.max_in_flight(age);
     limit.div_ceil(proxies.max(1) as u32).max(1)
 }
--- a/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
+++ b/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
@@ -56,16 +56,27 @@
         .collect()
 }
 
-/// The same report of a server from proxies 0 to `proxies` - 1.
-fn report_from_all(
-    quorum: &mut EjectionQuorum,
-    now: Micros,
+/// The same report of a server from several proxies.
+struct SharedReport {
+    /// Number of the proxies, which are numbered from 0.
     proxies: usize,
-    reported_server: usize,
+    server: usize,
     report: ServerReport,
-) {
-    for number in 0..proxies {
-        quorum.on_report(now, &proxy(number), &server(reported_server), report);
+}
+
+impl SharedReport {
+    fn send(&self, quorum: &mut EjectionQuorum, now: Micros) {
+        for number in 0..self.proxies {
+            quorum.on_report(now, &proxy(number), &server(self.server), self.report);
+        }
+    }
+}
+
+fn report_from(proxies: usize, server: usize, report: ServerReport) -> SharedReport {
+    SharedReport {
+        proxies,
+        server,
+        report,
     }
 }
 
@@ -104,7 +115,7 @@
 fn ejections_stop_at_the_cap_of_the_cell() {
     let mut quorum = EjectionQuorum::new(RULE);
     for number in 0..4 {
-        report_from_all(&mut quorum, 0, 3, number, FAILING);
+        report_from(3, number, FAILING).send(&mut quorum, 0);
     }
     assert_eq!(ejected(&mut quorum, 1).len(), 2);
 }
@@ -113,14 +124,14 @@
 fn servers_of_a_partitioned_zone_are_not_ejected_as_unreachable() {
     let mut quorum = EjectionQuorum::new(RULE);
     for number in 0..2 {
-        report_from_all(&mut quorum, 0, 3, number, UNREACHABLE);
+        report_from(3, number, UNREACHABLE).send(&mut quorum, 0);
     }
     for number in 2..4 {
-        report_from_all(&mut quorum, 0, 3, number, HEALTHY);
+        report_from(3, number, HEALTHY).send(&mut quorum, 0);
     }
     assert_eq!(ejected(&mut quorum, 1), []);
     // One unreachable server beside a healthy one of its zone has failed.
-    report_from_all(&mut quorum, 2, 3, 1, HEALTHY);
+    report_from(3, 1, HEALTHY).send(&mut quorum, 2);
     assert_eq!(ejected(&mut quorum, 3), [server(0)]);
 }
 
@@ -130,14 +141,14 @@
     let mut durations_s = Vec::new();
     let mut now = 0;
     for _ in 0..4 {
-        report_from_all(&mut quorum, now, 2, 0, FAILING);
+        report_from(2, 0, FAILING).send(&mut quorum, now);
         let ends_at = quorum.evaluate(now, &locations(), CONNECTED_PROXIES)[&server(0)];
         durations_s.push((ends_at - now) / SECOND);
         now = ends_at;
         assert_eq!(ejected(&mut quorum, now), [], "the server is readmitted");
     }
     assert_eq!(durations_s, [2, 4, 8, 16]);
-    report_from_all(&mut quorum, now, 2, 1, FAILING);
+    report_from(2, 1, FAILING).send(&mut quorum, now);
     assert_eq!(ejected(&mut quorum, now + RULE.report_lifetime), []);
 }
 
--- a/crates/endpoint-control/tests/endpoint_control/endpoint_assignment.rs
+++ b/crates/endpoint-control/tests/endpoint_control/endpoint_assignment.rs
@@ -4,7 +4,7 @@
 use broker_types::server::{NodeId, ServingState};
 use broker_types::time::{Micros, SECOND};
 use endpoint_control::endpoint_assignment::{
-    CellCluster, Health, SlowStartEndpoint, assign_clusters, assign_slow_start_endpoints,
+    CellCluster, Health, SlowStartAssigner, SlowStartEndpoint, assign_clusters,
 };
 use endpoint_control::leases::LeaseTable;
 use endpoint_control::slow_start::ControlInstance;
@@ -97,19 +97,17 @@
     views[0].started_at = Some(0);
     let proxies: Vec<ProxyName> = (0..10).map(|number| format!("p{number}").into()).collect();
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    let only_instance = ControlInstance {
-        number: 0,
-        count: 1,
+    let assigner = SlowStartAssigner {
+        views: &views,
+        proxies: &proxies,
+        rule: &SLOW_START_RULE,
+        instance: ControlInstance {
+            number: 0,
+            count: 1,
+        },
     };
     let mut assign = |now: Micros| -> BTreeMap<ProxyName, Vec<SlowStartEndpoint>> {
-        assign_slow_start_endpoints(
-            now,
-            &views,
-            &proxies,
-            &SLOW_START_RULE,
-            &mut leases,
-            only_instance,
-        )
+        assigner.assign_endpoints(now, &mut leases)
     };
     assert_eq!(health(&clusters(0, &views), 0), [(1, Health::Healthy)]);
     let first = assign(0);
@@ -148,15 +146,13 @@
                 let own_proxies: Vec<ProxyName> = (0..proxies)
                     .map(|proxy| format!("i{number}p{proxy}").into())
                     .collect();
-                let instance = ControlInstance { number: number as u32, count: instances };
-                assign_slow_start_endpoints(
-                    now,
-                    std::slice::from_ref(&started),
-                    &own_proxies,
-                    &SLOW_START_RULE,
-                    leases,
-                    instance,
-                );
+                let assigner = SlowStartAssigner {
+                    views: std::slice::from_ref(&started),
+                    proxies: &own_proxies,
+                    rule: &SLOW_START_RULE,
+                    instance: ControlInstance { number: number as u32, count: instances },
+                };
+                assigner.assign_endpoints(now, leases);
             }
             let reserved: u32 = tables
                 .iter()
--- a/crates/endpoint-control/tests/endpoint_control/leases.rs
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -14,19 +14,32 @@
     format!("p{number}").into()
 }
 
-/// Requests a lease for a proxy and returns the granted units.
-fn grant(
-    leases: &mut LeaseTable,
-    now: Micros,
+/// The units that a proxy requests at the server.
+#[derive(Clone, Copy)]
+struct Wanted {
     holder: usize,
-    wanted_units: u32,
+    units: u32,
     server_limit: u32,
-) -> u32 {
+}
+
+impl Wanted {
+    /// All units of a server with this limit.
+    fn all(holder: usize, server_limit: u32) -> Self {
+        Wanted {
+            holder,
+            units: server_limit,
+            server_limit,
+        }
+    }
+}
+
+/// Requests a lease and returns the granted units.
+fn grant(leases: &mut LeaseTable, now: Micros, wanted: Wanted) -> u32 {
     let request = LeaseRequest {
         server: &server(),
-        holder: &proxy(holder),
-        wanted_units,
-        server_limit,
+        holder: &proxy(wanted.holder),
+        wanted_units: wanted.units,
+        server_limit: wanted.server_limit,
     };
     leases.grant(now, request)
 }
@@ -34,13 +47,18 @@
 #[test]
 fn grants_never_exceed_the_limit_of_the_server() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
+    let two_units = |holder, server_limit| Wanted {
+        holder,
+        units: 2,
+        server_limit,
+    };
     let granted: Vec<u32> = (0..5)
-        .map(|holder| grant(&mut leases, 0, holder, 2, 5))
+        .map(|holder| grant(&mut leases, 0, two_units(holder, 5)))
         .collect();
     assert_eq!(granted, [2, 2, 1, 0, 0]);
     assert_eq!(leases.reserved_units(&server()), 5);
     assert_eq!(
-        grant(&mut leases, 0, 2, 2, 6),
+        grant(&mut leases, 0, two_units(2, 6)),
         2,
         "a lease grows with the limit"
     );
@@ -50,42 +68,52 @@
 #[test]
 fn lease_stays_reserved_until_its_holder_cannot_use_it() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    grant(&mut leases, 0, 0, 3, 3);
+    grant(&mut leases, 0, Wanted::all(0, 3));
     leases.on_acknowledged(SECOND, &proxy(0));
     assert_eq!(
-        grant(&mut leases, 3 * SECOND, 1, 3, 3),
+        grant(&mut leases, 3 * SECOND, Wanted::all(1, 3)),
         0,
         "the time to live has just ended"
     );
     assert_eq!(
-        grant(&mut leases, 7 * SECOND - 1, 1, 3, 3),
+        grant(&mut leases, 7 * SECOND - 1, Wanted::all(1, 3)),
         0,
         "the last request may be in flight"
     );
-    assert_eq!(grant(&mut leases, 7 * SECOND, 1, 3, 3), 3);
+    assert_eq!(grant(&mut leases, 7 * SECOND, Wanted::all(1, 3)), 3);
     leases.on_released(8 * SECOND, &server(), &proxy(1));
-    assert_eq!(grant(&mut leases, 12 * SECOND - 1, 0, 3, 3), 0);
-    assert_eq!(grant(&mut leases, 12 * SECOND, 0, 3, 3), 3);
+    assert_eq!(grant(&mut leases, 12 * SECOND - 1, Wanted::all(0, 3)), 0);
+    assert_eq!(grant(&mut leases, 12 * SECOND, Wanted::all(0, 3)), 3);
 }
 
 /// A message that is not acknowledged may be read late: until the longest pause of a proxy after the end of its stream.
 #[test]
 fn unacknowledged_lease_stays_reserved_until_its_stream_has_ended() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    grant(&mut leases, 0, 0, 3, 3);
-    assert_eq!(grant(&mut leases, 1000 * SECOND, 1, 3, 3), 0);
+    grant(&mut leases, 0, Wanted::all(0, 3));
+    assert_eq!(grant(&mut leases, 1000 * SECOND, Wanted::all(1, 3)), 0);
     leases.on_stream_ended(1000 * SECOND, &proxy(0));
-    assert_eq!(grant(&mut leases, 1016 * SECOND - 1, 1, 3, 3), 0);
-    assert_eq!(grant(&mut leases, 1016 * SECOND, 1, 3, 3), 3);
+    assert_eq!(grant(&mut leases, 1016 * SECOND - 1, Wanted::all(1, 3)), 0);
+    assert_eq!(grant(&mut leases, 1016 * SECOND, Wanted::all(1, 3)), 3);
 }
 
 #[test]
 fn renewed_lease_continues_and_draining_lease_is_not_renewed() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
     for second in 0..10 {
-        assert_eq!(grant(&mut leases, second * SECOND, 0, 1, 1), 1);
+        assert_eq!(grant(&mut leases, second * SECOND, Wanted::all(0, 1)), 1);
         leases.on_acknowledged(second * SECOND, &proxy(0));
     }
     leases.on_released(10 * SECOND, &server(), &proxy(0));
-    assert_eq!(grant(&mut leases, 11 * SECOND, 0, 1, 1), 0);
+    assert_eq!(grant(&mut leases, 11 * SECOND, Wanted::all(0, 1)), 0);
+}
+
+#[test]
+fn units_of_a_removed_server_are_free_again() {
+    let mut leases = LeaseTable::new(LEASE_TIMES);
+    grant(&mut leases, 0, Wanted::all(0, 3));
+    assert_eq!(grant(&mut leases, 0, Wanted::all(1, 3)), 0);
+    leases.remove_server(&server());
+    assert_eq!(leases.reserved_units(&server()), 0);
+    assert_eq!(grant(&mut leases, 0, Wanted::all(1, 3)), 3);
 }
