--- a/crates/query-api/src/limits.rs
+++ b/crates/query-api/src/limits.rs
@@ -1,6 +1,6 @@
 //! Limits on what a request may contain.
 
-use broker_types::time::Micros;
+use std::time::Duration;
 
 /// Longest body of a request, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
@@ -8,4 +8,4 @@
 /// it in HTTP/2.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
 /// Longest time that a client may ask the broker to take: one hour.
-pub(crate) const MAX_CLIENT_TIMEOUT: Micros = 3_600_000_000;
+pub(crate) const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3600);
