--- a/crates/http1-codec/src/fields.rs
+++ b/crates/http1-codec/src/fields.rs
@@ -122,7 +122,7 @@
     let mut hosts = fields.get_all(HOST).iter();
     match (hosts.next(), hosts.next()) {
         (None, _) if version < Version::HTTP_11 => Ok(()),
-        (Some(host), None) if host.to_str().is_ok_and(|h| is_valid_host_field(h)) => Ok(()),
+        (Some(host), None) if host.to_str().is_ok_and(is_valid_host_field) => Ok(()),
         _ => Err(ParseError::InvalidHost),
     }
 }
