--- a/crates/endpoint-control/src/ejection_quorum.rs
+++ b/crates/endpoint-control/src/ejection_quorum.rs
@@ -8,8 +8,9 @@
 
 use crate::ProxyName;
 use broker_types::server::NodeId;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// The figures of ejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -23,13 +24,13 @@
     /// Number of requests from which a report can be a vote to eject.
     pub min_requests: u64,
     /// Age at which a report is dropped.
-    pub report_lifetime: Micros,
+    pub report_lifetime: Duration,
     /// Duration of the first ejection; each further one lasts twice as long as the one before.
-    pub first_duration: Micros,
+    pub first_duration: Duration,
     /// Longest duration of an ejection.
-    pub max_duration: Micros,
+    pub max_duration: Duration,
     /// Time after the end of an ejection after which the next one counts as the first again.
-    pub forget_after: Micros,
+    pub forget_after: Duration,
     /// Largest share of a cell's servers that are ejected at the same time.
     pub max_ejected_share: f64,
     /// Share of unreachable servers from which a zone is taken for partitioned.
@@ -86,15 +87,15 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
-    received_at: Micros,
+    received_at: Timestamp,
     report: ServerReport,
 }
 
 /// An ejection that has ended or will end.
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
-    duration: Micros,
-    ends_at: Micros,
+    duration: Duration,
+    ends_at: Timestamp,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -102,7 +103,7 @@
     /// The last report of each proxy.
     reports: BTreeMap<ProxyName, ReceivedReport>,
     /// When the present ejection ends.
-    ejected_until: Option<Micros>,
+    ejected_until: Option<Timestamp>,
     last_ejection: Option<Ejection>,
 }
 
@@ -111,7 +112,7 @@
         self.reports.is_empty() && self.ejected_until.is_none() && self.last_ejection.is_none()
     }
 
-    fn eject(&mut self, now: Micros, rule: &EjectionRule) {
+    fn eject(&mut self, now: Timestamp, rule: &EjectionRule) {
         let duration = self.last_ejection.map_or(rule.first_duration, |last| {
             (2 * last.duration).min(rule.max_duration)
         });
@@ -121,7 +122,7 @@
     }
 
     /// Ends the ejection if it has run out.
-    fn readmit(&mut self, now: Micros, rule: &EjectionRule) {
+    fn readmit(&mut self, now: Timestamp, rule: &EjectionRule) {
         let Some(ends_at) = self.ejected_until.filter(|until| *until <= now) else {
             return;
         };
@@ -168,7 +169,7 @@
     /// Takes a proxy's report of a server in place of its last one. A report without requests is ignored.
     pub fn on_report(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         proxy: &ProxyName,
         server: &NodeId,
         report: ServerReport,
@@ -188,10 +189,10 @@
     /// proxies counts those that are connected to any control instance.
     pub fn evaluate(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         locations: &[ServerLocation],
         connected_proxies: usize,
-    ) -> BTreeMap<NodeId, Micros> {
+    ) -> BTreeMap<NodeId, Timestamp> {
         self.drop_outdated(now);
         for record in self.records.values_mut() {
             record.readmit(now, &self.rule);
@@ -211,15 +212,15 @@
         self.ejections(locations)
     }
 
-    fn drop_outdated(&mut self, now: Micros) {
+    fn drop_outdated(&mut self, now: Timestamp) {
         let rule = self.rule;
         for record in self.records.values_mut() {
-            record
-                .reports
-                .retain(|_, report| now.saturating_sub(report.received_at) < rule.report_lifetime);
+            record.reports.retain(|_, report| {
+                now.saturating_since(report.received_at) < rule.report_lifetime
+            });
             record.last_ejection = record
                 .last_ejection
-                .filter(|last| now < last.ends_at.saturating_add(rule.forget_after));
+                .filter(|last| now < last.ends_at + rule.forget_after);
         }
         self.records.retain(|_, record| !record.is_empty());
     }
@@ -317,7 +318,7 @@
         zones.into_keys().collect()
     }
 
-    fn ejections(&self, locations: &[ServerLocation]) -> BTreeMap<NodeId, Micros> {
+    fn ejections(&self, locations: &[ServerLocation]) -> BTreeMap<NodeId, Timestamp> {
         let ejection = |location: &ServerLocation| {
             let record = self.records.get(&location.server)?;
             Some((location.server.clone(), record.ejected_until?))
--- a/crates/endpoint-control/src/endpoint_assignment.rs
+++ b/crates/endpoint-control/src/endpoint_assignment.rs
@@ -10,7 +10,7 @@
 use crate::slow_start::{ControlInstance, SlowStartRule};
 use crate::{ProxyName, ServerView};
 use broker_types::server::{NodeId, ServingState};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
@@ -72,9 +72,9 @@
 }
 
 /// Whether the server is warming up at this moment.
-fn is_warming_up(view: &ServerView, now: Micros, rule: &SlowStartRule) -> bool {
+fn is_warming_up(view: &ServerView, now: Timestamp, rule: &SlowStartRule) -> bool {
     view.started_at
-        .is_some_and(|started_at| !rule.is_warmed_up(now.saturating_sub(started_at)))
+        .is_some_and(|started_at| !rule.is_warmed_up(now.saturating_since(started_at)))
 }
 
 /// The clusters that all proxies receive at this moment. `ejected_until` holds the servers that a quorum of proxies has
@@ -82,9 +82,9 @@
 /// work, and a proxy without any healthy endpoint sends nothing.
 #[must_use]
 pub fn assign_clusters(
-    now: Micros,
+    now: Timestamp,
     views: &[ServerView],
-    ejected_until: &BTreeMap<NodeId, Micros>,
+    ejected_until: &BTreeMap<NodeId, Timestamp>,
     rule: &SlowStartRule,
 ) -> Vec<CellCluster> {
     let mut views_by_cell: BTreeMap<usize, Vec<&ServerView>> = BTreeMap::new();
@@ -106,8 +106,8 @@
 
 /// What determines the health of servers at one moment.
 struct Snapshot<'a> {
-    now: Micros,
-    ejected_until: &'a BTreeMap<NodeId, Micros>,
+    now: Timestamp,
+    ejected_until: &'a BTreeMap<NodeId, Timestamp>,
     rule: &'a SlowStartRule,
 }
 
@@ -212,7 +212,7 @@
     /// in rotation, which begins at another proxy for each server.
     pub fn assign_endpoints(
         &self,
-        now: Micros,
+        now: Timestamp,
         leases: &mut LeaseTable,
     ) -> BTreeMap<ProxyName, Vec<SlowStartEndpoint>> {
         let mut assigned: BTreeMap<ProxyName, Vec<SlowStartEndpoint>> = BTreeMap::new();
@@ -239,11 +239,11 @@
     /// The request for a lease on a server that is warming up.
     fn lease_request<'a>(
         &self,
-        now: Micros,
+        now: Timestamp,
         view: &'a ServerView,
         holder: &'a ProxyName,
     ) -> LeaseRequest<'a> {
-        let age = now.saturating_sub(view.started_at.unwrap_or(now));
+        let age = now.saturating_since(view.started_at.unwrap_or(now));
         let limit = self.rule.max_in_flight(age);
         LeaseRequest {
             server: &view.name,
--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -12,24 +12,25 @@
 //!   live.
 //!
 //! In each case the requests that the holder sent last have to end too. The reserved units of a server never exceed its
-//! limit, whatever the order of grants, late or lost messages, and proxies that disappear: `tests/lease_model.rs` checks
+//! limit, whatever the order of grants, late or lost messages, and proxies that disappear: `tests/lease_model` checks
 //! all orders of a small case.
 
 use crate::ProxyName;
 use crate::slow_start::SlowStartRule;
 use broker_types::server::NodeId;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// Time limits of leases.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
     /// How long a proxy uses a lease after it has read of it.
-    pub time_to_live: Micros,
+    pub time_to_live: Duration,
     /// The longest time that a request is in flight at a server.
-    pub max_request_duration: Micros,
+    pub max_request_duration: Duration,
     /// The longest time that a proxy is paused before it reads what was sent to it.
-    pub max_pause: Micros,
+    pub max_pause: Duration,
 }
 
 /// A request for a lease.
@@ -50,9 +51,9 @@
     /// The last message about the lease is not acknowledged.
     Unacknowledged,
     /// The holder uses the lease until this moment at the latest.
-    Active { until: Micros },
+    Active { until: Timestamp },
     /// The holder no longer uses the lease; its last requests have ended by this moment.
-    Draining { until: Micros },
+    Draining { until: Timestamp },
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -87,7 +88,7 @@
     /// Grants a lease on the wanted units or on those that are free, or renews the holder's lease. Returns the units
     /// that the holder may use from now on, which may be none. If there are any, a message to the holder has to follow,
     /// and later [`LeaseTable::on_acknowledged`] or [`LeaseTable::on_stream_ended`].
-    pub fn grant(&mut self, now: Micros, request: LeaseRequest<'_>) -> u32 {
+    pub fn grant(&mut self, now: Timestamp, request: LeaseRequest<'_>) -> u32 {
         self.expire(now);
         let reserved = self.reserved_units(request.server);
         let free = request.server_limit.saturating_sub(reserved);
@@ -113,17 +114,17 @@
     }
 
     /// The holder has acknowledged the last message about its leases.
-    pub fn on_acknowledged(&mut self, now: Micros, holder: &ProxyName) {
+    pub fn on_acknowledged(&mut self, now: Timestamp, holder: &ProxyName) {
         self.end_unacknowledged_at(now + self.times.time_to_live, holder);
     }
 
     /// The stream of the holder has ended. It may still read messages that it has not acknowledged.
-    pub fn on_stream_ended(&mut self, now: Micros, holder: &ProxyName) {
+    pub fn on_stream_ended(&mut self, now: Timestamp, holder: &ProxyName) {
         let until = now + self.times.max_pause + self.times.time_to_live;
         self.end_unacknowledged_at(until, holder);
     }
 
-    fn end_unacknowledged_at(&mut self, until: Micros, holder: &ProxyName) {
+    fn end_unacknowledged_at(&mut self, until: Timestamp, holder: &ProxyName) {
         for leases in self.by_server.values_mut() {
             if let Some(lease) = leases.get_mut(holder)
                 && lease.state == LeaseState::Unacknowledged
@@ -134,7 +135,7 @@
     }
 
     /// The proxy has acknowledged that it holds no lease on the server.
-    pub fn on_released(&mut self, now: Micros, server: &NodeId, holder: &ProxyName) {
+    pub fn on_released(&mut self, now: Timestamp, server: &NodeId, holder: &ProxyName) {
         let until = now + self.times.max_request_duration;
         let leases = self.by_server.get_mut(server);
         if let Some(lease) = leases.and_then(|leases| leases.get_mut(holder))
@@ -167,7 +168,7 @@
     }
 
     /// Moves leases that have run out by now to draining, and removes those that have drained.
-    pub fn expire(&mut self, now: Micros) {
+    pub fn expire(&mut self, now: Timestamp) {
         let max_request_duration = self.times.max_request_duration;
         for leases in self.by_server.values_mut() {
             for lease in leases.values_mut() {
@@ -188,7 +189,7 @@
 }
 
 /// The units that each of so many proxies requests at a server of this age: an even share of its limit, at least one.
-pub(crate) fn fair_units(rule: &SlowStartRule, age: Micros, proxies: usize) -> u32 {
+pub(crate) fn fair_units(rule: &SlowStartRule, age: Duration, proxies: usize) -> u32 {
     let limit = rule.max_in_flight(age);
     limit.div_ceil(proxies.max(1) as u32).max(1)
 }
--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -15,7 +15,7 @@
 pub mod slow_start;
 
 use broker_types::server::{NodeId, ServingState};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -36,9 +36,9 @@
     /// Its state in the endpoint list.
     pub state: ServingState,
     /// When its ejection ends, if the policy has ejected it.
-    pub ejected_until: Option<Micros>,
+    pub ejected_until: Option<Timestamp>,
     /// When its process started, if it may still be warming up.
-    pub started_at: Option<Micros>,
+    pub started_at: Option<Timestamp>,
     /// Its latency per unit of outstanding work, relative to the fleet's: 1 is usual, 2 is half as fast.
     pub relative_latency: f64,
 }
--- a/crates/endpoint-control/src/slow_start.rs
+++ b/crates/endpoint-control/src/slow_start.rs
@@ -14,13 +14,16 @@
 //! a change. A server that rejects or fails requests at once frees their places without doing work: its queue must be
 //! longer than `K`, and a server that fails is ejected, see [`crate::ejection_quorum`].
 
-use broker_types::time::Micros;
+use broker_types::time::whole_micros;
 use const_fnv1a_hash::fnv1a_hash_str_32;
+use std::time::Duration;
 
 /// The part of the limit that is used, since the work of requests varies.
 const SAFETY_FACTOR: f64 = 0.75;
 /// The largest limit that is computed; it keeps the conversion to an integer defined.
 const MAX_LIMIT: f64 = 1e6;
+/// Microseconds in a second.
+const MICROS_PER_SECOND: f64 = 1e6;
 
 /// The figures of a deployment that determine the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,11 +31,11 @@
     /// The share of its capacity that a server has at least when it starts.
     pub initial_share: f64,
     /// Time after which a server has all of its capacity at the latest.
-    pub warm_up_duration: Micros,
+    pub warm_up_duration: Duration,
     /// A server is overloaded when the work sent to it exceeds this multiple of its capacity ...
     pub overload_multiple: f64,
     /// ... over a window of this length.
-    pub overload_window: Micros,
+    pub overload_window: Duration,
     /// Capacity of a warmed-up server, in microseconds of work a second: a million for each core of the smallest
     /// machine type.
     pub capacity: f64,
@@ -44,27 +47,32 @@
     /// The share of its capacity that a server of this age has at least. It never decreases with age, so that a sender
     /// with outdated figures sends less.
     #[must_use]
-    pub fn capacity_share(&self, age: Micros) -> f64 {
-        let progress = age as f64 / (self.warm_up_duration as f64).max(1.0);
+    pub fn capacity_share(&self, age: Duration) -> f64 {
+        let progress = micros(age) / micros(self.warm_up_duration).max(1.0);
         (self.initial_share + (1.0 - self.initial_share) * progress).clamp(0.0, 1.0)
     }
 
     /// Whether a server of this age has warmed up in any case.
     #[must_use]
-    pub fn is_warmed_up(&self, age: Micros) -> bool {
+    pub fn is_warmed_up(&self, age: Duration) -> bool {
         age >= self.warm_up_duration
     }
 
     /// The largest number of requests in flight at a server of this age, from all proxies together.
     #[must_use]
-    pub fn max_in_flight(&self, age: Micros) -> u32 {
+    pub fn max_in_flight(&self, age: Duration) -> u32 {
         let capacity = self.capacity * self.capacity_share(age);
-        let work_per_window = capacity * self.overload_window as f64 / 1e6;
+        let work_per_window = capacity * micros(self.overload_window) / MICROS_PER_SECOND;
         let max_work = SAFETY_FACTOR * (self.overload_multiple - 1.0) * work_per_window;
         (max_work / self.request_work.max(1.0)).clamp(0.0, MAX_LIMIT) as u32
     }
 }
 
+/// A time span in microseconds.
+fn micros(span: Duration) -> f64 {
+    whole_micros(span) as f64
+}
+
 /// One of the control instances that divide the limits of all servers among themselves without communication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlInstance {
--- a/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
+++ b/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
@@ -1,12 +1,14 @@
 //! Which reports eject a server, and for how long.
 
+use crate::figures::at;
 use broker_types::server::NodeId;
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
 use endpoint_control::ProxyName;
 use endpoint_control::ejection_quorum::{
     EjectionQuorum, EjectionRule, ServerLocation, ServerReport,
 };
 use proptest::prelude::*;
+use std::time::Duration;
 
 const CONNECTED_PROXIES: usize = 4;
 const RULE: EjectionRule = EjectionRule {
@@ -14,10 +16,10 @@
     min_vote_share: 0.5,
     min_failure_share: 0.5,
     min_requests: 5,
-    report_lifetime: 10 * SECOND,
-    first_duration: 2 * SECOND,
-    max_duration: 30 * SECOND,
-    forget_after: 60 * SECOND,
+    report_lifetime: Duration::from_secs(10),
+    first_duration: Duration::from_secs(2),
+    max_duration: Duration::from_secs(30),
+    forget_after: Duration::from_secs(60),
     max_ejected_share: 0.5,
     partition_share: 0.8,
 };
@@ -65,7 +67,7 @@
 }
 
 impl SharedReport {
-    fn send(&self, quorum: &mut EjectionQuorum, now: Micros) {
+    fn send(&self, quorum: &mut EjectionQuorum, now: Timestamp) {
         for number in 0..self.proxies {
             quorum.on_report(now, &proxy(number), &server(self.server), self.report);
         }
@@ -80,7 +82,7 @@
     }
 }
 
-fn ejected(quorum: &mut EjectionQuorum, now: Micros) -> Vec<NodeId> {
+fn ejected(quorum: &mut EjectionQuorum, now: Timestamp) -> Vec<NodeId> {
     quorum
         .evaluate(now, &locations(), CONNECTED_PROXIES)
         .into_keys()
@@ -90,22 +92,22 @@
 #[test]
 fn one_vote_ejects_no_server_unless_it_is_from_the_only_proxy() {
     let mut quorum = EjectionQuorum::new(RULE);
-    quorum.on_report(0, &proxy(0), &server(0), FAILING);
+    quorum.on_report(at(0), &proxy(0), &server(0), FAILING);
     for number in 1..4 {
-        quorum.on_report(0, &proxy(number), &server(0), HEALTHY);
+        quorum.on_report(at(0), &proxy(number), &server(0), HEALTHY);
     }
-    assert_eq!(ejected(&mut quorum, 1), []);
-    quorum.on_report(2, &proxy(1), &server(0), FAILING);
-    assert_eq!(ejected(&mut quorum, 3), [server(0)]);
+    assert_eq!(ejected(&mut quorum, at(1)), []);
+    quorum.on_report(at(2), &proxy(1), &server(0), FAILING);
+    assert_eq!(ejected(&mut quorum, at(3)), [server(0)]);
     let mut single_report = EjectionQuorum::new(RULE);
-    single_report.on_report(0, &proxy(0), &server(0), FAILING);
+    single_report.on_report(at(0), &proxy(0), &server(0), FAILING);
     assert_eq!(
-        ejected(&mut single_report, 1),
+        ejected(&mut single_report, at(1)),
         [],
         "other proxies are connected, though they send nothing to this server"
     );
     assert_eq!(
-        single_report.evaluate(2, &locations(), 1).len(),
+        single_report.evaluate(at(2), &locations(), 1).len(),
         1,
         "it is the only proxy"
     );
@@ -115,39 +117,39 @@
 fn ejections_stop_at_the_cap_of_the_cell() {
     let mut quorum = EjectionQuorum::new(RULE);
     for number in 0..4 {
-        report_from(3, number, FAILING).send(&mut quorum, 0);
+        report_from(3, number, FAILING).send(&mut quorum, at(0));
     }
-    assert_eq!(ejected(&mut quorum, 1).len(), 2);
+    assert_eq!(ejected(&mut quorum, at(1)).len(), 2);
 }
 
 #[test]
 fn servers_of_a_partitioned_zone_are_not_ejected_as_unreachable() {
     let mut quorum = EjectionQuorum::new(RULE);
     for number in 0..2 {
-        report_from(3, number, UNREACHABLE).send(&mut quorum, 0);
+        report_from(3, number, UNREACHABLE).send(&mut quorum, at(0));
     }
     for number in 2..4 {
-        report_from(3, number, HEALTHY).send(&mut quorum, 0);
+        report_from(3, number, HEALTHY).send(&mut quorum, at(0));
     }
-    assert_eq!(ejected(&mut quorum, 1), []);
+    assert_eq!(ejected(&mut quorum, at(1)), []);
     // One unreachable server beside a healthy one of its zone has failed.
-    report_from(3, 1, HEALTHY).send(&mut quorum, 2);
-    assert_eq!(ejected(&mut quorum, 3), [server(0)]);
+    report_from(3, 1, HEALTHY).send(&mut quorum, at(2));
+    assert_eq!(ejected(&mut quorum, at(3)), [server(0)]);
 }
 
 #[test]
 fn repeated_ejections_last_longer_and_outdated_reports_are_dropped() {
     let mut quorum = EjectionQuorum::new(RULE);
     let mut durations_s = Vec::new();
-    let mut now = 0;
+    let mut now = at(0);
     for _ in 0..4 {
         report_from(2, 0, FAILING).send(&mut quorum, now);
         let ends_at = quorum.evaluate(now, &locations(), CONNECTED_PROXIES)[&server(0)];
-        durations_s.push((ends_at - now) / SECOND);
+        durations_s.push(ends_at.saturating_since(now).as_secs_f64());
         now = ends_at;
         assert_eq!(ejected(&mut quorum, now), [], "the server is readmitted");
     }
-    assert_eq!(durations_s, [2, 4, 8, 16]);
+    assert_eq!(durations_s, [2.0, 4.0, 8.0, 16.0]);
     report_from(2, 1, FAILING).send(&mut quorum, now);
     assert_eq!(ejected(&mut quorum, now + RULE.report_lifetime), []);
 }
@@ -159,12 +161,12 @@
     server: usize,
     report: ServerReport,
     /// Time since the report before.
-    delay: Micros,
+    delay: Duration,
 }
 
 fn any_report() -> impl Strategy<Value = AnyReport> {
     let counts = (0u64..20, 0u64..20, 0u64..20);
-    (0usize..5, 0usize..4, counts, 0u64..3 * SECOND).prop_map(
+    (0usize..5, 0usize..4, counts, 0u64..3_000_000).prop_map(
         |(proxy, server, (succeeded, failed, unanswered), delay)| AnyReport {
             proxy,
             server,
@@ -173,7 +175,7 @@
                 failed,
                 unanswered,
             },
-            delay,
+            delay: Duration::from_micros(delay),
         },
     )
 }
@@ -197,21 +199,21 @@
         false_reports in prop::collection::vec(false_report(), 0..20),
     ) {
         let mut quorum = EjectionQuorum::new(RULE);
-        let mut now = 0;
+        let mut now = at(0);
         for AnyReport { proxy: from, server: about, report, delay } in reports {
-            now += delay;
+            now = now + delay;
             quorum.on_report(now, &proxy(from), &server(about), report);
             prop_assert!(ejected(&mut quorum, now).len() <= 2);
         }
         let mut healthy = EjectionQuorum::new(RULE);
         for about in 0..4 {
             for from in 1..4 {
-                healthy.on_report(0, &proxy(from), &server(about), HEALTHY);
+                healthy.on_report(at(0), &proxy(from), &server(about), HEALTHY);
             }
         }
         for (about, report) in false_reports {
-            healthy.on_report(1, &proxy(0), &server(about), report);
-            prop_assert_eq!(ejected(&mut healthy, 2), []);
+            healthy.on_report(at(1), &proxy(0), &server(about), report);
+            prop_assert_eq!(ejected(&mut healthy, at(2)), []);
         }
     }
 }
--- a/crates/endpoint-control/tests/endpoint_control/endpoint_assignment.rs
+++ b/crates/endpoint-control/tests/endpoint_control/endpoint_assignment.rs
@@ -1,8 +1,8 @@
 //! The clusters and endpoints that proxies receive.
 
-use crate::figures::{LEASE_TIMES, SLOW_START_RULE};
+use crate::figures::{LEASE_TIMES, SLOW_START_RULE, at, seconds};
 use broker_types::server::{NodeId, ServingState};
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
 use endpoint_control::endpoint_assignment::{
     CellCluster, Health, SlowStartAssigner, SlowStartEndpoint, assign_clusters,
 };
@@ -12,6 +12,7 @@
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 fn view(number: usize) -> ServerView {
     ServerView {
@@ -27,7 +28,7 @@
 }
 
 /// The clusters at this moment without ejections by a quorum.
-fn clusters(now: Micros, views: &[ServerView]) -> Vec<CellCluster> {
+fn clusters(now: Timestamp, views: &[ServerView]) -> Vec<CellCluster> {
     assign_clusters(now, views, &BTreeMap::new(), &SLOW_START_RULE)
 }
 
@@ -44,18 +45,18 @@
 fn cells_become_clusters_whose_rows_do_not_change_with_health() {
     let mut views: Vec<ServerView> = (0..6).map(view).collect();
     views[2].state = ServingState::Draining;
-    views[4].ejected_until = Some(10);
+    views[4].ejected_until = Some(at(10));
     assert_eq!(
-        health(&clusters(5, &views), 0),
+        health(&clusters(at(5), &views), 0),
         [
             (0, Health::Healthy),
             (1, Health::Draining),
             (2, Health::Unhealthy)
         ]
     );
-    assert_eq!(health(&clusters(10, &views), 0)[2].1, Health::Healthy);
-    let ejected_until = BTreeMap::from([(views[1].name.clone(), 20)]);
-    let clusters = assign_clusters(10, &views, &ejected_until, &SLOW_START_RULE);
+    assert_eq!(health(&clusters(at(10), &views), 0)[2].1, Health::Healthy);
+    let ejected_until = BTreeMap::from([(views[1].name.clone(), at(20))]);
+    let clusters = assign_clusters(at(10), &views, &ejected_until, &SLOW_START_RULE);
     assert_eq!(health(&clusters, 1)[0].1, Health::Unhealthy);
 }
 
@@ -63,9 +64,9 @@
 fn cell_whose_servers_are_all_ejected_is_assigned_as_healthy() {
     let mut views: Vec<ServerView> = (0..4).map(view).collect();
     for ejected in &mut views[..3] {
-        ejected.ejected_until = Some(10);
+        ejected.ejected_until = Some(at(10));
     }
-    let clusters = clusters(5, &views);
+    let clusters = clusters(at(5), &views);
     assert_eq!(
         health(&clusters, 0),
         [(0, Health::Healthy), (1, Health::Healthy)]
@@ -83,7 +84,7 @@
             relative_latency,
             ..view(0)
         };
-        clusters(0, &[view])[0].endpoints[0].weight
+        clusters(at(0), &[view])[0].endpoints[0].weight
     };
     assert_eq!(
         [0.1, 0.5, 1.0, 1.1, 2.0, 100.0, f64::NAN, -1.0].map(weight),
@@ -94,7 +95,7 @@
 #[test]
 fn server_that_is_warming_up_is_assigned_only_to_lease_holders() {
     let mut views: Vec<ServerView> = (0..4).map(view).collect();
-    views[0].started_at = Some(0);
+    views[0].started_at = Some(at(0));
     let proxies: Vec<ProxyName> = (0..10).map(|number| format!("p{number}").into()).collect();
     let mut leases = LeaseTable::new(LEASE_TIMES);
     let assigner = SlowStartAssigner {
@@ -106,24 +107,24 @@
             count: 1,
         },
     };
-    let mut assign = |now: Micros| -> BTreeMap<ProxyName, Vec<SlowStartEndpoint>> {
+    let mut assign = |now: Timestamp| -> BTreeMap<ProxyName, Vec<SlowStartEndpoint>> {
         assigner.assign_endpoints(now, &mut leases)
     };
-    assert_eq!(health(&clusters(0, &views), 0), [(1, Health::Healthy)]);
-    let first = assign(0);
+    assert_eq!(health(&clusters(at(0), &views), 0), [(1, Health::Healthy)]);
+    let first = assign(at(0));
     let endpoints = first.values().flatten();
     assert_eq!(
         endpoints
             .map(|endpoint| endpoint.max_in_flight)
             .sum::<u32>(),
-        SLOW_START_RULE.max_in_flight(0)
+        SLOW_START_RULE.max_in_flight(Duration::ZERO)
     );
-    let second = assign(SECOND);
+    let second = assign(seconds(1));
     assert!(
         first.keys().all(|proxy| second.contains_key(proxy)),
         "holders keep their leases"
     );
-    let warmed_up = 16 * SECOND;
+    let warmed_up = seconds(16);
     assert!(assign(warmed_up).is_empty());
     assert_eq!(health(&clusters(warmed_up, &views), 0).len(), 2);
 }
@@ -133,15 +134,16 @@
     fn all_instances_together_keep_to_the_limit_of_a_server(
         proxies in 0usize..40,
         instances in 1u32..6,
-        ages in prop::collection::vec(0u64..16 * SECOND, 1..20),
+        ages in prop::collection::vec(0u64..16_000_000, 1..20),
     ) {
         let mut started = view(0);
-        started.started_at = Some(0);
+        started.started_at = Some(at(0));
         let mut ages = ages;
         ages.sort_unstable();
         let mut tables: Vec<LeaseTable> =
             (0..instances).map(|_| LeaseTable::new(LEASE_TIMES)).collect();
-        for now in ages {
+        for age in ages {
+            let now = at(age);
             for (number, leases) in tables.iter_mut().enumerate() {
                 let own_proxies: Vec<ProxyName> = (0..proxies)
                     .map(|proxy| format!("i{number}p{proxy}").into())
@@ -158,7 +160,7 @@
                 .iter()
                 .map(|leases| leases.reserved_units(&started.name))
                 .sum();
-            prop_assert!(reserved <= SLOW_START_RULE.max_in_flight(now));
+            prop_assert!(reserved <= SLOW_START_RULE.max_in_flight(Duration::from_micros(age)));
         }
     }
 }
--- a/crates/endpoint-control/tests/endpoint_control/leases.rs
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -1,8 +1,8 @@
 //! How long the units of a lease stay reserved.
 
-use crate::figures::LEASE_TIMES;
+use crate::figures::{LEASE_TIMES, at, seconds};
 use broker_types::server::NodeId;
-use broker_types::time::{Micros, SECOND};
+use broker_types::time::Timestamp;
 use endpoint_control::ProxyName;
 use endpoint_control::leases::{LeaseRequest, LeaseTable};
 
@@ -34,7 +34,7 @@
 }
 
 /// Requests a lease and returns the granted units.
-fn grant(leases: &mut LeaseTable, now: Micros, wanted: Wanted) -> u32 {
+fn grant(leases: &mut LeaseTable, now: Timestamp, wanted: Wanted) -> u32 {
     let request = LeaseRequest {
         server: &server(),
         holder: &proxy(wanted.holder),
@@ -53,12 +53,12 @@
         server_limit,
     };
     let granted: Vec<u32> = (0..5)
-        .map(|holder| grant(&mut leases, 0, two_units(holder, 5)))
+        .map(|holder| grant(&mut leases, at(0), two_units(holder, 5)))
         .collect();
     assert_eq!(granted, [2, 2, 1, 0, 0]);
     assert_eq!(leases.reserved_units(&server()), 5);
     assert_eq!(
-        grant(&mut leases, 0, two_units(2, 6)),
+        grant(&mut leases, at(0), two_units(2, 6)),
         2,
         "a lease grows with the limit"
     );
@@ -68,52 +68,52 @@
 #[test]
 fn lease_stays_reserved_until_its_holder_cannot_use_it() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    grant(&mut leases, 0, Wanted::all(0, 3));
-    leases.on_acknowledged(SECOND, &proxy(0));
+    grant(&mut leases, at(0), Wanted::all(0, 3));
+    leases.on_acknowledged(seconds(1), &proxy(0));
     assert_eq!(
-        grant(&mut leases, 3 * SECOND, Wanted::all(1, 3)),
+        grant(&mut leases, seconds(3), Wanted::all(1, 3)),
         0,
         "the time to live has just ended"
     );
     assert_eq!(
-        grant(&mut leases, 7 * SECOND - 1, Wanted::all(1, 3)),
+        grant(&mut leases, at(6_999_999), Wanted::all(1, 3)),
         0,
         "the last request may be in flight"
     );
-    assert_eq!(grant(&mut leases, 7 * SECOND, Wanted::all(1, 3)), 3);
-    leases.on_released(8 * SECOND, &server(), &proxy(1));
-    assert_eq!(grant(&mut leases, 12 * SECOND - 1, Wanted::all(0, 3)), 0);
-    assert_eq!(grant(&mut leases, 12 * SECOND, Wanted::all(0, 3)), 3);
+    assert_eq!(grant(&mut leases, seconds(7), Wanted::all(1, 3)), 3);
+    leases.on_released(seconds(8), &server(), &proxy(1));
+    assert_eq!(grant(&mut leases, at(11_999_999), Wanted::all(0, 3)), 0);
+    assert_eq!(grant(&mut leases, seconds(12), Wanted::all(0, 3)), 3);
 }
 
 /// A message that is not acknowledged may be read late: until the longest pause of a proxy after the end of its stream.
 #[test]
 fn unacknowledged_lease_stays_reserved_until_its_stream_has_ended() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    grant(&mut leases, 0, Wanted::all(0, 3));
-    assert_eq!(grant(&mut leases, 1000 * SECOND, Wanted::all(1, 3)), 0);
-    leases.on_stream_ended(1000 * SECOND, &proxy(0));
-    assert_eq!(grant(&mut leases, 1016 * SECOND - 1, Wanted::all(1, 3)), 0);
-    assert_eq!(grant(&mut leases, 1016 * SECOND, Wanted::all(1, 3)), 3);
+    grant(&mut leases, at(0), Wanted::all(0, 3));
+    assert_eq!(grant(&mut leases, seconds(1000), Wanted::all(1, 3)), 0);
+    leases.on_stream_ended(seconds(1000), &proxy(0));
+    assert_eq!(grant(&mut leases, at(1_015_999_999), Wanted::all(1, 3)), 0);
+    assert_eq!(grant(&mut leases, seconds(1016), Wanted::all(1, 3)), 3);
 }
 
 #[test]
 fn renewed_lease_continues_and_draining_lease_is_not_renewed() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
     for second in 0..10 {
-        assert_eq!(grant(&mut leases, second * SECOND, Wanted::all(0, 1)), 1);
-        leases.on_acknowledged(second * SECOND, &proxy(0));
+        assert_eq!(grant(&mut leases, seconds(second), Wanted::all(0, 1)), 1);
+        leases.on_acknowledged(seconds(second), &proxy(0));
     }
-    leases.on_released(10 * SECOND, &server(), &proxy(0));
-    assert_eq!(grant(&mut leases, 11 * SECOND, Wanted::all(0, 1)), 0);
+    leases.on_released(seconds(10), &server(), &proxy(0));
+    assert_eq!(grant(&mut leases, seconds(11), Wanted::all(0, 1)), 0);
 }
 
 #[test]
 fn units_of_a_removed_server_are_free_again() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    grant(&mut leases, 0, Wanted::all(0, 3));
-    assert_eq!(grant(&mut leases, 0, Wanted::all(1, 3)), 0);
+    grant(&mut leases, at(0), Wanted::all(0, 3));
+    assert_eq!(grant(&mut leases, at(0), Wanted::all(1, 3)), 0);
     leases.remove_server(&server());
     assert_eq!(leases.reserved_units(&server()), 0);
-    assert_eq!(grant(&mut leases, 0, Wanted::all(1, 3)), 3);
+    assert_eq!(grant(&mut leases, at(0), Wanted::all(1, 3)), 3);
 }
--- a/crates/endpoint-control/tests/endpoint_control/slow_start.rs
+++ b/crates/endpoint-control/tests/endpoint_control/slow_start.rs
@@ -1,33 +1,35 @@
 //! The limit of requests in flight at a server that is warming up.
 
 use crate::figures::SLOW_START_RULE;
-use broker_types::time::{Micros, SECOND};
 use endpoint_control::slow_start::ControlInstance;
 use proptest::prelude::*;
+use std::time::Duration;
 
 #[test]
 fn limit_starts_low_and_grows_until_the_server_has_warmed_up() {
-    let limits = [0, 4, 8, 12, 16].map(|seconds| SLOW_START_RULE.max_in_flight(seconds * SECOND));
+    let limits = [0, 4, 8, 12, 16]
+        .map(|seconds| SLOW_START_RULE.max_in_flight(Duration::from_secs(seconds)));
     assert_eq!(limits, [3, 6, 10, 14, 17]);
-    assert!(!SLOW_START_RULE.is_warmed_up(16 * SECOND - 1));
-    assert!(SLOW_START_RULE.is_warmed_up(16 * SECOND));
+    assert!(!SLOW_START_RULE.is_warmed_up(Duration::from_micros(15_999_999)));
+    assert!(SLOW_START_RULE.is_warmed_up(Duration::from_secs(16)));
 }
 
 /// A request that was sent to the server.
 struct SentRequest {
-    at: Micros,
+    /// Age of the server.
+    at: Duration,
     work: f64,
 }
 
 /// Clients that always have as many requests in flight as the limit allows, which is the worst case, and a server that
 /// does as much as its present capacity allows.
 fn requests_of_saturating_clients() -> Vec<SentRequest> {
-    const STEP: Micros = 1000;
+    const STEP: Duration = Duration::from_millis(1);
     let rule = SLOW_START_RULE;
     let mut requests = Vec::new();
     let (mut in_flight, mut remaining_work) = (0u32, 0.0f64);
     let outstanding = |remaining_work: f64| (remaining_work / rule.request_work).ceil() as u32;
-    let mut now = 0;
+    let mut now = Duration::ZERO;
     while now < rule.warm_up_duration {
         while in_flight < rule.max_in_flight(now) {
             requests.push(SentRequest {
@@ -38,7 +40,7 @@
             remaining_work += rule.request_work;
         }
         let outstanding_before = outstanding(remaining_work);
-        let work_done = rule.capacity * rule.capacity_share(now) * STEP as f64 / 1e6;
+        let work_done = rule.capacity * rule.capacity_share(now) * STEP.as_secs_f64();
         remaining_work = (remaining_work - work_done).max(0.0);
         in_flight -= outstanding_before - outstanding(remaining_work);
         now += STEP;
@@ -58,10 +60,10 @@
             .map(|request| request.work)
             .sum();
         let capacity = rule.capacity * rule.capacity_share(first.at);
-        let max_work = rule.overload_multiple * capacity * rule.overload_window as f64 / 1e6;
+        let max_work = rule.overload_multiple * capacity * rule.overload_window.as_secs_f64();
         assert!(
             sent_work <= max_work,
-            "{sent_work} of {max_work} from {}",
+            "{sent_work} of {max_work} from {:?}",
             first.at
         );
     }
@@ -106,8 +108,8 @@
     }
 
     #[test]
-    fn limit_never_decreases_with_age(a in 0u64..30 * SECOND, b in 0u64..30 * SECOND) {
-        let (younger, older) = (a.min(b), a.max(b));
+    fn limit_never_decreases_with_age(a in 0u64..30_000_000, b in 0u64..30_000_000) {
+        let (younger, older) = (Duration::from_micros(a.min(b)), Duration::from_micros(a.max(b)));
         prop_assert!(
             SLOW_START_RULE.max_in_flight(younger) <= SLOW_START_RULE.max_in_flight(older)
         );
