--- a/crates/endpoint-control/src/ejection_quorum.rs
+++ b/crates/endpoint-control/src/ejection_quorum.rs
@@ -6,64 +6,18 @@
 //! unreachable. A cap on the ejected servers of a cell keeps the others from being overloaded. A server that is ejected
 //! again and again stays ejected for longer each time.
 
+mod record;
+mod report;
+mod rule;
+
+pub use report::ServerReport;
+pub use rule::EjectionRule;
+
 use crate::ProxyName;
 use broker_types::server::NodeId;
 use broker_types::time::Timestamp;
+use record::{QuorumReason, ServerRecord};
 use std::collections::{BTreeMap, BTreeSet};
-use std::time::Duration;
-
-/// The figures of ejection.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct EjectionRule {
-    /// Smallest number of votes that eject a server. If fewer proxies are connected, all of them have to vote.
-    pub min_votes: usize,
-    /// Smallest share of the reporting proxies whose votes eject a server.
-    pub min_vote_share: f64,
-    /// Share of failed requests from which a report is a vote to eject.
-    pub min_failure_share: f64,
-    /// Number of requests from which a report can be a vote to eject.
-    pub min_requests: u64,
-    /// Age at which a report is dropped.
-    pub report_lifetime: Duration,
-    /// Duration of the first ejection; each further one lasts twice as long as the one before.
-    pub first_duration: Duration,
-    /// Longest duration of an ejection.
-    pub max_duration: Duration,
-    /// Time after the end of an ejection after which the next one counts as the first again.
-    pub forget_after: Duration,
-    /// Largest share of a cell's servers that are ejected at the same time.
-    pub max_ejected_share: f64,
-    /// Share of unreachable servers from which a zone is taken for partitioned.
-    pub partition_share: f64,
-}
-
-/// What a proxy reports of one server over its last interval.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct ServerReport {
-    /// Requests that succeeded.
-    pub succeeded: u64,
-    /// Requests that the server answered with a failure.
-    pub failed: u64,
-    /// Requests that ended without an answer.
-    pub unanswered: u64,
-}
-
-impl ServerReport {
-    fn requests(&self) -> u64 {
-        self.succeeded + self.failed + self.unanswered
-    }
-
-    fn is_vote_to_eject(&self, rule: &EjectionRule) -> bool {
-        let failures = (self.failed + self.unanswered) as f64;
-        self.requests() >= rule.min_requests
-            && failures >= rule.min_failure_share * self.requests() as f64
-    }
-
-    /// Whether the server has answered nothing at all.
-    fn is_unreachable(&self) -> bool {
-        self.succeeded == 0 && self.failed == 0 && self.unanswered > 0
-    }
-}
 
 /// The cell and the zone of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -76,65 +30,6 @@
     pub zone: Option<usize>,
 }
 
-/// Why a quorum votes to eject a server.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum QuorumReason {
-    /// Some of the voters had answers from the server.
-    Failing,
-    /// None of the voters had an answer from the server.
-    Unreachable,
-}
-
-#[derive(Clone, Copy, Debug)]
-struct ReceivedReport {
-    received_at: Timestamp,
-    report: ServerReport,
-}
-
-/// An ejection that has ended or will end.
-#[derive(Clone, Copy, Debug)]
-struct Ejection {
-    duration: Duration,
-    ends_at: Timestamp,
-}
-
-#[derive(Clone, Debug, Default)]
-struct ServerRecord {
-    /// The last report of each proxy.
-    reports: BTreeMap<ProxyName, ReceivedReport>,
-    /// When the present ejection ends.
-    ejected_until: Option<Timestamp>,
-    last_ejection: Option<Ejection>,
-}
-
-impl ServerRecord {
-    fn is_empty(&self) -> bool {
-        self.reports.is_empty() && self.ejected_until.is_none() && self.last_ejection.is_none()
-    }
-
-    fn eject(&mut self, now: Timestamp, rule: &EjectionRule) {
-        let duration = self.last_ejection.map_or(rule.first_duration, |last| {
-            (2 * last.duration).min(rule.max_duration)
-        });
-        let ends_at = now + duration;
-        self.last_ejection = Some(Ejection { duration, ends_at });
-        self.ejected_until = Some(ends_at);
-    }
-
-    /// Ends the ejection if it has run out.
-    fn readmit(&mut self, now: Timestamp, rule: &EjectionRule) {
-        let Some(ends_at) = self.ejected_until.filter(|until| *until <= now) else {
-            return;
-        };
-        let last = self.last_ejection;
-        let duration = last.map_or(rule.first_duration, |last| last.duration);
-        self.last_ejection = Some(Ejection { duration, ends_at });
-        self.ejected_until = None;
-        // Reports from before its return say nothing about the server now.
-        self.reports.clear();
-    }
-}
-
 /// The reports of proxies and the ejections that follow from them. Its size is bounded by the number of proxies times
 /// the number of servers with recent reports.
 #[derive(Clone, Debug)]
@@ -176,12 +71,7 @@
     ) {
         if report.requests() > 0 {
             let record = self.records.entry(server.clone()).or_default();
-            let received_at = now;
-            let received = ReceivedReport {
-                received_at,
-                report,
-            };
-            record.reports.insert(proxy.clone(), received);
+            record.on_report(now, proxy, report);
         }
     }
 
@@ -213,14 +103,8 @@
     }
 
     fn drop_outdated(&mut self, now: Timestamp) {
-        let rule = self.rule;
         for record in self.records.values_mut() {
-            record.reports.retain(|_, report| {
-                now.saturating_since(report.received_at) < rule.report_lifetime
-            });
-            record.last_ejection = record
-                .last_ejection
-                .filter(|last| now < last.ends_at + rule.forget_after);
+            record.drop_outdated(now, &self.rule);
         }
         self.records.retain(|_, record| !record.is_empty());
     }
@@ -236,7 +120,7 @@
             return false;
         }
         let record = self.records.get(&location.server);
-        match record.and_then(|record| self.quorum_reason(record, connected_proxies)) {
+        match record.and_then(|record| record.quorum_reason(connected_proxies, &self.rule)) {
             None => false,
             Some(QuorumReason::Failing) => true,
             Some(QuorumReason::Unreachable) => location
@@ -245,40 +129,13 @@
         }
     }
 
-    /// Why a quorum votes to eject the server; `None` without a quorum.
-    fn quorum_reason(
-        &self,
-        record: &ServerRecord,
-        connected_proxies: usize,
-    ) -> Option<QuorumReason> {
-        let votes: Vec<&ServerReport> = record
-            .reports
-            .values()
-            .map(|received| &received.report)
-            .filter(|report| report.is_vote_to_eject(&self.rule))
-            .collect();
-        let reporting = record.reports.len() as f64;
-        let share = (self.rule.min_vote_share * reporting).ceil().max(1.0) as usize;
-        // One proxy alone proves nothing where others exist, even if none of them sends to this server. Where it is the
-        // only one, there is no other view.
-        let needed = share.max(self.rule.min_votes.min(connected_proxies));
-        if votes.is_empty() || votes.len() < needed {
-            return None;
-        }
-        if votes.iter().all(|report| report.is_unreachable()) {
-            Some(QuorumReason::Unreachable)
-        } else {
-            Some(QuorumReason::Failing)
-        }
-    }
-
     fn allows_another_ejection(&self, cell: CellCount) -> bool {
         (cell.ejected + 1) as f64 <= self.rule.max_ejected_share * cell.servers as f64
     }
 
     fn is_ejected(&self, server: &NodeId) -> bool {
         let record = self.records.get(server);
-        record.is_some_and(|record| record.ejected_until.is_some())
+        record.is_some_and(ServerRecord::is_ejected)
     }
 
     fn count_cells(&self, locations: &[ServerLocation]) -> BTreeMap<usize, CellCount> {
@@ -303,10 +160,10 @@
             let (Some(zone), Some(record)) = (location.zone, record) else {
                 continue;
             };
-            if record.reports.is_empty() {
+            if !record.has_reports() {
                 continue;
             }
-            let reason = self.quorum_reason(record, connected_proxies);
+            let reason = record.quorum_reason(connected_proxies, &self.rule);
             let count = zones.entry(zone).or_default();
             count.reported += 1;
             count.unreachable += usize::from(reason == Some(QuorumReason::Unreachable));
@@ -321,7 +178,7 @@
     fn ejections(&self, locations: &[ServerLocation]) -> BTreeMap<NodeId, Timestamp> {
         let ejection = |location: &ServerLocation| {
             let record = self.records.get(&location.server)?;
-            Some((location.server.clone(), record.ejected_until?))
+            Some((location.server.clone(), record.ejected_until()?))
         };
         locations.iter().filter_map(ejection).collect()
     }
