--- a/crates/broker/src/queries/idempotency.rs
+++ b/crates/broker/src/queries/idempotency.rs
@@ -1,7 +1,9 @@
 //! Idempotency keys of the queries in flight: which attempts may be sent, and what their ends prove.
 
 use super::DispatchError;
-use ::idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
+use ::idempotency::{
+    ExecutionEvidence, IdempotencyRegister, KeyAdmission, QueryEnd, RegisterLimits,
+};
 use broker_types::query::{AttemptId, PartSpec};
 use broker_types::server::Outcome;
 use broker_types::time::{Timestamp, millis};
@@ -104,7 +106,12 @@
 
     /// Releases the key of a query that has ended.
     pub(super) fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, is_answered: bool) {
-        self.register.on_query_ended(now, key, is_answered);
+        let end = if is_answered {
+            QueryEnd::Answered
+        } else {
+            QueryEnd::Unanswered
+        };
+        self.register.on_query_ended(now, key, end);
     }
 }
 
--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -20,7 +20,7 @@
 }
 
 impl PartState {
-    pub(crate) fn on_attempt_sent(&mut self, now: Timestamp, deadline: Timestamp) {
+    fn on_attempt_sent(&mut self, now: Timestamp, deadline: Timestamp) {
         self.first_sent_at.get_or_insert(now);
         self.in_flight += 1;
         self.busy_until = self.busy_until.max(deadline);
@@ -68,11 +68,11 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyState {
     /// Deadline of the key's query, while one is in flight.
-    pub(crate) query_deadline: Option<Timestamp>,
+    query_deadline: Option<Timestamp>,
     /// The parts that were sent, by shard.
-    pub(crate) parts: BTreeMap<usize, PartState>,
+    parts: BTreeMap<usize, PartState>,
     /// Time at which the key may be forgotten; meaningful only while no query is in flight.
-    pub(crate) forget_at: Timestamp,
+    forget_at: Timestamp,
 }
 
 impl KeyState {
@@ -97,6 +97,32 @@
         busy_until.map_or(KeyAdmission::Admitted, KeyAdmission::RetryAt)
     }
 
+    /// Records that a query of this key was admitted, whose client waits until `deadline`.
+    pub(crate) fn start_query(&mut self, deadline: Timestamp) {
+        self.query_deadline = Some(deadline);
+    }
+
+    /// Records that the query in flight has ended; `None` where there was none.
+    pub(crate) fn end_query(&mut self) -> Option<Timestamp> {
+        self.query_deadline.take()
+    }
+
+    /// What is known of the part for a shard, if it was sent.
+    pub(crate) fn part(&self, shard: usize) -> Option<&PartState> {
+        self.parts.get(&shard)
+    }
+
+    /// Whether a part was sent that is not forgotten.
+    pub(crate) fn has_parts(&self) -> bool {
+        !self.parts.is_empty()
+    }
+
+    /// Records that an attempt at a part is sent, which times out at `deadline`.
+    pub(crate) fn on_attempt_sent(&mut self, now: Timestamp, shard: usize, deadline: Timestamp) {
+        let part = self.parts.entry(shard).or_default();
+        part.on_attempt_sent(now, deadline);
+    }
+
     /// Records the end of an attempt. A part of which nothing may have been executed is forgotten at once.
     pub(crate) fn on_attempt_ended(
         &mut self,
@@ -117,6 +143,17 @@
         self.parts.values().any(|part| part.in_flight > 0)
     }
 
+    /// Time at which the key may be forgotten; meaningful only while no query is in flight.
+    pub(crate) fn forget_at(&self) -> Timestamp {
+        self.forget_at
+    }
+
+    /// Sets the time at which the key may be forgotten, and returns it.
+    pub(crate) fn retain_until(&mut self, forget_at: Timestamp) -> Timestamp {
+        self.forget_at = forget_at;
+        forget_at
+    }
+
     /// The latest time at which an attempt was sent first or may be executed; `now` where there are no parts.
     pub(crate) fn latest_activity(&self, now: Timestamp) -> Timestamp {
         let activity = |part: &PartState| part.first_sent_at.unwrap_or(now).max(part.busy_until);
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -15,9 +15,11 @@
 mod execution;
 mod key_admission;
 mod key_state;
+mod query_end;
 mod register;
 mod retention;
 
 pub use execution::ExecutionEvidence;
 pub use key_admission::KeyAdmission;
+pub use query_end::QueryEnd;
 pub use register::{IdempotencyRegister, RegisterLimits};
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -3,6 +3,7 @@
 use crate::execution::ExecutionEvidence;
 use crate::key_admission::KeyAdmission;
 use crate::key_state::{KeyState, PartState};
+use crate::query_end::QueryEnd;
 use crate::retention::{RetainedKey, RetentionQueue};
 use broker_types::time::Timestamp;
 use std::collections::BTreeMap;
@@ -58,9 +59,9 @@
         };
         if admission == KeyAdmission::Admitted {
             let state = self.keys.entry(key.clone()).or_default();
-            state.query_deadline = Some(deadline);
+            state.start_query(deadline);
             self.retention.remove(&RetainedKey {
-                forget_at: state.forget_at,
+                forget_at: state.forget_at(),
                 key: key.clone(),
             });
         }
@@ -90,8 +91,7 @@
         deadline: Timestamp,
     ) {
         if let Some(state) = self.keys.get_mut(key) {
-            let part = state.parts.entry(shard).or_default();
-            part.on_attempt_sent(now, deadline);
+            state.on_attempt_sent(now, shard, deadline);
         }
     }
 
@@ -108,25 +108,24 @@
         }
     }
 
-    /// Records that the query of this key has ended, with an answer or without one. After an answer its client has no
-    /// reason to retry.
-    pub fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, is_answered: bool) {
+    /// Records that the query of this key has ended.
+    pub fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, end: QueryEnd) {
         let Some(state) = self.keys.get_mut(key) else {
             return;
         };
-        if state.query_deadline.take().is_none() {
+        if state.end_query().is_none() {
             return;
         }
-        if state.parts.is_empty() {
+        if !state.has_parts() {
             self.keys.remove(key);
             return;
         }
-        state.forget_at = state.latest_activity(now) + self.limits.window + self.limits.retention;
+        let forget_at = state.latest_activity(now) + self.limits.window + self.limits.retention;
         let retained = RetainedKey {
-            forget_at: state.forget_at,
+            forget_at: state.retain_until(forget_at),
             key: key.clone(),
         };
-        self.retention.insert(retained, is_answered);
+        self.retention.insert(retained, end);
     }
 
     /// Number of keys that are remembered.
@@ -136,7 +135,7 @@
     }
 
     fn part(&self, key: &str, shard: usize) -> Option<&PartState> {
-        self.keys.get(key)?.parts.get(&shard)
+        self.keys.get(key)?.part(shard)
     }
 
     /// Admits a key that is not remembered, where there is space for it or a key whose query was answered can be
@@ -155,14 +154,14 @@
 
     fn forget_expired_keys(&mut self, now: Timestamp) {
         while let Some(expired) = self.retention.first_expired(now).cloned() {
-            let is_answered = self.retention.remove(&expired);
-            self.forget_or_postpone(now, expired, is_answered);
+            let end = self.retention.remove(&expired);
+            self.forget_or_postpone(now, expired, end);
         }
     }
 
     /// Forgets a key, unless it has an attempt in flight: such an attempt is past its deadline and its end should have
     /// been reported, but the key must not be forgotten all the same.
-    fn forget_or_postpone(&mut self, now: Timestamp, expired: RetainedKey, is_answered: bool) {
+    fn forget_or_postpone(&mut self, now: Timestamp, expired: RetainedKey, end: QueryEnd) {
         let Some(state) = self.keys.get_mut(&expired.key) else {
             return;
         };
@@ -170,11 +169,10 @@
             self.keys.remove(&expired.key);
             return;
         }
-        state.forget_at = now + self.limits.window;
         let postponed = RetainedKey {
-            forget_at: state.forget_at,
+            forget_at: state.retain_until(now + self.limits.window),
             key: expired.key,
         };
-        self.retention.insert(postponed, is_answered);
+        self.retention.insert(postponed, end);
     }
 }
--- a/crates/idempotency/src/retention.rs
+++ b/crates/idempotency/src/retention.rs
@@ -1,5 +1,6 @@
 //! The order in which keys are forgotten.
 
+use crate::query_end::QueryEnd;
 use broker_types::time::Timestamp;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -20,17 +21,22 @@
 }
 
 impl RetentionQueue {
-    pub(crate) fn insert(&mut self, retained: RetainedKey, is_answered: bool) {
-        if is_answered {
+    /// Inserts a key whose last query ended like this.
+    pub(crate) fn insert(&mut self, retained: RetainedKey, end: QueryEnd) {
+        if end == QueryEnd::Answered {
             self.answered.insert(retained.clone());
         }
         self.retained.insert(retained);
     }
 
-    /// Removes a key. Returns whether its last query was answered.
-    pub(crate) fn remove(&mut self, retained: &RetainedKey) -> bool {
+    /// Removes a key, and returns how its last query ended.
+    pub(crate) fn remove(&mut self, retained: &RetainedKey) -> QueryEnd {
         self.retained.remove(retained);
-        self.answered.remove(retained)
+        if self.answered.remove(retained) {
+            QueryEnd::Answered
+        } else {
+            QueryEnd::Unanswered
+        }
     }
 
     /// Removes the first key whose query was answered.
--- a/crates/idempotency/tests/random_retries.rs
+++ b/crates/idempotency/tests/random_retries.rs
@@ -1,7 +1,7 @@
 //! Random retries under idempotency keys, checked against a model.
 
 use broker_types::time::Timestamp;
-use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, QueryEnd, RegisterLimits};
 use proptest::prelude::*;
 use proptest::test_runner::TestCaseError;
 use std::rc::Rc;
@@ -163,7 +163,8 @@
     fn end_query(&mut self, key: usize) {
         if self.has_query[key] {
             self.has_query[key] = false;
-            self.register.on_query_ended(self.now, &name(key), false);
+            self.register
+                .on_query_ended(self.now, &name(key), QueryEnd::Unanswered);
         }
     }
 }
--- a/crates/idempotency/tests/register.rs
+++ b/crates/idempotency/tests/register.rs
@@ -1,7 +1,7 @@
 //! Retries under idempotency keys, one case at a time.
 
 use broker_types::time::Timestamp;
-use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, QueryEnd, RegisterLimits};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -63,7 +63,7 @@
     let mut register = register(100);
     must_admit(&mut register, at(0), 1);
     register.on_attempt_sent(at(0), "k1", 0, seconds(2));
-    register.on_query_ended(seconds(1), &key(1), false);
+    register.on_query_ended(seconds(1), &key(1), QueryEnd::Unanswered);
     let retry_at_deadline = KeyAdmission::RetryAt(seconds(2));
     assert_eq!(admit(&mut register, seconds(1), 1), retry_at_deadline);
     register.on_attempt_ended(seconds(1), "k1", 0, ExecutionEvidence::PossiblyExecuted);
@@ -83,7 +83,7 @@
     must_admit(&mut register, at(0), 1);
     register.on_attempt_sent(at(0), "k1", 0, seconds(2));
     register.on_attempt_ended(at(10), "k1", 0, evidence);
-    register.on_query_ended(at(10), &key(1), false);
+    register.on_query_ended(at(10), &key(1), QueryEnd::Unanswered);
     admit(&mut register, retry_at, 1)
 }
 
@@ -118,7 +118,12 @@
         must_admit(&mut register, at(0), number);
         register.on_attempt_sent(at(0), &key(number), 0, seconds(1));
         register.on_attempt_ended(at(10), &key(number), 0, ExecutionEvidence::Executed);
-        register.on_query_ended(at(10), &key(number), number == 1);
+        let end = if number == 1 {
+            QueryEnd::Answered
+        } else {
+            QueryEnd::Unanswered
+        };
+        register.on_query_ended(at(10), &key(number), end);
     }
     must_admit(&mut register, at(20), 2);
     assert_eq!(
