--- a/crates/query-api/src/deadline.rs
+++ b/crates/query-api/src/deadline.rs
@@ -1,6 +1,6 @@
 //! The `X-Deadline` header: how long a client waits.
 
-use crate::decode::MAX_CLIENT_TIMEOUT;
+use crate::limits::MAX_CLIENT_TIMEOUT;
 use std::time::Duration;
 
 /// Microseconds in a millisecond.
