--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -1,5 +1,6 @@
 //! Queue of events between the tasks that serve sockets and the event loop, which drains it once per iteration.
 
+use crate::notify::Notify;
 use crate::upstream::ServerConnectionId;
 use admission::ConnectionId;
 use async_channel::{Receiver, Sender};
@@ -62,7 +63,8 @@
 /// queries in flight, and a data server connection only answers the attempts that are in flight on it.
 pub struct EventQueue {
     events: RefCell<Vec<Event>>,
-    wake_up: (Sender<()>, Receiver<()>),
+    /// Wakes the event loop.
+    wake_up: Notify,
     next_query: Cell<QueryId>,
     /// Number of queries among the queued events.
     pending_queries: Cell<usize>,
@@ -72,7 +74,7 @@
     fn default() -> Self {
         EventQueue {
             events: RefCell::default(),
-            wake_up: async_channel::bounded(1),
+            wake_up: Notify::new(),
             next_query: Cell::new(QueryId(1)),
             pending_queries: Cell::new(0),
         }
@@ -83,8 +85,7 @@
     /// Appends an event and wakes the event loop.
     pub fn push(&self, event: Event) {
         self.events.borrow_mut().push(event);
-        // A full channel means that the event loop has been woken already.
-        let _ = self.wake_up.0.try_send(());
+        self.wake_up.notify_one();
     }
 
     /// Submits a query. Its final response arrives at the returned handle, once, unless that is dropped before.
@@ -108,7 +109,7 @@
 
     /// Removes and returns all events.
     pub fn drain(&self) -> Vec<Event> {
-        let _ = self.wake_up.1.try_recv();
+        self.wake_up.clear();
         self.pending_queries.set(0);
         std::mem::take(&mut *self.events.borrow_mut())
     }
@@ -121,7 +122,7 @@
     /// Waits until the queue holds an event.
     pub async fn wait(&self) {
         if self.events.borrow().is_empty() {
-            let _ = self.wake_up.1.recv().await;
+            self.wake_up.notified().await;
         }
     }
 }
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -10,6 +10,7 @@
 pub mod event_queue;
 pub mod listeners;
 pub mod net;
+mod notify;
 pub mod operator;
 mod queries;
 pub mod upstream;
--- a/crates/broker/src/listeners/accept.rs
+++ b/crates/broker/src/listeners/accept.rs
@@ -74,8 +74,8 @@
                     executor: &executor,
                     stream: Some(stream),
                 };
-                if handler.slots().wait_for_slot().await {
-                    connection.start(handler.slots().take());
+                if let Some(slot) = handler.slots().wait_for_slot().await {
+                    connection.start(slot);
                 }
             }
             Err(error) => {
--- a/crates/broker/src/listeners/lifecycle.rs
+++ b/crates/broker/src/listeners/lifecycle.rs
@@ -17,8 +17,25 @@
 /// The current phase, with notification of its changes.
 pub(super) struct Lifecycle {
     phase: Cell<Phase>,
-    /// Closed, and replaced, when the phase changes.
-    phase_changed: RefCell<(Sender<()>, Receiver<()>)>,
+    /// Replaced when the phase changes.
+    phase_change: RefCell<PhaseChange>,
+}
+
+/// Wakes all tasks that wait for a change of the phase, when dropped.
+struct PhaseChange {
+    /// Closes the channel when dropped.
+    _sender: Sender<()>,
+    receiver: Receiver<()>,
+}
+
+impl PhaseChange {
+    fn new() -> Self {
+        let (sender, receiver) = async_channel::bounded(1);
+        PhaseChange {
+            _sender: sender,
+            receiver,
+        }
+    }
 }
 
 impl Lifecycle {
@@ -26,7 +43,7 @@
     pub(super) fn new() -> Self {
         Lifecycle {
             phase: Cell::new(Phase::Serving),
-            phase_changed: RefCell::new(async_channel::bounded(1)),
+            phase_change: RefCell::new(PhaseChange::new()),
         }
     }
 
@@ -37,12 +54,12 @@
     /// Changes the phase, and notifies the waiting tasks.
     pub(super) fn set_phase(&self, phase: Phase) {
         self.phase.set(phase);
-        *self.phase_changed.borrow_mut() = async_channel::bounded(1);
+        *self.phase_change.borrow_mut() = PhaseChange::new();
     }
 
     /// Waits until the phase changes.
     pub(super) fn phase_changed(&self) -> impl Future<Output = ()> + 'static {
-        let phase_changed = self.phase_changed.borrow().1.clone();
+        let phase_changed = self.phase_change.borrow().receiver.clone();
         async move { _ = phase_changed.recv().await }
     }
 }
--- a/crates/broker/src/listeners/slots.rs
+++ b/crates/broker/src/listeners/slots.rs
@@ -1,5 +1,6 @@
 //! Connection slots of a listener: their number, and which connections are evicted when they run out.
 
+use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
 use async_io::Timer;
 use futures_lite::FutureExt;
@@ -11,11 +12,11 @@
 
 /// Idle timeout of an HTTP/1.1 connection that has served a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same while more than [`HIGH_USAGE`] of the slots are in use. Clients that send one request and never close their
+/// The same while more than one slot in [`HIGH_USAGE_DIVISOR`] is in use. Clients that send one request and never close their
 /// connection hold file descriptors here and on their side, which other clients need.
 const SHORT_IDLE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Fraction of the slots above which [`SHORT_IDLE_TIMEOUT`] applies, as numerator and denominator.
-const HIGH_USAGE: (usize, usize) = (1, 4);
+/// Divisor of the number of slots above which [`SHORT_IDLE_TIMEOUT`] applies.
+const HIGH_USAGE_DIVISOR: usize = 4;
 /// Longest wait for an evicted connection to free its slot before the next one is evicted.
 const EVICTION_WAIT: Duration = Duration::from_millis(5);
 /// Longest wait for a slot while no connection can be evicted. A client that is rejected after it can use another
@@ -38,7 +39,12 @@
 }
 
 /// Identifies an evictable connection. The order is that of eviction: by priority, then by age.
-type EvictionKey = (EvictionPriority, u64);
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionKey {
+    priority: EvictionPriority,
+    /// Number of the registration.
+    number: u64,
+}
 
 /// The connection slots of one listener.
 pub(super) struct ConnectionSlots {
@@ -52,7 +58,7 @@
     /// Since when a new connection has been waiting for a slot, or clients have been rejected.
     exhausted_since: Cell<Option<Instant>>,
     /// Notified when a slot is freed.
-    slot_freed: (Sender<()>, Receiver<()>),
+    slot_freed: Notify,
 }
 
 /// A slot, which is freed on drop.
@@ -61,8 +67,7 @@
 impl Drop for Slot {
     fn drop(&mut self) {
         self.0.in_use.set(self.0.in_use.get() - 1);
-        // A full channel holds a notification already.
-        let _ = self.0.slot_freed.0.try_send(());
+        self.0.slot_freed.notify_one();
     }
 }
 
@@ -121,7 +126,7 @@
             next_eviction_number: Cell::new(0),
             evictable: RefCell::default(),
             exhausted_since: Cell::new(None),
-            slot_freed: async_channel::bounded(1),
+            slot_freed: Notify::new(),
         })
     }
 
@@ -150,26 +155,25 @@
         (self.in_use.get() < self.capacity).then(|| self.take())
     }
 
-    /// Waits for a free slot, evicting connections if necessary. Returns false if none becomes free: after one such
-    /// wait, further connections are rejected at once until a slot is free or a connection can be evicted.
-    pub(super) async fn wait_for_slot(&self) -> bool {
+    /// Waits for a free slot, evicting connections if necessary, and takes it. Returns `None` if none becomes free: after
+    /// one such wait, further connections are rejected at once until a slot is free or a connection can be evicted.
+    pub(super) async fn wait_for_slot(self: &Rc<Self>) -> Option<Slot> {
         while self.in_use.get() >= self.capacity {
             // This notification, if any, is from before the slots were exhausted.
-            let _ = self.slot_freed.1.try_recv();
+            self.slot_freed.clear();
             let evicted = self.evict_one();
             warn!(name: "connection_slots_exhausted", in_use = self.in_use.get(), evicted);
             let exhausted_since = self.exhausted_since.get().unwrap_or_else(Instant::now);
             self.exhausted_since.set(Some(exhausted_since));
             if !evicted && exhausted_since.elapsed() >= MAX_SLOT_WAIT {
-                return false;
+                return None;
             }
             // The evicted connection stays open if it received a request at the same moment, so the wait is limited.
-            let slot_freed = async { _ = self.slot_freed.1.recv().await };
             let timeout = async { _ = Timer::after(EVICTION_WAIT).await };
-            slot_freed.or(timeout).await;
+            self.slot_freed.notified().or(timeout).await;
         }
         self.exhausted_since.set(None);
-        true
+        Some(self.take())
     }
 
     /// Evicts the first connection in the order of eviction, and returns whether there was one.
@@ -179,8 +183,9 @@
 
     /// Allows the connection to be evicted.
     pub(super) fn evictable(&self, priority: EvictionPriority) -> Evictable<'_> {
-        let key = (priority, self.next_eviction_number.get());
-        self.next_eviction_number.set(key.1 + 1);
+        let number = self.next_eviction_number.get();
+        self.next_eviction_number.set(number + 1);
+        let key = EvictionKey { priority, number };
         let (keep_open, evicted) = async_channel::bounded(1);
         self.evictable.borrow_mut().insert(key, keep_open);
         Evictable {
@@ -194,13 +199,12 @@
     pub(super) fn close_idle(&self) {
         self.evictable
             .borrow_mut()
-            .retain(|(priority, _), _| *priority == EvictionPriority::ReceivingFirstRequest);
+            .retain(|key, _| key.priority == EvictionPriority::ReceivingFirstRequest);
     }
 
     /// Idle timeout of an HTTP/1.1 connection that has served a request.
     pub(super) fn idle_timeout(&self) -> Duration {
-        let (numerator, denominator) = HIGH_USAGE;
-        if self.in_use.get() * denominator > self.capacity * numerator {
+        if self.in_use.get() * HIGH_USAGE_DIVISOR > self.capacity {
             SHORT_IDLE_TIMEOUT
         } else {
             IDLE_TIMEOUT
