--- a/crates/broker/src/event_loop/startup.rs
+++ b/crates/broker/src/event_loop/startup.rs
@@ -162,6 +162,7 @@
             event_queue.clone(),
             config.settings.clone(),
             config.names.clone(),
+            *clock,
         );
         let tick = millis(config.settings.tick);
         let mut event_loop = EventLoop {
@@ -182,7 +183,7 @@
                 config.seed,
             ),
             event_queue: event_queue.clone(),
-            listeners: ClientListeners::start(context, listeners, *clock, executor.clone()),
+            listeners: ClientListeners::start(context, listeners, executor.clone()),
             dispatches: BTreeMap::new(),
             unsent_attempts: Vec::new(),
             completed: Vec::new(),
--- /dev/null
+++ b/crates/broker/src/listeners/date.rs
@@ -0,0 +1,45 @@
+//! The `Date` field of responses.
+
+use http::header::HeaderValue;
+use query_api::date_header_value;
+use std::cell::RefCell;
+use std::time::{Duration, Instant, SystemTime};
+
+/// Resolution of the `Date` field (RFC 9110, section 5.6.7).
+const DATE_RESOLUTION: Duration = Duration::from_secs(1);
+
+/// The value of the `Date` field, formatted once a second.
+pub(super) struct DateHeader {
+    cached: RefCell<CachedDate>,
+}
+
+struct CachedDate {
+    value: HeaderValue,
+    formatted_at: Instant,
+}
+
+impl CachedDate {
+    fn new() -> Self {
+        CachedDate {
+            formatted_at: Instant::now(),
+            value: date_header_value(SystemTime::now()),
+        }
+    }
+}
+
+impl DateHeader {
+    pub(super) fn new() -> Self {
+        DateHeader {
+            cached: RefCell::new(CachedDate::new()),
+        }
+    }
+
+    /// The current value.
+    pub(super) fn now(&self) -> HeaderValue {
+        let mut cached = self.cached.borrow_mut();
+        if cached.formatted_at.elapsed() >= DATE_RESOLUTION {
+            *cached = CachedDate::new();
+        }
+        cached.value.clone()
+    }
+}
--- a/crates/broker/src/listeners/http1/connection.rs
+++ b/crates/broker/src/listeners/http1/connection.rs
@@ -1,11 +1,10 @@
 //! One HTTP/1.1 connection: reads a request, waits for its final response, writes it, and starts again.
 
-use super::CLOSING_RESPONSE;
 use super::input::{ReceivedRequest, RequestInput, write};
 use crate::clock::with_timeout;
-use crate::listeners::context::ListenerContext;
+use crate::listeners::context::{ListenerContext, RoutedRequest};
 use crate::listeners::lifecycle::Phase;
-use crate::listeners::request::{Reply, RoutedRequest, error_reply, request_timeout_reply};
+use crate::listeners::reply::{CLOSING_RESPONSE, Reply, error_reply, request_timeout_reply};
 use crate::listeners::slots::{ConnectionSlots, EvictionPriority};
 use crate::listeners::timeouts::{MESSAGE_TIMEOUT, SILENCE_TIMEOUT};
 use crate::net::{LINGER, LINGER_IDLE, has_hung_up};
@@ -28,6 +27,34 @@
 /// reading can no longer detect.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
+/// How the wait for a request ended.
+enum WaitOutcome {
+    /// The first bytes of a request have arrived.
+    RequestStarted,
+    /// The connection has to be closed.
+    ConnectionEnded,
+}
+
+impl WaitOutcome {
+    /// The outcome of a read, which returned 0 at the end of the stream.
+    fn of_read(received: usize) -> Self {
+        if received > 0 {
+            WaitOutcome::RequestStarted
+        } else {
+            WaitOutcome::ConnectionEnded
+        }
+    }
+}
+
+/// Whether a connection stays open after a response (RFC 9112, section 9.3).
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Persistence {
+    /// The connection stays open for the next request.
+    KeepAlive,
+    /// The connection has to be closed.
+    Close,
+}
+
 /// One HTTP/1.1 connection.
 pub(super) struct Http1Connection<'a> {
     context: &'a Rc<ListenerContext>,
@@ -59,7 +86,9 @@
     /// the client.
     pub(super) async fn serve(&mut self) -> io::Result<Duration> {
         loop {
-            if self.input.buffered_bytes() == 0 && !self.wait_for_request().await? {
+            if self.input.buffered_bytes() == 0
+                && let WaitOutcome::ConnectionEnded = self.wait_for_request().await?
+            {
                 return Ok(LINGER_IDLE);
             }
             let request = match self.receive_request().await {
@@ -74,7 +103,7 @@
                 }
                 Err(error) => return Err(error),
             };
-            if !self.respond(&request).await? {
+            if self.respond(&request).await? == Persistence::Close {
                 return Ok(LINGER);
             }
             self.input.release_empty_buffer();
@@ -83,8 +112,8 @@
         }
     }
 
-    /// Waits, idle, for the first bytes of a request. Returns false if the connection has to be closed.
-    async fn wait_for_request(&mut self) -> io::Result<bool> {
+    /// Waits, idle, for the first bytes of a request.
+    async fn wait_for_request(&mut self) -> io::Result<WaitOutcome> {
         if self.context.lifecycle().phase() == Phase::Closing {
             return self.wait_for_last_request().await;
         }
@@ -105,12 +134,13 @@
             Ok(0)
         };
         // A request that arrives at the same moment is served, because reading is polled first.
-        Ok(self.input.read().or(closed).await? > 0)
+        let received = self.input.read().or(closed).await?;
+        Ok(WaitOutcome::of_read(received))
     }
 
     /// Like [`Self::wait_for_request`] while the broker closes its connections: a request that has arrived is served. A
     /// client that has just connected has some time to send its first.
-    async fn wait_for_last_request(&mut self) -> io::Result<bool> {
+    async fn wait_for_last_request(&mut self) -> io::Result<WaitOutcome> {
         let has_served = self.has_served;
         let closed = async {
             if !has_served {
@@ -118,7 +148,8 @@
             }
             Ok(0)
         };
-        Ok(self.input.read().or(closed).await? > 0)
+        let received = self.input.read().or(closed).await?;
+        Ok(WaitOutcome::of_read(received))
     }
 
     /// Receives a request that has started. The first one of a connection may be evicted.
@@ -137,8 +168,8 @@
         received.or(evicted).await
     }
 
-    /// Responds to a request. Returns whether the connection stays open.
-    async fn respond(&mut self, request: &Message<Request<Vec<u8>>>) -> io::Result<bool> {
+    /// Responds to a request.
+    async fn respond(&mut self, request: &Message<Request<Vec<u8>>>) -> io::Result<Persistence> {
         let reply = self.reply_to(&request.value).await?;
         let is_serving = self.context.lifecycle().phase() == Phase::Serving;
         let options = ResponseOptions {
@@ -149,7 +180,11 @@
         let response = self.context.with_date(reply.response);
         write(self.stream, &encode_response(&response, options)).await?;
         self.has_served |= reply.is_valid_request;
-        Ok(options.keep_alive)
+        Ok(if options.keep_alive {
+            Persistence::KeepAlive
+        } else {
+            Persistence::Close
+        })
     }
 
     /// The reply to a request. Fails if the client disconnects before.
--- a/crates/broker/src/listeners/http1/mod.rs
+++ b/crates/broker/src/listeners/http1/mod.rs
@@ -5,24 +5,17 @@
 
 use super::accept::ConnectionHandler;
 use super::context::ListenerContext;
+use super::reply::CLOSING_RESPONSE;
 use super::slots::{ConnectionSlots, Slot};
 use crate::net::{LINGER, linger};
 use async_io::Async;
 use connection::Http1Connection;
-use http::Version;
-use http1_codec::{ResponseOptions, encode_response};
+use http1_codec::encode_response;
 use std::io::{self, Write};
 use std::net::{Shutdown, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Options of a response after which its connection is closed, and whose request is unknown.
-pub(super) const CLOSING_RESPONSE: ResponseOptions = ResponseOptions {
-    version: Version::HTTP_11,
-    head_only: false,
-    keep_alive: false,
-};
-
 /// The listener for HTTP/1.1.
 pub(super) struct Http1Listener {
     context: Rc<ListenerContext>,
--- a/crates/broker/src/listeners/http2/connection.rs
+++ b/crates/broker/src/listeners/http2/connection.rs
@@ -1,84 +1,68 @@
 //! One HTTP/2 connection: drives the `h2` library and the connection's streams.
+//!
+//! [`Http2Connection`] owns the streams and frees them when it is dropped. When it is closed, its [`ConnectionLifetime`]
+//! decides.
 
-use super::Http2Listener;
-use super::guarded_socket::{GuardedSocket, SharedGuard};
-use super::shutdown::ConnectionPhase;
-use super::stream::{self, StreamOutcome};
+use super::guarded_connection::{GuardedConnection, WireEvent};
+use super::lifetime::{ConnectionActivity, ConnectionLifetime, DeadlineAction};
+use super::stream::{NewStream, StreamOutcome};
+use crate::listeners::context::ListenerContext;
 use crate::listeners::lifecycle::Phase;
-use crate::listeners::slots::{Evictable, EvictionPriority};
+use crate::listeners::slots::{ConnectionSlots, Evictable};
 use admission::ConnectionId;
 use async_io::Timer;
-use broker_types::time::Timestamp;
-use bytes::Bytes;
 use futures_util::stream::{FuturesUnordered, StreamExt};
-use h2::server::{self, SendResponse};
-use h2::{Reason, RecvStream};
-use http::Request;
+use h2::Reason;
 use http2_flood_guard::Violation;
 use std::future::{Future, pending, poll_fn};
 use std::ops::ControlFlow;
 use std::pin::{Pin, pin};
+use std::rc::Rc;
 use std::task::{Context, Poll};
 use tracing::{debug, warn};
 
 /// The task of one stream.
 type StreamTask = Pin<Box<dyn Future<Output = StreamOutcome>>>;
 
-/// A request whose head has been received, and the means to respond.
-struct NewStream {
-    request: Request<RecvStream>,
-    respond: SendResponse<Bytes>,
-}
-
 /// What a connection has to react to.
 enum ConnectionEvent {
-    /// The client opened a stream.
-    StreamOpened(Box<NewStream>),
+    /// Something happened on the wire.
+    Wire(WireEvent),
     /// A stream ended.
     StreamEnded(StreamOutcome),
-    /// The flood guard reported a violation.
-    Violation(Violation),
     /// The phase of the broker's life has changed.
     LifecycleChanged,
     /// The connection was evicted.
     Evicted,
-    /// The deadline of [`Http2Connection::next_deadline`] has passed.
+    /// The next deadline has passed.
     DeadlineReached,
-    /// The connection is closed, with an error unless that was orderly.
-    Closed(Option<h2::Error>),
 }
 
 /// One HTTP/2 connection with its streams.
 pub(super) struct Http2Connection<'a> {
-    pub(super) listener: &'a Http2Listener,
-    pub(super) id: ConnectionId,
-    pub(super) h2: server::Connection<GuardedSocket, Bytes>,
-    pub(super) streams: FuturesUnordered<StreamTask>,
-    pub(super) guard: SharedGuard,
-    pub(super) phase: ConnectionPhase,
-    /// When the last stream ended, or graceful shutdown started.
-    pub(super) idle_since: Timestamp,
-    /// Whether a valid request has been served.
-    pub(super) has_served: bool,
+    context: &'a Rc<ListenerContext>,
+    slots: &'a ConnectionSlots,
+    id: ConnectionId,
+    wire: Box<GuardedConnection>,
+    streams: FuturesUnordered<StreamTask>,
+    lifetime: ConnectionLifetime,
     timer: Timer,
 }
 
 impl<'a> Http2Connection<'a> {
     pub(super) fn new(
-        listener: &'a Http2Listener,
+        context: &'a Rc<ListenerContext>,
+        slots: &'a ConnectionSlots,
         id: ConnectionId,
-        h2: server::Connection<GuardedSocket, Bytes>,
-        guard: SharedGuard,
+        wire: Box<GuardedConnection>,
     ) -> Self {
         Http2Connection {
-            listener,
+            context,
+            slots,
             id,
-            h2,
+            wire,
             streams: FuturesUnordered::new(),
-            guard,
-            phase: ConnectionPhase::Serving,
-            idle_since: listener.clock.now(),
-            has_served: false,
+            lifetime: ConnectionLifetime::new(context.clock().now()),
             timer: Timer::never(),
         }
     }
@@ -86,7 +70,7 @@
     /// Serves the connection until it is closed.
     pub(super) async fn run(&mut self) {
         loop {
-            if self.listener.context.lifecycle().phase() != Phase::Serving {
+            if self.context.lifecycle().phase() != Phase::Serving {
                 self.start_graceful_shutdown();
             }
             let event = self.next_event().await;
@@ -99,17 +83,22 @@
     /// Handles an event. Breaks if the connection has to be dropped.
     fn on_event(&mut self, event: ConnectionEvent) -> ControlFlow<()> {
         match event {
-            ConnectionEvent::StreamOpened(stream) => self.on_stream_opened(*stream),
-            ConnectionEvent::StreamEnded(outcome) => self.on_stream_ended(outcome),
-            ConnectionEvent::Violation(violation) => {
-                warn!(name: "http2_flood_detected", connection = self.id.0, reason = %violation);
-                self.abort(Reason::ENHANCE_YOUR_CALM);
-            }
+            ConnectionEvent::Wire(event) => return self.on_wire_event(event),
+            ConnectionEvent::StreamEnded(outcome) => self.on_stream_ended(&outcome),
             // Graceful shutdown starts before the next event.
             ConnectionEvent::LifecycleChanged => {}
             ConnectionEvent::Evicted => self.start_graceful_shutdown(),
             ConnectionEvent::DeadlineReached => return self.on_deadline(),
-            ConnectionEvent::Closed(error) => {
+        }
+        ControlFlow::Continue(())
+    }
+
+    /// Handles an event on the wire. Breaks if the connection is closed.
+    fn on_wire_event(&mut self, event: WireEvent) -> ControlFlow<()> {
+        match event {
+            WireEvent::StreamOpened(stream) => self.on_stream_opened(*stream),
+            WireEvent::Violation(violation) => self.on_violation(violation),
+            WireEvent::Closed(error) => {
                 if let Some(error) = error {
                     self.log_error(&error);
                 }
@@ -119,30 +108,68 @@
         ControlFlow::Continue(())
     }
 
-    /// Starts to serve a request, or rejects it if the client has had time to receive the GOAWAY frame.
+    /// Starts to serve a request, or refuses it if the client has had time to receive the GOAWAY frame.
     fn on_stream_opened(&mut self, stream: NewStream) {
-        let NewStream {
-            request,
-            mut respond,
-        } = stream;
-        let context = &self.listener.context;
-        let is_closing = context.lifecycle().phase() == Phase::Closing;
-        if is_closing && self.phase != ConnectionPhase::Serving {
-            respond.send_reset(Reason::REFUSED_STREAM);
+        let is_closing = self.context.lifecycle().phase() == Phase::Closing;
+        if is_closing && !self.lifetime.is_serving() {
+            stream.refuse();
             return;
         }
-        let task = stream::serve(context.clone(), self.id, request, respond);
+        let task = stream.serve(self.context.clone(), self.id);
         self.streams.push(Box::pin(task));
     }
 
-    fn on_stream_ended(&mut self, outcome: StreamOutcome) {
+    fn on_stream_ended(&mut self, outcome: &StreamOutcome) {
         if let Some(body_bytes) = outcome.sent_body_bytes {
-            self.guard.borrow_mut().on_response_sent(body_bytes);
+            self.wire.on_response_sent(body_bytes);
+        }
+        if outcome.is_valid_request {
+            self.lifetime.on_valid_request();
         }
-        self.has_served |= outcome.is_valid_request;
         if self.streams.is_empty() {
-            self.idle_since = self.listener.clock.now();
+            self.lifetime.on_idle(self.context.clock().now());
+        }
+    }
+
+    fn on_violation(&mut self, violation: Violation) {
+        warn!(name: "http2_flood_detected", connection = self.id.0, reason = %violation);
+        self.abort(Reason::ENHANCE_YOUR_CALM);
+    }
+
+    /// Carries out what is due after a deadline. Breaks if the connection has to be dropped.
+    fn on_deadline(&mut self) -> ControlFlow<()> {
+        let now = self.context.clock().now();
+        match self.lifetime.due_action(now, self.activity()) {
+            None => {}
+            Some(DeadlineAction::AbortStalled) => {
+                warn!(name: "http2_request_stalled", connection = self.id.0);
+                self.abort(Reason::PROTOCOL_ERROR);
+            }
+            Some(DeadlineAction::ShutDownGracefully) => self.start_graceful_shutdown(),
+            Some(DeadlineAction::Close) => self.close(Reason::NO_ERROR),
+            Some(DeadlineAction::Drop) => return ControlFlow::Break(()),
         }
+        ControlFlow::Continue(())
+    }
+
+    /// Starts graceful shutdown, unless it has started before.
+    fn start_graceful_shutdown(&mut self) {
+        if self.lifetime.is_serving() {
+            self.wire.shut_down_gracefully();
+            self.lifetime.start_draining(self.context.clock().now());
+        }
+    }
+
+    /// Closes the connection because of an error, and cancels its streams.
+    fn abort(&mut self, reason: Reason) {
+        self.streams.clear();
+        self.close(reason);
+    }
+
+    /// Closes the connection once its last frames are written.
+    fn close(&mut self, reason: Reason) {
+        self.wire.shut_down_abruptly(reason);
+        self.lifetime.start_closing(self.context.clock().now());
     }
 
     /// Logs the error that closed the connection, except for those of the socket.
@@ -157,9 +184,16 @@
         }
     }
 
+    fn activity(&self) -> ConnectionActivity {
+        ConnectionActivity {
+            open_streams: self.streams.len(),
+            incomplete_since: self.wire.incomplete_since(),
+        }
+    }
+
     /// Waits for the next event, and drives the connection meanwhile.
     async fn next_event(&mut self) -> ConnectionEvent {
-        let lifecycle = self.listener.context.lifecycle();
+        let lifecycle = self.context.lifecycle();
         let phase = lifecycle.phase();
         let mut phase_changed = pin!(lifecycle.phase_changed());
         let evictable = self.evictable();
@@ -187,13 +221,8 @@
 
     /// Allows the connection to be evicted if it is idle.
     fn evictable(&self) -> Option<Evictable<'a>> {
-        let priority = if self.has_served {
-            EvictionPriority::Idle
-        } else {
-            EvictionPriority::Unused
-        };
-        let is_idle = self.streams.is_empty() && self.phase == ConnectionPhase::Serving;
-        is_idle.then(|| self.listener.slots.evictable(priority))
+        let priority = self.lifetime.eviction_priority(self.streams.len())?;
+        Some(self.slots.evictable(priority))
     }
 
     /// Polls the streams and the socket.
@@ -201,30 +230,15 @@
         if let Poll::Ready(Some(outcome)) = self.streams.poll_next_unpin(cx) {
             return Poll::Ready(ConnectionEvent::StreamEnded(outcome));
         }
-        let accepted = self.h2.poll_accept(cx);
-        // Whatever was decoded before a violation is discarded.
-        let violation = self.guard.borrow().violation();
-        let is_closing = matches!(self.phase, ConnectionPhase::Closing { .. });
-        if let Some(violation) = violation
-            && !is_closing
-        {
-            return Poll::Ready(ConnectionEvent::Violation(violation));
-        }
-        accepted.map(|accepted| match accepted {
-            Some(Ok((request, respond))) => {
-                ConnectionEvent::StreamOpened(Box::new(NewStream { request, respond }))
-            }
-            Some(Err(error)) => ConnectionEvent::Closed(Some(error)),
-            None => ConnectionEvent::Closed(None),
-        })
+        self.wire.poll_event(cx).map(ConnectionEvent::Wire)
     }
 
     /// Polls the timer, set to the next deadline.
     fn poll_deadline(&mut self, cx: &mut Context<'_>) -> Poll<ConnectionEvent> {
-        let Some(deadline) = self.next_deadline() else {
+        let Some(deadline) = self.lifetime.next_deadline(self.activity()) else {
             return Poll::Pending;
         };
-        self.timer.set_at(self.listener.clock.instant(deadline));
+        self.timer.set_at(self.context.clock().instant(deadline));
         Pin::new(&mut self.timer)
             .poll(cx)
             .map(|_| ConnectionEvent::DeadlineReached)
--- a/crates/broker/src/listeners/http2/guarded_socket.rs
+++ b/crates/broker/src/listeners/http2/guarded_socket.rs
@@ -42,12 +42,11 @@
         self.guard.on_response_sent(body_bytes);
     }
 
-    /// Inspects received bytes. Returns whether they are free of violations.
-    fn inspect(&mut self, now: Timestamp, bytes: &[u8]) -> bool {
-        if let Err(violation) = self.guard.on_received(now, bytes) {
-            self.violation = Some(violation);
-        }
-        self.violation.is_none()
+    /// Inspects received bytes, and records a violation.
+    fn inspect(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), Violation> {
+        let inspected = self.guard.on_received(now, bytes);
+        self.violation = inspected.err();
+        inspected
     }
 }
 
@@ -76,7 +75,7 @@
         }
     }
 
-    fn inspect(&self, bytes: &[u8]) -> bool {
+    fn inspect(&self, bytes: &[u8]) -> Result<(), Violation> {
         self.guard.borrow_mut().inspect(self.clock.now(), bytes)
     }
 
@@ -84,7 +83,7 @@
     fn poll_read_before(&mut self, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
         let length = self.read_before.len().min(buf.remaining());
         let bytes: Vec<u8> = self.read_before.drain(..length).collect();
-        if !self.inspect(&bytes) {
+        if self.inspect(&bytes).is_err() {
             return Poll::Pending;
         }
         buf.put_slice(&bytes);
@@ -99,7 +98,7 @@
     ) -> Poll<io::Result<()>> {
         let unfilled = buf.initialize_unfilled();
         let length = ready!(Pin::new(&mut &*self.stream).poll_read(cx, unfilled))?;
-        if !self.inspect(&unfilled[..length]) {
+        if self.inspect(&unfilled[..length]).is_err() {
             return Poll::Pending;
         }
         buf.advance(length);
--- a/crates/broker/src/listeners/http2/handshake.rs
+++ b/crates/broker/src/listeners/http2/handshake.rs
@@ -1,16 +1,15 @@
 //! The start of an HTTP/2 connection: the client's preface, and the exchange of settings.
 
-use super::Http2Listener;
-use super::connection::Http2Connection;
+use super::guarded_connection::GuardedConnection;
 use super::guarded_socket::{GuardState, GuardedSocket};
-use super::shutdown::CLOSE_TIMEOUT;
-use crate::clock::with_timeout;
-use crate::listeners::http1::CLOSING_RESPONSE;
-use crate::listeners::request::error_reply;
-use crate::listeners::slots::EvictionPriority;
+use super::lifetime::CLOSE_TIMEOUT;
+use crate::clock::{Clock, with_timeout};
+use crate::listeners::context::ListenerContext;
+use crate::listeners::reply::{CLOSING_RESPONSE, error_reply};
+use crate::listeners::slots::{ConnectionSlots, EvictionPriority};
 use crate::listeners::timeouts::SILENCE_TIMEOUT;
 use crate::net::{LINGER, linger, read_some};
-use admission::ConnectionId;
+use admission::resource_limits::Http2Limits;
 use async_io::{Async, Timer};
 use broker_types::time::Timestamp;
 use bytes::Bytes;
@@ -49,77 +48,75 @@
     Closed,
 }
 
-impl Http2Listener {
-    /// Reads at least the connection preface, and returns all bytes that were read.
-    pub(super) async fn read_preface(
-        &self,
-        stream: &Async<TcpStream>,
-    ) -> Result<Vec<u8>, PrefaceError> {
-        // This guard checks the preface alone, which costs no tokens.
-        let mut guard = FloodGuard::new(Timestamp::ORIGIN, FloodLimits::new(1, 1));
-        let mut received = Vec::new();
-        let evictable = self.slots.evictable(EvictionPriority::Unused);
-        let read = async {
-            while received.len() < PREFACE.len() {
-                let inspected = received.len();
-                let read = read_some(stream, &mut received).await;
-                if read.map_err(|_| PrefaceError::Closed)? == 0 {
-                    return Err(PrefaceError::Closed);
-                }
-                let end = received.len().min(PREFACE.len());
-                guard.on_received(Timestamp::ORIGIN, &received[inspected..end])?;
+/// Reads at least the connection preface, and returns all bytes that were read. The connection may be evicted meanwhile.
+pub(super) async fn read_preface(
+    stream: &Async<TcpStream>,
+    slots: &ConnectionSlots,
+) -> Result<Vec<u8>, PrefaceError> {
+    // This guard checks the preface alone, which costs no tokens.
+    let mut guard = FloodGuard::new(Timestamp::ORIGIN, FloodLimits::new(1, 1));
+    let mut received = Vec::new();
+    let evictable = slots.evictable(EvictionPriority::Unused);
+    let read = async {
+        while received.len() < PREFACE.len() {
+            let inspected = received.len();
+            let read = read_some(stream, &mut received).await;
+            if read.map_err(|_| PrefaceError::Closed)? == 0 {
+                return Err(PrefaceError::Closed);
             }
-            Ok(())
-        };
-        let closed = async {
-            let timeout = async { _ = Timer::after(SILENCE_TIMEOUT).await };
-            evictable.evicted().or(timeout).await;
-            Err(PrefaceError::Closed)
-        };
-        read.or(closed).await?;
-        Ok(received)
-    }
-
-    /// Closes a connection that does not speak HTTP/2. A client that speaks HTTP/1 gets a response.
-    pub(super) async fn reject_protocol(
-        &self,
-        stream: &Async<TcpStream>,
-        violation: Violation,
-    ) -> io::Result<()> {
-        if violation == Violation::Http1Request {
-            let reply = error_reply(400, PRIOR_KNOWLEDGE_REQUIRED);
-            let response = self.context.with_date(reply.response);
-            let encoded = encode_response(&response, CLOSING_RESPONSE);
-            with_timeout(CLOSE_TIMEOUT, (&*stream).write_all(&encoded)).await?;
+            let end = received.len().min(PREFACE.len());
+            guard.on_received(Timestamp::ORIGIN, &received[inspected..end])?;
         }
-        linger(stream, LINGER).await
-    }
+        Ok(())
+    };
+    let closed = async {
+        let timeout = async { _ = Timer::after(SILENCE_TIMEOUT).await };
+        evictable.evicted().or(timeout).await;
+        Err(PrefaceError::Closed)
+    };
+    read.or(closed).await?;
+    Ok(received)
+}
 
-    /// Exchanges settings with the client. `received` are the bytes that were read before.
-    pub(super) async fn handshake(
-        &self,
-        id: ConnectionId,
-        stream: Rc<Async<TcpStream>>,
-        received: Vec<u8>,
-    ) -> Option<Box<Http2Connection<'_>>> {
-        let limits = self.limits.get();
-        let flood_limits = FloodLimits::new(limits.max_streams, limits.max_header_list);
-        let guard = GuardState::new(FloodGuard::new(self.clock.now(), flood_limits));
-        let _ = stream.get_ref().set_nodelay(true);
-        let socket = GuardedSocket::new(stream, received, guard.clone(), self.clock);
-        let max_streams = limits.max_streams as usize;
-        let handshake = server::Builder::new()
-            .initial_window_size(STREAM_WINDOW_BYTES)
-            .initial_connection_window_size(limits.connection_window)
-            .max_concurrent_streams(limits.max_streams)
-            .max_header_list_size(limits.max_header_list)
-            .max_send_buffer_size(SEND_BUFFER_BYTES)
-            .max_concurrent_reset_streams(max_streams)
-            .max_pending_accept_reset_streams(max_streams)
-            .reset_stream_duration(RESET_STREAM_MEMORY)
-            .handshake::<_, Bytes>(socket);
-        let handshake = async { handshake.await.map_err(io::Error::other) };
-        let h2 = with_timeout(SILENCE_TIMEOUT, handshake).await.ok()?;
-        Some(Box::new(Http2Connection::new(self, id, h2, guard)))
+/// Closes a connection that does not speak HTTP/2. A client that speaks HTTP/1 gets a response.
+pub(super) async fn reject_protocol(
+    context: &ListenerContext,
+    stream: &Async<TcpStream>,
+    violation: Violation,
+) -> io::Result<()> {
+    if violation == Violation::Http1Request {
+        let reply = error_reply(400, PRIOR_KNOWLEDGE_REQUIRED);
+        let response = context.with_date(reply.response);
+        let encoded = encode_response(&response, CLOSING_RESPONSE);
+        with_timeout(CLOSE_TIMEOUT, (&*stream).write_all(&encoded)).await?;
     }
+    linger(stream, LINGER).await
+}
+
+/// Exchanges settings with the client. `received` are the bytes that were read before. The connection is boxed, so that
+/// the tasks of connections without one are smaller.
+pub(super) async fn handshake(
+    limits: Http2Limits,
+    clock: Clock,
+    stream: Rc<Async<TcpStream>>,
+    received: Vec<u8>,
+) -> io::Result<Box<GuardedConnection>> {
+    let flood_limits = FloodLimits::new(limits.max_streams, limits.max_header_list);
+    let guard = GuardState::new(FloodGuard::new(clock.now(), flood_limits));
+    let _ = stream.get_ref().set_nodelay(true);
+    let socket = GuardedSocket::new(stream, received, guard.clone(), clock);
+    let max_streams = limits.max_streams as usize;
+    let handshake = server::Builder::new()
+        .initial_window_size(STREAM_WINDOW_BYTES)
+        .initial_connection_window_size(limits.connection_window)
+        .max_concurrent_streams(limits.max_streams)
+        .max_header_list_size(limits.max_header_list)
+        .max_send_buffer_size(SEND_BUFFER_BYTES)
+        .max_concurrent_reset_streams(max_streams)
+        .max_pending_accept_reset_streams(max_streams)
+        .reset_stream_duration(RESET_STREAM_MEMORY)
+        .handshake::<_, Bytes>(socket);
+    let handshake = async { handshake.await.map_err(io::Error::other) };
+    let h2 = with_timeout(SILENCE_TIMEOUT, handshake).await?;
+    Ok(Box::new(GuardedConnection::new(h2, guard)))
 }
--- a/crates/broker/src/listeners/http2/mod.rs
+++ b/crates/broker/src/listeners/http2/mod.rs
@@ -5,20 +5,22 @@
 //! compression.
 
 mod connection;
+mod guarded_connection;
 mod guarded_socket;
 mod handshake;
+mod lifetime;
 mod request_body;
-mod shutdown;
 mod stream;
 
 use super::accept::ConnectionHandler;
 use super::context::ListenerContext;
 use super::slots::{ConnectionSlots, Slot};
-use crate::clock::Clock;
 use crate::net::{LINGER, linger};
+use admission::ConnectionId;
 use admission::resource_limits::Http2Limits;
 use async_io::Async;
-use handshake::PrefaceError;
+use connection::Http2Connection;
+use handshake::{PrefaceError, handshake, read_preface, reject_protocol};
 use std::cell::Cell;
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -28,8 +30,8 @@
 pub(super) struct Http2Listener {
     context: Rc<ListenerContext>,
     slots: Rc<ConnectionSlots>,
+    /// Limits of future connections.
     limits: Cell<Http2Limits>,
-    clock: Clock,
 }
 
 impl ConnectionHandler for Http2Listener {
@@ -40,17 +42,15 @@
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>, _slot: Slot) {
         let id = self.context.next_connection();
         let stream = Rc::new(stream);
-        match self.read_preface(&stream).await {
+        match read_preface(&stream, &self.slots).await {
             Ok(received) => {
-                if let Some(mut connection) = self.handshake(id, stream.clone(), received).await {
-                    connection.run().await;
-                }
+                self.serve_requests(id, stream.clone(), received).await;
                 // Closing with unread data would reset the connection, and the client would lose the last frames.
                 let _ = linger(&stream, LINGER).await;
             }
             Err(PrefaceError::Violation(violation)) => {
                 warn!(name: "http2_connection_rejected", connection = id.0, reason = %violation);
-                let _ = self.reject_protocol(&stream, violation).await;
+                let _ = reject_protocol(&self.context, &stream, violation).await;
             }
             Err(PrefaceError::Closed) => {}
         }
@@ -62,12 +62,11 @@
 
 impl Http2Listener {
     /// Creates a listener with these limits.
-    pub(super) fn new(context: Rc<ListenerContext>, limits: Http2Limits, clock: Clock) -> Self {
+    pub(super) fn new(context: Rc<ListenerContext>, limits: Http2Limits) -> Self {
         Http2Listener {
             context,
             slots: ConnectionSlots::new(limits.max_connections),
             limits: Cell::new(limits),
-            clock,
         }
     }
 
@@ -80,4 +79,19 @@
     pub(super) fn set_limits(&self, limits: Http2Limits) {
         self.limits.set(limits);
     }
+
+    /// Exchanges settings and serves the requests of a connection until it is closed. `received` are the bytes that were
+    /// read before.
+    async fn serve_requests(
+        &self,
+        id: ConnectionId,
+        stream: Rc<Async<TcpStream>>,
+        received: Vec<u8>,
+    ) {
+        let handshake = handshake(self.limits.get(), self.context.clock(), stream, received);
+        if let Ok(wire) = handshake.await {
+            let mut connection = Http2Connection::new(&self.context, &self.slots, id, wire);
+            connection.run().await;
+        }
+    }
 }
--- a/crates/broker/src/listeners/http2/stream.rs
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -2,8 +2,8 @@
 
 use super::request_body::{ReceivedBody, check_authority, receive_body};
 use crate::clock::with_timeout;
-use crate::listeners::context::ListenerContext;
-use crate::listeners::request::{Reply, RoutedRequest, error_reply, request_timeout_reply};
+use crate::listeners::context::{ListenerContext, RoutedRequest};
+use crate::listeners::reply::{Reply, error_reply, request_timeout_reply};
 use crate::listeners::timeouts::MESSAGE_TIMEOUT;
 use admission::ConnectionId;
 use async_io::Timer;
@@ -53,54 +53,74 @@
     deadline: Instant,
 }
 
-/// Serves one stream until it ends.
-pub(super) async fn serve(
-    context: Rc<ListenerContext>,
-    connection: ConnectionId,
+/// A stream that the client has opened: a request whose head has been received, and the means to respond.
+pub(super) struct NewStream {
     request: Request<RecvStream>,
-    mut respond: SendResponse<Bytes>,
-) -> StreamOutcome {
-    let received_at = Instant::now();
-    let (head, mut body) = request.into_parts();
-    let head_only = head.method == Method::HEAD;
-    let receive = receive_body(&mut body, &head.headers);
-    let received = with_timeout(MESSAGE_TIMEOUT, receive).await;
-    let pending = match route(&context, head, received) {
-        Ok(RoutedRequest::Query(query)) => {
-            let deadline = received_at + query.client_timeout;
-            let reset = poll_fn(|cx| respond.poll_reset(cx));
-            match context.submit(connection, query, reset).await {
-                Ok(reply) => PendingReply { reply, deadline },
-                Err(_reset) => return StreamOutcome::cancelled(true),
+    respond: SendResponse<Bytes>,
+}
+
+impl NewStream {
+    pub(super) fn new(request: Request<RecvStream>, respond: SendResponse<Bytes>) -> Self {
+        NewStream { request, respond }
+    }
+
+    /// Refuses the request, which the client may retry on another connection (RFC 9113, section 8.7).
+    pub(super) fn refuse(mut self) {
+        self.respond.send_reset(Reason::REFUSED_STREAM);
+    }
+
+    /// Serves the stream until it ends.
+    pub(super) async fn serve(
+        self,
+        context: Rc<ListenerContext>,
+        connection: ConnectionId,
+    ) -> StreamOutcome {
+        let NewStream {
+            request,
+            mut respond,
+        } = self;
+        let received_at = Instant::now();
+        let (head, mut body) = request.into_parts();
+        let body_policy = BodyPolicy::of(&head.method);
+        let receive = receive_body(&mut body, &head.headers);
+        let received = with_timeout(MESSAGE_TIMEOUT, receive).await;
+        let pending = match route(&context, head, received) {
+            Ok(RoutedRequest::Query(query)) => {
+                let deadline = received_at + query.client_timeout;
+                let reset = poll_fn(|cx| respond.poll_reset(cx));
+                match context.submit(connection, query, reset).await {
+                    Ok(reply) => PendingReply { reply, deadline },
+                    Err(_reset) => return StreamOutcome::cancelled(true),
+                }
             }
+            Ok(RoutedRequest::Replied(reply)) => PendingReply {
+                reply,
+                deadline: received_at + MESSAGE_TIMEOUT,
+            },
+            Err(_cancelled) => return StreamOutcome::cancelled(false),
+        };
+        let is_valid_request = pending.reply.is_valid_request;
+        let response = context.with_date(pending.reply.response);
+        let OutgoingResponse { head, body: bytes } = OutgoingResponse::new(response, body_policy);
+        let Ok(mut sender) = respond.send_response(head, bytes.is_empty()) else {
+            return StreamOutcome::cancelled(is_valid_request);
+        };
+        // The rest of the request, if any, is not needed (RFC 9113, section 8.1).
+        drop(body);
+        let body_bytes = bytes.len();
+        let deadline = pending.deadline.max(Instant::now() + MIN_SEND_TIME);
+        match send_body(&mut sender, bytes, deadline).await {
+            Ok(()) => StreamOutcome {
+                sent_body_bytes: Some(body_bytes),
+                is_valid_request,
+            },
+            Err(SendError::DeadlineExceeded) => {
+                warn!(name: "http2_reader_stalled", connection = connection.0, body_bytes);
+                sender.send_reset(Reason::CANCEL);
+                StreamOutcome::cancelled(is_valid_request)
+            }
+            Err(SendError::StreamClosed) => StreamOutcome::cancelled(is_valid_request),
         }
-        Ok(RoutedRequest::Replied(reply)) => PendingReply {
-            reply,
-            deadline: received_at + MESSAGE_TIMEOUT,
-        },
-        Err(_cancelled) => return StreamOutcome::cancelled(false),
-    };
-    let is_valid_request = pending.reply.is_valid_request;
-    let response = context.with_date(pending.reply.response);
-    let (head, bytes) = response_parts(response, head_only);
-    let Ok(mut sender) = respond.send_response(head, bytes.is_empty()) else {
-        return StreamOutcome::cancelled(is_valid_request);
-    };
-    // The rest of the request, if any, is not needed (RFC 9113, section 8.1).
-    drop(body);
-    let body_bytes = bytes.len();
-    let deadline = pending.deadline.max(Instant::now() + MIN_SEND_TIME);
-    match send_body(&mut sender, bytes, deadline).await {
-        Ok(()) => StreamOutcome {
-            sent_body_bytes: Some(body_bytes),
-            is_valid_request,
-        },
-        Err(SendError::DeadlineExceeded) => {
-            warn!(name: "http2_reader_stalled", connection = connection.0, body_bytes);
-            sender.send_reset(Reason::CANCEL);
-            StreamOutcome::cancelled(is_valid_request)
-        }
-        Err(SendError::StreamClosed) => StreamOutcome::cancelled(is_valid_request),
     }
 }
 
@@ -126,13 +146,47 @@
     Ok(RoutedRequest::Replied(reply))
 }
 
-/// Splits a response into its head and the body that has to be sent, and declares the length of the body.
-fn response_parts(response: query_api::Response, head_only: bool) -> (Response<()>, Vec<u8>) {
-    let (mut head, bytes) = response.into_parts();
-    head.headers
-        .insert(CONTENT_LENGTH, HeaderValue::from(bytes.len()));
-    let bytes = if head_only { Vec::new() } else { bytes };
-    (Response::from_parts(head, ()), bytes)
+/// Whether the body of a response is sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum BodyPolicy {
+    /// The body is sent.
+    Send,
+    /// The head alone is sent, with the length that the body would have.
+    Omit,
+}
+
+impl BodyPolicy {
+    /// The policy for the response to a request with this method.
+    fn of(method: &Method) -> Self {
+        if method == Method::HEAD {
+            BodyPolicy::Omit
+        } else {
+            BodyPolicy::Send
+        }
+    }
+}
+
+/// A response as it is sent.
+struct OutgoingResponse {
+    head: Response<()>,
+    /// Empty if the body is omitted.
+    body: Vec<u8>,
+}
+
+impl OutgoingResponse {
+    /// Declares the length of the response's body, and drops the body if it is omitted.
+    fn new(response: query_api::Response, body_policy: BodyPolicy) -> Self {
+        let (mut head, body) = response.into_parts();
+        head.headers
+            .insert(CONTENT_LENGTH, HeaderValue::from(body.len()));
+        OutgoingResponse {
+            head: Response::from_parts(head, ()),
+            body: match body_policy {
+                BodyPolicy::Send => body,
+                BodyPolicy::Omit => Vec::new(),
+            },
+        }
+    }
 }
 
 /// Why a body was not sent completely.
--- a/crates/broker/src/listeners/mod.rs
+++ b/crates/broker/src/listeners/mod.rs
@@ -6,16 +6,16 @@
 
 mod accept;
 mod context;
+mod date;
 mod http1;
 mod http2;
 mod lifecycle;
-mod request;
+mod reply;
 mod slots;
 mod timeouts;
 
 pub use context::ListenerContext;
 
-use crate::clock::Clock;
 use accept::{ConnectionHandler, accept_backlog, accept_connections};
 use admission::resource_limits::ListenerLimits;
 use async_executor::{LocalExecutor, Task};
@@ -90,7 +90,6 @@
     pub fn start(
         context: Rc<ListenerContext>,
         config: ListenerConfig,
-        clock: Clock,
         executor: Rc<LocalExecutor<'static>>,
     ) -> Self {
         let http1 = Http1Listener::new(context.clone(), config.limits.max_http1_connections);
@@ -99,7 +98,7 @@
             .http2
             .zip(config.limits.http2)
             .map(|(socket, limits)| {
-                let handler = Http2Listener::new(context.clone(), limits, clock);
+                let handler = Http2Listener::new(context.clone(), limits);
                 Listener::start(handler, socket, &executor)
             });
         ClientListeners {
--- a/crates/broker/src/listeners/tests.rs
+++ b/crates/broker/src/listeners/tests.rs
@@ -1,7 +1,7 @@
 use super::accept::accept_connections;
 use super::slots::{ConnectionSlots, EvictionPriority};
 use super::*;
-use crate::clock::with_timeout;
+use crate::clock::{Clock, with_timeout};
 use crate::net::read_some;
 use broker_types::query::Names;
 use fanout_policy::json::JsonObject;
@@ -23,7 +23,7 @@
         tenants: vec!["acme".into()],
         zones: Vec::new(),
     };
-    ListenerContext::new(Rc::default(), site.settings, names)
+    ListenerContext::new(Rc::default(), site.settings, names, Clock::start())
 }
 
 /// An evicted connection stays open if it received a request at the same moment. The listener used to wait for its end,
--- a/crates/broker/src/listeners/timeouts.rs
+++ b/crates/broker/src/listeners/timeouts.rs
@@ -1,4 +1,4 @@
-//! Time limits for clients that apply to every version of HTTP. The figures are choices of this project.
+//! Time limits for clients that apply to every version of HTTP.
 
 use std::time::Duration;
 
