--- /dev/null
+++ b/crates/broker/src/event_loop/iteration.rs
@@ -0,0 +1,173 @@
+//! The iterations of the event loop: their order, and when the next one starts.
+//!
+//! [`EventLoop`] holds the parts of the broker and passes events from one to another. Each part owns its state.
+
+use super::configuration::Configuration;
+use super::query_processor::QueryProcessor;
+use super::runtime::Runtime;
+use super::shutdown::{GracefulShutdown, ShutdownProgress};
+use crate::clock::Clock;
+use crate::discovery::DiscoveryWatch;
+use crate::event_queue::{Event, EventQueue, ReceivedQuery};
+use crate::listeners::{ClientListeners, ListenerConfig, ListenerContext};
+use crate::operator::OperatorConfig;
+use crate::queries::ClientQueries;
+use crate::upstream::ServerPools;
+use async_io::Timer;
+use broker_types::server::{EndpointList, ListScope};
+use broker_types::time::{Timestamp, millis};
+use futures_lite::FutureExt;
+use futures_lite::future::yield_now;
+use platform_config::Config;
+use policy_engine::PolicyEngine;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Longest time between two iterations.
+const MAX_WAIT: Duration = Duration::from_secs(1000);
+
+/// The parts of the broker, which run on one thread.
+pub(super) struct EventLoop {
+    clock: Clock,
+    event_queue: Rc<EventQueue>,
+    /// Names of the zones, in the order by which the policy numbers them.
+    zones: Vec<String>,
+    configuration: Configuration,
+    processor: QueryProcessor,
+    discovery: DiscoveryWatch,
+    listeners: ClientListeners,
+    shutdown: GracefulShutdown,
+}
+
+impl EventLoop {
+    /// Returns an event loop that starts with the cached endpoint list.
+    pub(super) fn new(
+        config: Config,
+        operator: OperatorConfig,
+        listeners: ListenerConfig,
+        runtime: &Runtime,
+    ) -> Self {
+        let context = ListenerContext::new(
+            runtime.event_queue(),
+            config.settings.clone(),
+            config.names.clone(),
+            runtime.clock(),
+        );
+        let tick = millis(config.settings.tick);
+        let queries = ClientQueries::new(&config.settings, config.max_in_flight);
+        let policy = PolicyEngine::new(config.settings, config.max_in_flight, config.seed);
+        let servers = ServerPools::new(
+            runtime.executor(),
+            runtime.event_queue(),
+            runtime.clock(),
+            config.pool,
+        );
+        let mut event_loop = EventLoop {
+            clock: runtime.clock(),
+            event_queue: runtime.event_queue(),
+            zones: config.names.zones,
+            configuration: Configuration::new(operator, config.clients, tick),
+            processor: QueryProcessor::new(policy, queries, servers),
+            discovery: DiscoveryWatch::start(
+                runtime.executor(),
+                runtime.event_queue(),
+                config.discovery,
+                config.cached_endpoints.revision,
+                config.seed,
+            ),
+            listeners: ClientListeners::start(context, listeners, runtime.executor()),
+            shutdown: GracefulShutdown::default(),
+        };
+        event_loop.update_endpoints(
+            runtime.clock().now(),
+            ListScope::Cached,
+            &config.cached_endpoints,
+        );
+        event_loop
+    }
+
+    /// Runs iterations until the graceful shutdown is complete.
+    pub(super) async fn run(&mut self) {
+        loop {
+            let now = self.clock.now();
+            self.iterate(now);
+            let queries_in_flight = self.processor.queries_in_flight();
+            let shutdown = &mut self.shutdown;
+            let progress = shutdown.advance(now, &mut self.listeners, queries_in_flight);
+            if progress.await == ShutdownProgress::Complete {
+                return;
+            }
+            self.wait(now, self.next_deadline(now)).await;
+        }
+    }
+
+    /// Runs one iteration.
+    fn iterate(&mut self, now: Timestamp) {
+        let received = self.handle_events(now);
+        self.configuration
+            .reload_if_due(now, &self.listeners, &mut self.discovery);
+        self.processor.report_ended_attempts(now);
+        self.processor.submit_queries(now, received);
+        self.processor.poll_policy(now);
+        self.processor.end_iteration(now);
+    }
+
+    /// Handles all queued events, and returns the queries that were received and whose clients are still connected.
+    fn handle_events(&mut self, now: Timestamp) -> Vec<ReceivedQuery> {
+        let mut received = Vec::new();
+        for event in self.event_queue.drain() {
+            match event {
+                Event::QueryReceived(query) => received.push(query),
+                Event::ClientDisconnected { query } => {
+                    received.retain(|other| other.id != query);
+                    self.processor.on_client_disconnected(now, query);
+                }
+                Event::ServerConnection { connection, event } => {
+                    self.processor.on_server_event(now, connection, event);
+                }
+                Event::EndpointsUpdated(list) => self.update_endpoints(now, list.scope(), &list),
+                Event::ReloadRequested => self.configuration.request_reload(now),
+                Event::ShutdownRequested => {
+                    let queries_in_flight = self.processor.queries_in_flight();
+                    self.shutdown.start(now, &self.listeners, queries_in_flight);
+                }
+            }
+        }
+        received
+    }
+
+    fn update_endpoints(&mut self, now: Timestamp, scope: ListScope, list: &EndpointList) {
+        let servers = list.servers(&self.zones, |unix_ms| self.clock.at_unix_ms(unix_ms));
+        self.processor.update_endpoints(now, scope, list, servers);
+    }
+
+    /// Returns when the next iteration is due even if no event occurs.
+    fn next_deadline(&self, now: Timestamp) -> Timestamp {
+        let tick = self.configuration.tick();
+        let deadlines = [
+            self.processor.next_deadline(now),
+            self.shutdown.next_deadline(now, &self.listeners, tick),
+            self.configuration.next_reload(),
+        ];
+        let earliest = deadlines.into_iter().flatten().min();
+        earliest.unwrap_or(Timestamp::MAX)
+    }
+
+    /// Waits until an event has occurred or the deadline has passed, and then until the batch window has ended.
+    async fn wait(&self, now: Timestamp, deadline: Timestamp) {
+        let earliest = now + self.configuration.tick();
+        let deadline = deadline.min(now + MAX_WAIT).max(earliest);
+        let timer = async {
+            Timer::at(self.clock.instant(deadline)).await;
+        };
+        self.event_queue.wait().or(timer).await;
+        let queries = self.processor.queries_in_flight() + self.event_queue.pending_queries();
+        let next_start = self.configuration.batch_window().next_start(now, queries);
+        if self.clock.now() < next_start {
+            Timer::at(self.clock.instant(next_start)).await;
+        } else {
+            // Lets the other tasks queue what their sockets have received by now.
+            yield_now().await;
+        }
+    }
+}
--- a/crates/broker/src/event_loop/shutdown.rs
+++ b/crates/broker/src/event_loop/shutdown.rs
@@ -1,6 +1,6 @@
-//! Graceful shutdown.
+//! Graceful shutdown: when the listeners are closed and when the program may end.
 
-use super::EventLoop;
+use crate::listeners::ClientListeners;
 use broker_types::time::Timestamp;
 use std::time::Duration;
 use tracing::info;
@@ -9,36 +9,69 @@
 /// no longer ready.
 const ACCEPT_TIME: Duration = Duration::from_millis(600);
 
-impl EventLoop {
-    /// Starts the graceful shutdown, unless it has started before.
-    pub(super) fn start_shutdown(&mut self, now: Timestamp) {
-        if self.shutdown_started_at.is_none() {
-            info!(name: "shutdown_started", queries_in_flight = self.queries.len());
-            self.shutdown_started_at = Some(now);
-            self.listeners.start_draining();
+/// Whether the broker may stop.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum ShutdownProgress {
+    /// The broker serves queries, or has connections or queries left.
+    Running,
+    /// No connection is open and no query is in flight.
+    Complete,
+}
+
+/// The graceful shutdown of the broker.
+#[derive(Debug, Default)]
+pub(super) struct GracefulShutdown {
+    started_at: Option<Timestamp>,
+}
+
+impl GracefulShutdown {
+    /// Starts the shutdown, unless it has started before.
+    pub(super) fn start(
+        &mut self,
+        now: Timestamp,
+        listeners: &ClientListeners,
+        queries_in_flight: usize,
+    ) {
+        if self.started_at.is_none() {
+            info!(name: "shutdown_started", queries_in_flight);
+            self.started_at = Some(now);
+            listeners.start_draining();
         }
     }
 
-    /// Closes the listeners once the time for new connections is over. Returns whether the shutdown is complete: no
-    /// connection is open and no query is in flight.
-    pub(super) async fn continue_shutdown(&mut self, now: Timestamp) -> bool {
+    /// Closes the listeners once the time for new connections is over.
+    pub(super) async fn advance(
+        &mut self,
+        now: Timestamp,
+        listeners: &mut ClientListeners,
+        queries_in_flight: usize,
+    ) -> ShutdownProgress {
         if self.accepts_until().is_none_or(|end| now < end) {
-            return false;
+            return ShutdownProgress::Running;
+        }
+        listeners.close().await;
+        if listeners.open_connections() == 0 && queries_in_flight == 0 {
+            ShutdownProgress::Complete
+        } else {
+            ShutdownProgress::Running
         }
-        self.listeners.close().await;
-        self.listeners.open_connections() == 0 && self.queries.is_empty()
     }
 
-    /// Returns when the next step of the shutdown is due.
-    pub(super) fn shutdown_deadline(&self, now: Timestamp) -> Option<Timestamp> {
-        if self.listeners.is_closed() {
-            return Some(now + self.tick);
+    /// Returns when the next step is due. Once the listeners are closed, that is after each `tick`.
+    pub(super) fn next_deadline(
+        &self,
+        now: Timestamp,
+        listeners: &ClientListeners,
+        tick: Duration,
+    ) -> Option<Timestamp> {
+        if listeners.is_closed() {
+            return Some(now + tick);
         }
         self.accepts_until().filter(|end| now < *end)
     }
 
     /// Returns when the listeners are to be closed, once the shutdown has started.
     fn accepts_until(&self) -> Option<Timestamp> {
-        self.shutdown_started_at.map(|start| start + ACCEPT_TIME)
+        self.started_at.map(|start| start + ACCEPT_TIME)
     }
 }
--- a/crates/broker/src/event_loop/startup.rs
+++ b/crates/broker/src/event_loop/startup.rs
@@ -1,26 +1,15 @@
 //! Start of the broker: sockets, signals, and the parts of the event loop.
 
-use super::EventLoop;
-use crate::clock::Clock;
-use crate::discovery::DiscoveryWatch;
-use crate::event_queue::{Event, EventQueue};
-use crate::listeners::{ClientListeners, ListenerConfig, ListenerContext};
+use super::iteration::EventLoop;
+use super::runtime::Runtime;
+use crate::listeners::ListenerConfig;
 use crate::operator::OperatorConfig;
-use crate::queries::QueryTable;
-use crate::upstream::ServerPools;
 use admission::resource_limits::{AllocationError, ListenerLimits, allocate};
-use async_executor::LocalExecutor;
 use async_io::Async;
 use async_signal::{Signal, Signals};
-use broker_types::server::ListScope;
-use broker_types::time::{Timestamp, millis};
-use futures_lite::StreamExt;
 use platform_config::Config;
-use policy_engine::PolicyEngine;
-use std::collections::BTreeMap;
 use std::io;
 use std::net::{SocketAddr, TcpListener};
-use std::rc::Rc;
 use thiserror::Error;
 use tracing::info;
 
@@ -77,42 +66,11 @@
     info!(name: "broker_started", name = %name, listen = %addresses.http1, revision, servers);
     log_http2_listener(addresses, limits);
     on_started(addresses);
-    async_io::block_on(runtime.executor.run(event_loop.run()));
+    runtime.block_on(event_loop.run());
     info!(name: "broker_stopped", name = %name);
     Ok(())
 }
 
-/// What all tasks of the broker share.
-struct Runtime {
-    executor: Rc<LocalExecutor<'static>>,
-    event_queue: Rc<EventQueue>,
-    clock: Clock,
-}
-
-impl Runtime {
-    fn start() -> Self {
-        Runtime {
-            executor: Rc::new(LocalExecutor::new()),
-            event_queue: Rc::new(EventQueue::default()),
-            clock: Clock::start(),
-        }
-    }
-
-    /// Starts a task that queues an event for each signal.
-    fn spawn_signal_handler(&self, mut signals: Signals) {
-        let event_queue = self.event_queue.clone();
-        let handle_signals = async move {
-            while let Some(signal) = signals.next().await {
-                event_queue.push(match signal {
-                    Ok(Signal::Hup) => Event::ReloadRequested,
-                    _ => Event::ShutdownRequested,
-                });
-            }
-        };
-        self.executor.spawn(handle_signals).detach();
-    }
-}
-
 fn bind_listeners(
     http1: SocketAddr,
     http2: Option<SocketAddr>,
@@ -144,54 +102,3 @@
         );
     }
 }
-
-impl EventLoop {
-    /// Returns an event loop that starts with the cached endpoint list.
-    fn new(
-        config: Config,
-        operator: OperatorConfig,
-        listeners: ListenerConfig,
-        runtime: &Runtime,
-    ) -> Self {
-        let Runtime {
-            executor,
-            event_queue,
-            clock,
-        } = runtime;
-        let context = ListenerContext::new(
-            event_queue.clone(),
-            config.settings.clone(),
-            config.names.clone(),
-            *clock,
-        );
-        let tick = millis(config.settings.tick);
-        let mut event_loop = EventLoop {
-            clock: *clock,
-            zones: config.names.zones,
-            tick,
-            batch_window: operator.batch_window(tick),
-            operator,
-            client_resources: config.clients,
-            queries: QueryTable::new(&config.settings, config.max_in_flight),
-            policy: PolicyEngine::new(config.settings, config.max_in_flight, config.seed),
-            servers: ServerPools::new(executor.clone(), event_queue.clone(), *clock, config.pool),
-            discovery: DiscoveryWatch::start(
-                executor.clone(),
-                event_queue.clone(),
-                config.discovery,
-                config.cached_endpoints.revision,
-                config.seed,
-            ),
-            event_queue: event_queue.clone(),
-            listeners: ClientListeners::start(context, listeners, executor.clone()),
-            dispatches: BTreeMap::new(),
-            unsent_attempts: Vec::new(),
-            completed: Vec::new(),
-            shutdown_started_at: None,
-            reload_at: None,
-            next_policy_report: Timestamp::ORIGIN,
-        };
-        event_loop.update_endpoints(clock.now(), ListScope::Cached, &config.cached_endpoints);
-        event_loop
-    }
-}
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,8 +1,8 @@
 //! Queries in flight: their admission, their attempts and their final responses.
 
 mod attempt_log;
+mod client_query;
 mod idempotency;
-mod in_flight;
 
 use self::idempotency::IdempotencyGuard;
 use crate::event_queue::ReceivedQuery;
@@ -11,8 +11,8 @@
 use admission::ConnectionQuota;
 use broker_types::query::{FinalResponse, QueryId, QueryRequest, ShardValue};
 use broker_types::time::{Timestamp, millis};
+use client_query::ClientQuery;
 use fanout_policy::api::Settings;
-use in_flight::InFlightQuery;
 use policy_engine::{Dispatch, QuerySpec};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -36,8 +36,8 @@
 }
 
 /// The queries in flight. Each one leaves the table with its one final response, or when its client disconnects.
-pub(crate) struct QueryTable {
-    queries: BTreeMap<QueryId, InFlightQuery>,
+pub(crate) struct ClientQueries {
+    queries: BTreeMap<QueryId, ClientQuery>,
     /// Request ids of the queries in flight. They are part of the parts' ids on the wire.
     request_ids: BTreeSet<Rc<str>>,
     quota: ConnectionQuota,
@@ -46,10 +46,10 @@
     max_retry_after: Option<Duration>,
 }
 
-impl QueryTable {
+impl ClientQueries {
     /// Returns an empty table. `capacity` is the largest number of queries and parts in flight.
     pub(crate) fn new(settings: &Settings, capacity: usize) -> Self {
-        QueryTable {
+        ClientQueries {
             queries: BTreeMap::new(),
             request_ids: BTreeSet::new(),
             quota: ConnectionQuota::new(capacity),
@@ -59,15 +59,10 @@
     }
 
     /// Returns the number of queries in flight.
-    pub(crate) fn len(&self) -> usize {
+    pub(crate) fn in_flight(&self) -> usize {
         self.queries.len()
     }
 
-    /// Returns whether no query is in flight.
-    pub(crate) fn is_empty(&self) -> bool {
-        self.queries.is_empty()
-    }
-
     /// Admits a query, or sends its final response and returns `None`.
     pub(crate) fn admit(&mut self, now: Timestamp, query: ReceivedQuery) -> Option<QuerySpec> {
         let deadline = now + query.request.client_timeout;
@@ -86,8 +81,7 @@
             parts: request.parts.clone(),
         };
         self.request_ids.insert(request.id.clone());
-        self.queries
-            .insert(query.id, InFlightQuery::new(now, query));
+        self.queries.insert(query.id, ClientQuery::new(now, query));
         Some(spec)
     }
 
@@ -182,7 +176,7 @@
     }
 
     /// Releases what a removed query had reserved.
-    fn release(&mut self, now: Timestamp, query: &InFlightQuery, is_answered: bool) {
+    fn release(&mut self, now: Timestamp, query: &ClientQuery, is_answered: bool) {
         let request = query.request();
         self.request_ids.remove(&request.id);
         self.quota.release(query.connection(), quota_units(request));
--- a/crates/broker/src/queries/in_flight.rs
+++ b/crates/broker/src/queries/client_query.rs
@@ -13,7 +13,7 @@
 
 /// A query in flight. Dropping it closes the channel to its client, so it must be dropped only with its final response
 /// or after the client has disconnected.
-pub(super) struct InFlightQuery {
+pub(super) struct ClientQuery {
     connection: ConnectionId,
     request: QueryRequest,
     reply: Sender<FinalResponse>,
@@ -24,7 +24,7 @@
     span: Span,
 }
 
-impl InFlightQuery {
+impl ClientQuery {
     /// Returns a query that has just been admitted.
     pub(super) fn new(now: Timestamp, received: ReceivedQuery) -> Self {
         let ReceivedQuery {
@@ -37,7 +37,7 @@
         span.in_scope(
             || debug!(name: "query_accepted", class = request.class.0, parts = request.parts.len()),
         );
-        InFlightQuery {
+        ClientQuery {
             connection,
             values: vec![None; request.parts.len()],
             request,
