--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -131,7 +131,7 @@
         let has_reports = self.servers.has_ended_attempts() || !self.unsent_attempts.is_empty();
         let deadlines = [
             Some(self.policy.next_deadline()),
-            Some(self.servers.next_deadline()),
+            self.servers.next_deadline(),
             self.shutdown_deadline(now),
             self.reload_at,
             has_reports.then_some(now),
--- a/crates/broker/src/event_loop/endpoints.rs
+++ b/crates/broker/src/event_loop/endpoints.rs
@@ -16,7 +16,7 @@
             let address = endpoint
                 .address
                 .filter(|_| server.state == ServingState::Serving);
-            self.servers.set_endpoint(now, server.name.clone(), address);
+            self.servers.set_endpoint(now, &server.name, address);
         }
         self.policy.update_endpoints(scope, servers);
     }
@@ -26,7 +26,7 @@
         let listed: BTreeSet<&NodeId> = listed.iter().map(|server| &server.name).collect();
         for name in self.servers.serving() {
             if !listed.contains(&name) {
-                self.servers.set_endpoint(now, name, None);
+                self.servers.set_endpoint(now, &name, None);
             }
         }
     }
--- /dev/null
+++ b/crates/broker/src/upstream/assignment.rs
@@ -0,0 +1,46 @@
+//! The place of an attempt on a connection.
+
+use broker_types::time::Micros;
+
+/// Number of a connection to a data server. It is never used twice.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ServerConnectionId(pub u64);
+
+/// The place of an attempt on the connection that it was assigned to.
+pub(super) struct Assignment {
+    connection: ServerConnectionId,
+    /// Id of the attempt's part on the wire.
+    wire_id: String,
+    assigned_at: Micros,
+}
+
+impl Assignment {
+    /// The assignment of an attempt to a connection now.
+    pub(super) fn new(connection: ServerConnectionId, wire_id: String, now: Micros) -> Self {
+        Assignment {
+            connection,
+            wire_id,
+            assigned_at: now,
+        }
+    }
+
+    /// The connection.
+    pub(super) fn connection(&self) -> ServerConnectionId {
+        self.connection
+    }
+
+    /// Id of the attempt's part on the wire.
+    pub(super) fn wire_id(&self) -> &str {
+        &self.wire_id
+    }
+
+    /// When the attempt was assigned to the connection.
+    pub(super) fn assigned_at(&self) -> Micros {
+        self.assigned_at
+    }
+
+    /// Time since the attempt was assigned to the connection.
+    pub(super) fn elapsed(&self, now: Micros) -> Micros {
+        now.saturating_sub(self.assigned_at)
+    }
+}
--- a/crates/broker/src/upstream/attempt.rs
+++ b/crates/broker/src/upstream/attempt.rs
@@ -1,8 +1,9 @@
-//! An attempt before it is sent and after it has ended.
+//! The records of an attempt: before it is sent, its result, and after it has ended.
 
 use broker_types::query::AttemptId;
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Micros;
+use server_protocol::broker::PartResponse;
 use std::rc::Rc;
 
 /// An attempt to be sent to a data server.
@@ -33,6 +34,42 @@
     pub text: Rc<str>,
 }
 
+/// What an attempt ended with.
+pub(super) struct AttemptResult {
+    outcome: Outcome,
+    requests_in_flight: Option<f64>,
+    value: Option<String>,
+}
+
+impl From<Outcome> for AttemptResult {
+    /// The result of an attempt that ended without a response.
+    fn from(outcome: Outcome) -> Self {
+        AttemptResult {
+            outcome,
+            requests_in_flight: None,
+            value: None,
+        }
+    }
+}
+
+impl From<PartResponse> for AttemptResult {
+    /// The result of an attempt that ended with this response. Only a served one has a value.
+    fn from(response: PartResponse) -> Self {
+        let is_served = response.outcome == Outcome::Served;
+        AttemptResult {
+            outcome: response.outcome,
+            requests_in_flight: response.requests_in_flight,
+            value: is_served.then_some(response.value),
+        }
+    }
+}
+
+/// The end of one of the attempts on a connection that fails.
+pub(super) struct AttemptEnd {
+    pub(super) attempt: AttemptId,
+    pub(super) outcome: Outcome,
+}
+
 /// An attempt that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedAttempt {
@@ -49,15 +86,25 @@
 }
 
 impl EndedAttempt {
-    /// An attempt that ended before it was handed to a connection.
-    #[must_use]
-    pub fn unsent(attempt: AttemptId, outcome: Outcome) -> Self {
+    /// An attempt that ended with this result.
+    pub(super) fn new(attempt: AttemptId, elapsed: Micros, result: AttemptResult) -> Self {
+        let AttemptResult {
+            outcome,
+            requests_in_flight,
+            value,
+        } = result;
         EndedAttempt {
             attempt,
             outcome,
-            elapsed: 0,
-            requests_in_flight: None,
-            value: None,
+            elapsed,
+            requests_in_flight,
+            value,
         }
     }
+
+    /// An attempt that ended before it was handed to a connection.
+    #[must_use]
+    pub fn unsent(attempt: AttemptId, outcome: Outcome) -> Self {
+        EndedAttempt::new(attempt, 0, outcome.into())
+    }
 }
--- /dev/null
+++ b/crates/broker/src/upstream/connection_event.rs
@@ -0,0 +1,38 @@
+//! What an event of a connection means for the attempts on it.
+
+use broker_types::query::AttemptId;
+use server_protocol::InvalidFrame;
+use server_protocol::broker::PartResponse;
+use thiserror::Error;
+
+/// What the caller has to do after an event of a connection.
+pub(super) enum EventEffect {
+    /// Nothing: all attempts go on.
+    Continue,
+    /// End an attempt with the response to it.
+    Respond {
+        attempt: AttemptId,
+        response: PartResponse,
+    },
+    /// End all attempts on the connection, which has been closed or could not be opened.
+    ConnectionLost,
+    /// End all attempts on the connection and close it.
+    ProtocolViolated(ProtocolViolation),
+}
+
+/// Reason why what a server sent makes its connection unusable.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub(super) enum ProtocolViolation {
+    /// A response names a part that is not in flight.
+    #[error("its id is not out")]
+    UnexpectedResponse,
+    /// Data arrived although no response is expected.
+    #[error("nothing is out")]
+    UnsolicitedData,
+    /// The rest of a frame does not arrive.
+    #[error("its end does not come")]
+    IncompleteFrame,
+    /// A frame could not be decoded.
+    #[error(transparent)]
+    InvalidFrame(#[from] InvalidFrame),
+}
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -1,31 +1,37 @@
-//! Connections to data servers and the attempts in flight on them.
+//! Connections to data servers and the attempts on them.
 //!
-//! [`ServerPools`] owns each attempt from its sending to its one [`EndedAttempt`], and each connection from its
-//! opening until its socket task is dropped, which closes the socket. Socket tasks report what happens as events
-//! in the event queue; the event loop passes these on to the pools.
+//! [`ServerPools`] is what the event loop works with. Each state below it has one owner:
 //!
-//! - `pools`: the pools, their servers, and how connections are opened and closed;
-//! - `selection`: choice of the connection that an attempt is sent on;
-//! - `connection`: state of one connection;
-//! - `in_flight`: the attempts in flight and the times at which they are looked at again;
-//! - `cancellation`: attempts that end without a response: cancelled, withdrawn or timed out;
-//! - `events`: responses and failures of connections;
-//! - `expiry`: closing of connections that are idle, drained or stalled;
-//! - `send_queue` and `socket`: the frames to be written, and the task that writes and reads.
+//! - `attempt_tracker`: each attempt from its assignment to a connection until its one [`EndedAttempt`] is taken,
+//!   with its deadline;
+//! - `connection_pool`: each connection from its opening until it is closed, and `server_table`: the servers'
+//!   addresses;
+//! - `connection`: the parts in flight on one connection, and with what its attempts end. It is composed of
+//!   `receive_progress` (when anything was last received), `cancelled_parts` (responses that may still arrive),
+//!   `send_queue` (frames to be written) and its `socket`.
+//!
+//! Decisions without state of their own: `selection` (the connection for a call), `timeouts` (how long a connection
+//! may be idle, silent or stalled). `assignment`, `attempt` and `connection_event` are plain records.
+//!
+//! Socket tasks report what happens as events in the event queue; the event loop passes these on to the pools.
 
+mod assignment;
 mod attempt;
-mod cancellation;
+mod attempt_tracker;
+mod cancelled_parts;
 mod connection;
-mod events;
-mod expiry;
-mod in_flight;
+mod connection_event;
+mod connection_pool;
 mod pools;
+mod receive_progress;
 mod selection;
 mod send_queue;
+mod server_table;
 mod socket;
 #[cfg(test)]
 mod tests;
+mod timeouts;
 
+pub use assignment::ServerConnectionId;
 pub use attempt::{EndedAttempt, OutgoingAttempt, OutgoingPart};
-pub use connection::ServerConnectionId;
 pub use pools::ServerPools;
--- a/crates/broker/src/upstream/pools.rs
+++ b/crates/broker/src/upstream/pools.rs
@@ -1,60 +1,32 @@
-//! The pools of all data servers: their addresses, their connections, and what is sent on these.
-
-use super::attempt::{EndedAttempt, OutgoingAttempt};
-use super::connection::{PooledConnection, ServerConnectionId};
-use super::in_flight::{InFlightAttempt, InFlightAttempts};
-use super::send_queue::{OutgoingFrame, SendQueue};
-use super::socket::SocketTask;
+//! The pools of all data servers, as the event loop uses them.
+//!
+//! [`ServerPools`] composes the [`ConnectionPool`] and the [`AttemptTracker`]: whatever ends an attempt on the one
+//! side is passed on to the other.
+
+use super::assignment::ServerConnectionId;
+use super::attempt::{AttemptEnd, AttemptResult, EndedAttempt, OutgoingAttempt};
+use super::attempt_tracker::{AttemptTracker, Expiry};
+use super::connection::{StopReason, Stopped};
+use super::connection_event::{EventEffect, ProtocolViolation};
+use super::connection_pool::ConnectionPool;
+use super::socket::Connector;
 use crate::clock::Clock;
-use crate::event_queue::EventQueue;
+use crate::event_queue::{ConnectionEvent, EventQueue};
 use async_executor::LocalExecutor;
 use broker_types::limits::PoolLimits;
-use broker_types::query::AttemptId;
+use broker_types::query::{AttemptId, PartIndex, QueryId};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Micros;
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The pool of one data server.
-#[derive(Default)]
-pub(super) struct ServerPool {
-    /// Address that new connections lead to. `None`: the server accepts no further attempts.
-    pub(super) endpoint: Option<SocketAddr>,
-    /// Its connections.
-    pub(super) connections: BTreeSet<ServerConnectionId>,
-}
-
-/// What an attempt ended with.
-pub(super) struct AttemptResult {
-    pub(super) outcome: Outcome,
-    pub(super) requests_in_flight: Option<f64>,
-    pub(super) value: Option<String>,
-}
-
-impl From<Outcome> for AttemptResult {
-    /// The result of an attempt that ended without a response.
-    fn from(outcome: Outcome) -> Self {
-        AttemptResult {
-            outcome,
-            requests_in_flight: None,
-            value: None,
-        }
-    }
-}
-
-/// The connection pools of all data servers.
+/// The connection pools of all data servers and the attempts in flight on them.
 pub struct ServerPools {
-    pub(super) executor: Rc<LocalExecutor<'static>>,
-    pub(super) event_queue: Rc<EventQueue>,
-    clock: Clock,
-    pub(super) limits: PoolLimits,
-    pub(super) servers: BTreeMap<NodeId, ServerPool>,
-    pub(super) connections: BTreeMap<ServerConnectionId, PooledConnection>,
-    next_connection: u64,
-    pub(super) in_flight: InFlightAttempts,
-    /// Attempts that have ended and were not taken.
-    pub(super) ended: Vec<EndedAttempt>,
+    connections: ConnectionPool,
+    attempts: AttemptTracker,
+    /// Most parts in one call; at least one.
+    max_parts_per_call: usize,
 }
 
 impl ServerPools {
@@ -65,46 +37,26 @@
         clock: Clock,
         limits: PoolLimits,
     ) -> Self {
+        let connector = Connector::new(executor, event_queue, clock, limits.dial_timeout);
         ServerPools {
-            executor,
-            event_queue,
-            clock,
-            limits,
-            servers: BTreeMap::new(),
-            connections: BTreeMap::new(),
-            next_connection: 0,
-            in_flight: InFlightAttempts::default(),
-            ended: Vec::new(),
+            connections: ConnectionPool::new(limits, connector),
+            attempts: AttemptTracker::default(),
+            max_parts_per_call: limits.max_parts_per_call.max(1),
         }
     }
 
     /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. If the address
     /// changes, the connections to the old one are drained and unsent attempts on them end as not sent.
-    pub fn set_endpoint(&mut self, now: Micros, name: NodeId, endpoint: Option<SocketAddr>) {
-        let server = self.servers.entry(name.clone()).or_default();
-        let has_changed = server.endpoint.is_some_and(|old| Some(old) != endpoint);
-        server.endpoint = endpoint;
-        if has_changed {
-            for id in server.connections.clone() {
-                self.drain_connection(now, id);
-            }
-        }
-        self.remove_unused_server(&name);
-    }
-
-    /// Removes a server that has neither an address nor connections.
-    fn remove_unused_server(&mut self, name: &NodeId) {
-        let server = self.servers.get(name);
-        if server.is_some_and(|s| s.endpoint.is_none() && s.connections.is_empty()) {
-            self.servers.remove(name);
+    pub fn set_endpoint(&mut self, now: Micros, name: &NodeId, endpoint: Option<SocketAddr>) {
+        for attempt in self.connections.set_endpoint(name, endpoint) {
+            self.end_attempt(now, attempt, Outcome::NotSent);
         }
     }
 
     /// Names of all servers that accept attempts.
     #[must_use]
     pub fn serving(&self) -> Vec<NodeId> {
-        let serving = self.servers.iter().filter(|(_, s)| s.endpoint.is_some());
-        serving.map(|(name, _)| name.clone()).collect()
+        self.connections.serving().cloned().collect()
     }
 
     /// Number of connections, open or being opened.
@@ -120,10 +72,10 @@
             let server = attempt.server.clone();
             by_server.entry(server).or_default().push(attempt);
         }
-        let max_parts = self.limits.max_parts_per_call.max(1);
         for (server, mut attempts) in by_server {
             while !attempts.is_empty() {
-                let rest = attempts.split_off(attempts.len().min(max_parts));
+                let call_len = attempts.len().min(self.max_parts_per_call);
+                let rest = attempts.split_off(call_len);
                 self.send_call(now, &server, attempts);
                 attempts = rest;
             }
@@ -132,103 +84,159 @@
 
     /// Sends attempts to one server in one call. They end at once if no connection is available.
     fn send_call(&mut self, now: Micros, server: &NodeId, attempts: Vec<OutgoingAttempt>) {
-        let Some(id) = self.connection_for(now, server, attempts.len()) else {
-            let unsent = |a: OutgoingAttempt| EndedAttempt::unsent(a.attempt, Outcome::Unreachable);
-            self.ended.extend(attempts.into_iter().map(unsent));
-            return;
-        };
-        let Some(connection) = self.connections.get_mut(&id) else {
+        let Some(connection) = self.connections.acquire(now, server, attempts.len()) else {
+            for outgoing in attempts {
+                self.attempts
+                    .end_unassigned(outgoing.attempt, Outcome::Unreachable);
+            }
             return;
         };
-        connection.last_used = now;
-        let mut parts = Vec::with_capacity(attempts.len());
-        for OutgoingAttempt { attempt, part, .. } in attempts {
-            connection.in_flight.insert(part.wire_id.clone(), attempt);
-            let in_flight = InFlightAttempt::new(now, id, &part);
-            self.in_flight.insert(attempt, in_flight);
-            parts.push(part);
+        for outgoing in &attempts {
+            let assignment = connection.assign(now, outgoing);
+            self.attempts.track(outgoing, assignment);
+        }
+        let parts = attempts.into_iter().map(|outgoing| outgoing.part);
+        connection.send_call(parts.collect());
+    }
+
+    /// Cancels an attempt, on the server too if it was sent.
+    pub fn cancel(&mut self, now: Micros, attempt: AttemptId) {
+        self.stop_waiting(now, attempt, StopReason::Cancelled);
+    }
+
+    /// Withdraws the unsent attempts of a query that has ended, or those at one part of it that was served. None
+    /// of them reaches a server, so this is permitted also where sent attempts may not be cancelled.
+    pub fn cancel_unsent(&mut self, now: Micros, query: QueryId, part: Option<PartIndex>) {
+        for attempt in self.attempts.of_query(query, part) {
+            self.withdraw_unsent(now, attempt);
         }
-        connection.send_queue.push(OutgoingFrame::Call(parts));
     }
 
-    /// Ends an attempt. This is the only place where one in flight becomes an ended one.
-    pub(super) fn end_attempt(
+    /// Takes the attempts that have ended, including those whose deadline is reached by now.
+    ///
+    /// Each iteration of the event loop begins with this: the policy ends a query at the moment at which its
+    /// attempts time out, and would otherwise cancel them first, so that no time-out was ever reported and silent
+    /// servers remained undetected.
+    pub fn take_ended_attempts(&mut self, now: Micros) -> Vec<EndedAttempt> {
+        while let Some(expiry) = self.attempts.next_expired(now) {
+            match expiry {
+                Expiry::SendPeriodOver(attempt) => self.withdraw_unsent(now, attempt),
+                Expiry::DeadlineReached(attempt) => {
+                    self.stop_waiting(now, attempt, StopReason::TimedOut);
+                }
+            }
+        }
+        self.attempts.take_ended()
+    }
+
+    /// Whether attempts have ended that were not taken.
+    #[must_use]
+    pub fn has_ended_attempts(&self) -> bool {
+        self.attempts.has_ended()
+    }
+
+    /// Handles an event of a connection. Those of a closed connection are ignored.
+    pub fn on_connection_event(
         &mut self,
         now: Micros,
-        attempt: AttemptId,
-        result: impl Into<AttemptResult>,
+        id: ServerConnectionId,
+        event: ConnectionEvent,
     ) {
-        let Some(in_flight) = self.in_flight.remove(attempt) else {
+        let Some(connection) = self.connections.get_mut(id) else {
             return;
         };
-        if let Some(connection) = self.connections.get_mut(&in_flight.connection) {
-            connection.in_flight.remove(&in_flight.wire_id);
-            connection.last_used = now;
+        match connection.on_event(now, event) {
+            EventEffect::Continue => {}
+            EventEffect::Respond { attempt, response } => self.end_attempt(now, attempt, response),
+            EventEffect::ConnectionLost => self.on_connection_lost(now, id),
+            EventEffect::ProtocolViolated(violation) => self.fail_connection(now, id, violation),
         }
-        let AttemptResult {
-            outcome,
-            requests_in_flight,
-            value,
-        } = result.into();
-        self.ended.push(EndedAttempt {
-            attempt,
-            outcome,
-            elapsed: now.saturating_sub(in_flight.sent_at),
-            requests_in_flight,
-            value,
-        });
-    }
-
-    /// Opens a connection to a server at this address.
-    pub(super) fn open_connection(
-        &mut self,
-        now: Micros,
-        server: &NodeId,
-        address: SocketAddr,
-    ) -> ServerConnectionId {
-        let id = ServerConnectionId(self.next_connection);
-        self.next_connection += 1;
-        let send_queue = Rc::new(SendQueue::default());
-        let socket_task = SocketTask {
-            connection: id,
-            address,
-            dial_timeout: self.limits.dial_timeout,
-            send_queue: send_queue.clone(),
-            event_queue: self.event_queue.clone(),
-            clock: self.clock,
-        };
-        let socket_task = self.executor.spawn(socket_task.run());
-        let connection = PooledConnection::new(now, server.clone(), send_queue, socket_task);
-        self.connections.insert(id, connection);
-        let pool = self.servers.entry(server.clone()).or_default();
-        pool.connections.insert(id);
-        id
     }
 
-    /// Lets a connection finish the attempts that were sent on it, and ends the others as not sent.
-    fn drain_connection(&mut self, now: Micros, id: ServerConnectionId) {
-        let Some(connection) = self.connections.get_mut(&id) else {
+    /// Closes connections that are idle for too long, that are draining and idle, or on which an incomplete frame
+    /// has made no progress for too long.
+    pub fn close_expired_connections(&mut self, now: Micros) {
+        self.connections.close_expired(now);
+        for id in self.connections.stalled(now) {
+            self.fail_connection(now, id, ProtocolViolation::IncompleteFrame);
+        }
+    }
+
+    /// The next time at which an attempt is due or an incomplete frame is overdue, if there is one.
+    #[must_use]
+    pub fn next_deadline(&self) -> Option<Micros> {
+        let deadlines = [self.attempts.next_check(), self.connections.next_stall()];
+        deadlines.into_iter().flatten().min()
+    }
+
+    /// Ends an attempt as not sent if none of its bytes was written.
+    fn withdraw_unsent(&mut self, now: Micros, attempt: AttemptId) {
+        let assignment = self.attempts.assignment(attempt);
+        if assignment.is_some_and(|assignment| self.connections.try_withdraw(assignment)) {
+            self.end_attempt(now, attempt, Outcome::NotSent);
+        }
+    }
+
+    /// Ends an attempt that was cancelled or timed out, and cancels it on the server if it was sent.
+    fn stop_waiting(&mut self, now: Micros, attempt: AttemptId, reason: StopReason) {
+        let Some(assignment) = self.attempts.assignment(attempt) else {
             return;
         };
-        connection.is_draining = true;
-        let withdrawn = connection.send_queue.withdraw_all();
-        let attempts: Vec<AttemptId> = withdrawn
-            .iter()
-            .filter_map(|wire_id| connection.in_flight.get(wire_id).copied())
-            .collect();
-        for attempt in attempts {
-            self.end_attempt(now, attempt, Outcome::NotSent);
+        let connection = assignment.connection();
+        match self.connections.stop_waiting(now, assignment, reason) {
+            Stopped::KeepConnection(outcome) => self.end_attempt(now, attempt, outcome),
+            Stopped::CloseConnection(outcome) => {
+                self.end_attempt(now, attempt, outcome);
+                self.on_connection_lost(now, connection);
+            }
         }
     }
 
-    /// Closes a connection. This is the only place where one is removed.
-    pub(super) fn close_connection(&mut self, id: ServerConnectionId) {
-        let Some(connection) = self.connections.remove(&id) else {
+    /// Ends an attempt. This is the only place where an assigned one becomes an ended one.
+    fn end_attempt(&mut self, now: Micros, attempt: AttemptId, result: impl Into<AttemptResult>) {
+        if let Some(assignment) = self.attempts.end(now, attempt, result.into()) {
+            self.connections.release(now, &assignment);
+        }
+    }
+
+    /// Closes a connection that was lost, and ends all attempts on it.
+    fn on_connection_lost(&mut self, now: Micros, id: ServerConnectionId) {
+        if let Some(connection) = self.connections.remove(id) {
+            self.end_attempts(now, connection.ends_after_loss());
+        }
+    }
+
+    /// Closes a connection on which the server has violated the protocol: whatever follows cannot be relied on. Ends
+    /// all attempts on it.
+    fn fail_connection(
+        &mut self,
+        now: Micros,
+        id: ServerConnectionId,
+        violation: ProtocolViolation,
+    ) {
+        let Some(connection) = self.connections.remove(id) else {
             return;
         };
-        if let Some(server) = self.servers.get_mut(&connection.server) {
-            server.connections.remove(&id);
+        connection.log_violation(violation);
+        let oldest_first = self.attempts.oldest_first(connection.attempts());
+        self.end_attempts(now, connection.ends_after_violation(oldest_first));
+    }
+
+    fn end_attempts(&mut self, now: Micros, ends: Vec<AttemptEnd>) {
+        for AttemptEnd { attempt, outcome } in ends {
+            self.end_attempt(now, attempt, outcome);
         }
-        self.remove_unused_server(&connection.server);
+    }
+
+    /// The connections, for tests.
+    #[cfg(test)]
+    pub(super) fn connections(&self) -> &ConnectionPool {
+        &self.connections
+    }
+
+    /// The attempts, for tests.
+    #[cfg(test)]
+    pub(super) fn attempts(&self) -> &AttemptTracker {
+        &self.attempts
     }
 }
--- a/crates/broker/src/upstream/send_queue.rs
+++ b/crates/broker/src/upstream/send_queue.rs
@@ -42,9 +42,21 @@
 /// A frame that is being written.
 pub(super) struct StartedFrame {
     /// The frame, in case that the socket accepts none of its bytes.
-    pub(super) frame: OutgoingFrame,
+    frame: OutgoingFrame,
     /// Its encoding.
-    pub(super) bytes: Vec<u8>,
+    bytes: Vec<u8>,
+}
+
+impl StartedFrame {
+    /// The encoded frame.
+    pub(super) fn bytes(&self) -> &[u8] {
+        &self.bytes
+    }
+
+    /// The encoded frame, once it can no longer be put back into the queue.
+    pub(super) fn into_bytes(self) -> Vec<u8> {
+        self.bytes
+    }
 }
 
 /// The frames that wait to be written to one connection. A part can be withdrawn until the socket has accepted the
@@ -86,8 +98,8 @@
         let _ = self.wake_sender.try_send(());
     }
 
-    /// Removes a part of which no byte was written. False: it is too late, or the part is not here.
-    pub(super) fn withdraw(&self, wire_id: &str) -> bool {
+    /// Removes a part unless any of its bytes was written. Returns whether the part was here and is removed.
+    pub(super) fn try_withdraw(&self, wire_id: &str) -> bool {
         let mut is_withdrawn = self.expired.borrow_mut().remove(wire_id);
         self.frames.borrow_mut().retain_mut(|frame| {
             let OutgoingFrame::Call(parts) = frame else {
@@ -129,7 +141,7 @@
     }
 
     /// Notes that the connection is established.
-    pub(super) fn set_connected(&self) {
+    pub(super) fn on_connected(&self) {
         self.is_connected.set(true);
     }
 
@@ -138,9 +150,14 @@
         self.is_connected.get()
     }
 
-    /// Notes whether the socket accepts nothing at present.
-    pub(super) fn set_socket_full(&self, is_full: bool) {
-        self.is_socket_full.set(is_full);
+    /// Notes that the socket accepts nothing at present.
+    pub(super) fn on_socket_full(&self) {
+        self.is_socket_full.set(true);
+    }
+
+    /// Notes that the socket accepts data again.
+    pub(super) fn on_socket_writable(&self) {
+        self.is_socket_full.set(false);
     }
 
     /// Whether the socket does not accept the frames that wait for it. The socket task runs between the iterations
@@ -191,8 +208,8 @@
     }
 
     /// Puts the started frame back to the front because the socket has accepted none of its bytes.
-    pub(super) fn requeue(&self, frame: OutgoingFrame) {
+    pub(super) fn requeue(&self, started: StartedFrame) {
         *self.writing.borrow_mut() = None;
-        self.frames.borrow_mut().push_front(frame);
+        self.frames.borrow_mut().push_front(started.frame);
     }
 }
--- a/crates/broker/src/upstream/socket.rs
+++ b/crates/broker/src/upstream/socket.rs
@@ -1,10 +1,12 @@
-//! The task that opens, writes and reads the socket of one connection.
+//! The sockets of connections. Each is opened, written and read by a task of its own, which reports what happens to
+//! the event queue.
 
-use super::connection::ServerConnectionId;
+use super::assignment::ServerConnectionId;
 use super::send_queue::{SendQueue, StartedFrame};
 use crate::clock::{Clock, with_timeout};
 use crate::event_queue::{ConnectionEvent, Event, EventQueue};
 use crate::net::read_some;
+use async_executor::{LocalExecutor, Task};
 use async_io::Async;
 use broker_types::time::Micros;
 use futures_lite::future::yield_now;
@@ -16,30 +18,89 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Opens sockets and starts the tasks that serve them.
+pub(super) struct Connector {
+    executor: Rc<LocalExecutor<'static>>,
+    /// Where events are reported.
+    event_queue: Rc<EventQueue>,
+    clock: Clock,
+    /// Time within which a connection must be established.
+    dial_timeout: Micros,
+}
+
+impl Connector {
+    /// A connector whose tasks run in `executor` and report their events to `event_queue`.
+    pub(super) fn new(
+        executor: Rc<LocalExecutor<'static>>,
+        event_queue: Rc<EventQueue>,
+        clock: Clock,
+        dial_timeout: Micros,
+    ) -> Self {
+        Connector {
+            executor,
+            event_queue,
+            clock,
+            dial_timeout,
+        }
+    }
+
+    /// Begins to open a socket to a server at this address.
+    pub(super) fn connect(
+        &self,
+        connection: ServerConnectionId,
+        address: SocketAddr,
+    ) -> SocketHandle {
+        let send_queue = Rc::new(SendQueue::default());
+        let task = SocketTask {
+            connection,
+            address,
+            dial_timeout: self.dial_timeout,
+            send_queue: send_queue.clone(),
+            event_queue: self.event_queue.clone(),
+            clock: self.clock,
+        };
+        SocketHandle {
+            send_queue,
+            _task: self.executor.spawn(task.run()),
+        }
+    }
+}
+
+/// A socket that is served by a task. Dropping the handle closes the socket.
+pub(super) struct SocketHandle {
+    send_queue: Rc<SendQueue>,
+    _task: Task<()>,
+}
+
+impl SocketHandle {
+    /// The frames to be written.
+    pub(super) fn send_queue(&self) -> &Rc<SendQueue> {
+        &self.send_queue
+    }
+}
+
 /// The socket of one connection and what its task works with.
-pub(super) struct SocketTask {
-    /// Number of the connection.
-    pub(super) connection: ServerConnectionId,
+struct SocketTask {
+    connection: ServerConnectionId,
     /// Address of the server.
-    pub(super) address: SocketAddr,
+    address: SocketAddr,
     /// Time within which the connection must be established.
-    pub(super) dial_timeout: Micros,
+    dial_timeout: Micros,
     /// Frames to be written.
-    pub(super) send_queue: Rc<SendQueue>,
+    send_queue: Rc<SendQueue>,
     /// Where events are reported.
-    pub(super) event_queue: Rc<EventQueue>,
-    /// The program's clock.
-    pub(super) clock: Clock,
+    event_queue: Rc<EventQueue>,
+    clock: Clock,
 }
 
 impl SocketTask {
     /// Opens the connection, writes and reads until it ends, and reports its end as the last event.
-    pub(super) async fn run(self) {
+    async fn run(self) {
         let dial_timeout = Duration::from_micros(self.dial_timeout);
         let dial = Async::<TcpStream>::connect(self.address);
         let last_event = match with_timeout(dial_timeout, dial).await {
             Ok(stream) => {
-                self.send_queue.set_connected();
+                self.send_queue.on_connected();
                 let write = async {
                     let error = write_frames(&stream, &self.send_queue, self.clock).await;
                     ConnectionEvent::Closed(error)
@@ -118,9 +179,9 @@
                 result
             }
             Ok(FirstWrite::SocketFull) => {
-                send_queue.set_socket_full(true);
+                send_queue.on_socket_full();
                 let result = stream.writable().await;
-                send_queue.set_socket_full(false);
+                send_queue.on_socket_writable();
                 result
             }
             Ok(FirstWrite::Interrupted) => Ok(()),
@@ -148,15 +209,17 @@
     send_queue: &SendQueue,
     started: StartedFrame,
 ) -> io::Result<FirstWrite> {
-    let StartedFrame { frame, bytes } = started;
-    match stream.get_ref().write(&bytes) {
-        Ok(written) => Ok(FirstWrite::Accepted { bytes, written }),
+    match stream.get_ref().write(started.bytes()) {
+        Ok(written) => Ok(FirstWrite::Accepted {
+            bytes: started.into_bytes(),
+            written,
+        }),
         Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
-            send_queue.requeue(frame);
+            send_queue.requeue(started);
             Ok(FirstWrite::SocketFull)
         }
         Err(error) if error.kind() == io::ErrorKind::Interrupted => {
-            send_queue.requeue(frame);
+            send_queue.requeue(started);
             Ok(FirstWrite::Interrupted)
         }
         Err(error) => Err(error),
--- a/crates/broker/src/upstream/tests/mod.rs
+++ b/crates/broker/src/upstream/tests/mod.rs
@@ -10,7 +10,8 @@
 use super::send_queue::SendQueue;
 use super::{EndedAttempt, OutgoingAttempt, OutgoingPart, ServerConnectionId, ServerPools, socket};
 use crate::clock::Clock;
-use crate::event_queue::ConnectionEvent;
+use crate::event_queue::{ConnectionEvent, Event, EventQueue};
+use async_executor::LocalExecutor;
 use async_io::Async;
 use broker_types::limits::PoolLimits;
 use broker_types::query::{AttemptId, PartIndex, QueryId};
@@ -18,7 +19,9 @@
 use broker_types::time::Micros;
 use futures_lite::future::yield_now;
 use server_protocol::broker::{PartResponse, ServerMessage};
+use std::io::{ErrorKind, Write};
 use std::net::{TcpListener, TcpStream};
+use std::ops::{Deref, DerefMut};
 use std::pin::pin;
 use std::rc::Rc;
 use std::task::{Context, Waker};
@@ -30,12 +33,123 @@
 const CONNECTION_0: ServerConnectionId = ServerConnectionId(0);
 const CONNECTION_1: ServerConnectionId = ServerConnectionId(1);
 
-/// Pools with one server, which has this listener and does not accept.
-fn pools_with(limits: PoolLimits) -> (ServerPools, TcpListener) {
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let mut pools = ServerPools::new(Rc::default(), Rc::default(), Clock::start(), limits);
-    pools.set_endpoint(0, server(), Some(listener.local_addr().unwrap()));
-    (pools, listener)
+/// Pools with one server, which has a listener and accepts only what a test accepts.
+struct TestPools {
+    pools: ServerPools,
+    listener: TcpListener,
+    executor: Rc<LocalExecutor<'static>>,
+    event_queue: Rc<EventQueue>,
+}
+
+impl Deref for TestPools {
+    type Target = ServerPools;
+
+    fn deref(&self) -> &ServerPools {
+        &self.pools
+    }
+}
+
+impl DerefMut for TestPools {
+    fn deref_mut(&mut self) -> &mut ServerPools {
+        &mut self.pools
+    }
+}
+
+impl TestPools {
+    fn new(limits: PoolLimits) -> Self {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let executor = Rc::new(LocalExecutor::new());
+        let event_queue = Rc::new(EventQueue::default());
+        let (tasks, events) = (executor.clone(), event_queue.clone());
+        let mut pools = TestPools {
+            pools: ServerPools::new(tasks, events, Clock::start(), limits),
+            listener,
+            executor,
+            event_queue,
+        };
+        pools.add_server(&server());
+        pools
+    }
+
+    /// Adds a server, or sets its address: that of the listener.
+    fn add_server(&mut self, name: &NodeId) {
+        let address = self.listener.local_addr().unwrap();
+        self.pools.set_endpoint(0, name, Some(address));
+    }
+
+    /// Sends the attempts of a query.
+    fn send(&mut self, now: Micros, attempts: Attempts) {
+        self.pools.send_attempts(now, attempts.build());
+    }
+
+    /// Handles the response to a part on a connection.
+    fn receive_response(&mut self, now: Micros, connection: ServerConnectionId, wire_id: &str) {
+        let event = response(wire_id);
+        self.pools.on_connection_event(now, connection, event);
+    }
+
+    /// Handles the reset of a connection.
+    fn reset_connection(&mut self, now: Micros, connection: ServerConnectionId) {
+        let event = ConnectionEvent::Closed(ErrorKind::ConnectionReset.into());
+        self.pools.on_connection_event(now, connection, event);
+    }
+
+    /// Takes the ended attempts and returns their outcomes.
+    fn take_outcomes(&mut self, now: Micros) -> Vec<Outcome> {
+        let ended: Vec<EndedAttempt> = self.pools.take_ended_attempts(now);
+        ended.iter().map(|attempt| attempt.outcome).collect()
+    }
+
+    fn send_queue_of(&self, connection: ServerConnectionId) -> Rc<SendQueue> {
+        let connection = self.pools.connections().get(connection);
+        connection
+            .expect("the connection is open")
+            .send_queue()
+            .clone()
+    }
+
+    fn in_flight_on(&self, connection: ServerConnectionId) -> usize {
+        let connection = self.pools.connections().get(connection);
+        connection
+            .expect("the connection is open")
+            .attempts()
+            .count()
+    }
+
+    /// Starts a frame of a connection as if its socket accepted the first bytes.
+    fn start_frame(&self, connection: ServerConnectionId) {
+        self.send_queue_of(connection).start_frame(0);
+    }
+
+    /// Starts and finishes a frame of a connection as if its socket accepted all of it.
+    fn write_frame(&self, connection: ServerConnectionId) {
+        self.start_frame(connection);
+        self.send_queue_of(connection).finish_frame();
+    }
+
+    /// Runs the socket tasks until all frames of a connection are written.
+    fn run_until_written(&self, connection: ServerConnectionId) {
+        let send_queue = self.send_queue_of(connection);
+        let written = async {
+            while !send_queue.unwritten_parts().is_empty() {
+                yield_now().await;
+            }
+        };
+        async_io::block_on(self.executor.run(written));
+    }
+
+    /// Runs the socket tasks until one has reported events.
+    fn run_until_events(&self) -> Vec<Event> {
+        async_io::block_on(self.executor.run(async {
+            loop {
+                let events = self.event_queue.drain();
+                if !events.is_empty() {
+                    break events;
+                }
+                yield_now().await;
+            }
+        }))
+    }
 }
 
 /// Limits of small numbers: two parts in a call, four on a connection.
@@ -70,24 +184,62 @@
     }
 }
 
-/// One attempt at each of the first `parts` parts of a query, with a deadline after one second.
-fn attempts(query: u64, parts: usize) -> Vec<OutgoingAttempt> {
-    let outgoing = |part| OutgoingAttempt {
-        attempt: attempt(query, part),
+/// The first attempts at the parts of a query.
+struct Attempts {
+    query: u64,
+    parts: usize,
+    server: NodeId,
+    deadline: Micros,
+    send_before: Option<Micros>,
+}
+
+/// The attempt at the only part of a query, with a deadline after one second.
+fn attempts_of(query: u64) -> Attempts {
+    Attempts {
+        query,
+        parts: 1,
         server: server(),
-        part: OutgoingPart {
-            shard: part,
-            ..outgoing_part(&format!("q{query}.{part}"), SECOND)
-        },
-    };
-    (0..parts).map(outgoing).collect()
+        deadline: SECOND,
+        send_before: None,
+    }
 }
 
-/// The attempts of a query at one part, changed by `change`.
-fn changed_attempts(query: u64, change: impl Fn(&mut OutgoingAttempt)) -> Vec<OutgoingAttempt> {
-    let mut attempts = attempts(query, 1);
-    attempts.iter_mut().for_each(change);
-    attempts
+impl Attempts {
+    /// One attempt at each of the first `parts` parts.
+    fn parts(self, parts: usize) -> Self {
+        Attempts { parts, ..self }
+    }
+
+    fn on_server(self, name: &NodeId) -> Self {
+        let server = name.clone();
+        Attempts { server, ..self }
+    }
+
+    fn deadline(self, deadline: Micros) -> Self {
+        Attempts { deadline, ..self }
+    }
+
+    fn send_before(self, limit: Micros) -> Self {
+        let send_before = Some(limit);
+        Attempts {
+            send_before,
+            ..self
+        }
+    }
+
+    fn build(self) -> Vec<OutgoingAttempt> {
+        let query = self.query;
+        let outgoing = |part| OutgoingAttempt {
+            attempt: attempt(query, part),
+            server: self.server.clone(),
+            part: OutgoingPart {
+                shard: part,
+                send_before: self.send_before,
+                ..outgoing_part(&format!("q{query}.{part}"), self.deadline)
+            },
+        };
+        (0..self.parts).map(outgoing).collect()
+    }
 }
 
 fn outgoing_part(wire_id: &str, deadline: Micros) -> OutgoingPart {
@@ -101,17 +253,6 @@
     }
 }
 
-/// Takes the ended attempts and returns their outcomes.
-fn take_outcomes(pools: &mut ServerPools, now: Micros) -> Vec<Outcome> {
-    let ended: Vec<EndedAttempt> = pools.take_ended_attempts(now);
-    ended.iter().map(|attempt| attempt.outcome).collect()
-}
-
-/// The event that a connection was reset.
-fn connection_reset() -> ConnectionEvent {
-    ConnectionEvent::Closed(std::io::ErrorKind::ConnectionReset.into())
-}
-
 /// The event that a part was served.
 fn response(wire_id: &str) -> ConnectionEvent {
     ConnectionEvent::FrameReceived(ServerMessage::PartResponse(PartResponse {
@@ -122,34 +263,12 @@
     }))
 }
 
-fn send_queue_of(pools: &ServerPools, connection: ServerConnectionId) -> Rc<SendQueue> {
-    pools.connections[&connection].send_queue.clone()
-}
-
-fn in_flight_on(pools: &ServerPools, connection: ServerConnectionId) -> usize {
-    pools.connections[&connection].in_flight.len()
-}
-
-/// Starts a frame of a connection as if its socket accepted the first bytes.
-fn start_frame(pools: &ServerPools, connection: ServerConnectionId) {
-    send_queue_of(pools, connection).start_frame(0);
-}
-
-/// Starts and finishes a frame of a connection as if its socket accepted all of it.
-fn write_frame(pools: &ServerPools, connection: ServerConnectionId) {
-    start_frame(pools, connection);
-    send_queue_of(pools, connection).finish_frame();
-}
-
-/// Runs the socket tasks until all frames of a connection are written.
-fn run_until_written(pools: &ServerPools, connection: ServerConnectionId) {
-    let send_queue = send_queue_of(pools, connection);
-    let written = async {
-        while !send_queue.unwritten_parts().is_empty() {
-            yield_now().await;
-        }
+/// Whether an event is the end of this connection.
+fn is_closed_event(event: &Event, id: ServerConnectionId) -> bool {
+    let Event::ServerConnection { connection, event } = event else {
+        return false;
     };
-    async_io::block_on(pools.executor.run(written));
+    *connection == id && matches!(event, ConnectionEvent::Closed(_))
 }
 
 /// A connected pair of sockets: the broker's and the server's.
@@ -159,6 +278,15 @@
     (Async::new(broker).unwrap(), listener.accept().unwrap().0)
 }
 
+/// Writes to a socket until it accepts nothing more. Returns the number of bytes written.
+fn fill(stream: &Async<TcpStream>) -> usize {
+    let mut filled = 0;
+    while let Ok(written) = stream.get_ref().write(&[0; 4096]) {
+        filled += written;
+    }
+    filled
+}
+
 /// Polls once the future that writes the frames of a queue to a socket.
 fn poll_write(stream: &Async<TcpStream>, send_queue: &SendQueue) {
     let write = pin!(socket::write_frames(stream, send_queue, Clock::start()));
--- a/crates/broker/src/upstream/tests/send_queue.rs
+++ b/crates/broker/src/upstream/tests/send_queue.rs
@@ -3,7 +3,7 @@
 use super::super::send_queue::OutgoingFrame;
 use super::*;
 use broker_types::time::MILLI;
-use std::io::{Read, Write};
+use std::io::Read;
 use std::net::Shutdown;
 
 /// A call with one part.
@@ -15,14 +15,11 @@
 #[test]
 fn part_can_be_withdrawn_while_the_socket_is_full() {
     let (broker, mut server) = socket_pair();
-    let mut filled = 0;
-    while let Ok(written) = broker.get_ref().write(&[0; 4096]) {
-        filled += written;
-    }
+    let filled = fill(&broker);
     let send_queue = SendQueue::default();
     send_queue.push(call("q1.0", HOUR));
     poll_write(&broker, &send_queue);
-    assert!(send_queue.is_blocked() && send_queue.withdraw("q1.0"));
+    assert!(send_queue.is_blocked() && send_queue.try_withdraw("q1.0"));
     let mut received = vec![0; filled];
     server.read_exact(&mut received).unwrap();
     poll_write(&broker, &send_queue);
@@ -37,7 +34,7 @@
     let write_payload = |now| {
         let started = send_queue.start_frame(now)?;
         send_queue.finish_frame();
-        Some(String::from_utf8_lossy(&started.bytes[5..]).into_owned())
+        Some(String::from_utf8_lossy(&started.bytes()[5..]).into_owned())
     };
     send_queue.push(call("q1.0", SECOND));
     let payload = write_payload(250 * MILLI);
@@ -48,5 +45,5 @@
     assert_eq!(payload.as_deref(), Some("q3.0 0 d=1000 8\nc41e77d0"));
     assert_eq!(write_payload(SECOND), None);
     assert!(send_queue.unwritten_parts().contains("q2.0"));
-    assert!(send_queue.withdraw("q2.0") && !send_queue.withdraw("q2.0"));
+    assert!(send_queue.try_withdraw("q2.0") && !send_queue.try_withdraw("q2.0"));
 }
