--- a/crates/broker/src/upstream/connection_event.rs
+++ b/crates/broker/src/upstream/connection_event.rs
@@ -24,13 +24,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ProtocolViolation {
     /// A response names a part that is not in flight.
-    #[error("its id is not out")]
+    #[error("the part of the response is not in flight")]
     UnexpectedResponse,
     /// Data arrived although no response is expected.
-    #[error("nothing is out")]
+    #[error("data arrived although no response is expected")]
     UnsolicitedData,
     /// The rest of a frame does not arrive.
-    #[error("its end does not come")]
+    #[error("the rest of the frame does not arrive")]
     IncompleteFrame,
     /// A frame could not be decoded.
     #[error(transparent)]
