--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -72,7 +72,7 @@
                 .address
                 .filter(|_| server.state == ServingState::Serving);
             self.servers
-                .set_endpoint(now.as_micros(), server.name.clone(), address);
+                .set_endpoint(now.as_micros(), &server.name, address);
         }
         self.policy.update_endpoints(scope, servers);
     }
@@ -82,7 +82,7 @@
         let listed: BTreeSet<&NodeId> = listed.iter().map(|server| &server.name).collect();
         for name in self.servers.serving() {
             if !listed.contains(&name) {
-                self.servers.set_endpoint(now.as_micros(), name, None);
+                self.servers.set_endpoint(now.as_micros(), &name, None);
             }
         }
     }
@@ -169,7 +169,7 @@
         let has_reports = self.servers.has_ended_attempts() || self.dispatches.has_unsent();
         let deadlines = [
             self.policy.next_deadline(),
-            Some(Timestamp::from_micros(self.servers.next_deadline())),
+            self.servers.next_deadline().map(Timestamp::from_micros),
             has_reports.then_some(now),
         ];
         deadlines.into_iter().flatten().min()
