--- a/crates/fanout-policy/src/settings/wire.rs
+++ b/crates/fanout-policy/src/settings/wire.rs
@@ -18,6 +18,8 @@
     permissions: PermissionsWire,
     #[serde(rename = "Rules", deserialize_with = "object")]
     rules: RulesWire,
+    #[serde(rename = "MembershipMode", deserialize_with = "choice")]
+    list_source: EndpointListSourceWire,
     #[serde(rename = "Services", deserialize_with = "objects")]
     classes: Vec<ClassWire>,
     #[serde(rename = "Projects", default, deserialize_with = "optional_objects")]
@@ -42,8 +44,6 @@
     over_quota_weight: Option<f64>,
     #[serde(rename = "WorthBy", default, deserialize_with = "choice_or_none")]
     weight_basis: Option<WeightBasisWire>,
-    #[serde(rename = "MembershipMode", deserialize_with = "choice")]
-    list_source: EndpointListSourceWire,
     #[serde(rename = "Tick", deserialize_with = "number")]
     tick_ms: f64,
 }
@@ -51,6 +51,14 @@
 /// How the data is laid out, with lists that have one number for each class.
 #[derive(Clone, Debug, Deserialize)]
 struct DataLayoutWire {
+    #[serde(rename = "ClassNeed", deserialize_with = "numbers")]
+    required_shares: Vec<f64>,
+    #[serde(rename = "MinShare", deserialize_with = "numbers")]
+    minimum_shares: Vec<f64>,
+    #[serde(rename = "PartialEarns", deserialize_with = "numbers")]
+    partial_weights: Vec<f64>,
+    #[serde(rename = "FetchParts", deserialize_with = "numbers")]
+    second_step_parts: Vec<f64>,
     #[serde(rename = "Positions", deserialize_with = "whole_number")]
     cells: u64,
     #[serde(rename = "Width", deserialize_with = "whole_number")]
@@ -61,14 +69,6 @@
     max_parts_per_call: u64,
     #[serde(rename = "Call", deserialize_with = "number")]
     call_cost_ms: f64,
-    #[serde(rename = "ClassNeed", deserialize_with = "numbers")]
-    required_shares: Vec<f64>,
-    #[serde(rename = "MinShare", deserialize_with = "numbers")]
-    minimum_shares: Vec<f64>,
-    #[serde(rename = "PartialEarns", deserialize_with = "numbers")]
-    partial_weights: Vec<f64>,
-    #[serde(rename = "FetchParts", deserialize_with = "numbers")]
-    second_step_parts: Vec<f64>,
 }
 
 /// What aggregators may do.
@@ -139,6 +139,11 @@
 struct ClassWire {
     #[serde(rename = "Name", default, deserialize_with = "text_or_empty")]
     name: String,
+    #[serde(rename = "Semantics", deserialize_with = "choice")]
+    retry_safety: RetrySafetyWire,
+    /// Needed where repeats are deduplicated by an idempotency key.
+    #[serde(rename = "MemorySpan", default, deserialize_with = "deferred_number")]
+    idempotency_window_ms: Deferred<f64>,
     #[serde(rename = "Aim", deserialize_with = "number")]
     latency_objective_ms: f64,
     #[serde(rename = "GiveUp", deserialize_with = "number")]
@@ -147,11 +152,6 @@
     priority_weight: f64,
     #[serde(rename = "LateWorth", deserialize_with = "number")]
     late_weight: f64,
-    #[serde(rename = "Semantics", deserialize_with = "choice")]
-    retry_safety: RetrySafetyWire,
-    /// Needed where repeats are deduplicated by an idempotency key.
-    #[serde(rename = "MemorySpan", default, deserialize_with = "deferred_number")]
-    idempotency_window_ms: Deferred<f64>,
 }
 
 /// A tenant.
@@ -201,19 +201,13 @@
 impl TryFrom<SettingsWire> for SiteSettings {
     type Error = FieldError;
 
-    fn try_from(mut wire: SettingsWire) -> Result<Self, FieldError> {
-        let class_names = wire
-            .classes
-            .iter_mut()
-            .map(|class| std::mem::take(&mut class.name));
-        let tenant_names = wire
-            .tenants
-            .iter_mut()
-            .map(|tenant| std::mem::take(&mut tenant.name));
+    fn try_from(wire: SettingsWire) -> Result<Self, FieldError> {
+        let class_names = wire.classes.iter().map(|class| class.name.clone());
+        let tenant_names = wire.tenants.iter().map(|tenant| tenant.name.clone());
         Ok(SiteSettings {
             class_names: class_names.collect(),
             tenant_names: tenant_names.collect(),
-            zone_names: std::mem::take(&mut wire.zone_names),
+            zone_names: wire.zone_names.clone(),
             max_in_flight: wire.permissions.max_in_flight,
             max_parts_per_connection: wire.permissions.max_parts_per_connection,
             dial_timeout: wire.permissions.dial_timeout_ms,
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -2,6 +2,15 @@
 //!
 //! The file's path is in the environment variable `RELAY_CONFIG`. Its name, listen address and discovery address can
 //! be overridden by `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY`.
+//!
+//! [`load`] gives the [`Config`] of the program at its start, [`reload`] that on SIGHUP, and [`from_json`] checks one
+//! that is already in memory. A [`ConfigError`] is one line that names the faulty key:
+//!
+//! ```
+//! let file = serde_json::json!({"name": "n3", "seed": "8c1f30d27a5be964", "settings": {"FamilyInfo": {"Shards": -1}}});
+//! let error = platform_config::from_json(&file, |_| None).unwrap_err();
+//! assert_eq!(error.to_string(), "FamilyInfo: field Shards is not a whole number");
+//! ```
 
 mod environment;
 mod error;
--- a/crates/platform-config/src/resources.rs
+++ b/crates/platform-config/src/resources.rs
@@ -6,8 +6,7 @@
 use broker_types::time::{millis, whole_micros};
 use fanout_policy::settings::SiteSettings;
 
-/// Descriptors that are used at the most, and where the configuration names no limit: the least that deployments
-/// give.
+/// Most descriptors that are used, and those that are assumed where the configuration names no limit.
 pub(crate) const MAX_DESCRIPTORS: u64 = 1024;
 /// Least limit on descriptors to serve with.
 const MIN_DESCRIPTORS: u64 = 64;
@@ -24,8 +23,7 @@
 /// Most memory of an HTTP/1.1 connection while it sends a request, in bytes.
 const HTTP1_CONNECTION_BYTES: u64 = 128 * 1024;
 
-/// Time to establish a connection to a data server where the settings name none, in milliseconds: a figure that is
-/// harmless where a deployment says nothing.
+/// Time to establish a connection to a data server where the settings name none, in milliseconds.
 const DEFAULT_DIAL_TIMEOUT_MS: f64 = 250.0;
 /// Idle time after which a data server closes a connection where the settings name none, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
--- a/crates/simulator-adapter/src/wire/incoming.rs
+++ b/crates/simulator-adapter/src/wire/incoming.rs
@@ -165,6 +165,8 @@
 /// An entry of an endpoint list.
 #[derive(Debug, Deserialize)]
 struct EndpointWire {
+    #[serde(rename = "Mode", deserialize_with = "choice")]
+    state: ServingStateWire,
     #[serde(rename = "Node", deserialize_with = "text")]
     node: Arc<str>,
     #[serde(
@@ -173,8 +175,6 @@
         deserialize_with = "optional_whole_number"
     )]
     cell: Option<u64>,
-    #[serde(rename = "Mode", deserialize_with = "choice")]
-    state: ServingStateWire,
     #[serde(rename = "Dc", default, deserialize_with = "optional_whole_number")]
     zone: Option<u64>,
     /// 0 or less where it is long ago.
