--- a/crates/broker-types/src/limits.rs
+++ b/crates/broker-types/src/limits.rs
@@ -1,6 +1,6 @@
 //! Limits of the connections to data servers.
 
-use crate::time::Micros;
+use std::time::Duration;
 
 /// Limits of the connection pool to the data servers.
 #[derive(Clone, Copy, Debug)]
@@ -12,7 +12,7 @@
     /// Limit of parts in flight on a connection.
     pub max_parts_per_connection: usize,
     /// Time within which a connection has to be established.
-    pub dial_timeout: Micros,
+    pub dial_timeout: Duration,
     /// Time after which a server closes an idle connection.
-    pub idle_timeout: Micros,
+    pub idle_timeout: Duration,
 }
--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -96,7 +96,7 @@
         self.poll_policy(now);
         self.cancel_completed(now);
         self.send_dispatches(now);
-        self.servers.close_expired_connections(now.as_micros());
+        self.servers.close_expired_connections(now);
         self.log_policy_state(now);
     }
 
@@ -111,8 +111,7 @@
                     self.on_client_disconnected(now, query);
                 }
                 Event::ServerConnection { connection, event } => {
-                    self.servers
-                        .on_connection_event(now.as_micros(), connection, event);
+                    self.servers.on_connection_event(now, connection, event);
                 }
                 Event::EndpointsUpdated(list) => self.update_endpoints(now, list.scope(), &list),
                 Event::ReloadRequested => self.reload_at = Some(now),
@@ -133,7 +132,7 @@
         let has_reports = self.servers.has_ended_attempts() || !self.unsent_attempts.is_empty();
         let deadlines = [
             self.policy.next_deadline(),
-            self.servers.next_deadline().map(Timestamp::from_micros),
+            self.servers.next_deadline(),
             self.shutdown_deadline(now),
             self.reload_at,
             has_reports.then_some(now),
--- a/crates/broker/src/event_loop/attempt_reports.rs
+++ b/crates/broker/src/event_loop/attempt_reports.rs
@@ -5,7 +5,6 @@
 use broker_types::server::Outcome;
 use broker_types::time::Timestamp;
 use policy_engine::AttemptReport;
-use std::time::Duration;
 
 impl EventLoop {
     /// Reports the attempts that ended since the last iteration.
@@ -14,7 +13,7 @@
     /// time out. If it did so first, it would cancel them and never learn that their servers are silent.
     pub(super) fn report_ended_attempts(&mut self, now: Timestamp) {
         let mut ended = std::mem::take(&mut self.unsent_attempts);
-        ended.extend(self.servers.take_ended_attempts(now.as_micros()));
+        ended.extend(self.servers.take_ended_attempts(now));
         let reports = ended
             .into_iter()
             .map(|attempt| self.on_attempt_ended(now, attempt))
@@ -35,7 +34,7 @@
         AttemptReport {
             attempt: ended.attempt,
             outcome: ended.outcome,
-            elapsed: Duration::from_micros(ended.elapsed),
+            elapsed: ended.elapsed,
             load: ended.requests_in_flight,
         }
     }
--- a/crates/broker/src/event_loop/decisions.rs
+++ b/crates/broker/src/event_loop/decisions.rs
@@ -58,7 +58,7 @@
         if self.dispatches.remove(&attempt).is_some() {
             self.end_unsent(attempt);
         } else {
-            self.servers.cancel(now.as_micros(), attempt);
+            self.servers.cancel(now, attempt);
         }
     }
 
@@ -84,7 +84,7 @@
     /// Cancels the unsent attempts of what was completed in this iteration.
     pub(super) fn cancel_completed(&mut self, now: Timestamp) {
         for Completed { query, part } in std::mem::take(&mut self.completed) {
-            self.servers.cancel_unsent(now.as_micros(), query, part);
+            self.servers.cancel_unsent(now, query, part);
         }
     }
 
@@ -94,7 +94,7 @@
             .into_values()
             .filter_map(|dispatch| self.prepare_attempt(now, dispatch))
             .collect();
-        self.servers.send_attempts(now.as_micros(), attempts);
+        self.servers.send_attempts(now, attempts);
     }
 
     /// Completes a dispatch with what its frame needs. Returns `None` if it must not be sent.
--- a/crates/broker/src/event_loop/endpoints.rs
+++ b/crates/broker/src/event_loop/endpoints.rs
@@ -21,8 +21,7 @@
             let address = endpoint
                 .address
                 .filter(|_| server.state == ServingState::Serving);
-            self.servers
-                .set_endpoint(now.as_micros(), &server.name, address);
+            self.servers.set_endpoint(now, &server.name, address);
         }
         self.policy.update_endpoints(scope, servers);
     }
@@ -32,7 +31,7 @@
         let listed: BTreeSet<&NodeId> = listed.iter().map(|server| &server.name).collect();
         for name in self.servers.serving() {
             if !listed.contains(&name) {
-                self.servers.set_endpoint(now.as_micros(), &name, None);
+                self.servers.set_endpoint(now, &name, None);
             }
         }
     }
--- a/crates/broker/src/queries/in_flight.rs
+++ b/crates/broker/src/queries/in_flight.rs
@@ -86,8 +86,8 @@
             part: OutgoingPart {
                 wire_id: format!("{}.{shard}", self.request.id),
                 shard,
-                deadline: deadline.as_micros(),
-                send_before: send_before.map(Timestamp::as_micros),
+                deadline,
+                send_before,
                 idempotency_key: self.request.idempotency_key.clone(),
                 text: self.request.payload.clone(),
             },
--- a/crates/broker/src/upstream/assignment.rs
+++ b/crates/broker/src/upstream/assignment.rs
@@ -1,6 +1,7 @@
 //! The place of an attempt on a connection.
 
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
+use std::time::Duration;
 
 /// Number of a connection to a data server. It is never used twice.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -11,12 +12,12 @@
     connection: ServerConnectionId,
     /// Id of the attempt's part on the wire.
     wire_id: String,
-    assigned_at: Micros,
+    assigned_at: Timestamp,
 }
 
 impl Assignment {
     /// The assignment of an attempt to a connection now.
-    pub(super) fn new(connection: ServerConnectionId, wire_id: String, now: Micros) -> Self {
+    pub(super) fn new(connection: ServerConnectionId, wire_id: String, now: Timestamp) -> Self {
         Assignment {
             connection,
             wire_id,
@@ -35,12 +36,12 @@
     }
 
     /// When the attempt was assigned to the connection.
-    pub(super) fn assigned_at(&self) -> Micros {
+    pub(super) fn assigned_at(&self) -> Timestamp {
         self.assigned_at
     }
 
     /// Time since the attempt was assigned to the connection.
-    pub(super) fn elapsed(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.assigned_at)
+    pub(super) fn elapsed(&self, now: Timestamp) -> Duration {
+        now.saturating_since(self.assigned_at)
     }
 }
--- a/crates/broker/src/upstream/attempt.rs
+++ b/crates/broker/src/upstream/attempt.rs
@@ -2,9 +2,10 @@
 
 use broker_types::query::AttemptId;
 use broker_types::server::{NodeId, Outcome};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use server_protocol::broker::PartResponse;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// An attempt to be sent to a data server.
 #[derive(Clone, Debug)]
@@ -25,9 +26,9 @@
     /// Shard that the part asks for.
     pub shard: usize,
     /// Time until which the broker waits for the response. The frame states the time left when it is written.
-    pub deadline: Micros,
+    pub deadline: Timestamp,
     /// Time from which on the part must not be sent any more, if there is one.
-    pub send_before: Option<Micros>,
+    pub send_before: Option<Timestamp>,
     /// The query's idempotency key, if its class has one.
     pub idempotency_key: Option<Rc<str>>,
     /// The query's text.
@@ -77,8 +78,8 @@
     pub attempt: AttemptId,
     /// Its outcome.
     pub outcome: Outcome,
-    /// Time since it was handed to the pools, in microseconds.
-    pub elapsed: Micros,
+    /// Time since it was handed to the pools.
+    pub elapsed: Duration,
     /// Number of requests in flight at the server, if the response reports it.
     pub requests_in_flight: Option<f64>,
     /// The value, if the attempt was served.
@@ -87,7 +88,7 @@
 
 impl EndedAttempt {
     /// An attempt that ended with this result.
-    pub(super) fn new(attempt: AttemptId, elapsed: Micros, result: AttemptResult) -> Self {
+    pub(super) fn new(attempt: AttemptId, elapsed: Duration, result: AttemptResult) -> Self {
         let AttemptResult {
             outcome,
             requests_in_flight,
@@ -105,6 +106,6 @@
     /// An attempt that ended before it was handed to a connection.
     #[must_use]
     pub fn unsent(attempt: AttemptId, outcome: Outcome) -> Self {
-        EndedAttempt::new(attempt, 0, outcome.into())
+        EndedAttempt::new(attempt, Duration::ZERO, outcome.into())
     }
 }
--- a/crates/broker/src/upstream/attempt_tracker.rs
+++ b/crates/broker/src/upstream/attempt_tracker.rs
@@ -7,22 +7,22 @@
 use super::attempt::{AttemptResult, EndedAttempt, OutgoingAttempt};
 use broker_types::query::{AttemptId, PartIndex, QueryId};
 use broker_types::server::Outcome;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An attempt that is assigned to a connection and has not ended.
 struct TrackedAttempt {
     assignment: Assignment,
     /// Time until which the response is awaited.
-    deadline: Micros,
+    deadline: Timestamp,
     /// Time of its [`Check`].
-    check_at: Micros,
+    check_at: Timestamp,
 }
 
 /// A time at which an attempt is looked at again. Checks are ordered by time, then by attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Check {
-    at: Micros,
+    at: Timestamp,
     attempt: AttemptId,
 }
 
@@ -72,7 +72,7 @@
     /// Ends an attempt and returns its former assignment, unless it has ended before.
     pub(super) fn end(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         attempt: AttemptId,
         result: AttemptResult,
     ) -> Option<Assignment> {
@@ -132,7 +132,7 @@
 
     /// The first attempt for which a time has been reached. One whose deadline is reached must be ended by the
     /// caller; any other is next looked at when its deadline is reached.
-    pub(super) fn next_expired(&mut self, now: Micros) -> Option<Expiry> {
+    pub(super) fn next_expired(&mut self, now: Timestamp) -> Option<Expiry> {
         let check = *self.checks.first()?;
         if check.at > now {
             return None;
@@ -151,7 +151,7 @@
     }
 
     /// The earliest time at which an attempt is looked at again.
-    pub(super) fn next_check(&self) -> Option<Micros> {
+    pub(super) fn next_check(&self) -> Option<Timestamp> {
         self.checks.first().map(|check| check.at)
     }
 
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -14,7 +14,7 @@
 use crate::event_queue::ConnectionEvent;
 use broker_types::query::AttemptId;
 use broker_types::server::{NodeId, Outcome};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use server_protocol::broker::{PartResponse, ServerMessage};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionUse {
     in_flight: usize,
-    last_used: Micros,
+    last_used: Timestamp,
 }
 
 /// A connection to a data server, open or being opened.
@@ -67,7 +67,7 @@
     cancelled: CancelledParts,
     progress: ReceiveProgress,
     /// When an attempt was last sent or last ended here.
-    last_used: Micros,
+    last_used: Timestamp,
     /// Whether it accepts no further attempts and is closed once none is in flight.
     is_draining: bool,
 }
@@ -75,7 +75,7 @@
 impl ServerConnection {
     /// A connection to a server whose socket begins to open now.
     pub(super) fn new(
-        now: Micros,
+        now: Timestamp,
         id: ServerConnectionId,
         server: NodeId,
         socket: SocketHandle,
@@ -131,7 +131,7 @@
     }
 
     /// Assigns an attempt to this connection. Its part is sent with [`ServerConnection::send_call`].
-    pub(super) fn assign(&mut self, now: Micros, outgoing: &OutgoingAttempt) -> Assignment {
+    pub(super) fn assign(&mut self, now: Timestamp, outgoing: &OutgoingAttempt) -> Assignment {
         let wire_id = outgoing.part.wire_id.clone();
         self.last_used = now;
         self.in_flight.insert(wire_id.clone(), outgoing.attempt);
@@ -144,7 +144,7 @@
     }
 
     /// Releases the place of an attempt that has ended.
-    pub(super) fn release(&mut self, now: Micros, assignment: &Assignment) {
+    pub(super) fn release(&mut self, now: Timestamp, assignment: &Assignment) {
         self.in_flight.remove(assignment.wire_id());
         self.last_used = now;
     }
@@ -169,7 +169,7 @@
     /// written. The caller ends the attempt.
     pub(super) fn stop_waiting(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         assignment: &Assignment,
         reason: StopReason,
         timeouts: &ConnectionTimeouts,
@@ -210,7 +210,7 @@
     }
 
     /// Handles an event that the socket task has reported.
-    pub(super) fn on_event(&mut self, now: Micros, event: ConnectionEvent) -> EventEffect {
+    pub(super) fn on_event(&mut self, now: Timestamp, event: ConnectionEvent) -> EventEffect {
         self.progress.on_event(now);
         match event {
             ConnectionEvent::FrameReceived(ServerMessage::PartResponse(response)) => {
@@ -246,7 +246,7 @@
         }
     }
 
-    fn on_partial_frame(&mut self, now: Micros) -> EventEffect {
+    fn on_partial_frame(&mut self, now: Timestamp) -> EventEffect {
         if self.is_idle() && self.cancelled.is_empty() {
             return EventEffect::ProtocolViolated(ProtocolViolation::UnsolicitedData);
         }
@@ -315,18 +315,18 @@
     }
 
     /// Whether the connection is idle, and draining or unused for too long.
-    pub(super) fn is_expired(&self, now: Micros, timeouts: &ConnectionTimeouts) -> bool {
-        let is_unused = now.saturating_sub(self.last_used) >= timeouts.max_idle();
+    pub(super) fn is_expired(&self, now: Timestamp, timeouts: &ConnectionTimeouts) -> bool {
+        let is_unused = now.saturating_since(self.last_used) >= timeouts.max_idle();
         self.is_idle() && (self.is_draining || is_unused)
     }
 
     /// Whether an incomplete frame has made no progress for too long.
-    pub(super) fn is_stalled(&self, now: Micros, timeouts: &ConnectionTimeouts) -> bool {
+    pub(super) fn is_stalled(&self, now: Timestamp, timeouts: &ConnectionTimeouts) -> bool {
         self.progress.is_stalled(now, timeouts.stall())
     }
 
     /// When an incomplete frame will have made no progress for too long, while there is one.
-    pub(super) fn stalls_at(&self, timeouts: &ConnectionTimeouts) -> Option<Micros> {
+    pub(super) fn stalls_at(&self, timeouts: &ConnectionTimeouts) -> Option<Timestamp> {
         self.progress.stalls_at(timeouts.stall())
     }
 }
--- a/crates/broker/src/upstream/connection_pool.rs
+++ b/crates/broker/src/upstream/connection_pool.rs
@@ -12,7 +12,7 @@
 use broker_types::limits::PoolLimits;
 use broker_types::query::AttemptId;
 use broker_types::server::NodeId;
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tracing::warn;
@@ -81,7 +81,7 @@
     /// accepts no attempts, or the limit on sockets is reached.
     pub(super) fn acquire(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         server: &NodeId,
         parts: usize,
     ) -> Option<&mut ServerConnection> {
@@ -106,7 +106,7 @@
     }
 
     /// Begins to open a connection.
-    fn open(&mut self, now: Micros, server: &NodeId, address: SocketAddr) -> ServerConnectionId {
+    fn open(&mut self, now: Timestamp, server: &NodeId, address: SocketAddr) -> ServerConnectionId {
         let id = ServerConnectionId(self.next_id);
         self.next_id += 1;
         let socket = self.connector.connect(id, address);
@@ -133,7 +133,7 @@
     /// written.
     pub(super) fn stop_waiting(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         assignment: &Assignment,
         reason: StopReason,
     ) -> Stopped {
@@ -144,26 +144,26 @@
     }
 
     /// Releases the place of an attempt that has ended.
-    pub(super) fn release(&mut self, now: Micros, assignment: &Assignment) {
+    pub(super) fn release(&mut self, now: Timestamp, assignment: &Assignment) {
         if let Some(connection) = self.connections.get_mut(&assignment.connection()) {
             connection.release(now, assignment);
         }
     }
 
     /// Closes the connections that are idle for too long, or that are draining and idle.
-    pub(super) fn close_expired(&mut self, now: Micros) {
+    pub(super) fn close_expired(&mut self, now: Timestamp) {
         for id in self.ids_where(|connection| connection.is_expired(now, &self.timeouts)) {
             self.remove(id);
         }
     }
 
     /// The connections on which an incomplete frame has made no progress for too long.
-    pub(super) fn stalled(&self, now: Micros) -> Vec<ServerConnectionId> {
+    pub(super) fn stalled(&self, now: Timestamp) -> Vec<ServerConnectionId> {
         self.ids_where(|connection| connection.is_stalled(now, &self.timeouts))
     }
 
     /// When the first incomplete frame will have made no progress for too long, while there is one.
-    pub(super) fn next_stall(&self) -> Option<Micros> {
+    pub(super) fn next_stall(&self) -> Option<Timestamp> {
         let connections = self.connections.values();
         connections
             .filter_map(|connection| connection.stalls_at(&self.timeouts))
--- a/crates/broker/src/upstream/pools.rs
+++ b/crates/broker/src/upstream/pools.rs
@@ -16,7 +16,7 @@
 use broker_types::limits::PoolLimits;
 use broker_types::query::{AttemptId, PartIndex, QueryId};
 use broker_types::server::{NodeId, Outcome};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -47,7 +47,7 @@
 
     /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. If the address
     /// changes, the connections to the old one are drained and unsent attempts on them end as not sent.
-    pub fn set_endpoint(&mut self, now: Micros, name: &NodeId, endpoint: Option<SocketAddr>) {
+    pub fn set_endpoint(&mut self, now: Timestamp, name: &NodeId, endpoint: Option<SocketAddr>) {
         for attempt in self.connections.set_endpoint(name, endpoint) {
             self.end_attempt(now, attempt, Outcome::NotSent);
         }
@@ -66,7 +66,7 @@
     }
 
     /// Sends the attempts of one iteration of the event loop. Those for one server are combined into calls.
-    pub fn send_attempts(&mut self, now: Micros, attempts: Vec<OutgoingAttempt>) {
+    pub fn send_attempts(&mut self, now: Timestamp, attempts: Vec<OutgoingAttempt>) {
         let mut by_server: BTreeMap<NodeId, Vec<OutgoingAttempt>> = BTreeMap::new();
         for attempt in attempts {
             let server = attempt.server.clone();
@@ -83,7 +83,7 @@
     }
 
     /// Sends attempts to one server in one call. They end at once if no connection is available.
-    fn send_call(&mut self, now: Micros, server: &NodeId, attempts: Vec<OutgoingAttempt>) {
+    fn send_call(&mut self, now: Timestamp, server: &NodeId, attempts: Vec<OutgoingAttempt>) {
         let Some(connection) = self.connections.acquire(now, server, attempts.len()) else {
             for outgoing in attempts {
                 self.attempts
@@ -100,13 +100,13 @@
     }
 
     /// Cancels an attempt, on the server too if it was sent.
-    pub fn cancel(&mut self, now: Micros, attempt: AttemptId) {
+    pub fn cancel(&mut self, now: Timestamp, attempt: AttemptId) {
         self.stop_waiting(now, attempt, StopReason::Cancelled);
     }
 
     /// Withdraws the unsent attempts of a query that has ended, or those at one part of it that was served. None
     /// of them reaches a server, so this is permitted also where sent attempts may not be cancelled.
-    pub fn cancel_unsent(&mut self, now: Micros, query: QueryId, part: Option<PartIndex>) {
+    pub fn cancel_unsent(&mut self, now: Timestamp, query: QueryId, part: Option<PartIndex>) {
         for attempt in self.attempts.of_query(query, part) {
             self.withdraw_unsent(now, attempt);
         }
@@ -117,7 +117,7 @@
     /// Each iteration of the event loop begins with this: the policy ends a query at the moment at which its
     /// attempts time out, and would otherwise cancel them first, so that no time-out was ever reported and silent
     /// servers remained undetected.
-    pub fn take_ended_attempts(&mut self, now: Micros) -> Vec<EndedAttempt> {
+    pub fn take_ended_attempts(&mut self, now: Timestamp) -> Vec<EndedAttempt> {
         while let Some(expiry) = self.attempts.next_expired(now) {
             match expiry {
                 Expiry::SendPeriodOver(attempt) => self.withdraw_unsent(now, attempt),
@@ -138,7 +138,7 @@
     /// Handles an event of a connection. Those of a closed connection are ignored.
     pub fn on_connection_event(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         id: ServerConnectionId,
         event: ConnectionEvent,
     ) {
@@ -155,7 +155,7 @@
 
     /// Closes connections that are idle for too long, that are draining and idle, or on which an incomplete frame
     /// has made no progress for too long.
-    pub fn close_expired_connections(&mut self, now: Micros) {
+    pub fn close_expired_connections(&mut self, now: Timestamp) {
         self.connections.close_expired(now);
         for id in self.connections.stalled(now) {
             self.fail_connection(now, id, ProtocolViolation::IncompleteFrame);
@@ -164,13 +164,13 @@
 
     /// The next time at which an attempt is due or an incomplete frame is overdue, if there is one.
     #[must_use]
-    pub fn next_deadline(&self) -> Option<Micros> {
+    pub fn next_deadline(&self) -> Option<Timestamp> {
         let deadlines = [self.attempts.next_check(), self.connections.next_stall()];
         deadlines.into_iter().flatten().min()
     }
 
     /// Ends an attempt as not sent if none of its bytes was written.
-    fn withdraw_unsent(&mut self, now: Micros, attempt: AttemptId) {
+    fn withdraw_unsent(&mut self, now: Timestamp, attempt: AttemptId) {
         let assignment = self.attempts.assignment(attempt);
         if assignment.is_some_and(|assignment| self.connections.try_withdraw(assignment)) {
             self.end_attempt(now, attempt, Outcome::NotSent);
@@ -178,7 +178,7 @@
     }
 
     /// Ends an attempt that was cancelled or timed out, and cancels it on the server if it was sent.
-    fn stop_waiting(&mut self, now: Micros, attempt: AttemptId, reason: StopReason) {
+    fn stop_waiting(&mut self, now: Timestamp, attempt: AttemptId, reason: StopReason) {
         let Some(assignment) = self.attempts.assignment(attempt) else {
             return;
         };
@@ -193,14 +193,19 @@
     }
 
     /// Ends an attempt. This is the only place where an assigned one becomes an ended one.
-    fn end_attempt(&mut self, now: Micros, attempt: AttemptId, result: impl Into<AttemptResult>) {
+    fn end_attempt(
+        &mut self,
+        now: Timestamp,
+        attempt: AttemptId,
+        result: impl Into<AttemptResult>,
+    ) {
         if let Some(assignment) = self.attempts.end(now, attempt, result.into()) {
             self.connections.release(now, &assignment);
         }
     }
 
     /// Closes a connection that was lost, and ends all attempts on it.
-    fn on_connection_lost(&mut self, now: Micros, id: ServerConnectionId) {
+    fn on_connection_lost(&mut self, now: Timestamp, id: ServerConnectionId) {
         if let Some(connection) = self.connections.remove(id) {
             self.end_attempts(now, connection.ends_after_loss());
         }
@@ -210,7 +215,7 @@
     /// all attempts on it.
     fn fail_connection(
         &mut self,
-        now: Micros,
+        now: Timestamp,
         id: ServerConnectionId,
         violation: ProtocolViolation,
     ) {
@@ -222,7 +227,7 @@
         self.end_attempts(now, connection.ends_after_violation(oldest_first));
     }
 
-    fn end_attempts(&mut self, now: Micros, ends: Vec<AttemptEnd>) {
+    fn end_attempts(&mut self, now: Timestamp, ends: Vec<AttemptEnd>) {
         for AttemptEnd { attempt, outcome } in ends {
             self.end_attempt(now, attempt, outcome);
         }
--- a/crates/broker/src/upstream/send_queue.rs
+++ b/crates/broker/src/upstream/send_queue.rs
@@ -2,10 +2,14 @@
 
 use super::attempt::OutgoingPart;
 use async_channel::{Receiver, Sender};
-use broker_types::time::{MILLI, Micros};
+use broker_types::time::Timestamp;
 use server_protocol::broker::{PartRequest, encode_call, encode_cancel};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
+use std::time::Duration;
+
+/// Least time left with which a part is sent: the unit of the time in the frame.
+const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 /// A frame to be written to a connection.
 pub(super) enum OutgoingFrame {
@@ -25,13 +29,13 @@
     }
 
     /// Encodes the frame. The time that a call states for each part is the time left now.
-    fn encode(&self, now: Micros) -> Vec<u8> {
+    fn encode(&self, now: Timestamp) -> Vec<u8> {
         match self {
             OutgoingFrame::Cancel(wire_id) => encode_cancel(wire_id),
             OutgoingFrame::Call(parts) => encode_call(parts.iter().map(|part| PartRequest {
                 id: &part.wire_id,
                 shard: part.shard,
-                wait_ms: part.deadline.saturating_sub(now) / MILLI,
+                wait_ms: part.deadline.saturating_since(now).as_millis() as u64,
                 idempotency_key: part.idempotency_key.as_deref(),
                 text: &part.text,
             })),
@@ -175,7 +179,7 @@
 
     /// Takes the next frame and encodes it as of now. Expired parts are left out, and a call is skipped if all of
     /// its parts have expired. `None`: there is no frame left.
-    pub(super) fn start_frame(&self, now: Micros) -> Option<StartedFrame> {
+    pub(super) fn start_frame(&self, now: Timestamp) -> Option<StartedFrame> {
         loop {
             let mut frame = self.frames.borrow_mut().pop_front()?;
             if let OutgoingFrame::Call(parts) = &mut frame {
@@ -191,11 +195,10 @@
         }
     }
 
-    /// Removes the parts of a call that must not be sent any more or have less than a millisecond left, the unit of
-    /// the time in the frame.
-    fn remove_expired(&self, now: Micros, parts: &mut Vec<OutgoingPart>) {
+    /// Removes the parts of a call that must not be sent any more or have too little time left.
+    fn remove_expired(&self, now: Timestamp, parts: &mut Vec<OutgoingPart>) {
         let is_expired = |part: &mut OutgoingPart| {
-            part.deadline < now + MILLI || part.send_before.is_some_and(|at| at <= now)
+            part.deadline < now + MIN_TIME_LEFT || part.send_before.is_some_and(|at| at <= now)
         };
         let expired = parts.extract_if(.., is_expired);
         let expired_ids = expired.map(|part| part.wire_id);
--- a/crates/broker/src/upstream/socket.rs
+++ b/crates/broker/src/upstream/socket.rs
@@ -8,7 +8,6 @@
 use crate::net::read_some;
 use async_executor::{LocalExecutor, Task};
 use async_io::Async;
-use broker_types::time::Micros;
 use futures_lite::future::yield_now;
 use futures_lite::{AsyncWriteExt, FutureExt};
 use server_protocol::broker::decode;
@@ -25,7 +24,7 @@
     event_queue: Rc<EventQueue>,
     clock: Clock,
     /// Time within which a connection must be established.
-    dial_timeout: Micros,
+    dial_timeout: Duration,
 }
 
 impl Connector {
@@ -34,7 +33,7 @@
         executor: Rc<LocalExecutor<'static>>,
         event_queue: Rc<EventQueue>,
         clock: Clock,
-        dial_timeout: Micros,
+        dial_timeout: Duration,
     ) -> Self {
         Connector {
             executor,
@@ -85,7 +84,7 @@
     /// Address of the server.
     address: SocketAddr,
     /// Time within which the connection must be established.
-    dial_timeout: Micros,
+    dial_timeout: Duration,
     /// Frames to be written.
     send_queue: Rc<SendQueue>,
     /// Where events are reported.
@@ -96,9 +95,8 @@
 impl SocketTask {
     /// Opens the connection, writes and reads until it ends, and reports its end as the last event.
     async fn run(self) {
-        let dial_timeout = Duration::from_micros(self.dial_timeout);
         let dial = Async::<TcpStream>::connect(self.address);
-        let last_event = match with_timeout(dial_timeout, dial).await {
+        let last_event = match with_timeout(self.dial_timeout, dial).await {
             Ok(stream) => {
                 self.send_queue.on_connected();
                 let write = async {
@@ -167,7 +165,7 @@
     }
     loop {
         send_queue.wait_for_frame().await;
-        let Some(started) = send_queue.start_frame(clock.now().as_micros()) else {
+        let Some(started) = send_queue.start_frame(clock.now()) else {
             continue;
         };
         let result = match write_first_bytes(stream, send_queue, started) {
--- a/crates/broker/src/upstream/tests/deadlines.rs
+++ b/crates/broker/src/upstream/tests/deadlines.rs
@@ -6,30 +6,30 @@
 #[test]
 fn attempt_that_expires_before_it_is_written_ends_as_not_sent() {
     let mut pools = TestPools::new(limits());
-    pools.send(0, attempts_of(1));
+    pools.send(START, attempts_of(1));
     pools.run_until_written(CONNECTION_0);
     let _server = pools.listener.accept().unwrap();
-    pools.receive_response(10, CONNECTION_0, "q1.0");
-    pools.take_ended_attempts(10);
-    pools.send(20, attempts_of(2));
+    pools.receive_response(at_micros(10), CONNECTION_0, "q1.0");
+    pools.take_ended_attempts(at_micros(10));
+    pools.send(at_micros(20), attempts_of(2));
     let send_queue = pools.send_queue_of(CONNECTION_0);
-    assert!(send_queue.start_frame(SECOND).is_none());
-    assert_eq!(pools.take_outcomes(SECOND), [Outcome::NotSent]);
+    assert!(send_queue.start_frame(at(SECOND)).is_none());
+    assert_eq!(pools.take_outcomes(at(SECOND)), [Outcome::NotSent]);
 }
 
 /// An attempt that must not be sent any more ends at that moment; one sent before is waited for.
 #[test]
 fn attempt_ends_after_its_send_period_unless_it_was_sent() {
     let mut pools = TestPools::new(limits());
-    pools.send(0, attempts_of(1).send_before(SECOND / 2));
-    pools.send(0, attempts_of(2).send_before(SECOND / 2));
+    pools.send(START, attempts_of(1).send_before(at(SECOND / 2)));
+    pools.send(START, attempts_of(2).send_before(at(SECOND / 2)));
     let send_queue = pools.send_queue_of(CONNECTION_1);
-    send_queue.start_frame(SECOND / 2 - 1);
-    assert_eq!(pools.next_deadline(), Some(SECOND / 2));
-    assert!(pools.take_outcomes(SECOND / 2 - 1).is_empty());
-    assert_eq!(pools.take_outcomes(SECOND / 2), [Outcome::NotSent]);
-    assert_eq!(pools.next_deadline(), Some(SECOND));
+    send_queue.start_frame(at(SECOND / 2 - MICROSECOND));
+    assert_eq!(pools.next_deadline(), Some(at(SECOND / 2)));
+    assert!(pools.take_outcomes(at(SECOND / 2 - MICROSECOND)).is_empty());
+    assert_eq!(pools.take_outcomes(at(SECOND / 2)), [Outcome::NotSent]);
+    assert_eq!(pools.next_deadline(), Some(at(SECOND)));
     send_queue.finish_frame();
-    assert_eq!(pools.take_outcomes(SECOND), [Outcome::TimedOut]);
+    assert_eq!(pools.take_outcomes(at(SECOND)), [Outcome::TimedOut]);
     assert_eq!(pools.attempts().scheduled_checks(), 0);
 }
--- a/crates/broker/src/upstream/tests/failures.rs
+++ b/crates/broker/src/upstream/tests/failures.rs
@@ -7,12 +7,12 @@
 #[test]
 fn attempt_queued_on_an_established_connection_ends_as_not_sent_when_it_fails() {
     let mut pools = TestPools::new(single_socket());
-    pools.send(0, attempts_of(1));
+    pools.send(START, attempts_of(1));
     pools.run_until_written(CONNECTION_0);
-    pools.send(10, attempts_of(2));
-    pools.reset_connection(20, CONNECTION_0);
+    pools.send(at_micros(10), attempts_of(2));
+    pools.reset_connection(at_micros(20), CONNECTION_0);
     assert_eq!(
-        pools.take_outcomes(30),
+        pools.take_outcomes(at_micros(30)),
         [Outcome::ConnectionLost, Outcome::NotSent]
     );
 }
@@ -21,20 +21,26 @@
 #[test]
 fn outcome_shows_whether_the_attempt_may_have_run() {
     let mut pools = TestPools::new(limits());
-    pools.send(0, attempts_of(1));
-    assert_eq!(pools.take_outcomes(SECOND), [Outcome::Unreachable]);
+    pools.send(START, attempts_of(1));
+    assert_eq!(pools.take_outcomes(at(SECOND)), [Outcome::Unreachable]);
 
-    pools.send(0, attempts_of(2).parts(2));
+    pools.send(START, attempts_of(2).parts(2));
     pools.start_frame(CONNECTION_0);
-    pools.reset_connection(20, CONNECTION_0);
-    assert_eq!(pools.take_outcomes(30), [Outcome::Unreachable; 2]);
+    pools.reset_connection(at_micros(20), CONNECTION_0);
+    assert_eq!(
+        pools.take_outcomes(at_micros(30)),
+        [Outcome::Unreachable; 2]
+    );
 
-    pools.send(30, attempts_of(3));
+    pools.send(at_micros(30), attempts_of(3));
     pools.run_until_written(CONNECTION_1);
     let events = pools.event_queue.drain();
     assert!(!events.iter().any(|e| is_closed_event(e, CONNECTION_1)));
-    pools.reset_connection(40, CONNECTION_1);
-    assert_eq!(pools.take_outcomes(30), [Outcome::ConnectionLost]);
+    pools.reset_connection(at_micros(40), CONNECTION_1);
+    assert_eq!(
+        pools.take_outcomes(at_micros(30)),
+        [Outcome::ConnectionLost]
+    );
 }
 
 /// Over a severed link connections stay open and silent; one that has received data is kept.
@@ -42,13 +48,13 @@
 fn silent_connection_is_closed_when_its_attempt_times_out() {
     for has_responded in [false, true] {
         let mut pools = TestPools::new(limits());
-        pools.send(0, attempts_of(1).parts(2));
+        pools.send(START, attempts_of(1).parts(2));
         pools.write_frame(CONNECTION_0);
         if has_responded {
-            pools.receive_response(100, CONNECTION_0, "q1.1");
+            pools.receive_response(at_micros(100), CONNECTION_0, "q1.1");
         }
-        let outcomes = pools.take_outcomes(SECOND);
-        pools.close_expired_connections(SECOND);
+        let outcomes = pools.take_outcomes(at(SECOND));
+        pools.close_expired_connections(at(SECOND));
         assert_eq!(outcomes.last(), Some(&Outcome::TimedOut));
         assert_eq!(pools.open_connections(), usize::from(has_responded));
     }
@@ -58,11 +64,11 @@
 #[test]
 fn connection_blocked_within_a_frame_is_closed_when_an_attempt_is_cancelled() {
     let mut pools = TestPools::new(limits());
-    pools.send(0, attempts_of(1).parts(2));
+    pools.send(START, attempts_of(1).parts(2));
     pools.start_frame(CONNECTION_0);
-    pools.cancel(SECOND / 2, attempt(1, 0));
+    pools.cancel(at(SECOND / 2), attempt(1, 0));
     assert_eq!(
-        pools.take_outcomes(SECOND / 2),
+        pools.take_outcomes(at(SECOND / 2)),
         [Outcome::Cancelled, Outcome::Unreachable]
     );
     assert_eq!(pools.open_connections(), 0);
@@ -73,16 +79,16 @@
 #[test]
 fn attempt_sent_on_a_connection_that_the_server_has_closed_ends_as_not_sent() {
     let mut pools = TestPools::new(limits());
-    pools.send(0, attempts_of(1));
+    pools.send(START, attempts_of(1));
     pools.run_until_written(CONNECTION_0);
     let (mut server, _) = pools.listener.accept().unwrap();
     assert!(server.read(&mut [0; 1024]).unwrap() > 0);
-    pools.receive_response(10, CONNECTION_0, "q1.0");
-    assert_eq!(pools.take_outcomes(10), [Outcome::Served]);
-    pools.send(20, attempts_of(2));
+    pools.receive_response(at_micros(10), CONNECTION_0, "q1.0");
+    assert_eq!(pools.take_outcomes(at_micros(10)), [Outcome::Served]);
+    pools.send(at_micros(20), attempts_of(2));
     drop(server);
     let events = pools.run_until_events();
     assert!(matches!(&events[..], [event] if is_closed_event(event, CONNECTION_0)));
-    pools.reset_connection(30, CONNECTION_0);
-    assert_eq!(pools.take_outcomes(30), [Outcome::NotSent]);
+    pools.reset_connection(at_micros(30), CONNECTION_0);
+    assert_eq!(pools.take_outcomes(at_micros(30)), [Outcome::NotSent]);
 }
--- a/crates/broker/src/upstream/tests/mod.rs
+++ b/crates/broker/src/upstream/tests/mod.rs
@@ -16,7 +16,7 @@
 use broker_types::limits::PoolLimits;
 use broker_types::query::{AttemptId, PartIndex, QueryId};
 use broker_types::server::{NodeId, Outcome};
-use broker_types::time::Micros;
+use broker_types::time::Timestamp;
 use futures_lite::future::yield_now;
 use server_protocol::broker::{PartResponse, ServerMessage};
 use std::io::{ErrorKind, Write};
@@ -25,14 +25,29 @@
 use std::pin::pin;
 use std::rc::Rc;
 use std::task::{Context, Waker};
+use std::time::Duration;
 
-const SECOND: Micros = 1_000_000;
-const HOUR: Micros = 3600 * SECOND;
+const MICROSECOND: Duration = Duration::from_micros(1);
+const SECOND: Duration = Duration::from_secs(1);
+const HOUR: Duration = Duration::from_secs(3600);
+
+/// The time at which the pools are made.
+const START: Timestamp = Timestamp::ORIGIN;
 
 /// The first two connections that the pools open.
 const CONNECTION_0: ServerConnectionId = ServerConnectionId(0);
 const CONNECTION_1: ServerConnectionId = ServerConnectionId(1);
 
+/// The time so long after [`START`].
+fn at(span: Duration) -> Timestamp {
+    START + span
+}
+
+/// The time so many microseconds after [`START`].
+fn at_micros(micros: u64) -> Timestamp {
+    at(Duration::from_micros(micros))
+}
+
 /// Pools with one server, which has a listener and accepts only what a test accepts.
 struct TestPools {
     pools: ServerPools,
@@ -74,28 +89,28 @@
     /// Adds a server, or sets its address: that of the listener.
     fn add_server(&mut self, name: &NodeId) {
         let address = self.listener.local_addr().unwrap();
-        self.pools.set_endpoint(0, name, Some(address));
+        self.pools.set_endpoint(START, name, Some(address));
     }
 
     /// Sends the attempts of a query.
-    fn send(&mut self, now: Micros, attempts: Attempts) {
+    fn send(&mut self, now: Timestamp, attempts: Attempts) {
         self.pools.send_attempts(now, attempts.build());
     }
 
     /// Handles the response to a part on a connection.
-    fn receive_response(&mut self, now: Micros, connection: ServerConnectionId, wire_id: &str) {
+    fn receive_response(&mut self, now: Timestamp, connection: ServerConnectionId, wire_id: &str) {
         let event = response(wire_id);
         self.pools.on_connection_event(now, connection, event);
     }
 
     /// Handles the reset of a connection.
-    fn reset_connection(&mut self, now: Micros, connection: ServerConnectionId) {
+    fn reset_connection(&mut self, now: Timestamp, connection: ServerConnectionId) {
         let event = ConnectionEvent::Closed(ErrorKind::ConnectionReset.into());
         self.pools.on_connection_event(now, connection, event);
     }
 
     /// Takes the ended attempts and returns their outcomes.
-    fn take_outcomes(&mut self, now: Micros) -> Vec<Outcome> {
+    fn take_outcomes(&mut self, now: Timestamp) -> Vec<Outcome> {
         let ended: Vec<EndedAttempt> = self.pools.take_ended_attempts(now);
         ended.iter().map(|attempt| attempt.outcome).collect()
     }
@@ -118,7 +133,7 @@
 
     /// Starts a frame of a connection as if its socket accepted the first bytes.
     fn start_frame(&self, connection: ServerConnectionId) {
-        self.send_queue_of(connection).start_frame(0);
+        self.send_queue_of(connection).start_frame(START);
     }
 
     /// Starts and finishes a frame of a connection as if its socket accepted all of it.
@@ -189,17 +204,17 @@
     query: u64,
     parts: usize,
     server: NodeId,
-    deadline: Micros,
-    send_before: Option<Micros>,
+    deadline: Timestamp,
+    send_before: Option<Timestamp>,
 }
 
-/// The attempt at the only part of a query, with a deadline after one second.
+/// The attempt at the only part of a query, with a deadline one second after [`START`].
 fn attempts_of(query: u64) -> Attempts {
     Attempts {
         query,
         parts: 1,
         server: server(),
-        deadline: SECOND,
+        deadline: at(SECOND),
         send_before: None,
     }
 }
@@ -215,11 +230,11 @@
         Attempts { server, ..self }
     }
 
-    fn deadline(self, deadline: Micros) -> Self {
+    fn deadline(self, deadline: Timestamp) -> Self {
         Attempts { deadline, ..self }
     }
 
-    fn send_before(self, limit: Micros) -> Self {
+    fn send_before(self, limit: Timestamp) -> Self {
         let send_before = Some(limit);
         Attempts {
             send_before,
@@ -242,7 +257,7 @@
     }
 }
 
-fn outgoing_part(wire_id: &str, deadline: Micros) -> OutgoingPart {
+fn outgoing_part(wire_id: &str, deadline: Timestamp) -> OutgoingPart {
     OutgoingPart {
         wire_id: wire_id.to_owned(),
         shard: 0,
--- a/crates/broker/src/upstream/tests/responses.rs
+++ b/crates/broker/src/upstream/tests/responses.rs
@@ -9,10 +9,10 @@
         max_parts_per_call: 4,
         ..limits()
     });
-    pools.send(0, attempts_of(1).parts(sent));
+    pools.send(START, attempts_of(1).parts(sent));
     pools.write_frame(CONNECTION_0);
-    pools.on_connection_event(10, CONNECTION_0, event);
-    (pools.take_outcomes(20), pools.open_connections())
+    pools.on_connection_event(at_micros(10), CONNECTION_0, event);
+    (pools.take_outcomes(at_micros(20)), pools.open_connections())
 }
 
 /// A response to a part that is not in flight takes the place of one that will not arrive, so that one must not be
@@ -41,10 +41,10 @@
         ConnectionEvent::FrameInvalid(InvalidFrame::UnknownKind),
     ] {
         let mut pools = TestPools::new(limits());
-        pools.send(0, attempts_of(1));
-        pools.receive_response(10, CONNECTION_0, "q1.0");
-        pools.on_connection_event(10, CONNECTION_0, surplus);
-        assert_eq!(pools.take_outcomes(20), [Outcome::Served]);
+        pools.send(START, attempts_of(1));
+        pools.receive_response(at_micros(10), CONNECTION_0, "q1.0");
+        pools.on_connection_event(at_micros(10), CONNECTION_0, surplus);
+        assert_eq!(pools.take_outcomes(at_micros(20)), [Outcome::Served]);
         assert_eq!(pools.open_connections(), 0);
     }
 }
@@ -53,14 +53,14 @@
 #[test]
 fn late_response_to_a_cancelled_attempt_is_ignored_once() {
     let mut pools = TestPools::new(limits());
-    pools.send(0, attempts_of(1).parts(2));
+    pools.send(START, attempts_of(1).parts(2));
     pools.write_frame(CONNECTION_0);
-    pools.cancel(10, attempt(1, 0));
-    pools.receive_response(20, CONNECTION_0, "q1.0");
-    assert_eq!(pools.take_outcomes(20), [Outcome::Cancelled]);
+    pools.cancel(at_micros(10), attempt(1, 0));
+    pools.receive_response(at_micros(20), CONNECTION_0, "q1.0");
+    assert_eq!(pools.take_outcomes(at_micros(20)), [Outcome::Cancelled]);
     assert_eq!(pools.open_connections(), 1);
-    pools.receive_response(30, CONNECTION_0, "q1.0");
-    assert_eq!(pools.take_outcomes(30), [Outcome::Error]);
+    pools.receive_response(at_micros(30), CONNECTION_0, "q1.0");
+    assert_eq!(pools.take_outcomes(at_micros(30)), [Outcome::Error]);
     assert_eq!(pools.open_connections(), 0);
 }
 
@@ -70,18 +70,18 @@
 fn late_responses_to_more_parts_than_may_be_in_flight_are_ignored() {
     let mut pools = TestPools::new(single_socket());
     for query in 1..=limits().max_parts_per_connection as u64 + 2 {
-        pools.send(0, attempts_of(query));
+        pools.send(START, attempts_of(query));
         let send_queue = pools.send_queue_of(CONNECTION_0);
-        while send_queue.start_frame(0).is_some() {
+        while send_queue.start_frame(START).is_some() {
             send_queue.finish_frame();
         }
-        pools.cancel(10, attempt(query, 0));
+        pools.cancel(at_micros(10), attempt(query, 0));
     }
-    pools.send(20, attempts_of(100));
-    pools.take_ended_attempts(20);
-    pools.receive_response(30, CONNECTION_0, "q1.0");
-    pools.receive_response(30, CONNECTION_0, "q100.0");
-    assert_eq!(pools.take_outcomes(30), [Outcome::Served]);
+    pools.send(at_micros(20), attempts_of(100));
+    pools.take_ended_attempts(at_micros(20));
+    pools.receive_response(at_micros(30), CONNECTION_0, "q1.0");
+    pools.receive_response(at_micros(30), CONNECTION_0, "q100.0");
+    assert_eq!(pools.take_outcomes(at_micros(30)), [Outcome::Served]);
     assert_eq!(pools.open_connections(), 1);
 }
 
@@ -89,13 +89,16 @@
 #[test]
 fn frame_that_makes_no_progress_is_invalid() {
     let mut pools = TestPools::new(limits());
-    pools.send(0, attempts_of(1));
+    pools.send(START, attempts_of(1));
     pools.write_frame(CONNECTION_0);
-    pools.on_connection_event(10, CONNECTION_0, ConnectionEvent::FrameStarted);
-    assert_eq!(pools.next_deadline(), Some(10 + limits().dial_timeout));
-    pools.close_expired_connections(9 + limits().dial_timeout);
+    pools.on_connection_event(at_micros(10), CONNECTION_0, ConnectionEvent::FrameStarted);
+    assert_eq!(
+        pools.next_deadline(),
+        Some(at_micros(10) + limits().dial_timeout)
+    );
+    pools.close_expired_connections(at_micros(9) + limits().dial_timeout);
     assert_eq!(pools.open_connections(), 1);
-    pools.close_expired_connections(10 + limits().dial_timeout);
-    assert_eq!(pools.take_outcomes(SECOND / 2), [Outcome::Error]);
+    pools.close_expired_connections(at_micros(10) + limits().dial_timeout);
+    assert_eq!(pools.take_outcomes(at(SECOND / 2)), [Outcome::Error]);
     assert_eq!(pools.open_connections(), 0);
 }
--- a/crates/broker/src/upstream/tests/send_queue.rs
+++ b/crates/broker/src/upstream/tests/send_queue.rs
@@ -2,12 +2,11 @@
 
 use super::super::send_queue::OutgoingFrame;
 use super::*;
-use broker_types::time::MILLI;
 use std::io::Read;
 use std::net::Shutdown;
 
 /// A call with one part.
-fn call(wire_id: &str, deadline: Micros) -> OutgoingFrame {
+fn call(wire_id: &str, deadline: Timestamp) -> OutgoingFrame {
     OutgoingFrame::Call(vec![outgoing_part(wire_id, deadline)])
 }
 
@@ -17,7 +16,7 @@
     let (broker, mut server) = socket_pair();
     let filled = fill(&broker);
     let send_queue = SendQueue::default();
-    send_queue.push(call("q1.0", HOUR));
+    send_queue.push(call("q1.0", at(HOUR)));
     poll_write(&broker, &send_queue);
     assert!(send_queue.is_blocked() && send_queue.try_withdraw("q1.0"));
     let mut received = vec![0; filled];
@@ -36,14 +35,14 @@
         send_queue.finish_frame();
         Some(String::from_utf8_lossy(&started.bytes()[5..]).into_owned())
     };
-    send_queue.push(call("q1.0", SECOND));
-    let payload = write_payload(250 * MILLI);
+    send_queue.push(call("q1.0", at(SECOND)));
+    let payload = write_payload(at(SECOND / 4));
     assert_eq!(payload.as_deref(), Some("q1.0 0 d=750 8\nc41e77d0"));
-    send_queue.push(call("q2.0", SECOND));
-    send_queue.push(call("q3.0", 2 * SECOND));
-    let payload = write_payload(SECOND);
+    send_queue.push(call("q2.0", at(SECOND)));
+    send_queue.push(call("q3.0", at(2 * SECOND)));
+    let payload = write_payload(at(SECOND));
     assert_eq!(payload.as_deref(), Some("q3.0 0 d=1000 8\nc41e77d0"));
-    assert_eq!(write_payload(SECOND), None);
+    assert_eq!(write_payload(at(SECOND)), None);
     assert!(send_queue.unwritten_parts().contains("q2.0"));
     assert!(send_queue.try_withdraw("q2.0") && !send_queue.try_withdraw("q2.0"));
 }
--- a/crates/platform-config/src/resources.rs
+++ b/crates/platform-config/src/resources.rs
@@ -3,7 +3,7 @@
 use crate::ConfigError;
 use admission::resource_limits::ClientResources;
 use broker_types::limits::PoolLimits;
-use broker_types::time::{millis, whole_micros};
+use broker_types::time::millis;
 use fanout_policy::json::JsonObject;
 use fanout_policy::settings::SiteSettings;
 
@@ -73,12 +73,8 @@
             max_connections: (self.connection_descriptors / 3) as usize,
             max_parts_per_call,
             max_parts_per_connection: max_parts_per_connection.max(max_parts_per_call),
-            dial_timeout: whole_micros(millis(
-                site.dial_timeout.unwrap_or(DEFAULT_DIAL_TIMEOUT_MS),
-            )),
-            idle_timeout: whole_micros(millis(
-                site.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT_MS),
-            )),
+            dial_timeout: millis(site.dial_timeout.unwrap_or(DEFAULT_DIAL_TIMEOUT_MS)),
+            idle_timeout: millis(site.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT_MS)),
         }
     }
 }
--- a/crates/platform-config/src/tests.rs
+++ b/crates/platform-config/src/tests.rs
@@ -4,6 +4,7 @@
 use crate::resources::MAX_DESCRIPTORS;
 use admission::resource_limits::allocate;
 use serde_json::json;
+use std::time::Duration;
 
 fn config() -> Value {
     let settings: Value =
@@ -31,7 +32,7 @@
             config.pool.dial_timeout,
             config.max_in_flight
         ),
-        (2, 250_000, 100)
+        (2, Duration::from_millis(250), 100)
     );
 }
 
