--- a/crates/broker/src/upstream/tests/deadlines.rs
+++ b/crates/broker/src/upstream/tests/deadlines.rs
@@ -33,3 +33,25 @@
     assert_eq!(pools.take_outcomes(at(SECOND)), [Outcome::TimedOut]);
     assert_eq!(pools.attempts().scheduled_checks(), 0);
 }
+
+/// Time limits at the end of their range are never reached, and no sum of times overflows.
+#[test]
+fn limits_without_end_never_expire() {
+    let mut pools = TestPools::new(PoolLimits {
+        dial_timeout: Duration::MAX,
+        idle_timeout: Duration::MAX,
+        ..limits()
+    });
+    pools.send(at(HOUR), attempts_of(1).parts(2).deadline(Timestamp::MAX));
+    pools.write_frame(CONNECTION_0);
+    pools.on_connection_event(at(HOUR), CONNECTION_0, ConnectionEvent::FrameStarted);
+    assert_eq!(pools.next_deadline(), Some(Timestamp::MAX));
+    pools.cancel(at(2 * HOUR), attempt(1, 0));
+    pools.receive_response(at(2 * HOUR), CONNECTION_0, "q1.1");
+    pools.close_expired_connections(at(1000 * HOUR));
+    assert_eq!(pools.open_connections(), 1);
+    assert_eq!(
+        pools.take_outcomes(at(1000 * HOUR)),
+        [Outcome::Cancelled, Outcome::Served]
+    );
+}
--- a/crates/broker/src/upstream/tests/responses.rs
+++ b/crates/broker/src/upstream/tests/responses.rs
@@ -3,18 +3,6 @@
 use super::*;
 use server_protocol::InvalidFrame;
 
-/// Outcomes of `sent` written attempts on one connection after an event, and the number of connections left.
-fn outcomes_after(event: ConnectionEvent, sent: usize) -> (Vec<Outcome>, usize) {
-    let mut pools = TestPools::new(PoolLimits {
-        max_parts_per_call: 4,
-        ..limits()
-    });
-    pools.send(START, attempts_of(1).parts(sent));
-    pools.write_frame(CONNECTION_0);
-    pools.on_connection_event(at_micros(10), CONNECTION_0, event);
-    (pools.take_outcomes(at_micros(20)), pools.open_connections())
-}
-
 /// A response to a part that is not in flight takes the place of one that will not arrive, so that one must not be
 /// waited for. It is one failure of the server, whatever else was in flight, and none of a query's own.
 #[test]
@@ -23,12 +11,18 @@
         response("q7.0"),
         ConnectionEvent::FrameInvalid(InvalidFrame::UnknownKind),
     ] {
-        let (outcomes, open_connections) = outcomes_after(event, 3);
+        let mut pools = TestPools::new(PoolLimits {
+            max_parts_per_call: 4,
+            ..limits()
+        });
+        pools.send(START, attempts_of(1).parts(3));
+        pools.write_frame(CONNECTION_0);
+        pools.on_connection_event(at_micros(10), CONNECTION_0, event);
         assert_eq!(
-            outcomes,
+            pools.take_outcomes(at_micros(20)),
             [Outcome::Error, Outcome::Cancelled, Outcome::Cancelled]
         );
-        assert_eq!(open_connections, 0);
+        assert_eq!(pools.open_connections(), 0);
     }
 }
 
