--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -16,7 +16,6 @@
     AttemptReport, Decisions, Dispatch, FinishedQuery, PolicyEngine, QueryOutcome,
 };
 use std::collections::BTreeSet;
-use std::time::Duration;
 use tracing::warn;
 
 /// The policy with what its decisions are executed on.
@@ -71,8 +70,7 @@
             let address = endpoint
                 .address
                 .filter(|_| server.state == ServingState::Serving);
-            self.servers
-                .set_endpoint(now.as_micros(), &server.name, address);
+            self.servers.set_endpoint(now, &server.name, address);
         }
         self.policy.update_endpoints(scope, servers);
     }
@@ -82,7 +80,7 @@
         let listed: BTreeSet<&NodeId> = listed.iter().map(|server| &server.name).collect();
         for name in self.servers.serving() {
             if !listed.contains(&name) {
-                self.servers.set_endpoint(now.as_micros(), &name, None);
+                self.servers.set_endpoint(now, &name, None);
             }
         }
     }
@@ -94,8 +92,7 @@
         connection: ServerConnectionId,
         event: ConnectionEvent,
     ) {
-        self.servers
-            .on_connection_event(now.as_micros(), connection, event);
+        self.servers.on_connection_event(now, connection, event);
     }
 
     /// Ends a query whose client has disconnected.
@@ -111,7 +108,7 @@
     /// time out. If it did so first, it would cancel them and never learn that their servers are silent.
     pub(super) fn report_ended_attempts(&mut self, now: Timestamp) {
         let mut ended = self.dispatches.take_unsent();
-        ended.extend(self.servers.take_ended_attempts(now.as_micros()));
+        ended.extend(self.servers.take_ended_attempts(now));
         let reports = ended
             .into_iter()
             .map(|attempt| self.on_attempt_ended(now, attempt))
@@ -132,7 +129,7 @@
         AttemptReport {
             attempt: ended.attempt,
             outcome: ended.outcome,
-            elapsed: Duration::from_micros(ended.elapsed),
+            elapsed: ended.elapsed,
             load: ended.requests_in_flight,
         }
     }
@@ -158,7 +155,7 @@
     pub(super) fn end_iteration(&mut self, now: Timestamp) {
         self.cancel_completed(now);
         self.send_dispatches(now);
-        self.servers.close_expired_connections(now.as_micros());
+        self.servers.close_expired_connections(now);
         let server_connections = self.servers.open_connections();
         self.policy_reporter
             .report_if_due(now, &self.policy, server_connections);
@@ -169,7 +166,7 @@
         let has_reports = self.servers.has_ended_attempts() || self.dispatches.has_unsent();
         let deadlines = [
             self.policy.next_deadline(),
-            self.servers.next_deadline().map(Timestamp::from_micros),
+            self.servers.next_deadline(),
             has_reports.then_some(now),
         ];
         deadlines.into_iter().flatten().min()
@@ -203,7 +200,7 @@
     fn cancel_attempt(&mut self, now: Timestamp, attempt: AttemptId) {
         match self.dispatches.cancel(attempt) {
             Cancellation::Unsent => {}
-            Cancellation::NotWaiting => self.servers.cancel(now.as_micros(), attempt),
+            Cancellation::NotWaiting => self.servers.cancel(now, attempt),
         }
     }
 
@@ -223,7 +220,7 @@
     /// Cancels the unsent attempts of what was completed in this iteration.
     fn cancel_completed(&mut self, now: Timestamp) {
         for Completed { query, part } in std::mem::take(&mut self.completed) {
-            self.servers.cancel_unsent(now.as_micros(), query, part);
+            self.servers.cancel_unsent(now, query, part);
         }
     }
 
@@ -233,7 +230,7 @@
         let attempts = dispatches
             .filter_map(|dispatch| self.prepare_attempt(now, dispatch))
             .collect();
-        self.servers.send_attempts(now.as_micros(), attempts);
+        self.servers.send_attempts(now, attempts);
     }
 
     /// Completes a dispatch with what its frame needs. Returns `None` if it must not be sent.
