--- a/crates/http1-codec/tests/rfc9112/accepted_requests.rs
+++ b/crates/http1-codec/tests/rfc9112/accepted_requests.rs
@@ -12,172 +12,107 @@
     keep_alive: bool,
 }
 
-const fn accepted(
-    section: &'static str,
-    template: &'static str,
-    path: &'static str,
-    body: &'static str,
-    keep_alive: bool,
-) -> AcceptedRequest {
+/// A request for `/a` without a body, after which the connection stays open.
+const fn accepted(section: &'static str, template: &'static str) -> AcceptedRequest {
     AcceptedRequest {
         section,
         template,
-        path,
-        body,
-        keep_alive,
+        path: "/a",
+        body: "",
+        keep_alive: true,
+    }
+}
+
+impl AcceptedRequest {
+    const fn with_path(self, path: &'static str) -> Self {
+        AcceptedRequest { path, ..self }
+    }
+
+    const fn with_body(self, body: &'static str) -> Self {
+        AcceptedRequest { body, ..self }
+    }
+
+    /// The connection is closed after the request.
+    const fn closing(self) -> Self {
+        AcceptedRequest {
+            keep_alive: false,
+            ..self
+        }
     }
 }
 
 const CASES: &[AcceptedRequest] = &[
-    accepted(
-        "2.2 empty lines before",
-        "~~GET /a HTTP/1.1~Host: a~~",
-        "/a",
-        "",
-        true,
-    ),
-    accepted(
-        "2.2 lines that end in LF",
-        "GET /a HTTP/1.1\nHost: a\n\n",
-        "/a",
-        "",
-        true,
-    ),
-    accepted(
-        "2.3 a later minor version",
-        "GET /a HTTP/1.2~Host: a~~",
-        "/a",
-        "",
-        true,
-    ),
-    accepted(
-        "3.1 an unregistered method",
-        "BREW /a HTTP/1.1~Host: a~~",
-        "/a",
-        "",
-        true,
-    ),
-    accepted(
-        "3.2 an empty Host",
-        "GET /a HTTP/1.1~Host:~~",
-        "/a",
-        "",
-        true,
-    ),
-    accepted(
-        "3.2 Host with a port",
-        "GET /a HTTP/1.1~hOST: a.b:80~~",
-        "/a",
-        "",
-        true,
-    ),
+    accepted("2.2 empty lines before", "~~GET /a HTTP/1.1~Host: a~~"),
+    accepted("2.2 lines that end in LF", "GET /a HTTP/1.1\nHost: a\n\n"),
+    accepted("2.3 a later minor version", "GET /a HTTP/1.2~Host: a~~"),
+    accepted("3.1 an unregistered method", "BREW /a HTTP/1.1~Host: a~~"),
+    accepted("3.2 an empty Host", "GET /a HTTP/1.1~Host:~~"),
+    accepted("3.2 Host with a port", "GET /a HTTP/1.1~hOST: a.b:80~~"),
     accepted(
         "3.2 Host with an address",
         "GET /a HTTP/1.1~Host: [::1]:80~~",
-        "/a",
-        "",
-        true,
-    ),
-    accepted(
-        "3.2.1 a query",
-        "GET /a?b=c HTTP/1.1~Host: a~~",
-        "/a",
-        "",
-        true,
-    ),
-    accepted(
-        "3.2.2 an absolute URI",
-        "GET http://b/a HTTP/1.1~Host: a~~",
-        "/a",
-        "",
-        true,
     ),
+    accepted("3.2.1 a query", "GET /a?b=c HTTP/1.1~Host: a~~"),
+    accepted("3.2.2 an absolute URI", "GET http://b/a HTTP/1.1~Host: a~~"),
     accepted(
         "3.2.4 the server as a whole",
         "OPTIONS * HTTP/1.1~Host: a~~",
-        "*",
-        "",
-        true,
-    ),
+    )
+    .with_path("*"),
     accepted(
         "5.1 whitespace around a value",
         "POST /a HTTP/1.1~Host:\ta \t~Content-Length:  1 ~~x",
-        "/a",
-        "x",
-        true,
-    ),
+    )
+    .with_body("x"),
     accepted(
         "5.5 bytes beyond ASCII",
         "GET /a HTTP/1.1~Host: a~A: \u{e9}~~",
-        "/a",
-        "",
-        true,
     ),
     accepted(
         "6.1 chunked in upper case",
         "POST /a HTTP/1.1~Host: a~Transfer-Encoding: CHUNKED~~1~x~0~~",
-        "/a",
-        "x",
-        true,
-    ),
-    accepted("6.3 no body", "GET /a HTTP/1.1~Host: a~~", "/a", "", true),
+    )
+    .with_body("x"),
+    accepted("6.3 no body", "GET /a HTTP/1.1~Host: a~~"),
     accepted(
         "6.3 a body with GET",
         "GET /a HTTP/1.1~Host: a~Content-Length: 1~~x",
-        "/a",
-        "x",
-        true,
-    ),
+    )
+    .with_body("x"),
     accepted(
         "7.1 chunks",
         "POST /a HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1~x~00A~0123456789~000~~",
-        "/a",
-        "x0123456789",
-        true,
-    ),
+    )
+    .with_body("x0123456789"),
     accepted(
         "7.1.1 extensions",
         "POST /a HTTP/1.1~Host: a~Transfer-Encoding: chunked~~1;a=\"b\"~x~0 ;c~~",
-        "/a",
-        "x",
-        true,
-    ),
+    )
+    .with_body("x"),
     accepted(
         "7.1.2 trailers",
         "POST /a HTTP/1.1~Host: a~Transfer-Encoding: chunked~~0~A: b~~",
-        "/a",
-        "",
-        true,
     ),
-    accepted("9.3 HTTP/1.0", "GET /a HTTP/1.0~~", "/a", "", false),
+    accepted("9.3 HTTP/1.0", "GET /a HTTP/1.0~~").closing(),
     accepted(
         "9.3 HTTP/1.0 with keep-alive",
         "GET /a HTTP/1.0~Connection: Keep-Alive~~",
-        "/a",
-        "",
-        true,
     ),
     accepted(
         "9.3 close with other options",
         "GET /a HTTP/1.1~Host: a~Connection: x, Close~~",
-        "/a",
-        "",
-        false,
-    ),
+    )
+    .closing(),
     accepted(
         "9.3 close over two lines",
         "GET /a HTTP/1.1~Host: a~Connection: x~Connection: close~~",
-        "/a",
-        "",
-        false,
-    ),
+    )
+    .closing(),
     accepted(
         "9.3 close overrides keep-alive",
         "GET /a HTTP/1.1~Host: a~Connection: close, keep-alive~~",
-        "/a",
-        "",
-        false,
-    ),
+    )
+    .closing(),
 ];
 
 #[test]
--- a/crates/http1-codec/tests/rfc9112/responses.rs
+++ b/crates/http1-codec/tests/rfc9112/responses.rs
@@ -5,45 +5,45 @@
     Limits, ParseError, Progress, ResponseDecoder, ResponseOptions, encode_response,
 };
 
+/// Options of a response to a request of HTTP/1.1 on a connection that stays open.
+const OPTIONS: ResponseOptions = ResponseOptions {
+    version: Version::HTTP_11,
+    head_only: false,
+    keep_alive: true,
+};
+
+fn encode(response: &http::Response<Vec<u8>>, options: ResponseOptions) -> String {
+    String::from_utf8(encode_response(response, options)).unwrap()
+}
+
 #[test]
 fn response_framing_depends_on_request() {
     let mut response = http::Response::new(b"xy".to_vec());
     response
         .headers_mut()
         .insert("retry-after", "1".parse().unwrap());
-    let options = ResponseOptions {
-        version: Version::HTTP_11,
-        head_only: false,
-        keep_alive: true,
-    };
-    let text =
-        |response: &_, options| String::from_utf8(encode_response(response, options)).unwrap();
     assert_eq!(
-        text(&response, options),
+        encode(&response, OPTIONS),
         "HTTP/1.1 200 OK\r\nRetry-After: 1\r\nContent-Length: 2\r\n\r\nxy"
     );
-    let last = text(
-        &response,
-        ResponseOptions {
-            keep_alive: false,
-            head_only: true,
-            ..options
-        },
-    );
+    let closing_head = ResponseOptions {
+        keep_alive: false,
+        head_only: true,
+        ..OPTIONS
+    };
+    let text = encode(&response, closing_head);
     assert!(
-        last.ends_with("Content-Length: 2\r\nConnection: close\r\n\r\n"),
-        "{last}"
+        text.ends_with("Content-Length: 2\r\nConnection: close\r\n\r\n"),
+        "{text}"
     );
-    let old = text(
-        &response,
-        ResponseOptions {
-            version: Version::HTTP_10,
-            ..options
-        },
-    );
-    assert!(old.contains("\r\nConnection: keep-alive\r\n"), "{old}");
+    let http10 = ResponseOptions {
+        version: Version::HTTP_10,
+        ..OPTIONS
+    };
+    let text = encode(&response, http10);
+    assert!(text.contains("\r\nConnection: keep-alive\r\n"), "{text}");
     *response.status_mut() = http::StatusCode::NO_CONTENT;
-    assert!(!text(&response, options).contains("Content-Length"));
+    assert!(!encode(&response, OPTIONS).contains("Content-Length"));
 }
 
 #[test]
