--- a/crates/test-fleet/src/attempt_log.rs
+++ b/crates/test-fleet/src/attempt_log.rs
@@ -1,9 +1,14 @@
 //! The attempts that the data servers of a fleet received, and the rules that a broker has to keep when it sends them.
 
+mod invariants;
 #[cfg(test)]
 mod tests;
+mod violation;
 
-use std::collections::BTreeMap;
+pub use invariants::AttemptLimits;
+pub use violation::{AttemptSubject, Violation};
+
+use invariants::check_attempts;
 use std::time::{Duration, Instant};
 
 /// Largest number of attempts that are logged one by one; a benchmark that runs for long sends millions.
@@ -65,95 +70,6 @@
     pub calls: u64,
 }
 
-/// The limits that a broker's attempts have to keep.
-#[derive(Clone, Copy, Debug)]
-pub struct AttemptLimits {
-    /// Largest number of attempts at one part.
-    pub max_attempts: usize,
-    /// Time after the first executed attempt during which data servers drop repeats of the same idempotency key.
-    pub deduplication_window: Duration,
-    /// Time after the publication of a drain during which new attempts may still arrive.
-    pub drain_grace: Duration,
-    /// Tolerated difference between the moments at which the broker and the server see the same event.
-    pub clock_tolerance: Duration,
-}
-
-impl Default for AttemptLimits {
-    fn default() -> Self {
-        AttemptLimits {
-            max_attempts: 4,
-            deduplication_window: Duration::from_secs(5),
-            drain_grace: Duration::from_millis(250),
-            clock_tolerance: Duration::from_millis(50),
-        }
-    }
-}
-
-/// A rule that a broker broke, or that could not be checked.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Violation {
-    /// More attempts arrived than are logged, so that the rest was not checked.
-    #[error("only {logged} of {received} attempts were logged and could be checked")]
-    IncompleteLog {
-        /// Attempts in the log.
-        logged: usize,
-        /// Attempts that arrived.
-        received: u64,
-    },
-    /// An attempt arrived after the grace period of its server's drain.
-    #[error("{part_id} was sent to {server} {delay_ms} ms after its drain was published")]
-    SentToDrainingServer {
-        /// The part.
-        part_id: String,
-        /// The draining server.
-        server: String,
-        /// Time between the publication of the drain and the attempt, in milliseconds.
-        delay_ms: u128,
-    },
-    /// A part was attempted more often than allowed.
-    #[error("{part_id} was attempted {attempts} times")]
-    TooManyAttempts {
-        /// The part.
-        part_id: String,
-        /// Its attempts.
-        attempts: usize,
-    },
-    /// Two attempts at the same part, or at the same shard under the same key, were in flight at the same time.
-    #[error("{subject} had two attempts in flight, on {first_server} and {second_server}")]
-    ConcurrentAttempts {
-        /// What was attempted twice.
-        subject: AttemptSubject,
-        /// Server of the earlier attempt.
-        first_server: String,
-        /// Server of the later attempt.
-        second_server: String,
-    },
-    /// An idempotency key was sent again after data servers stopped dropping its repeats.
-    #[error("{subject} was sent again after {delay_ms} ms")]
-    RepeatedAfterWindow {
-        /// What was repeated.
-        subject: AttemptSubject,
-        /// Time since its first executed attempt, in milliseconds.
-        delay_ms: u128,
-    },
-}
-
-/// What attempts have in common that must not be in flight at the same time.
-#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AttemptSubject {
-    /// The same part.
-    #[error("{0}")]
-    Part(String),
-    /// The same shard under the same idempotency key.
-    #[error("shard {shard} under key {key}")]
-    KeyedShard {
-        /// The shard.
-        shard: usize,
-        /// The idempotency key.
-        key: String,
-    },
-}
-
 /// Every attempt that the data servers received, in order of arrival. Its size is bounded.
 #[derive(Debug, Default)]
 pub struct AttemptLog {
@@ -212,119 +128,23 @@
     /// holds as it is, unless twice the largest recorded lag exceeds it.
     #[must_use]
     pub fn check_invariants(&self, limits: AttemptLimits) -> Vec<Violation> {
+        let clock_tolerance = limits
+            .clock_tolerance
+            .max(LAG_TOLERANCE_FACTOR * self.max_lag);
         let limits = AttemptLimits {
-            clock_tolerance: limits
-                .clock_tolerance
-                .max(LAG_TOLERANCE_FACTOR * self.max_lag),
+            clock_tolerance,
             ..limits
         };
         let mut violations = Vec::new();
         violations.extend(self.check_completeness());
-        violations.extend(
-            self.attempts
-                .iter()
-                .filter_map(|attempt| check_drain(attempt, limits)),
-        );
-        for (part_id, attempts) in self.attempts_by_part() {
-            violations.extend(check_part(part_id, &attempts, limits));
-        }
-        for ((key, shard), attempts) in self.attempts_by_key() {
-            let key = key.to_owned();
-            let subject = AttemptSubject::KeyedShard { shard, key };
-            violations.extend(check_keyed_shard(&subject, &attempts, limits));
-        }
+        violations.extend(check_attempts(&self.attempts, limits));
         violations
     }
 
+    /// Whether attempts arrived that are not logged.
     fn check_completeness(&self) -> Option<Violation> {
         let logged = self.attempts.len();
         let received = self.counts.parts;
         (received > logged as u64).then_some(Violation::IncompleteLog { logged, received })
     }
-
-    fn attempts_by_part(&self) -> BTreeMap<&str, Vec<&Attempt>> {
-        let mut by_part: BTreeMap<&str, Vec<&Attempt>> = BTreeMap::new();
-        for attempt in &self.attempts {
-            by_part.entry(&attempt.part_id).or_default().push(attempt);
-        }
-        by_part
-    }
-
-    fn attempts_by_key(&self) -> BTreeMap<(&str, usize), Vec<&Attempt>> {
-        let mut by_key: BTreeMap<(&str, usize), Vec<&Attempt>> = BTreeMap::new();
-        for attempt in &self.attempts {
-            if let Some(key) = &attempt.idempotency_key {
-                by_key
-                    .entry((key, attempt.shard))
-                    .or_default()
-                    .push(attempt);
-            }
-        }
-        by_key
-    }
-}
-
-fn check_drain(attempt: &Attempt, limits: AttemptLimits) -> Option<Violation> {
-    let draining_since = attempt.draining_since?;
-    let latest = draining_since + limits.drain_grace + limits.clock_tolerance;
-    (attempt.received_at > latest).then(|| Violation::SentToDrainingServer {
-        part_id: attempt.part_id.clone(),
-        server: attempt.server.clone(),
-        delay_ms: (attempt.received_at - draining_since).as_millis(),
-    })
-}
-
-fn check_part(part_id: &str, attempts: &[&Attempt], limits: AttemptLimits) -> Vec<Violation> {
-    let mut violations = Vec::new();
-    if attempts.len() > limits.max_attempts {
-        violations.push(Violation::TooManyAttempts {
-            part_id: part_id.to_owned(),
-            attempts: attempts.len(),
-        });
-    }
-    let subject = AttemptSubject::Part(part_id.to_owned());
-    violations.extend(check_concurrency(&subject, attempts, limits));
-    violations
-}
-
-fn check_keyed_shard(
-    subject: &AttemptSubject,
-    attempts: &[&Attempt],
-    limits: AttemptLimits,
-) -> Vec<Violation> {
-    let mut violations = check_concurrency(subject, attempts, limits);
-    let Some(first) = attempts.iter().find(|attempt| attempt.executed) else {
-        return violations;
-    };
-    let latest = first.received_at + limits.deduplication_window + limits.clock_tolerance;
-    let late_attempts = attempts
-        .iter()
-        .filter(|attempt| attempt.received_at > latest);
-    violations.extend(late_attempts.map(|late| Violation::RepeatedAfterWindow {
-        subject: subject.clone(),
-        delay_ms: (late.received_at - first.received_at).as_millis(),
-    }));
-    violations
-}
-
-/// Finds attempts that arrived while the attempt before them was still in flight.
-fn check_concurrency(
-    subject: &AttemptSubject,
-    attempts: &[&Attempt],
-    limits: AttemptLimits,
-) -> Vec<Violation> {
-    let mut violations = Vec::new();
-    for pair in attempts.windows(2) {
-        let (first, second) = (pair[0], pair[1]);
-        // The cancellation of the first attempt and the call of the second travel on two connections.
-        let latest_end = second.received_at + limits.clock_tolerance;
-        if first.end.is_none_or(|end| end.at > latest_end) {
-            violations.push(Violation::ConcurrentAttempts {
-                subject: subject.clone(),
-                first_server: first.server.clone(),
-                second_server: second.server.clone(),
-            });
-        }
-    }
-    violations
 }
--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -1,18 +1,24 @@
 //! A broker as a process of its own, beside a fleet.
 
+mod error;
+mod log;
+mod resource_usage;
+
+pub use error::BrokerProcessError;
+
 use crate::{Deployment, Fleet};
+use log::ProcessLog;
 use std::collections::VecDeque;
-use std::io::{self, BufRead, BufReader};
+use std::io;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::{Child, ChildStderr, Command, ExitStatus, Stdio};
+use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for a line of the log or the end of the process; a slow machine needs far less.
-const TIMEOUT: Duration = Duration::from_secs(30);
+/// Longest wait for the end of the process; a slow machine needs far less.
+const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time between two looks at whether the process has ended.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Words of the log line with the address of the HTTP/1.1 listener: the event's name, and the one that earlier builds gave
@@ -24,42 +30,6 @@
 const HTTP2_LISTENER_SETTING: &str = "listen-http2";
 const PLATFORM_FILE: &str = "config.json";
 const OPERATOR_FILE: &str = "query-broker.conf";
-/// Processor time that Linux counts in one clock tick (`USER_HZ` is 100).
-const CLOCK_TICK: Duration = Duration::from_millis(10);
-
-/// Why a broker process could not be started, watched or stopped.
-#[derive(Debug, thiserror::Error)]
-pub enum BrokerProcessError {
-    /// The log does not hold the expected words in time.
-    #[error("the log has no line with {words:?}; its lines are {seen:?}")]
-    LogLineMissing {
-        /// The expected words.
-        words: String,
-        /// All lines until then.
-        seen: VecDeque<String>,
-    },
-    /// A log line does not hold the address of a listener.
-    #[error("log line without the address of a listener: {0}")]
-    AddressMissing(String),
-    /// The signal could not be sent.
-    #[error("the command kill failed with {0}")]
-    SignalNotSent(ExitStatus),
-    /// The process does not end in time.
-    #[error("the process did not exit in time")]
-    StillRunning,
-    /// The system refused an operation on the process or its files.
-    #[error(transparent)]
-    Io(#[from] io::Error),
-}
-
-impl From<BrokerProcessError> for io::Error {
-    fn from(error: BrokerProcessError) -> Self {
-        match error {
-            BrokerProcessError::Io(error) => error,
-            other => io::Error::other(other),
-        }
-    }
-}
 
 /// A running broker. When it is dropped, the process is killed and its files are removed.
 pub struct BrokerProcess {
@@ -153,7 +123,7 @@
     ///
     /// If it does not end in time.
     pub fn wait_for_exit(&mut self) -> Result<ExitStatus, BrokerProcessError> {
-        let deadline = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + EXIT_TIMEOUT;
         loop {
             if let Some(status) = self.process.child.try_wait()? {
                 return Ok(status);
@@ -172,16 +142,7 @@
     ///
     /// If the entry of the process in `/proc` cannot be read.
     pub fn cpu_time(&self) -> Result<Duration, BrokerProcessError> {
-        let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.process.id()))?;
-        // proc(5) counts from 1: the state, the first field after the name in parentheses, is field 3; utime and
-        // stime are 14 and 15.
-        let after_name = stat.rsplit(')').next().unwrap_or_default();
-        let fields: Vec<&str> = after_name.split_whitespace().collect();
-        let ticks = |number: usize| -> u32 {
-            let field = fields.get(number - 3);
-            field.and_then(|field| field.parse().ok()).unwrap_or(0)
-        };
-        Ok(CLOCK_TICK * (ticks(14) + ticks(15)))
+        Ok(resource_usage::cpu_time(self.process.id())?)
     }
 
     /// The resident memory of the process, in bytes.
@@ -190,18 +151,10 @@
     ///
     /// If the entry of the process in `/proc` cannot be read.
     pub fn resident_memory(&self) -> Result<u64, BrokerProcessError> {
-        let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id()))?;
-        let kib = status.lines().find_map(resident_kib).unwrap_or(0);
-        Ok(1024 * kib)
+        Ok(resource_usage::resident_memory(self.process.id())?)
     }
 }
 
-/// Reads the line `VmRSS: 1234 kB` of `/proc/PID/status`.
-fn resident_kib(line: &str) -> Option<u64> {
-    let size = line.strip_prefix("VmRSS:")?.trim().strip_suffix("kB")?;
-    size.trim().parse().ok()
-}
-
 /// Creates a directory for the files of one process.
 fn create_directory() -> io::Result<PathBuf> {
     static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
@@ -243,63 +196,3 @@
         let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
-
-/// The log of the process, read by a thread of its own.
-struct ProcessLog {
-    incoming: Receiver<String>,
-    lines: VecDeque<String>,
-}
-
-impl ProcessLog {
-    fn read(stderr: Option<ChildStderr>) -> Self {
-        let (sender, incoming) = channel();
-        if let Some(stderr) = stderr {
-            thread::spawn(move || forward_lines(stderr, &sender));
-        }
-        ProcessLog {
-            incoming,
-            lines: VecDeque::new(),
-        }
-    }
-
-    fn lines(&mut self) -> &VecDeque<String> {
-        self.lines.extend(self.incoming.try_iter());
-        &self.lines
-    }
-
-    /// Waits for a line that holds one of these texts.
-    fn wait_for(&mut self, texts: &[&str]) -> Result<String, BrokerProcessError> {
-        let deadline = Instant::now() + TIMEOUT;
-        loop {
-            let remaining = deadline.saturating_duration_since(Instant::now());
-            let Ok(line) = self.incoming.recv_timeout(remaining) else {
-                return Err(BrokerProcessError::LogLineMissing {
-                    words: texts.join(" or "),
-                    seen: self.lines.clone(),
-                });
-            };
-            self.lines.push_back(line.clone());
-            if texts.iter().any(|text| line.contains(text)) {
-                return Ok(line);
-            }
-        }
-    }
-
-    fn wait_for_listener(&mut self, texts: &[&str]) -> Result<SocketAddr, BrokerProcessError> {
-        let line = self.wait_for(texts)?;
-        let address = line
-            .split(' ')
-            .find_map(|pair| pair.strip_prefix("listen="));
-        address
-            .and_then(|address| address.parse().ok())
-            .ok_or(BrokerProcessError::AddressMissing(line))
-    }
-}
-
-fn forward_lines(stderr: ChildStderr, sender: &Sender<String>) {
-    for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-        if sender.send(line).is_err() {
-            return;
-        }
-    }
-}
--- a/crates/test-fleet/src/lib.rs
+++ b/crates/test-fleet/src/lib.rs
@@ -13,6 +13,7 @@
 mod fault;
 mod fleet;
 mod notifier;
+mod part_value;
 mod server;
 
 pub use attempt_log::{
@@ -23,16 +24,4 @@
 pub use deployment::Deployment;
 pub use fault::Fault;
 pub use fleet::{Fleet, FleetPlan, ServerHandle};
-
-/// Returns the value of a part, which is the same at every data server that holds the shard: the FNV-1a hash of the
-/// query's text, with the shard mixed into its start value.
-#[must_use]
-pub fn part_value(shard: usize, text: &str) -> String {
-    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-    const FNV_PRIME: u64 = 0x0100_0000_01b3;
-    let mut hash = FNV_OFFSET_BASIS ^ shard as u64;
-    for byte in text.bytes() {
-        hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
-    }
-    format!("{hash:016x}")
-}
+pub use part_value::part_value;
