--- a/crates/query-broker/tests/scenarios/discovery.rs
+++ b/crates/query-broker/tests/scenarios/discovery.rs
@@ -26,7 +26,7 @@
 pub(crate) fn update_response(update: &EndpointUpdate, addresses: &[SocketAddr]) -> String {
     let endpoints = update.endpoints.iter();
     let targets: Vec<Value> = endpoints
-        .map(|(server, state)| endpoint_entry(*server, addresses[*server], *state))
+        .map(|endpoint| endpoint_entry(endpoint.server, addresses[endpoint.server], endpoint.state))
         .collect();
     let body =
         json!({"rev": update.revision, "all": update.is_full, "targets": targets}).to_string();
--- a/crates/query-broker/tests/scenarios/main.rs
+++ b/crates/query-broker/tests/scenarios/main.rs
@@ -51,8 +51,8 @@
 mod script;
 mod world;
 
+use parser::load_script;
 use rstest::rstest;
-use script::Script;
 use std::path::PathBuf;
 use std::time::Duration;
 use world::World;
@@ -62,7 +62,7 @@
 
 #[rstest]
 fn scenario(#[files("tests/scenarios/scripts/*.txt")] path: PathBuf) {
-    let script = Script::load(&path).unwrap_or_else(|error| panic!("{error}"));
+    let script = load_script(&path).unwrap_or_else(|error| panic!("{error}"));
     let mut world = World::start(&script.settings);
     for step in &script.steps {
         eprintln!("{}:{}: {}", script.file, step.line, step.text);
--- a/crates/query-broker/tests/scenarios/script.rs
+++ b/crates/query-broker/tests/scenarios/script.rs
@@ -1,7 +1,6 @@
 //! The typed form of a scenario's script.
 
 use std::fmt::{self, Display, Formatter};
-use std::path::Path;
 use std::time::Duration;
 
 /// A script, parsed whole before anything of it runs.
@@ -15,14 +14,6 @@
     pub(crate) steps: Vec<ScriptStep>,
 }
 
-impl Script {
-    /// Reads and parses a file.
-    pub(crate) fn load(path: &Path) -> Result<Self, crate::parser::ScriptError> {
-        let text = std::fs::read_to_string(path).expect("a script can be read");
-        crate::parser::parse_script(&path.display().to_string(), &text)
-    }
-}
-
 /// What differs in the broker's configuration from scenario to scenario.
 #[derive(Debug)]
 pub(crate) struct Settings {
@@ -47,6 +38,26 @@
     }
 }
 
+/// One of the settings.
+#[derive(Debug)]
+pub(crate) enum Setting {
+    Servers(usize),
+    MaxOpen(u64),
+    MaxSockets(u64),
+    Override(SettingOverride),
+}
+
+impl Settings {
+    pub(crate) fn apply(&mut self, setting: Setting) {
+        match setting {
+            Setting::Servers(count) => self.servers = count,
+            Setting::MaxOpen(count) => self.max_open = Some(count),
+            Setting::MaxSockets(count) => self.max_sockets = Some(count),
+            Setting::Override(setting) => self.overrides.push(setting),
+        }
+    }
+}
+
 /// One setting that is replaced.
 #[derive(Debug)]
 pub(crate) struct SettingOverride {
@@ -176,7 +187,14 @@
     pub(crate) revision: u64,
     /// Whether these are all endpoints, or those that changed.
     pub(crate) is_full: bool,
-    pub(crate) endpoints: Vec<(usize, EndpointState)>,
+    pub(crate) endpoints: Vec<ListedEndpoint>,
+}
+
+/// A data server on discovery's list.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) struct ListedEndpoint {
+    pub(crate) server: usize,
+    pub(crate) state: EndpointState,
 }
 
 /// The state of a data server on discovery's list.
