--- a/crates/query-broker/tests/http2/arbitrary_frames.rs
+++ b/crates/query-broker/tests/http2/arbitrary_frames.rs
@@ -1,7 +1,7 @@
 //! Arbitrary frames, in any order and cut anywhere: the program survives, other clients are served, and no memory is
 //! lost.
 
-use crate::fixture::{Fixture, complete_answer, lookup};
+use crate::fixture::Fixture;
 use load_generator::raw_http2::{QUERY_BODY, encode_frame, query_fields, query_frames};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, FileFailurePersistence, TestRunner};
@@ -59,17 +59,7 @@
 #[test]
 fn arbitrary_frames_leave_no_memory_behind_and_other_clients_are_served() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
-    let check_served = |n: usize| {
-        fixture.run(async {
-            let http2 = fixture.connect().await;
-            assert_eq!(
-                http2
-                    .send_query(&lookup(&format!("serves{n}"), &[n % 8]))
-                    .await,
-                complete_answer(&[n % 8])
-            );
-        });
-    };
+    let check_served = |n: usize| fixture.run(fixture.expect_served(&format!("serves{n}"), n % 8));
     (0..50).for_each(check_served);
     let before = fixture.broker.resident_memory().unwrap();
     let found = FileFailurePersistence::Direct("tests/http2/arbitrary_frames.regressions");
--- a/crates/query-broker/tests/http2/fixture.rs
+++ b/crates/query-broker/tests/http2/fixture.rs
@@ -3,6 +3,7 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use futures_lite::FutureExt;
+use futures_util::future::join_all;
 use h2::client::Builder;
 use load_generator::raw_http2::{END_HEADERS, HEADERS, RawHttp2Client, encode_frame, query_fields};
 use load_generator::{Http1Client, Http2Client, LoadQuery, QUERY_TEXT, QueryOutcome, ShardValue};
@@ -145,6 +146,13 @@
         }
     }
 
+    /// Checks that a client on a new connection is answered.
+    pub(crate) async fn expect_served(&self, id: &str, shard: usize) {
+        let http2 = self.connect().await;
+        let answer = http2.send_query(&lookup(id, &[shard])).await;
+        assert_eq!(answer, complete_answer(&[shard]), "{id}");
+    }
+
     /// Checks that the attempts that the data servers have seen keep all limits.
     pub(crate) fn check_invariants(&self) {
         let violations = self
@@ -154,6 +162,11 @@
     }
 }
 
+/// Sends queries at once on a connection, and waits for all their outcomes.
+pub(crate) async fn send_all(http2: &Http2Client, queries: &[LoadQuery]) -> Vec<QueryOutcome> {
+    join_all(queries.iter().map(|query| http2.send_query(query))).await
+}
+
 /// The complete answer to a query for these shards.
 pub(crate) fn complete_answer(shards: &[usize]) -> QueryOutcome {
     let shard_value = |shard: &usize| ShardValue {
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -1,6 +1,6 @@
 //! Floods: each is bounded, ended within three seconds and logged, and other clients are served.
 
-use crate::fixture::{BOUND, Fixture, complete_answer, lookup, query_headers};
+use crate::fixture::{BOUND, Fixture, query_headers};
 use load_generator::raw_http2::{
     CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, PREFACE, QUERY_BODY, RST_STREAM,
     RawHttp2Client, SETTINGS, WINDOW_UPDATE, encode_fields, encode_frame, query_fields,
@@ -15,7 +15,7 @@
 
 /// Sends the same again and again until the connection ends. What is measured is the broker's time, so that the bound
 /// on a slow machine is far beyond the three seconds that the page states; `query-broker bench` shows the figure.
-fn flood(fixture: &mut Fixture, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
+fn flood(fixture: &Fixture, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
     let mut raw = fixture.connect_raw();
     let start = Instant::now();
     let mut n = 0;
@@ -37,14 +37,8 @@
     if let Some(goaway) = frames.iter().rfind(|f| f.frame_type == GOAWAY) {
         assert_eq!(goaway.error_code(), ENHANCE_YOUR_CALM, "{what}");
     }
-    let after = fixture.run(async {
-        fixture
-            .connect()
-            .await
-            .send_query(&lookup(&format!("after {what}").replace(' ', "-"), &[1]))
-            .await
-    });
-    assert_eq!(after, complete_answer(&[1]), "{what}");
+    let id = format!("after {what}").replace(' ', "-");
+    fixture.run(fixture.expect_served(&id, 1));
 }
 
 #[test]
@@ -62,7 +56,7 @@
     ] {
         // An event has one line a second.
         std::thread::sleep(Duration::from_millis(1100));
-        flood(&mut fixture, what, |_| bytes.clone());
+        flood(&fixture, what, |_| bytes.clone());
         fixture
             .broker
             .wait_for_log(&format!("reason=\"a flood of {what}\""))
@@ -74,7 +68,7 @@
 #[test]
 fn rapid_resets_end_the_connection() {
     let mut fixture = Fixture::with_part_duration(Duration::ZERO);
-    flood(&mut fixture, "resets", |n| {
+    flood(&fixture, "resets", |n| {
         let stream = 1 + 2 * n;
         [
             query_frames(stream, &format!("r{n}")),
@@ -91,8 +85,8 @@
 
 #[test]
 fn flood_of_empty_data_ends_the_connection() {
-    let mut fixture = Fixture::with_part_duration(Duration::ZERO);
-    flood(&mut fixture, "empty DATA", |n| {
+    let fixture = Fixture::with_part_duration(Duration::ZERO);
+    flood(&fixture, "empty DATA", |n| {
         let open = if n == 0 {
             query_headers(1, "e", &[])
         } else {
@@ -104,8 +98,8 @@
 
 #[test]
 fn endless_header_block_ends_the_connection() {
-    let mut fixture = Fixture::with_part_duration(Duration::ZERO);
-    flood(&mut fixture, "CONTINUATION", |n| match n {
+    let fixture = Fixture::with_part_duration(Duration::ZERO);
+    flood(&fixture, "CONTINUATION", |n| match n {
         0 => encode_frame(HEADERS, 0, 1, &query_fields("c", &[])),
         n => encode_frame(
             CONTINUATION,
@@ -114,7 +108,7 @@
             &encode_fields(&[(&format!("a{n}"), "b")]),
         ),
     });
-    flood(&mut fixture, "empty CONTINUATION", |n| match n {
+    flood(&fixture, "empty CONTINUATION", |n| match n {
         0 => encode_frame(HEADERS, 0, 1, &query_fields("d", &[])),
         _ => encode_frame(CONTINUATION, 0, 1, &[]),
     });
@@ -150,14 +144,7 @@
             .attempt_log(|log| !log.attempts().iter().any(|a| a.part_id.starts_with("bomb"))),
         "it was served"
     );
-    let after = fixture.run(async {
-        fixture
-            .connect()
-            .await
-            .send_query(&lookup("after", &[1]))
-            .await
-    });
-    assert_eq!(after, complete_answer(&[1]));
+    fixture.run(fixture.expect_served("after", 1));
 }
 
 /// Connections that send nothing, or stop in the middle of the preface or of a frame.
@@ -205,15 +192,8 @@
     );
     let silent: Vec<RawHttp2Client> = (0..12).map(|_| fixture.connect_silent()).collect();
     fixture.run(async {
-        for n in 0..8 {
-            assert_eq!(
-                fixture
-                    .connect()
-                    .await
-                    .send_query(&lookup(&format!("q{n}"), &[n]))
-                    .await,
-                complete_answer(&[n])
-            );
+        for shard in 0..8 {
+            fixture.expect_served(&format!("q{shard}"), shard).await;
         }
     });
     drop(silent);
--- a/crates/query-broker/tests/http2/graceful_shutdown.rs
+++ b/crates/query-broker/tests/http2/graceful_shutdown.rs
@@ -1,10 +1,9 @@
 //! SIGTERM: GOAWAY is sent twice, accepted queries are answered, the process ends.
 
-use crate::fixture::{BOUND, Fixture, complete_answer, lookup};
-use futures_util::future::join_all;
+use crate::fixture::{BOUND, Fixture, complete_answer, lookup, send_all};
 use load_generator::raw_http2::{
-    DATA, END_STREAM, GOAWAY, HEADERS, PING, RST_STREAM, encode_frame, query_frames,
-    response_status,
+    DATA, END_STREAM, GOAWAY, HEADERS, PING, RST_STREAM, RawHttp2Client, encode_frame,
+    query_frames, response_status,
 };
 use std::time::Duration;
 
@@ -17,13 +16,30 @@
 /// Bound on the end of a connection.
 const CLOSE_BOUND: Duration = Duration::from_secs(20);
 
+/// A broker that was told to shut down, and the client of a query that it serves on stream 1.
+struct ShuttingDown {
+    fixture: Fixture,
+    raw: RawHttp2Client,
+}
+
+impl ShuttingDown {
+    /// Sends SIGTERM once the query's attempt has reached a data server, which takes this long for it.
+    fn with_part_duration(part_duration: Duration) -> Self {
+        let fixture = Fixture::with_part_duration(part_duration);
+        let mut raw = fixture.connect_raw();
+        raw.send(&query_frames(1, "a"));
+        fixture.run(fixture.wait_for_attempts(1));
+        fixture.broker.signal("TERM").unwrap();
+        ShuttingDown { fixture, raw }
+    }
+}
+
 #[test]
 fn goaway_is_sent_and_accepted_queries_are_answered_on_shutdown() {
-    let mut fixture = Fixture::with_part_duration(Duration::from_millis(300));
-    let mut raw = fixture.connect_raw();
-    raw.send(&query_frames(1, "a"));
-    fixture.run(fixture.wait_for_attempts(1));
-    fixture.broker.signal("TERM").unwrap();
+    let ShuttingDown {
+        mut fixture,
+        mut raw,
+    } = ShuttingDown::with_part_duration(Duration::from_millis(300));
     let first = raw.expect_frame(GOAWAY);
     assert_eq!(
         (first.last_stream_id(), first.error_code()),
@@ -53,11 +69,10 @@
 #[test]
 fn late_streams_are_refused_and_the_process_ends_without_ping_ack() {
     // Long enough that the first query is still being served when the second comes.
-    let mut fixture = Fixture::with_part_duration(Duration::from_millis(1500));
-    let mut raw = fixture.connect_raw();
-    raw.send(&query_frames(1, "a"));
-    fixture.run(fixture.wait_for_attempts(1));
-    fixture.broker.signal("TERM").unwrap();
+    let ShuttingDown {
+        mut fixture,
+        mut raw,
+    } = ShuttingDown::with_part_duration(Duration::from_millis(1500));
     assert_eq!(raw.expect_frame(GOAWAY).last_stream_id(), HIGHEST_STREAM_ID);
     // New connections are accepted for 600 ms; when they no longer are, new streams of old ones are refused too.
     fixture.wait_until_not_listening();
@@ -85,7 +100,7 @@
     let served = fixture.run(async {
         let http2 = fixture.connect().await;
         let queries: Vec<_> = (0..4).map(|n| lookup(&format!("q{n}"), &[n])).collect();
-        let answers = join_all(queries.iter().map(|query| http2.send_query(query))).await;
+        let answers = send_all(&http2, &queries).await;
         assert_eq!(answers[3], complete_answer(&[3]));
         http2
     });
--- a/crates/query-broker/tests/http2/idempotency_keys.rs
+++ b/crates/query-broker/tests/http2/idempotency_keys.rs
@@ -1,7 +1,7 @@
 //! Idempotency keys of clients that cancel a query and send it again.
 
 use crate::fixture::{Fixture, complete_answer};
-use load_generator::{LoadQuery, QueryOutcome};
+use load_generator::{Http2Client, LoadQuery, QueryOutcome};
 use std::time::Duration;
 use test_fleet::Fault;
 
@@ -9,24 +9,37 @@
     LoadQuery::new(id, "watchlist-save", &[0]).with_idempotency_key(key)
 }
 
+/// Sends a query under the key `k1`, and resets its stream once its attempt hangs at a data server.
+async fn send_and_cancel(fixture: &Fixture, http2: &Http2Client, client_timeout: Duration) {
+    fixture.set_fault(Fault::Hang);
+    let query = save("a", "k1").with_client_timeout(client_timeout);
+    let stream = http2.open(&query.request()).await.unwrap();
+    fixture.wait_for_attempts(1).await;
+    stream.reset();
+}
+
+/// Sends queries under this key, each after the time that the rejection before it advised, until one is not rejected.
+async fn retry_until_served(http2: &Http2Client, key: &str) -> QueryOutcome {
+    let mut number = 0;
+    loop {
+        number += 1;
+        match http2.send_query(&save(&format!("d{number}"), key)).await {
+            QueryOutcome::Rejected(Some(after)) => {
+                async_io::Timer::after(Duration::from_secs_f64(after)).await;
+            }
+            outcome => return outcome,
+        }
+    }
+}
+
 /// The part was sent when the client reset its stream. The same key is rejected while that attempt may run, and served
 /// afterwards.
 #[test]
 fn repeated_key_is_rejected_while_the_first_attempt_may_run() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
-    fixture.set_fault(Fault::Hang);
     fixture.run(async {
         let http2 = fixture.connect().await;
-        let first = http2
-            .open(
-                &save("a", "k1")
-                    .with_client_timeout(Duration::from_millis(3000))
-                    .request(),
-            )
-            .await
-            .unwrap();
-        fixture.wait_for_attempts(1).await;
-        first.reset();
+        send_and_cancel(&fixture, &http2, Duration::from_millis(3000)).await;
         let QueryOutcome::Rejected(Some(after)) = http2.send_query(&save("b", "k1")).await else {
             panic!("it was not rejected")
         };
@@ -37,16 +50,8 @@
             http2.send_query(&save("c", "k2")).await,
             complete_answer(&[0])
         );
-        let mut number = 0;
-        loop {
-            number += 1;
-            match http2.send_query(&save(&format!("d{number}"), "k1")).await {
-                QueryOutcome::Rejected(Some(after)) => {
-                    async_io::Timer::after(Duration::from_secs_f64(after)).await;
-                }
-                answer => break assert_eq!(answer, complete_answer(&[0])),
-            }
-        }
+        let retried = retry_until_served(&http2, "k1").await;
+        assert_eq!(retried, complete_answer(&[0]));
     });
     fixture.check_invariants();
 }
@@ -55,19 +60,9 @@
 #[test]
 fn repeated_key_fails_after_the_deduplication_window() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
-    fixture.set_fault(Fault::Hang);
     fixture.run(async {
         let http2 = fixture.connect().await;
-        let first = http2
-            .open(
-                &save("a", "k1")
-                    .with_client_timeout(Duration::from_millis(800))
-                    .request(),
-            )
-            .await
-            .unwrap();
-        fixture.wait_for_attempts(1).await;
-        first.reset();
+        send_and_cancel(&fixture, &http2, Duration::from_millis(800)).await;
         let sent = fixture.attempt_count();
         fixture.set_fault(Fault::None);
         async_io::Timer::after(Duration::from_millis(5100)).await;
--- a/crates/query-broker/tests/http2/malformed_requests.rs
+++ b/crates/query-broker/tests/http2/malformed_requests.rs
@@ -32,14 +32,13 @@
     }
 }
 
-const fn with_invalid_name(
-    fault: &'static str,
-    changes: &'static [(&'static str, &'static str)],
-) -> MalformedRequest {
-    MalformedRequest {
-        fault,
-        changes,
-        may_end_connection: true,
+impl MalformedRequest {
+    /// The same request, whose field has an invalid name.
+    const fn with_invalid_name(self) -> Self {
+        MalformedRequest {
+            may_end_connection: true,
+            ..self
+        }
     }
 }
 
@@ -48,7 +47,7 @@
     malformed("no scheme", &[(":scheme", "")]),
     malformed("no path", &[(":path", "")]),
     malformed("a pseudo-header behind the others", &[(":protocol", "x")]),
-    with_invalid_name("a name that no pseudo-header has", &[(":odd", "x")]),
+    malformed("a name that no pseudo-header has", &[(":odd", "x")]).with_invalid_name(),
     malformed(
         "two methods",
         &[(":method", "POST"), ("a", "b"), (":status", "200")],
@@ -58,7 +57,7 @@
     malformed("transfer-encoding", &[("transfer-encoding", "chunked")]),
     malformed("upgrade", &[("upgrade", "h2c")]),
     malformed("te", &[("te", "gzip")]),
-    with_invalid_name("capitals in a name", &[("X-Odd", "1")]),
+    malformed("capitals in a name", &[("X-Odd", "1")]).with_invalid_name(),
     malformed(
         "a length that is more than DATA",
         &[("content-length", "1000")],
@@ -80,8 +79,9 @@
         raw.send(&query_headers(stream, &id, request.changes));
         raw.send(&encode_frame(DATA, END_STREAM, stream, QUERY_BODY));
         raw.send(&query_frames(stream + 2, &format!("good{number}")));
-        if !expect_rejection_and_answer(&mut raw, stream, request) {
-            raw = fixture.connect_raw();
+        match expect_rejection_and_answer(&mut raw, stream, request) {
+            Rejection::OfStream => {}
+            Rejection::OfConnection => raw = fixture.connect_raw(),
         }
     }
     let is_malformed = |id: &str| id.starts_with("bad");
@@ -94,13 +94,19 @@
     });
 }
 
-/// Waits until the request on this stream is rejected and the one on the next stream is answered, in any order. False:
-/// the connection was ended in place of the stream.
+/// What a malformed request ended.
+enum Rejection {
+    OfStream,
+    OfConnection,
+}
+
+/// Waits until the request on this stream is rejected and the one on the next stream is answered, in any order, or until
+/// the connection is ended where the request allows it.
 fn expect_rejection_and_answer(
     raw: &mut RawHttp2Client,
     stream: u32,
     request: &MalformedRequest,
-) -> bool {
+) -> Rejection {
     let fault = request.fault;
     let (mut is_rejected, mut is_answered) = (false, false);
     while !(is_rejected && is_answered) {
@@ -113,14 +119,14 @@
                 code == PROTOCOL_ERROR && request.may_end_connection,
                 "{fault}: GOAWAY {code}"
             );
-            return false;
+            return Rejection::OfConnection;
         }
         is_rejected |= frame.stream_id == stream && is_rejection(&frame, fault);
         is_answered |= frame.stream_id == stream + 2
             && frame.frame_type == DATA
             && frame.flags & END_STREAM != 0;
     }
-    true
+    Rejection::OfStream
 }
 
 /// Whether a frame on a malformed request's stream rejects it. Panics if it does so in another way than it should.
--- a/crates/query-broker/tests/http2/requests.rs
+++ b/crates/query-broker/tests/http2/requests.rs
@@ -8,25 +8,40 @@
 };
 use std::time::Duration;
 
-/// A request has the same response over HTTP/1.1 and HTTP/2.
 #[test]
-fn both_listeners_give_the_same_responses() {
+fn query_has_the_same_answer_over_both_listeners() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
+    let shards = [0, 3, 5];
     fixture.run(async {
         let http2 = fixture.connect().await;
         let mut http1 = fixture.connect_http1().await;
+        let over_http2 = http2.send_query(&lookup("a", &shards)).await;
+        let over_http1 = http1.send(&lookup("b", &shards).request()).await.unwrap();
+        assert_eq!(over_http2, complete_answer(&shards));
         assert_eq!(
-            http2.send_query(&lookup("a", &[0, 3, 5])).await,
-            complete_answer(&[0, 3, 5])
-        );
-        let response = http1
-            .send(&lookup("b", &[0, 3, 5]).request())
-            .await
-            .unwrap();
-        assert_eq!(
-            QueryOutcome::from_response(&response),
-            complete_answer(&[0, 3, 5])
+            QueryOutcome::from_response(&over_http1),
+            complete_answer(&shards)
         );
+    });
+    fixture.check_invariants();
+}
+
+/// A request with an empty body.
+fn empty_request(method: &str, path: &str) -> http::Request<Vec<u8>> {
+    http::Request::builder()
+        .method(method)
+        .uri(format!("http://broker.svc{path}"))
+        .header("content-length", "0")
+        .body(Vec::new())
+        .unwrap()
+}
+
+#[test]
+fn request_that_is_no_query_has_the_same_status_over_both_listeners() {
+    let fixture = Fixture::with_part_duration(Duration::ZERO);
+    fixture.run(async {
+        let http2 = fixture.connect().await;
+        let mut http1 = fixture.connect_http1().await;
         for (method, path, expected) in [
             ("GET", "/-/ready", 200),
             ("HEAD", "/-/ready", 200),
@@ -36,13 +51,7 @@
             ("POST", "/nothing", 404),
             ("OPTIONS", "/lookup", 405),
         ] {
-            let request = http::Request::builder()
-                .method(method)
-                .uri(format!("http://broker.svc{path}"));
-            let mut request = request.body(Vec::new()).unwrap();
-            request
-                .headers_mut()
-                .insert("content-length", "0".parse().unwrap());
+            let request = empty_request(method, path);
             let over_http2 = http2.send(&request).await.unwrap();
             let over_http1 = http1.send(&request).await;
             assert_eq!(over_http2.status().as_u16(), expected, "{method} {path}");
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -1,13 +1,14 @@
 //! Many streams on a connection: flow control, resets, fair use of the capacity.
 
-use crate::fixture::{BOUND, Fixture, OPERATOR_CONFIG, complete_answer, lookup};
+use crate::fixture::{BOUND, Fixture, OPERATOR_CONFIG, complete_answer, lookup, send_all};
+use futures_lite::future::zip;
 use futures_util::future::join_all;
 use h2::client::Builder;
-use load_generator::QueryOutcome;
 use load_generator::raw_http2::{
     DATA, END_STREAM, HEADERS, PREFACE, RST_STREAM, SETTINGS, WINDOW_UPDATE, encode_frame,
     query_frames, response_status,
 };
+use load_generator::{Http1Client, Http2Client, QueryOutcome};
 use std::time::Duration;
 use test_fleet::{Deployment, Fault, FleetPlan};
 
@@ -40,7 +41,7 @@
         let queries: Vec<_> = (0..300)
             .map(|n| lookup(&format!("q{n}"), &[n % 8]).with_client_timeout(BOUND))
             .collect();
-        join_all(queries.iter().map(|query| http2.send_query(query))).await
+        send_all(&http2, &queries).await
     });
     let log = fixture.broker.log_lines();
     for (n, answer) in answers.iter().enumerate() {
@@ -118,62 +119,97 @@
     fixture.check_invariants();
 }
 
-/// One connection with many streams leaves capacity for the others, and is rejected beyond its quota with Retry-After.
-#[test]
-fn one_connection_does_not_exhaust_the_capacity() {
-    let deployment = Deployment {
-        max_in_flight: 90,
-        ..Deployment::default()
-    };
-    let fixture = Fixture::start(FleetPlan::default(), deployment, OPERATOR_CONFIG);
-    fixture.set_part_duration(Duration::from_millis(700));
-    fixture.run(async {
-        let over_quota = fixture.connect().await;
-        let mut others = Vec::new();
-        for _ in 0..5 {
-            others.push(fixture.connect().await);
-        }
-        let mut http1 = fixture.connect_http1().await;
-        let queries: Vec<_> = (0..100)
-            .map(|n| lookup(&format!("g{n}"), &[n % 8]))
-            .collect();
-        let responses = join_all(queries.iter().map(|query| over_quota.send_query(query)));
-        let others = async {
-            fixture.wait_for_attempts(10).await;
-            let queries: Vec<_> = (0..5).map(|n| lookup(&format!("o{n}"), &[n])).collect();
-            let over_http2 = join_all(
-                others
-                    .iter()
-                    .zip(&queries)
-                    .map(|(client, query)| client.send_query(query)),
-            );
-            // Sent with the others: an unused connection is closed after 2 s.
-            let request = lookup("http1", &[6]).request();
-            let (over_http2, over_http1) =
-                futures_lite::future::zip(over_http2, http1.send(&request)).await;
-            (
-                over_http2,
-                QueryOutcome::from_response(&over_http1.unwrap()),
-            )
+/// What clients saw while one connection sent more queries at once than its quota.
+struct OverQuota {
+    /// Outcomes of 100 queries on the connection that is over its quota.
+    over_quota: Vec<QueryOutcome>,
+    /// Outcomes of one query on each of five other connections, for shards 0 to 4.
+    over_http2: Vec<QueryOutcome>,
+    /// Outcome of a query over HTTP/1.1, for shard 6.
+    over_http1: QueryOutcome,
+}
+
+impl OverQuota {
+    /// Runs the clients against a broker with a capacity of 90 queries and parts.
+    fn run() -> Self {
+        let deployment = Deployment {
+            max_in_flight: 90,
+            ..Deployment::default()
         };
-        let (responses, (over_http2, over_http1)) =
-            futures_lite::future::zip(responses, others).await;
-        for (n, answer) in over_http2.iter().enumerate() {
-            assert_eq!(
-                *answer,
-                complete_answer(&[n]),
-                "another connection was shut out"
-            );
-        }
-        assert_eq!(over_http1, complete_answer(&[6]));
-        let answered = responses.iter().filter(|r| is_complete(r)).count();
-        let rejected = responses.iter().filter(|r| has_retry_after(r)).count();
+        let fixture = Fixture::start(FleetPlan::default(), deployment, OPERATOR_CONFIG);
+        fixture.set_part_duration(Duration::from_millis(700));
+        fixture.run(async {
+            let over_quota = fixture.connect().await;
+            let mut others = Vec::new();
+            for _ in 0..5 {
+                others.push(fixture.connect().await);
+            }
+            let http1 = fixture.connect_http1().await;
+            let queries: Vec<_> = (0..100)
+                .map(|n| lookup(&format!("g{n}"), &[n % 8]))
+                .collect();
+            let (over_quota, others) = zip(
+                send_all(&over_quota, &queries),
+                send_on_others(&fixture, &others, http1),
+            )
+            .await;
+            let (over_http2, over_http1) = others;
+            OverQuota {
+                over_quota,
+                over_http2,
+                over_http1,
+            }
+        })
+    }
+}
+
+/// Once the data servers have seen ten attempts, sends a query on each of these connections.
+async fn send_on_others(
+    fixture: &Fixture,
+    others: &[Http2Client],
+    mut http1: Http1Client,
+) -> (Vec<QueryOutcome>, QueryOutcome) {
+    fixture.wait_for_attempts(10).await;
+    let queries: Vec<_> = (0..5).map(|n| lookup(&format!("o{n}"), &[n])).collect();
+    let over_http2 = join_all(
+        others
+            .iter()
+            .zip(&queries)
+            .map(|(client, query)| client.send_query(query)),
+    );
+    // Sent with the others: an unused connection is closed after 2 s.
+    let request = lookup("http1", &[6]).request();
+    let (over_http2, over_http1) = zip(over_http2, http1.send(&request)).await;
+    (
+        over_http2,
+        QueryOutcome::from_response(&over_http1.unwrap()),
+    )
+}
+
+#[test]
+fn connection_over_its_quota_is_rejected_with_retry_after() {
+    let outcomes = OverQuota::run().over_quota;
+    let answered = outcomes.iter().filter(|o| is_complete(o)).count();
+    let rejected = outcomes.iter().filter(|o| has_retry_after(o)).count();
+    assert_eq!(
+        (answered, rejected),
+        (30, 70),
+        "two thirds of 90, two for each query"
+    );
+}
+
+#[test]
+fn other_connections_are_served_while_one_is_over_its_quota() {
+    let outcomes = OverQuota::run();
+    for (shard, answer) in outcomes.over_http2.iter().enumerate() {
         assert_eq!(
-            (answered, rejected),
-            (30, 70),
-            "two thirds of 90, two for each query"
+            *answer,
+            complete_answer(&[shard]),
+            "another connection was shut out"
         );
-    });
+    }
+    assert_eq!(outcomes.over_http2.len(), 5);
+    assert_eq!(outcomes.over_http1, complete_answer(&[6]));
 }
 
 /// Streams beyond the limit are refused with `REFUSED_STREAM`, after which they are safe to repeat.
@@ -204,7 +240,7 @@
         fixture.wait_for_settings(&http2).await;
         assert_eq!(http2.peer_stream_limit(), 2);
         let queries: Vec<_> = (0..6).map(|n| lookup(&format!("k{n}"), &[n])).collect();
-        let answers = join_all(queries.iter().map(|query| http2.send_query(query))).await;
+        let answers = send_all(&http2, &queries).await;
         assert!(answers.iter().all(is_complete), "{answers:?}");
     });
 }
