--- a/crates/broker/src/listeners/context.rs
+++ b/crates/broker/src/listeners/context.rs
@@ -12,7 +12,7 @@
 use futures_lite::FutureExt;
 use http::Request;
 use http::header::DATE;
-use query_api::{Response, Routed, connection_rejected, route};
+use query_api::{Readiness, Response, Routed, connection_rejected, route};
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -69,8 +69,11 @@
     /// Decodes a complete request.
     pub(super) fn route(&self, request: &Request<Vec<u8>>) -> RoutedRequest {
         let phase = self.lifecycle.phase();
-        let is_ready = phase == Phase::Serving;
-        match route(request, is_ready, &self.names, &self.settings) {
+        let readiness = match phase {
+            Phase::Serving => Readiness::Ready,
+            Phase::Draining | Phase::Closing => Readiness::NotReady,
+        };
+        match route(request, readiness, &self.names, &self.settings) {
             // It might not finish before the program exits.
             Routed::Query(_) if phase == Phase::Closing => RoutedRequest::Replied(Reply {
                 response: self.rejection(),
--- a/crates/query-api/src/lib.rs
+++ b/crates/query-api/src/lib.rs
@@ -17,4 +17,4 @@
 pub use invalid_request::InvalidRequest;
 pub use limits::{MAX_BODY_BYTES, MAX_HEAD_BYTES};
 pub use response::{Response, connection_rejected, date_header_value, encode_final_response};
-pub use route::{Routed, route};
+pub use route::{Readiness, Routed, route};
--- a/crates/query-api/src/response.rs
+++ b/crates/query-api/src/response.rs
@@ -12,7 +12,7 @@
 /// requests of others have been ended.
 const CONNECTION_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-/// Durationeconds in a second.
+/// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
 /// Methods of the broker as a whole, for `OPTIONS *`.
@@ -85,9 +85,9 @@
     error_response(204, ALL_METHODS, "")
 }
 
-/// The response to the question whether the broker accepts queries.
-pub(crate) fn readiness_response(is_ready: bool) -> Response {
-    response(if is_ready { 200 } else { 503 }, Vec::new())
+/// A response without a body.
+pub(crate) fn empty_response(status: StatusCode) -> Response {
+    response(status.as_u16(), Vec::new())
 }
 
 /// A response with a reason as its body, and with the methods that are allowed instead; both may be empty.
--- a/crates/query-api/src/route.rs
+++ b/crates/query-api/src/route.rs
@@ -3,17 +3,26 @@
 use crate::decode::decode;
 use crate::method::is_standard_method;
 use crate::response::{
-    Response, encode_final_response, error_response, options_response, readiness_response,
+    Response, empty_response, encode_final_response, error_response, options_response,
 };
 use broker_types::query::{Names, QueryRequest};
 use fanout_policy::api::Settings;
-use http::{Method, Request};
+use http::{Method, Request, StatusCode};
 
 /// Path at which the platform asks whether the broker accepts queries.
 const READINESS_PATH: &str = "/-/ready";
 /// Methods of [`READINESS_PATH`].
 const READINESS_METHODS: &str = "GET, HEAD";
 
+/// Whether the broker accepts queries.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Readiness {
+    /// It accepts queries.
+    Ready,
+    /// It is shutting down.
+    NotReady,
+}
+
 /// A request with what it asks for.
 #[derive(Debug)]
 pub enum Routed {
@@ -44,11 +53,11 @@
     }
 }
 
-/// Finds out what a request asks for; `is_ready` is whether the broker accepts queries.
+/// Finds out what a request asks for.
 #[must_use]
 pub fn route(
     request: &Request<Vec<u8>>,
-    is_ready: bool,
+    readiness: Readiness,
     names: &Names,
     settings: &Settings,
 ) -> Routed {
@@ -56,7 +65,7 @@
         return Routed::valid(options_response());
     }
     if request.uri().path() == READINESS_PATH {
-        return route_readiness(request.method(), is_ready);
+        return route_readiness(request.method(), readiness);
     }
     match decode(request, names, settings) {
         Ok(query) => Routed::Query(query),
@@ -64,9 +73,13 @@
     }
 }
 
-fn route_readiness(method: &Method, is_ready: bool) -> Routed {
+fn route_readiness(method: &Method, readiness: Readiness) -> Routed {
     if [Method::GET, Method::HEAD].contains(method) {
-        Routed::valid(readiness_response(is_ready))
+        let status = match readiness {
+            Readiness::Ready => StatusCode::OK,
+            Readiness::NotReady => StatusCode::SERVICE_UNAVAILABLE,
+        };
+        Routed::valid(empty_response(status))
     } else if is_standard_method(method) {
         Routed::invalid(error_response(405, READINESS_METHODS, ""))
     } else {
