--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -4,6 +4,16 @@
 //! one query in flight, but an HTTP/2 connection may have hundreds and must not starve the others.
 //! [`resource_limits`] derives the limits of each listener from the descriptors and the memory that the platform gives
 //! to client connections. Nothing here does I/O or reads a clock.
+//!
+//! ```
+//! use admission::{ConnectionId, ConnectionQuota};
+//!
+//! let mut quota = ConnectionQuota::new(90);
+//! let (busy, idle) = (ConnectionId(1), ConnectionId(2));
+//! assert!(quota.try_acquire(busy, 60), "one connection alone may use two thirds");
+//! assert!(!quota.try_acquire(busy, 1));
+//! assert!(quota.try_acquire(idle, 1));
+//! ```
 
 mod quota;
 pub mod resource_limits;
--- a/crates/batch-window/src/lib.rs
+++ b/crates/batch-window/src/lib.rs
@@ -7,6 +7,16 @@
 //!
 //! The window does not depend on the arrival rate. A client that sends one query after another raises that rate as
 //! soon as it is served at once, and lowers it again as soon as it waits, so that the window would oscillate.
+//!
+//! ```
+//! use batch_window::BatchWindow;
+//! use std::time::Duration;
+//!
+//! let window = BatchWindow::Adaptive(Duration::from_millis(8));
+//! assert_eq!(window.duration(1), Duration::ZERO);
+//! assert_eq!(window.duration(3), Duration::from_millis(2));
+//! assert_eq!(window.duration(500), Duration::from_millis(8));
+//! ```
 
 use broker_types::time::Timestamp;
 use std::time::Duration;
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -8,6 +8,20 @@
 //!
 //! The guard also reports since when a frame or a header block has been incomplete, and whether the connection speaks
 //! HTTP/2 at all.
+//!
+//! ```
+//! use broker_types::time::Timestamp;
+//! use http2_flood_guard::{FloodGuard, FloodLimits, PREFACE, Violation};
+//!
+//! let now = Timestamp::ORIGIN;
+//! let limits = FloodLimits::new(100, 8 * 1024);
+//! let mut guard = FloodGuard::new(now, limits);
+//! assert_eq!(guard.on_received(now, PREFACE), Ok(()));
+//! assert_eq!(guard.incomplete_since(), Some(now), "the client has not sent its SETTINGS");
+//!
+//! let mut guard = FloodGuard::new(now, limits);
+//! assert_eq!(guard.on_received(now, b"GET / HTTP/1.1\r\n"), Err(Violation::Http1Request));
+//! ```
 
 mod frame;
 mod frame_scanner;
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -11,6 +11,24 @@
 //! of the attempt ([`IdempotencyRegister::on_attempt_ended`]), also after the query itself has ended. It holds a
 //! bounded number of keys: when it is full, keys whose query was answered are forgotten first; where there are none, a
 //! new key is rejected rather than an old one forgotten. It does no I/O and reads no clock.
+//!
+//! ```
+//! use broker_types::time::Timestamp;
+//! use idempotency::{IdempotencyRegister, KeyAdmission, RegisterLimits};
+//! use std::time::Duration;
+//!
+//! let mut register = IdempotencyRegister::new(RegisterLimits {
+//!     window: Duration::from_secs(5),
+//!     retention: Duration::from_secs(5),
+//!     max_keys: 100,
+//! });
+//! let now = Timestamp::ORIGIN;
+//! let deadline = now + Duration::from_secs(4);
+//! let first = register.admit(now, &"key".into(), [0].into_iter(), deadline);
+//! assert_eq!(first, KeyAdmission::Admitted);
+//! let retry = register.admit(now, &"key".into(), [0].into_iter(), deadline);
+//! assert_eq!(retry, KeyAdmission::RetryAt(deadline), "the first query is in flight");
+//! ```
 
 mod execution;
 mod key_admission;
