--- a/crates/admission/src/resource_limits.rs
+++ b/crates/admission/src/resource_limits.rs
@@ -17,9 +17,9 @@
 /// Default for [`Http2Overrides::max_streams`]. RFC 9113, section 6.5.2, asks for at least 100.
 const DEFAULT_MAX_STREAMS: u32 = 200;
 /// Default for [`Http2Overrides::connection_window`], in bytes: several of the longest bodies.
-const DEFAULT_CONNECTION_WINDOW: u32 = 512 * 1024;
+const DEFAULT_CONNECTION_WINDOW_BYTES: u32 = 512 * 1024;
 /// Default for [`Http2Overrides::max_header_list`], in bytes.
-const DEFAULT_MAX_HEADER_LIST: u32 = 8 * 1024;
+const DEFAULT_MAX_HEADER_LIST_BYTES: u32 = 8 * 1024;
 
 /// What the platform gives to client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -168,8 +168,10 @@
         max_streams: overrides.max_streams.unwrap_or(DEFAULT_MAX_STREAMS),
         connection_window: overrides
             .connection_window
-            .unwrap_or(DEFAULT_CONNECTION_WINDOW),
-        max_header_list: overrides.max_header_list.unwrap_or(DEFAULT_MAX_HEADER_LIST),
+            .unwrap_or(DEFAULT_CONNECTION_WINDOW_BYTES),
+        max_header_list: overrides
+            .max_header_list
+            .unwrap_or(DEFAULT_MAX_HEADER_LIST_BYTES),
     };
     let connection_bytes = limits.connection_bytes();
     let fitting = (available_bytes / connection_bytes).min(available_descriptors) as usize;
--- a/crates/endpoint-control/src/slow_start.rs
+++ b/crates/endpoint-control/src/slow_start.rs
@@ -18,10 +18,10 @@
 use const_fnv1a_hash::fnv1a_hash_str_32;
 use std::time::Duration;
 
-/// The part of the limit that is used, since the work of requests varies.
-const SAFETY_FACTOR: f64 = 0.75;
+/// Share of the admissible work that the limit uses, since the work of requests varies.
+const USED_LIMIT_SHARE: f64 = 0.75;
 /// The largest limit that is computed; it keeps the conversion to an integer defined.
-const MAX_LIMIT: f64 = 1e6;
+const MAX_REQUESTS_IN_FLIGHT: f64 = 1e6;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -63,8 +63,8 @@
     pub fn max_in_flight(&self, age: Duration) -> u32 {
         let capacity = self.capacity * self.capacity_share(age);
         let work_per_window = capacity * micros(self.overload_window) / MICROS_PER_SECOND;
-        let max_work = SAFETY_FACTOR * (self.overload_multiple - 1.0) * work_per_window;
-        (max_work / self.request_work.max(1.0)).clamp(0.0, MAX_LIMIT) as u32
+        let max_work = USED_LIMIT_SHARE * (self.overload_multiple - 1.0) * work_per_window;
+        (max_work / self.request_work.max(1.0)).clamp(0.0, MAX_REQUESTS_IN_FLIGHT) as u32
     }
 }
 
--- a/crates/load-generator/src/direct.rs
+++ b/crates/load-generator/src/direct.rs
@@ -9,7 +9,7 @@
 use std::net::{SocketAddr, TcpStream};
 
 /// Bytes that are read at once.
-const READ_CHUNK: usize = 4096;
+const READ_CHUNK_BYTES: usize = 4096;
 
 /// Why a query to a data server failed.
 #[derive(Debug, thiserror::Error)]
@@ -89,7 +89,7 @@
     }
 
     async fn read_response(&mut self) -> Result<PartResponse, DirectError> {
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
             match decode(&self.input)? {
                 Some(Decoded {
--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -8,12 +8,13 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
+/// Largest response that a client accepts.
 const RESPONSE_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 1 << 20,
 };
 /// Bytes that are read at once.
-const READ_CHUNK: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// An HTTP/1.1 connection.
 pub struct Http1Client {
@@ -36,7 +37,7 @@
             stream,
             decoder: ResponseDecoder::new(RESPONSE_LIMITS),
             input: Vec::new(),
-            chunk: vec![0; READ_CHUNK],
+            chunk: vec![0; READ_CHUNK_BYTES],
         })
     }
 
--- a/crates/load-generator/src/raw_http2.rs
+++ b/crates/load-generator/src/raw_http2.rs
@@ -22,13 +22,14 @@
 
 /// The payload of SETTINGS with `SETTINGS_HEADER_TABLE_SIZE` (1) set to 0, so that the peer indexes no fields.
 const SETTINGS_WITHOUT_INDEXING: [u8; 6] = [0, 1, 0, 0, 0, 0];
+/// Longest wait for the peer to take what is written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Longest wait for an expected frame or text.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
 /// The shortest timeout of a read; sockets take zero for none.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 /// Bytes that are read at once.
-const READ_CHUNK: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Encodes a whole query on a stream: HEADERS and DATA.
 #[must_use]
@@ -117,7 +118,7 @@
         self.stream
             .set_read_timeout(Some(remaining.max(MIN_READ_TIMEOUT)))
             .expect("the timeout is not zero");
-        let mut chunk = [0; READ_CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         match self.stream.read(&mut chunk) {
             Ok(0) => false,
             Ok(length) => {
--- a/crates/load-generator/src/raw_http2/fields.rs
+++ b/crates/load-generator/src/raw_http2/fields.rs
@@ -3,7 +3,7 @@
 use super::Frame;
 
 /// Longest string whose length fits into one byte of HPACK (section 5.1).
-const MAX_STRING_LEN: usize = 126;
+const MAX_STRING_BYTES: usize = 126;
 /// First byte of a literal without indexing whose name is a literal too (section 6.2.2).
 const LITERAL_WITH_NEW_NAME: u8 = 0;
 /// Flag of a string's length: the string is Huffman coded (section 5.2).
@@ -24,7 +24,7 @@
     for (name, value) in pairs {
         block.push(LITERAL_WITH_NEW_NAME);
         for string in [name, value] {
-            assert!(string.len() <= MAX_STRING_LEN);
+            assert!(string.len() <= MAX_STRING_BYTES);
             block.push(string.len() as u8);
             block.extend(string.as_bytes());
         }
--- a/crates/load-generator/src/raw_http2/frame.rs
+++ b/crates/load-generator/src/raw_http2/frame.rs
@@ -22,7 +22,7 @@
 pub const END_HEADERS: u8 = 4;
 
 /// Length of a frame's header: three bytes of length, the type, the flags, and four bytes of stream id.
-const HEADER_LEN: usize = 9;
+const HEADER_BYTES: usize = 9;
 
 /// A received frame.
 #[derive(Clone, Debug, PartialEq)]
@@ -40,11 +40,13 @@
 impl Frame {
     /// Takes the first frame from received bytes, if it is there whole.
     pub(super) fn take_from(input: &mut Vec<u8>) -> Option<Frame> {
-        let header: [u8; HEADER_LEN] = input.get(..HEADER_LEN)?.try_into().ok()?;
+        let header: [u8; HEADER_BYTES] = input.get(..HEADER_BYTES)?.try_into().ok()?;
         let [length_0, length_1, length_2, frame_type, flags, id @ ..] = header;
         let payload_len = u32::from_be_bytes([0, length_0, length_1, length_2]) as usize;
-        let payload = input.get(HEADER_LEN..HEADER_LEN + payload_len)?.to_vec();
-        input.drain(..HEADER_LEN + payload_len);
+        let payload = input
+            .get(HEADER_BYTES..HEADER_BYTES + payload_len)?
+            .to_vec();
+        input.drain(..HEADER_BYTES + payload_len);
         Some(Frame {
             frame_type,
             flags,
--- a/crates/logging/src/line.rs
+++ b/crates/logging/src/line.rs
@@ -6,7 +6,7 @@
 use tracing::field::{Field, Visit};
 
 /// Longest text of a field, in bytes; longer ones are cut off and end in an ellipsis.
-const MAX_TEXT_LEN: usize = 512;
+const MAX_TEXT_BYTES: usize = 512;
 /// Key of [`Line::suppressed`].
 const SUPPRESSED_KEY: &str = "left_out";
 const ELLIPSIS: char = '\u{2026}';
@@ -33,8 +33,8 @@
     }
 
     fn set_text(&mut self, field: &Field, mut text: String) {
-        if text.len() > MAX_TEXT_LEN {
-            text.truncate(text.floor_char_boundary(MAX_TEXT_LEN));
+        if text.len() > MAX_TEXT_BYTES {
+            text.truncate(text.floor_char_boundary(MAX_TEXT_BYTES));
             text.push(ELLIPSIS);
         }
         self.set(field, Value::String(text));
--- a/crates/operator-config/src/parser.rs
+++ b/crates/operator-config/src/parser.rs
@@ -27,9 +27,9 @@
 /// Bounds of `http2-streams`.
 const STREAMS_BOUNDS: RangeInclusive<u64> = 1..=65_536;
 /// Bounds of `http2-connection-window`, in bytes.
-const CONNECTION_WINDOW_BOUNDS: RangeInclusive<u64> = 64 << 10..=64 << 20;
+const CONNECTION_WINDOW_BYTES: RangeInclusive<u64> = 64 << 10..=64 << 20;
 /// Bounds of `http2-header-list`, in bytes.
-const HEADER_LIST_BOUNDS: RangeInclusive<u64> = 1 << 10..=64 << 10;
+const HEADER_LIST_BYTES: RangeInclusive<u64> = 1 << 10..=64 << 10;
 
 /// Parses the text of a file; errors call the file `name`.
 ///
@@ -197,8 +197,8 @@
         let connections = self.whole_number(keywords::HTTP2_CONNECTIONS, &CONNECTIONS_BOUNDS);
         let streams = self.whole_number(keywords::HTTP2_STREAMS, &STREAMS_BOUNDS);
         let connection_window =
-            self.size(keywords::HTTP2_CONNECTION_WINDOW, &CONNECTION_WINDOW_BOUNDS);
-        let header_list = self.size(keywords::HTTP2_HEADER_LIST, &HEADER_LIST_BOUNDS);
+            self.size(keywords::HTTP2_CONNECTION_WINDOW, &CONNECTION_WINDOW_BYTES);
+        let header_list = self.size(keywords::HTTP2_HEADER_LIST, &HEADER_LIST_BYTES);
         Some(Http2Settings {
             listen: listen?,
             connections: connections.map(|n| n as usize),
--- a/crates/query-broker/src/bench/flood.rs
+++ b/crates/query-broker/src/bench/flood.rs
@@ -17,7 +17,7 @@
 use test_fleet::FleetPlan;
 
 /// Queries a second of the usual clients.
-const CLIENT_RATE: f64 = 500.0;
+const CLIENT_QUERIES_PER_SECOND: f64 = 500.0;
 
 /// Most queries at once of the usual clients.
 const CLIENT_CONCURRENCY: usize = 100;
@@ -125,7 +125,7 @@
         connections: CLIENT_CONNECTIONS,
     };
     let load = LoadProfile {
-        rate: Some(CLIENT_RATE),
+        rate: Some(CLIENT_QUERIES_PER_SECOND),
         max_concurrent: CLIENT_CONCURRENCY,
         duration,
         warm_up: duration.mul_f64(WARM_UP_SHARE),
--- a/crates/query-broker/src/bench/load.rs
+++ b/crates/query-broker/src/bench/load.rs
@@ -10,7 +10,7 @@
 use test_fleet::{BrokerProcess, Fleet, FleetPlan, ReceivedCounts};
 
 /// Least processor time that a figure is made of: the system counts it in hundredths of a second.
-const LEAST_CPU_TIME: Duration = Duration::from_millis(200);
+const MIN_CPU_TIME: Duration = Duration::from_millis(200);
 
 /// Seed of the arrivals in the warm-up.
 const WARM_UP_SEED: u64 = 7;
@@ -91,7 +91,7 @@
 
 fn cpu_us_per_query(cpu_time: Duration, report: &LoadReport) -> Option<f64> {
     let queries = (report.served + report.unserved).max(1) as f64;
-    (cpu_time >= LEAST_CPU_TIME).then(|| cpu_time.as_secs_f64() * 1e6 / queries)
+    (cpu_time >= MIN_CPU_TIME).then(|| cpu_time.as_secs_f64() * 1e6 / queries)
 }
 
 fn parts_per_call(before: ReceivedCounts, after: ReceivedCounts) -> f64 {
--- a/crates/query-broker/src/bench/measurements.rs
+++ b/crates/query-broker/src/bench/measurements.rs
@@ -4,10 +4,10 @@
 use super::flood::FloodKind;
 
 /// Queries a second of clients that ask one after another, far from any load.
-const SINGLE_CLIENT_RATE: f64 = 50.0;
+const SINGLE_CLIENT_QUERIES_PER_SECOND: f64 = 50.0;
 
 /// Queries a second of a steady load.
-const STEADY_RATE: f64 = 4000.0;
+const STEADY_QUERIES_PER_SECOND: f64 = 4000.0;
 
 /// Most queries at once under a steady load.
 const STEADY_CONCURRENCY: usize = 256;
@@ -102,8 +102,8 @@
 fn load_measurements_with(pacing: Pacing) -> Vec<LoadMeasurement> {
     let http1 = |connections| Route::Http1 { connections };
     let http2 = |connections| Route::Http2 { connections };
-    let single = Some(SINGLE_CLIENT_RATE);
-    let steady = Some(STEADY_RATE);
+    let single = Some(SINGLE_CLIENT_QUERIES_PER_SECOND);
+    let steady = Some(STEADY_QUERIES_PER_SECOND);
     [
         // One after another: what the broker adds by itself.
         (Route::Direct, single, 1),
--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -28,7 +28,9 @@
 const HTTP2_LISTENER_STARTED: [&str; 2] = ["event=http2_listener_started ", "event=started_http2 "];
 /// Setting of the operator's file that opens the HTTP/2 listener.
 const HTTP2_LISTENER_SETTING: &str = "listen-http2";
+/// Name of the file with the platform's configuration.
 const PLATFORM_FILE: &str = "config.json";
+/// Name of the operator's file.
 const OPERATOR_FILE: &str = "query-broker.conf";
 
 /// A running broker. When it is dropped, the process is killed and its files are removed.
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -14,12 +14,14 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+/// Largest request that the service accepts.
 const REQUEST_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 64 * 1024,
 };
 /// Bytes that are read at once.
-const READ_CHUNK: usize = 4096;
+const READ_CHUNK_BYTES: usize = 4096;
+/// Path of the endpoint list.
 const LIST_PATH: &str = "/api/targets";
 /// The longest watch that is granted, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
@@ -200,7 +202,7 @@
     decoder: &mut RequestDecoder,
     input: &mut Vec<u8>,
 ) -> io::Result<Option<Message<Request<Vec<u8>>>>> {
-    let mut chunk = vec![0; READ_CHUNK];
+    let mut chunk = vec![0; READ_CHUNK_BYTES];
     loop {
         match decoder.decode(input).map_err(io::Error::other)? {
             Progress::Complete(message) => return Ok(Some(message)),
--- a/crates/test-fleet/src/fault.rs
+++ b/crates/test-fleet/src/fault.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 
 /// The share of its speed at which a restarted server begins.
-const INITIAL_SPEED: f64 = 0.2;
+const INITIAL_SPEED_SHARE: f64 = 0.2;
 /// The shortest warm-up that is computed with, in seconds; it keeps the division defined.
 const MIN_WARM_UP_SECONDS: f64 = 1e-3;
 
@@ -44,7 +44,7 @@
     pub(crate) draining_since: Option<Instant>,
 }
 
-/// The time after a restart in which a server's speed grows linearly from [`INITIAL_SPEED`] to full speed.
+/// The time after a restart in which a server's speed grows linearly from [`INITIAL_SPEED_SHARE`] to full speed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WarmUp {
     pub(crate) started_at: Instant,
@@ -68,6 +68,6 @@
     fn speed_at(self, now: Instant) -> f64 {
         let elapsed = now.saturating_duration_since(self.started_at).as_secs_f64();
         let progress = elapsed / self.duration.as_secs_f64().max(MIN_WARM_UP_SECONDS);
-        INITIAL_SPEED + (1.0 - INITIAL_SPEED) * progress.min(1.0)
+        INITIAL_SPEED_SHARE + (1.0 - INITIAL_SPEED_SHARE) * progress.min(1.0)
     }
 }
--- a/crates/test-fleet/src/server/connection.rs
+++ b/crates/test-fleet/src/server/connection.rs
@@ -19,7 +19,7 @@
 use std::time::Instant;
 
 /// Bytes that are read at once.
-const READ_CHUNK: usize = 16 * 1024;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
 /// Bytes that are no frame of the protocol.
 const INVALID_FRAME: &[u8] = b"\xff\xff\xff\xff noise";
 
@@ -78,7 +78,7 @@
     async fn read_messages(&self) -> io::Result<()> {
         let mut stream = self.stream;
         let mut input = Vec::new();
-        let mut chunk = vec![0; READ_CHUNK];
+        let mut chunk = vec![0; READ_CHUNK_BYTES];
         loop {
             let mut decoded_len = 0;
             loop {
