--- /dev/null
+++ b/crates/simulator-adapter/src/wire/incoming/arrival.rs
@@ -0,0 +1,83 @@
+//! The arrival of queries and of their parts.
+
+use fanout_policy::api::{ClassIndex, Part, PartId, Query, QueryId, TenantIndex};
+use serde::Deserialize;
+use std::sync::Arc;
+use wire_fields::{flag, number, optional_number, optional_whole_number, text, whole_number};
+
+/// The fields that the arrivals of queries and of parts share.
+#[derive(Debug, Deserialize)]
+pub(crate) struct ArrivalWire {
+    #[serde(rename = "Service", deserialize_with = "whole_number")]
+    class: u64,
+    /// Below 0 for a query.
+    #[serde(rename = "Slice", deserialize_with = "number")]
+    shard: f64,
+    #[serde(rename = "GroupNo", deserialize_with = "whole_number")]
+    group: u64,
+}
+
+impl ArrivalWire {
+    /// The class of the query.
+    pub(crate) fn class(&self) -> ClassIndex {
+        ClassIndex(self.class as usize)
+    }
+
+    /// Whether a query arrives; it is a part otherwise.
+    pub(crate) fn is_query(&self) -> bool {
+        self.shard < 0.0
+    }
+}
+
+/// The arrival of a query.
+#[derive(Debug, Deserialize)]
+pub(crate) struct QueryWire {
+    #[serde(rename = "OpId", deserialize_with = "text")]
+    id: Arc<str>,
+    #[serde(rename = "Team", default, deserialize_with = "optional_whole_number")]
+    tenant: Option<u64>,
+    #[serde(rename = "GiveUpAt", deserialize_with = "number")]
+    client_deadline_ms: f64,
+    #[serde(rename = "AgainByClient", default, deserialize_with = "flag")]
+    is_retry: bool,
+}
+
+impl QueryWire {
+    /// The query that arrives.
+    pub(crate) fn query(self, arrival: &ArrivalWire) -> Query {
+        Query {
+            id: QueryId(self.id),
+            group: arrival.group,
+            class: arrival.class(),
+            tenant: TenantIndex(self.tenant.unwrap_or(0) as usize),
+            client_deadline: self.client_deadline_ms,
+            is_retry: self.is_retry,
+        }
+    }
+}
+
+/// The arrival of a part of a query.
+#[derive(Debug, Deserialize)]
+pub(crate) struct PartWire {
+    #[serde(rename = "OpId", deserialize_with = "text")]
+    id: Arc<str>,
+    #[serde(rename = "Slice", deserialize_with = "whole_number")]
+    shard: u64,
+    #[serde(rename = "Measure", deserialize_with = "number")]
+    weight: f64,
+    #[serde(rename = "Effort", default, deserialize_with = "optional_number")]
+    cost_hint_ms: Option<f64>,
+}
+
+impl PartWire {
+    /// The part that arrives.
+    pub(crate) fn part(self, arrival: &ArrivalWire) -> Part {
+        Part {
+            id: PartId(self.id),
+            group: arrival.group,
+            shard: self.shard as usize,
+            weight: self.weight,
+            cost_hint: self.cost_hint_ms,
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/incoming/attempt_ended.rs
@@ -0,0 +1,103 @@
+//! The end of an attempt, with the load report of its server.
+
+use fanout_policy::api::{Event, Outcome, PartId};
+use serde::Deserialize;
+use serde::de::Deserializer;
+use serde_json::Value;
+use std::sync::Arc;
+use wire_fields::{choice, number, text, whole_number};
+
+/// The end of an attempt.
+#[derive(Debug, Deserialize)]
+pub(crate) struct AttemptEndedWire {
+    #[serde(rename = "OpId", deserialize_with = "text")]
+    part: Arc<str>,
+    #[serde(rename = "Hop", deserialize_with = "whole_number")]
+    attempt: u64,
+    #[serde(rename = "Rc", deserialize_with = "choice")]
+    outcome: OutcomeWire,
+    #[serde(rename = "Rtt", deserialize_with = "number")]
+    elapsed_ms: f64,
+    #[serde(rename = "Gauge", default, deserialize_with = "load_report")]
+    load: Option<LoadReportWire>,
+}
+
+impl From<AttemptEndedWire> for Event {
+    fn from(wire: AttemptEndedWire) -> Self {
+        Event::AttemptEnded {
+            part: PartId(wire.part),
+            attempt: wire.attempt as u32,
+            outcome: wire.outcome.into(),
+            elapsed: wire.elapsed_ms,
+            load: wire.load.and_then(|report| report.requests()),
+        }
+    }
+}
+
+/// How an attempt has ended.
+#[derive(Clone, Copy, Debug, Deserialize)]
+enum OutcomeWire {
+    #[serde(rename = "served")]
+    Served,
+    #[serde(rename = "server_error")]
+    Error,
+    #[serde(rename = "turned_away")]
+    Overloaded,
+    #[serde(rename = "no_answer")]
+    TimedOut,
+    #[serde(rename = "no_connection")]
+    Unreachable,
+    #[serde(rename = "connection_lost")]
+    ConnectionLost,
+    #[serde(rename = "called_off")]
+    Cancelled,
+    #[serde(rename = "not_sent")]
+    NotSent,
+}
+
+impl From<OutcomeWire> for Outcome {
+    fn from(wire: OutcomeWire) -> Self {
+        match wire {
+            OutcomeWire::Served => Outcome::Served,
+            OutcomeWire::Error => Outcome::Error,
+            OutcomeWire::Overloaded => Outcome::Overloaded,
+            OutcomeWire::TimedOut => Outcome::TimedOut,
+            OutcomeWire::Unreachable => Outcome::Unreachable,
+            OutcomeWire::ConnectionLost => Outcome::ConnectionLost,
+            OutcomeWire::Cancelled => Outcome::Cancelled,
+            OutcomeWire::NotSent => Outcome::NotSent,
+        }
+    }
+}
+
+/// A server's report of its load. A field that is null counts as present.
+#[derive(Debug, Deserialize)]
+struct LoadReportWire {
+    #[serde(rename = "rif", default, deserialize_with = "present")]
+    requests_in_flight: Option<Value>,
+    #[serde(rename = "q", default, deserialize_with = "present")]
+    requests_waiting: Option<Value>,
+}
+
+impl LoadReportWire {
+    /// Requests in flight, or else those waiting, if the report gives a number of them.
+    fn requests(&self) -> Option<f64> {
+        let requests = self.requests_in_flight.as_ref();
+        let requests = requests.or(self.requests_waiting.as_ref())?;
+        requests.as_f64().filter(|count| *count >= 0.0)
+    }
+}
+
+/// A load report. One that is not an object counts as none.
+fn load_report<'de, D: Deserializer<'de>>(
+    deserializer: D,
+) -> Result<Option<LoadReportWire>, D::Error> {
+    match Value::deserialize(deserializer)? {
+        Value::Object(fields) => Ok(LoadReportWire::deserialize(fields).ok()),
+        _ => Ok(None),
+    }
+}
+
+fn present<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Value>, D::Error> {
+    Value::deserialize(deserializer).map(Some)
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/incoming/endpoint_list.rs
@@ -0,0 +1,125 @@
+//! Endpoint lists: their declaration, and the updates that refer to a declared list.
+
+use fanout_policy::api::{Endpoint, ListUpdate, NodeId, ServingState};
+use serde::Deserialize;
+use std::sync::Arc;
+use wire_fields::{choice, objects, optional_number, optional_whole_number, text, whole_number};
+
+/// The declaration of an endpoint list.
+#[derive(Debug, Deserialize)]
+pub(crate) struct DeclaredListWire {
+    #[serde(rename = "Slot", deserialize_with = "whole_number")]
+    slot: u64,
+    #[serde(rename = "MembersList", deserialize_with = "objects")]
+    endpoints: Vec<EndpointWire>,
+}
+
+impl DeclaredListWire {
+    /// The number by which updates refer to the list.
+    pub(crate) fn slot(&self) -> u64 {
+        self.slot
+    }
+}
+
+impl From<DeclaredListWire> for Vec<Endpoint> {
+    fn from(wire: DeclaredListWire) -> Self {
+        wire.endpoints.into_iter().map(Endpoint::from).collect()
+    }
+}
+
+/// An entry of an endpoint list.
+#[derive(Debug, Deserialize)]
+struct EndpointWire {
+    #[serde(rename = "Mode", deserialize_with = "choice")]
+    state: ServingStateWire,
+    #[serde(rename = "Node", deserialize_with = "text")]
+    node: Arc<str>,
+    #[serde(
+        rename = "Position",
+        default,
+        deserialize_with = "optional_whole_number"
+    )]
+    cell: Option<u64>,
+    #[serde(rename = "Dc", default, deserialize_with = "optional_whole_number")]
+    zone: Option<u64>,
+    /// 0 or less where it is long ago.
+    #[serde(rename = "StartTime", default, deserialize_with = "optional_number")]
+    started_ms: Option<f64>,
+}
+
+impl From<EndpointWire> for Endpoint {
+    fn from(wire: EndpointWire) -> Self {
+        Endpoint {
+            node: NodeId(wire.node),
+            cell: wire.cell.unwrap_or(0) as usize,
+            state: wire.state.into(),
+            zone: wire.zone.map(|zone| zone as usize),
+            started: wire.started_ms.filter(|time| *time > 0.0),
+        }
+    }
+}
+
+/// The state of a server.
+#[derive(Clone, Copy, Debug, Deserialize)]
+enum ServingStateWire {
+    #[serde(rename = "in_service")]
+    Serving,
+    #[serde(rename = "terminating")]
+    Draining,
+    #[serde(rename = "terminated")]
+    Removed,
+}
+
+impl From<ServingStateWire> for ServingState {
+    fn from(wire: ServingStateWire) -> Self {
+        match wire {
+            ServingStateWire::Serving => ServingState::Serving,
+            ServingStateWire::Draining => ServingState::Draining,
+            ServingStateWire::Removed => ServingState::Removed,
+        }
+    }
+}
+
+/// What kind of update an endpoint list is.
+#[derive(Debug, Deserialize)]
+pub(crate) struct ListUpdateWire {
+    #[serde(rename = "Mode", deserialize_with = "choice")]
+    update: ListUpdateKindWire,
+}
+
+/// The kind of an update.
+#[derive(Clone, Copy, Debug, Deserialize)]
+enum ListUpdateKindWire {
+    #[serde(rename = "diff")]
+    Delta,
+    #[serde(rename = "snapshot")]
+    Snapshot,
+    #[serde(rename = "disk")]
+    Cached,
+    #[serde(rename = "error")]
+    Failed,
+}
+
+impl From<ListUpdateWire> for ListUpdate {
+    fn from(wire: ListUpdateWire) -> Self {
+        match wire.update {
+            ListUpdateKindWire::Delta => ListUpdate::Delta,
+            ListUpdateKindWire::Snapshot => ListUpdate::Snapshot,
+            ListUpdateKindWire::Cached => ListUpdate::Cached,
+            ListUpdateKindWire::Failed => ListUpdate::Failed,
+        }
+    }
+}
+
+/// The declared list that an update refers to. An update that failed refers to none.
+#[derive(Debug, Deserialize)]
+pub(crate) struct ListReferenceWire {
+    #[serde(rename = "Slot", deserialize_with = "whole_number")]
+    slot: u64,
+}
+
+impl From<ListReferenceWire> for u64 {
+    fn from(wire: ListReferenceWire) -> Self {
+        wire.slot
+    }
+}
--- /dev/null
+++ b/crates/simulator-adapter/src/wire/incoming/gossip.rs
@@ -0,0 +1,31 @@
+//! Gossip from another aggregator.
+
+use serde::Deserialize;
+use wire_fields::{text, whole_number};
+
+/// The contents of a gossip message.
+#[derive(Debug, Deserialize)]
+pub(crate) struct GossipContentsWire {
+    #[serde(rename = "Contents", deserialize_with = "text")]
+    hexadecimal: String,
+}
+
+impl GossipContentsWire {
+    /// The bytes; `None` where the contents are not pairs of hexadecimal digits.
+    pub(crate) fn bytes(&self) -> Option<Vec<u8>> {
+        hex::decode(&self.hexadecimal).ok()
+    }
+}
+
+/// The sender of a gossip message.
+#[derive(Debug, Deserialize)]
+pub(crate) struct GossipSenderWire {
+    #[serde(rename = "Who", deserialize_with = "whole_number")]
+    aggregator: u64,
+}
+
+impl From<GossipSenderWire> for usize {
+    fn from(wire: GossipSenderWire) -> Self {
+        wire.aggregator as usize
+    }
+}
--- a/crates/wire-fields/src/lib.rs
+++ b/crates/wire-fields/src/lib.rs
@@ -1,9 +1,9 @@
 //! Decodes JSON objects into `serde` structs, with errors that name the object and the field.
 //!
-//! [`decode`] decodes an object. The functions for `deserialize_with` read the fields of its struct the way all JSON
-//! from outside is read: null counts as absent, unknown fields are ignored, and a whole number may be written with a
-//! fraction of zero. A [`FieldError`] never quotes the value that it refuses. Fields that may be absent need
-//! `#[serde(default)]` as well.
+//! [`decode`] decodes an object. The functions for `deserialize_with` read the fields of its struct
+//! the way all JSON from outside is read: null counts as absent, unknown fields are ignored, and a
+//! whole number may be written with a fraction of zero. A [`FieldError`] never quotes the value
+//! that it refuses. Fields that may be absent need `#[serde(default)]` as well.
 //!
 //! ```
 //! use serde::Deserialize;
@@ -39,7 +39,7 @@
 pub use error::{FieldError, FieldProblem};
 pub use scalars::{
     choice, choice_or_none, flag, number, optional_number, optional_whole_number, text,
-    text_or_empty, whole_number,
+    text_or_empty, variant, whole_number,
 };
 
 use serde::Deserialize;
--- a/crates/wire-fields/src/scalars.rs
+++ b/crates/wire-fields/src/scalars.rs
@@ -110,7 +110,9 @@
     Ok(flag.unwrap_or(false))
 }
 
-fn variant<'name, T: Deserialize<'name>>(name: &'name str) -> Option<T> {
+/// The variant of an enum with this name, if there is one.
+#[must_use]
+pub fn variant<'name, T: Deserialize<'name>>(name: &'name str) -> Option<T> {
     let name = IntoDeserializer::<ChoiceError>::into_deserializer(name);
     T::deserialize(name).ok()
 }
