--- a/crates/fanout-policy/src/settings.rs
+++ b/crates/fanout-policy/src/settings.rs
@@ -1,7 +1,8 @@
-//! The settings of a site, as the simulator sends them and as the broker finds them in its configuration.
+//! The settings of a site, as the simulator sends them and as the broker finds them in its
+//! configuration.
 //!
-//! [`decode`] reads the JSON object. A program that finds the object inside another one reads it as a
-//! [`SettingsWire`] and converts that to [`SiteSettings`].
+//! [`decode`] reads the JSON object. A program that finds the object inside another one reads it as
+//! a [`SettingsWire`] and converts that to [`SiteSettings`].
 
 mod wire;
 
--- a/crates/fanout-policy/src/settings/wire.rs
+++ b/crates/fanout-policy/src/settings/wire.rs
@@ -1,12 +1,12 @@
-//! The settings object on the wire: the only place with the names of its fields.
+//! The settings object on the wire: the names and types of its fields.
+
+mod conversion;
 
-use super::SiteSettings;
-use crate::api::{Class, EndpointListSource, RetryBudget, RetrySafety, Settings, Tenant, WarmUp};
 use serde::Deserialize;
 use wire_fields::{
-    Deferred, FieldError, FieldProblem, choice, choice_or_none, deferred_number, flag, number,
-    numbers, object, objects, optional_number, optional_object, optional_objects,
-    optional_whole_number, text_or_empty, texts_or_empty, whole_number,
+    Deferred, choice, choice_or_none, deferred_number, flag, number, numbers, object, objects,
+    optional_number, optional_object, optional_objects, optional_whole_number, text_or_empty,
+    texts_or_empty, whole_number,
 };
 
 /// The settings object.
@@ -170,7 +170,8 @@
     marks_retries: bool,
 }
 
-/// What the priority weight of a query is proportional to, where it is not the same for all queries of a class.
+/// What the priority weight of a query is proportional to, where it is not the same for all queries
+/// of a class.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 enum WeightBasisWire {
     #[serde(rename = "work")]
@@ -196,166 +197,3 @@
     #[serde(rename = "once")]
     NotIdempotent,
 }
-
-/// Fails where a field is missing that others make necessary.
-impl TryFrom<SettingsWire> for SiteSettings {
-    type Error = FieldError;
-
-    fn try_from(wire: SettingsWire) -> Result<Self, FieldError> {
-        let class_names = wire.classes.iter().map(|class| class.name.clone());
-        let tenant_names = wire.tenants.iter().map(|tenant| tenant.name.clone());
-        Ok(SiteSettings {
-            class_names: class_names.collect(),
-            tenant_names: tenant_names.collect(),
-            zone_names: wire.zone_names.clone(),
-            max_in_flight: wire.permissions.max_in_flight,
-            max_parts_per_connection: wire.permissions.max_parts_per_connection,
-            dial_timeout: wire.permissions.dial_timeout_ms,
-            idle_timeout: wire.permissions.idle_timeout_ms,
-            settings: wire.try_into()?,
-        })
-    }
-}
-
-impl TryFrom<SettingsWire> for Settings {
-    type Error = FieldError;
-
-    fn try_from(wire: SettingsWire) -> Result<Self, FieldError> {
-        let layout = wire.data_layout;
-        let mut classes = Vec::new();
-        for (index, class) in wire.classes.into_iter().enumerate() {
-            classes.push(class.with_figures(layout.figures_of_class(index)?)?);
-        }
-        Ok(Settings {
-            classes,
-            tenants: wire.tenants.into_iter().map(Tenant::from).collect(),
-            aggregators: wire.aggregators as usize,
-            zone: wire.zone.map(|zone| zone as usize),
-            over_quota_weight: wire.over_quota_weight.unwrap_or(1.0),
-            weight_by_work: wire.weight_basis == Some(WeightBasisWire::Work),
-            marks_retries: wire.clients.is_some_and(|clients| clients.marks_retries),
-            cells: layout.cells as usize,
-            replica_cells: layout.replica_cells as usize,
-            shards: layout.shards as usize,
-            max_parts_per_call: layout.max_parts_per_call as usize,
-            call_cost: layout.call_cost_ms,
-            max_attempts: wire.permissions.max_attempts as u32,
-            hedging: wire.permissions.hedging,
-            cancellation: wire.permissions.cancellation,
-            gossip: wire.permissions.gossip,
-            max_retry_after: wire.permissions.max_retry_after()?,
-            tick: wire.tick_ms,
-            list_source: wire.list_source.into(),
-            list_poll_deadline: wire.rules.list_poll_deadline_ms.unwrap_or(f64::INFINITY),
-            retry_budget: wire.rules.retry_budget()?,
-            warm_up: wire.rules.warm_up(),
-        })
-    }
-}
-
-impl PermissionsWire {
-    /// The largest retry-after value, where such values reach the clients.
-    fn max_retry_after(self) -> Result<Option<f64>, FieldError> {
-        if self.retry_after {
-            self.max_retry_after_ms.optional("Allowed", "MaxRetryAfter")
-        } else {
-            Ok(None)
-        }
-    }
-}
-
-impl RulesWire {
-    /// The retry budget, where any of its fields is present; its window must then be too.
-    fn retry_budget(&self) -> Result<Option<RetryBudget>, FieldError> {
-        match (
-            self.retry_window_ms,
-            self.free_retries,
-            self.retries_per_request,
-        ) {
-            (Some(window), free_attempts, per_request) => Ok(Some(RetryBudget {
-                free_attempts: free_attempts.unwrap_or(0.0),
-                per_request: per_request.unwrap_or(0.0),
-                window,
-            })),
-            (None, None, None) => Ok(None),
-            (None, _, _) => Err(FieldError::new("Rules", "RatioSpan", FieldProblem::Missing)),
-        }
-    }
-
-    fn warm_up(&self) -> WarmUp {
-        WarmUp {
-            initial_capacity: self.initial_capacity,
-            duration: self.warm_up_ms,
-            overload_factor: self.overload_factor,
-            overload_window: self.overload_window_ms,
-        }
-    }
-}
-
-/// The figures of one class among those of the data layout.
-struct ClassFigures {
-    required_share: f64,
-    minimum_share: f64,
-    partial_weight: f64,
-    second_step_parts: f64,
-}
-
-impl DataLayoutWire {
-    fn figures_of_class(&self, index: usize) -> Result<ClassFigures, FieldError> {
-        let figure = |figures: &[f64], field| {
-            let too_few = || FieldError::new("FamilyInfo", field, FieldProblem::TooFewEntries);
-            figures.get(index).copied().ok_or_else(too_few)
-        };
-        Ok(ClassFigures {
-            required_share: figure(&self.required_shares, "ClassNeed")?,
-            minimum_share: figure(&self.minimum_shares, "MinShare")?,
-            partial_weight: figure(&self.partial_weights, "PartialEarns")?,
-            second_step_parts: figure(&self.second_step_parts, "FetchParts")?,
-        })
-    }
-}
-
-impl ClassWire {
-    fn with_figures(self, figures: ClassFigures) -> Result<Class, FieldError> {
-        Ok(Class {
-            latency_objective: self.latency_objective_ms,
-            client_timeout: self.client_timeout_ms,
-            priority_weight: self.priority_weight,
-            late_weight: self.late_weight,
-            retry_safety: self.retry_safety()?,
-            required_share: figures.required_share,
-            minimum_share: figures.minimum_share,
-            partial_weight: figures.partial_weight,
-            has_second_step: figures.second_step_parts > 0.0,
-        })
-    }
-
-    fn retry_safety(self) -> Result<RetrySafety, FieldError> {
-        Ok(match self.retry_safety {
-            RetrySafetyWire::Idempotent => RetrySafety::Idempotent,
-            RetrySafetyWire::IdempotencyKey => RetrySafety::IdempotencyKey {
-                window: self
-                    .idempotency_window_ms
-                    .required("Services", "MemorySpan")?,
-            },
-            RetrySafetyWire::NotIdempotent => RetrySafety::NotIdempotent,
-        })
-    }
-}
-
-impl From<TenantWire> for Tenant {
-    fn from(wire: TenantWire) -> Self {
-        Tenant {
-            quota_per_s: wire.quota_per_s,
-        }
-    }
-}
-
-impl From<EndpointListSourceWire> for EndpointListSource {
-    fn from(wire: EndpointListSourceWire) -> Self {
-        match wire {
-            EndpointListSourceWire::Pushed => EndpointListSource::Pushed,
-            EndpointListSourceWire::Polled => EndpointListSource::Polled,
-        }
-    }
-}
