--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -1,10 +1,12 @@
-//! The platform's configuration: environment variables and a JSON file, checked and completed with defaults.
+//! The platform's configuration: environment variables and a JSON file, checked and completed with
+//! defaults.
 //!
-//! The file's path is in the environment variable `RELAY_CONFIG`. Its name, listen address and discovery address can
-//! be overridden by `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY`.
+//! The file's path is in the environment variable `RELAY_CONFIG`. Its name, listen address and
+//! discovery address can be overridden by `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY`.
 //!
-//! [`load`] gives the [`Config`] of the program at its start, [`reload`] that on SIGHUP, and [`from_json`] checks one
-//! that is already in memory. A [`ConfigError`] is one line that names the faulty key:
+//! [`load`] gives the [`Config`] of the program at its start, [`reload`] that on SIGHUP, and
+//! [`from_json`] checks one that is already in memory. A [`ConfigError`] is one line that names the
+//! faulty key:
 //!
 //! ```
 //! let file = serde_json::json!({"name": "n3", "seed": "8c1f30d27a5be964", "settings": {"FamilyInfo": {"Shards": -1}}});
@@ -66,7 +68,8 @@
 ///
 /// # Errors
 ///
-/// The path of the file is not set, or the file cannot be read, is not JSON or does not pass the checks.
+/// The path of the file is not set, or the file cannot be read, is not JSON or does not pass the
+/// checks.
 pub fn load(environment: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let path = environment(CONFIG_VARIABLE).ok_or(ConfigError::NotSet)?;
     let text = match std::fs::read(&path) {
@@ -79,8 +82,8 @@
     }
 }
 
-/// Loads the configuration again on SIGHUP. The file was written later than the environment, so that its address of
-/// discovery is not overridden.
+/// Loads the configuration again on SIGHUP. The file was written later than the environment, so
+/// that its address of discovery is not overridden.
 ///
 /// # Errors
 ///
--- a/crates/platform-config/src/overridable.rs
+++ b/crates/platform-config/src/overridable.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use wire_fields::Deferred;
 
-/// A string from an environment variable, or from a field of the file where the variable is not set. The field is
-/// checked only then.
+/// A string from an environment variable, or from a field of the file where the variable is not
+/// set. The field is checked only then.
 pub(crate) struct OverridableText {
     variable: &'static str,
     field: &'static str,
--- a/crates/platform-config/src/resources.rs
+++ b/crates/platform-config/src/resources.rs
@@ -6,12 +6,13 @@
 use broker_types::time::millis;
 use fanout_policy::settings::SiteSettings;
 
-/// Most descriptors that are used, and those that are assumed where the configuration names no limit.
+/// Most descriptors that are used, and those that are assumed where the configuration names no
+/// limit.
 pub(crate) const MAX_DESCRIPTORS: u64 = 1024;
 /// Least limit on descriptors to serve with.
 const MIN_DESCRIPTORS: u64 = 64;
-/// Most descriptors that are neither a client's nor a data server's connection: listener, discovery, the event
-/// queue, signals, standard streams, and connections that are being rejected.
+/// Most descriptors that are neither a client's nor a data server's connection: listener,
+/// discovery, the event queue, signals, standard streams, and connections that are being rejected.
 const RESERVED_DESCRIPTORS: u64 = 32;
 
 /// Bytes of a mebibyte, the unit of the memory limit.
@@ -25,7 +26,8 @@
 
 /// Time to establish a connection to a data server where the settings name none, in milliseconds.
 const DEFAULT_DIAL_TIMEOUT_MS: f64 = 250.0;
-/// Idle time after which a data server closes a connection where the settings name none, in milliseconds.
+/// Idle time after which a data server closes a connection where the settings name none, in
+/// milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
 /// Most parts on one connection at once where the settings name no limit.
 const DEFAULT_PARTS_PER_CONNECTION: u64 = 100;
@@ -56,7 +58,8 @@
         })
     }
 
-    /// What client connections may use: two thirds of the descriptors, and their fraction of the memory.
+    /// What client connections may use: two thirds of the descriptors, and their fraction of the
+    /// memory.
     pub(crate) fn clients(&self) -> ClientResources {
         ClientResources {
             descriptors: self.connection_descriptors * 2 / 3,
@@ -89,8 +92,8 @@
     Ok(descriptors.min(MAX_DESCRIPTORS) - RESERVED_DESCRIPTORS)
 }
 
-/// The memory for client connections, in bytes. Without it, the limit on descriptors alone would let requests that
-/// are received in part fill the memory of a small machine.
+/// The memory for client connections, in bytes. Without it, the limit on descriptors alone would
+/// let requests that are received in part fill the memory of a small machine.
 fn client_memory(limit: Option<u64>) -> Result<Option<u64>, ConfigError> {
     let Some(mebibytes) = limit else {
         return Ok(None);
--- a/crates/platform-config/src/tests.rs
+++ b/crates/platform-config/src/tests.rs
@@ -36,7 +36,8 @@
     );
 }
 
-/// As many clients as there are slots for, each in the middle of the longest request, must fit the memory.
+/// As many clients as there are slots for, each in the middle of the longest request, must fit the
+/// memory.
 #[test]
 fn client_connections_fit_memory_limit() {
     let mut config = config();
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -13,7 +13,8 @@
 /// The endpoint lists that the simulator has declared, by the numbers of their slots.
 pub(crate) type EndpointLists = BTreeMap<u64, Vec<Endpoint>>;
 
-/// The event that a message is for its instance, if it is one. The settings of the instance have `class_count` classes.
+/// The event that a message is for its instance, if it is one. The settings of the instance have
+/// `class_count` classes.
 pub(crate) fn decode_event(
     message: &Message,
     class_count: usize,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,8 +1,9 @@
 //! Runs the decisions of `fanout-policy` on the simulator's line protocol.
 //!
-//! The simulator writes one JSON object a line to standard input, in batches that begin with `Tick` and end with
-//! `EofBatch`. After each batch the adapter writes the actions of all instances to standard output, one JSON object
-//! a line, followed by `End`. The adapter makes no decision of its own.
+//! The simulator writes one JSON object a line to standard input, in batches that begin with `Tick`
+//! and end with `EofBatch`. After each batch the adapter writes the actions of all instances to
+//! standard output, one JSON object a line, followed by `End`. The adapter makes no decision of its
+//! own.
 
 mod decode;
 mod error;
--- a/crates/simulator-adapter/tests/adapter/load_reports.rs
+++ b/crates/simulator-adapter/tests/adapter/load_reports.rs
@@ -2,8 +2,9 @@
 
 use crate::script::{Script, attempt_served, of_type, part, query, start};
 
-/// Number of eight queries, each of which either server may serve, that go to the server of the first attempt after
-/// it has answered that with this load report; `load` is a further field or empty.
+/// Number of eight queries, each of which either server may serve, that go to the server of the
+/// first attempt after it has answered that with this load report; `load` is a further field or
+/// empty.
 fn attempts_after_report(load: &str) -> usize {
     let first_query = Script::default().batch(1, 100.0, &start()).batch(
         2,
--- a/crates/simulator-adapter/tests/adapter/script.rs
+++ b/crates/simulator-adapter/tests/adapter/script.rs
@@ -51,7 +51,8 @@
             input += "\n";
         }
         input += "\n";
-        // A process that has ended with an error may no longer read; that is no failure of the test.
+        // A process that has ended with an error may no longer read; that is no failure of the
+        // test.
         let _ = child.stdin.take().unwrap().write_all(input.as_bytes());
         Run {
             output: child.wait_with_output().unwrap(),
@@ -128,7 +129,8 @@
     )
 }
 
-/// The end of the first attempt of part `t/p`, which was served; `load` is a further field or empty.
+/// The end of the first attempt of part `t/p`, which was served; `load` is a further field or
+/// empty.
 pub fn attempt_served(node: &str, load: &str) -> String {
     format!(
         r#"{{"t":"ReportBack","I":4,"OpId":"t/p","Hop":0,"Node":"{node}","Rc":"served","Rtt":30.0{load}}}"#
--- a/crates/wire-fields/src/collections.rs
+++ b/crates/wire-fields/src/collections.rs
@@ -76,7 +76,8 @@
     numbers.ok_or_else(|| D::Error::custom(FieldProblem::NotAListOfNumbers))
 }
 
-/// A list of strings, empty where it is null. An element that is not a string counts as an empty one.
+/// A list of strings, empty where it is null. An element that is not a string counts as an empty
+/// one.
 ///
 /// # Errors
 ///
--- a/crates/wire-fields/src/error.rs
+++ b/crates/wire-fields/src/error.rs
@@ -71,7 +71,8 @@
         FieldProblem::UnknownValue,
     ];
 
-    /// What the deserializers of this crate expect where they find this problem with the type of a value.
+    /// What the deserializers of this crate expect where they find this problem with the type of a
+    /// value.
     pub(crate) fn expectation(self) -> &'static str {
         match self {
             FieldProblem::NotAString => "a string",
@@ -82,8 +83,8 @@
         }
     }
 
-    /// The problem of a deserializer's error, of which `serde_json` keeps only the text. It ends with the expectation,
-    /// after a quote of the value, where the type is wrong.
+    /// The problem of a deserializer's error, of which `serde_json` keeps only the text. It ends
+    /// with the expectation, after a quote of the value, where the type is wrong.
     fn with_text(text: &str) -> FieldProblem {
         let mut problems = FieldProblem::REPORTED.into_iter();
         let reported = match text.rsplit_once(", expected ") {
@@ -128,7 +129,8 @@
     }
 }
 
-/// The field that the text of `serde`'s error about an absent field names. The path ends at the object without it.
+/// The field that the text of `serde`'s error about an absent field names. The path ends at the
+/// object without it.
 fn absent_field(text: &str) -> Option<&str> {
     text.strip_prefix("missing field `")?.strip_suffix('`')
 }
--- a/crates/wire-fields/tests/fields.rs
+++ b/crates/wire-fields/tests/fields.rs
@@ -14,7 +14,8 @@
     value.as_object().unwrap().clone()
 }
 
-/// Structs with one field, which is read by this deserializer; the last argument is `default` where it may be absent.
+/// Structs with one field, which is read by this deserializer; the last argument is `default` where
+/// it may be absent.
 macro_rules! wire {
     ($name:ident, $type:ty, $deserializer:literal $(, $default:ident)?) => {
         #[derive(Debug, Deserialize)]
