--- /dev/null
+++ b/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
@@ -0,0 +1,91 @@
+//! Objects with unknown, duplicate, deeply nested or several faulty fields, and the texts of errors.
+
+use super::fixture::{accept, decode_value, error_with, settings_with, settings_with_duplicate};
+use serde_json::{Value, json};
+
+#[test]
+fn error_names_the_faulty_field() {
+    assert_eq!(
+        error_with("/FamilyInfo", Value::Null),
+        "Env: field FamilyInfo is missing"
+    );
+    assert_eq!(
+        error_with("/Allowed/SendCap", json!(2.5)),
+        "Allowed: field SendCap is not a whole number"
+    );
+    assert_eq!(
+        error_with("/MembershipMode", json!("x")),
+        "Env: field MembershipMode is unknown"
+    );
+    assert_eq!(
+        error_with("/Services/0/Semantics", json!("x")),
+        "Services: field Semantics is unknown"
+    );
+    assert_eq!(
+        error_with("/Services/0/MemorySpan", Value::Null),
+        "Services: field MemorySpan is missing"
+    );
+    let too_few = "FamilyInfo: field MinShare has too few entries";
+    assert_eq!(error_with("/FamilyInfo/MinShare", json!([])), too_few);
+    let not_an_object = "Env: field Projects holds something that is not an object";
+    assert_eq!(error_with("/Projects/0", json!(1)), not_an_object);
+    assert_eq!(
+        error_with("/Rules/RatioSpan", Value::Null),
+        "Rules: field RatioSpan is missing"
+    );
+}
+
+/// Of several faults one is reported, whichever it is, with its object and field.
+#[test]
+fn error_among_several_names_one_of_them() {
+    let mut value = settings_with("/Tick", json!("x"));
+    value["FamilyInfo"]["Shards"] = json!(-1);
+    value["Services"][0]["Aim"] = Value::Null;
+    let error = decode_value(&value).unwrap_err().to_string();
+    let faults = [
+        "Env: field Tick is not a number",
+        "FamilyInfo: field Shards is not a whole number",
+        "Services: field Aim is missing",
+    ];
+    assert!(faults.contains(&error.as_str()), "{error}");
+}
+
+#[test]
+fn unknown_field_is_ignored() {
+    for pointer in [
+        "/Unknown",
+        "/FamilyInfo/Unknown",
+        "/Allowed/Unknown",
+        "/Rules/Unknown",
+        "/Clients/Unknown",
+        "/Services/0/Unknown",
+        "/Projects/0/Unknown",
+    ] {
+        accept(&settings_with(pointer, json!({"x": [null, 1.5]})));
+    }
+    accept(&settings_with("/FamilyInfo/ClassNeed", json!([0.9, 0.8])));
+}
+
+#[test]
+fn last_of_duplicate_fields_counts() {
+    let value = settings_with_duplicate("PeersTotal", "\"x\"", "9");
+    assert_eq!(accept(&value).settings.aggregators, 9);
+    let value = settings_with_duplicate("PeersTotal", "9", "\"x\"");
+    let error = decode_value(&value).unwrap_err().to_string();
+    assert_eq!(error, "Env: field PeersTotal is not a whole number");
+}
+
+#[test]
+fn deeply_nested_value_is_ignored_or_refused_without_a_panic() {
+    let nested = (0..100).fold(json!(1), |inner, depth| match depth % 2 {
+        0 => json!([inner]),
+        _ => json!({"x": inner}),
+    });
+    accept(&settings_with("/Unknown", nested.clone()));
+    accept(&settings_with("/WorthBy", nested.clone()));
+    accept(&settings_with("/Services/0/Name", nested.clone()));
+    let expected = "Env: field Tick is not a number";
+    assert_eq!(error_with("/Tick", nested.clone()), expected);
+    let expected = "Clients: field MarksRetry is not true or false";
+    assert_eq!(error_with("/Clients/MarksRetry", nested), expected);
+}
--- /dev/null
+++ b/crates/platform-config/src/tests/errors.rs
@@ -0,0 +1,156 @@
+//! The errors of invalid configurations.
+
+use super::fixture::{config, config_with, error_of};
+use crate::{from_json, load};
+use serde_json::json;
+
+#[test]
+fn error_names_the_faulty_key() {
+    for (pointer, value, name) in [
+        ("/seed", json!("xyz"), "seed"),
+        ("/listen", json!("nowhere"), "listen"),
+        ("/known/rev", json!("a"), "known"),
+        ("/limits/sockets", json!(10), "sockets"),
+        ("/limits/sockets", json!("many"), "sockets"),
+        ("/limits/memory_mb", json!(0), "memory_mb"),
+        ("/settings/Tick", json!(0), "Tick"),
+        ("/settings/Tick", json!(null), "Tick"),
+        ("/settings/FamilyInfo/Shards", json!(0), "Shards"),
+        (
+            "/settings/FamilyInfo/FetchParts",
+            json!([0, 2, 0]),
+            "FetchParts",
+        ),
+        ("/settings/Services/0/Name", json!(null), "Services"),
+        ("/settings/Allowed/MaxOpen", json!("x"), "MaxOpen"),
+    ] {
+        let mut config = config();
+        *config.pointer_mut(pointer).unwrap() = value;
+        let error = from_json(&config, |_| None).expect_err(pointer).to_string();
+        assert!(error.contains(name), "{pointer}: {error}");
+    }
+    let error = load(|_| None).unwrap_err().to_string();
+    assert!(error.contains("RELAY_CONFIG"));
+}
+
+/// The text is what the operator sees in the log.
+#[test]
+fn error_text_says_what_is_wrong() {
+    for (pointer, value, text) in [
+        (
+            "/seed",
+            json!("xyz"),
+            "RELAY_CONFIG: field seed is not 16 hex digits",
+        ),
+        ("/name", json!(null), "RELAY_CONFIG: field name is missing"),
+        (
+            "/listen",
+            json!("nowhere"),
+            "RELAY_LISTEN (field listen): \"nowhere\" is not an address with a port",
+        ),
+        (
+            "/known",
+            json!(null),
+            "RELAY_CONFIG: field known is missing",
+        ),
+        (
+            "/limits/sockets",
+            json!(10),
+            "limits: field sockets is too small to serve with",
+        ),
+        (
+            "/limits/memory_mb",
+            json!(0),
+            "limits: field memory_mb is too small to serve with",
+        ),
+        (
+            "/settings/Tick",
+            json!(0),
+            "settings: field Tick is out of bounds",
+        ),
+        (
+            "/settings/FamilyInfo/Shards",
+            json!(0),
+            "FamilyInfo: field Shards is out of bounds",
+        ),
+        (
+            "/settings/FamilyInfo/FetchParts",
+            json!([0, 2, 0]),
+            "settings: field FamilyInfo asks for a second step (FetchParts), which the protocol cannot carry",
+        ),
+        (
+            "/settings/Services/0/Name",
+            json!(null),
+            "settings: field Services is empty or holds a class without a name",
+        ),
+    ] {
+        let mut config = config();
+        *config.pointer_mut(pointer).unwrap() = value;
+        let error = from_json(&config, |_| None).expect_err(pointer);
+        assert_eq!(error.to_string(), text, "{pointer}");
+    }
+    assert_eq!(
+        load(|_| None).unwrap_err().to_string(),
+        "RELAY_CONFIG is not set"
+    );
+    let missing_file = load(|_| Some("/nonexistent/config".to_owned())).unwrap_err();
+    let expected = "RELAY_CONFIG: /nonexistent/config cannot be read: ";
+    assert!(
+        missing_file.to_string().starts_with(expected),
+        "{missing_file}"
+    );
+    let list = from_json(&json!([]), |_| None).unwrap_err();
+    assert_eq!(list.to_string(), "RELAY_CONFIG: it is not an object");
+}
+
+#[test]
+fn error_of_the_settings_names_their_object() {
+    for (object, field, value, text) in [
+        (
+            "/settings",
+            "PeersTotal",
+            json!(0.5),
+            "settings: field PeersTotal is not a whole number",
+        ),
+        (
+            "/settings/Rules",
+            "Cold",
+            json!(null),
+            "Rules: field Cold is missing",
+        ),
+        (
+            "/settings",
+            "Services",
+            json!([1]),
+            "settings: field Services holds something that is not an object",
+        ),
+    ] {
+        assert_eq!(error_of(&config_with(object, field, Some(&value))), text);
+    }
+}
+
+#[test]
+fn malformed_endpoint_list_is_called_by_its_field() {
+    for (list, problem) in [
+        (
+            json!([]),
+            "invalid length 0, expected struct EndpointList with 3 elements",
+        ),
+        (
+            json!(1),
+            "invalid type: integer `1`, expected struct EndpointList",
+        ),
+        (
+            json!({"rev": 1.0}),
+            "invalid type: floating point `1.0`, expected u64",
+        ),
+        (json!({"rev": 1, "all": true}), "missing field `targets`"),
+        (
+            json!({"rev": 1, "all": true, "targets": [{"uid": 1}]}),
+            "invalid type: integer `1`, expected a string",
+        ),
+    ] {
+        let error = error_of(&config_with("", "known", Some(&list)));
+        assert_eq!(error, format!("RELAY_CONFIG: field known: {problem}"));
+    }
+}
--- /dev/null
+++ b/crates/platform-config/src/tests/overrides_and_defaults.rs
@@ -0,0 +1,81 @@
+//! Environment variables in place of fields, defaults, and the memory that the limits leave.
+
+use super::fixture::{config, config_with};
+use crate::from_json;
+use crate::resources::MAX_DESCRIPTORS;
+use admission::resource_limits::allocate;
+use serde_json::{Value, json};
+use std::time::Duration;
+
+#[test]
+fn environment_overrides_file_and_limits_have_defaults() {
+    let env = |key: &str| (key == "RELAY_LISTEN").then(|| "127.0.0.1:3".to_owned());
+    let config = from_json(&config(), env).unwrap();
+    assert_eq!(
+        (
+            config.listen.port(),
+            config.discovery.port(),
+            config.name.as_str()
+        ),
+        (3, 2, "n3")
+    );
+    assert!(config.clients.descriptors + (config.pool.max_connections as u64) < MAX_DESCRIPTORS);
+    assert_eq!(
+        (
+            config.pool.max_parts_per_call,
+            config.pool.dial_timeout,
+            config.max_in_flight
+        ),
+        (2, Duration::from_millis(250), 100)
+    );
+}
+
+#[test]
+fn field_that_a_variable_overrides_is_not_checked() {
+    for (field, variable, text) in [
+        ("name", "RELAY_NAME", "n4"),
+        ("listen", "RELAY_LISTEN", "127.0.0.1:3"),
+        ("discovery", "RELAY_DISCOVERY", "127.0.0.1:4"),
+    ] {
+        let environment = |key: &str| (key == variable).then(|| text.to_owned());
+        for value in [None, Some(&json!({})), Some(&json!("nowhere"))] {
+            let config = config_with("", field, value);
+            from_json(&config, environment).unwrap_or_else(|error| panic!("{field}: {error}"));
+        }
+    }
+}
+
+#[test]
+fn limits_may_be_missing_null_or_written_with_a_fraction_of_zero() {
+    for (object, field) in [
+        ("", "limits"),
+        ("/limits", "sockets"),
+        ("/limits", "memory_mb"),
+    ] {
+        for value in [None, Some(&Value::Null)] {
+            from_json(&config_with(object, field, value), |_| None).unwrap();
+        }
+    }
+    let whole = from_json(&config(), |_| None).unwrap();
+    let fraction = config_with("/limits", "memory_mb", Some(&json!(2048.0)));
+    let fraction = from_json(&fraction, |_| None).unwrap();
+    assert_eq!(fraction.clients.memory_bytes, whole.clients.memory_bytes);
+    let huge = config_with("/limits", "memory_mb", Some(&json!(u64::MAX)));
+    let huge = from_json(&huge, |_| None).unwrap();
+    assert_eq!(huge.clients.memory_bytes, Some(u64::MAX / 5 * 3));
+}
+
+/// As many clients as there are slots for, each in the middle of the longest request, must fit the
+/// memory.
+#[test]
+fn client_connections_fit_memory_limit() {
+    let mut config = config();
+    let slots = |config: &Value| -> usize {
+        allocate(from_json(config, |_| None).unwrap().clients, None)
+            .unwrap()
+            .max_http1_connections
+    };
+    assert_eq!(slots(&config), 661);
+    config["limits"]["memory_mb"] = json!(32);
+    assert_eq!(slots(&config), 153);
+}
--- /dev/null
+++ b/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
@@ -0,0 +1,88 @@
+//! Fields that a message may have, and those that are not checked.
+
+use super::fixture::{accept, gossip, refuse, with_field};
+use crate::script::{attempt_served, declare_endpoint_list, part, query, update_endpoint_list};
+use serde_json::{Value, json};
+
+#[test]
+fn optional_field_may_be_missing_or_null_but_not_of_a_wrong_type() {
+    for (message, object, field, wrong, problem) in [
+        (
+            query("t/x", 9),
+            "Order",
+            "Team",
+            json!(-1),
+            "is not a whole number",
+        ),
+        (
+            query("t/x", 9),
+            "Order",
+            "AgainByClient",
+            json!(1),
+            "is not true or false",
+        ),
+        (
+            part("t/y", 9),
+            "Order",
+            "Effort",
+            json!("x"),
+            "is not a number",
+        ),
+        (
+            declare_endpoint_list(),
+            "MembersList",
+            "Position",
+            json!(0.5),
+            "is not a whole number",
+        ),
+        (
+            declare_endpoint_list(),
+            "MembersList",
+            "Dc",
+            json!("x"),
+            "is not a whole number",
+        ),
+        (
+            declare_endpoint_list(),
+            "MembersList",
+            "StartTime",
+            json!([]),
+            "is not a number",
+        ),
+    ] {
+        accept(&with_field(&message, field, None));
+        accept(&with_field(&message, field, Some(&Value::Null)));
+        let expected = format!("{object}: field {field} {problem}");
+        refuse(&with_field(&message, field, Some(&wrong)), &expected);
+    }
+}
+
+#[test]
+fn field_that_the_message_does_not_need_is_not_checked() {
+    let wrong = json!({"x": "y"});
+    for (message, field) in [
+        (part("t/y", 9), "Team"),
+        (part("t/y", 9), "GiveUpAt"),
+        (part("t/y", 9), "AgainByClient"),
+        (query("t/x", 9), "Measure"),
+        (query("t/x", 9), "Effort"),
+        (update_endpoint_list(4), "Stamp"),
+        (attempt_served("10.0.0.1:80", ""), "Node"),
+        (attempt_served("10.0.0.1:80", ""), "Gauge"),
+        (declare_endpoint_list(), "I"),
+        (r#"{"t":"Probed","I":4}"#.to_owned(), "OpId"),
+        (r#"{"t":"Destroy","I":4}"#.to_owned(), "Env"),
+    ] {
+        if field == "I" {
+            accept(&message.replacen('{', r#"{"I":"x","#, 1));
+        } else {
+            accept(&with_field(&message, field, Some(&wrong)));
+        }
+    }
+    let failed = with_field(&update_endpoint_list(4), "Mode", Some(&json!("error")));
+    accept(&with_field(&failed, "Slot", Some(&wrong)));
+    accept(&with_field(&failed, "Slot", None));
+    let malformed = with_field(&gossip(), "Contents", Some(&json!("0")));
+    accept(&with_field(&malformed, "Who", Some(&wrong)));
+    accept(&with_field(&malformed, "Who", None));
+}
