--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -1,8 +1,8 @@
 //! The engine: feeds the policy with events and translates its actions into decisions.
 
+use crate::admitted::{AdmittedQueries, OverCapacity};
 use crate::commands::{AttemptReport, Decisions, Dispatch, FinishedQuery, QueryOutcome, QuerySpec};
 use crate::events::{attempt_ended_event, endpoints_event, query_events, to_policy_time};
-use crate::in_flight::InFlightTable;
 use crate::names::{parse_part, parse_query, query_name};
 use crate::summary::PolicySummary;
 use broker_types::query::{AttemptId, QueryId};
@@ -17,7 +17,7 @@
 pub struct PolicyEngine {
     policy: Aggregator,
     settings: Settings,
-    in_flight: InFlightTable,
+    admitted: AdmittedQueries,
     /// Events for the next run of the policy.
     staged: Vec<Event>,
     /// Time at which the policy asked to be run again.
@@ -32,7 +32,7 @@
         PolicyEngine {
             policy: Aggregator::new(settings.clone(), seed),
             settings,
-            in_flight: InFlightTable::new(max_in_flight),
+            admitted: AdmittedQueries::new(max_in_flight),
             staged: Vec::new(),
             wake_at: Some(Timestamp::ORIGIN),
         }
@@ -46,7 +46,7 @@
     /// Ends a query whose client has disconnected: it gets no [`FinishedQuery`]. Does nothing where the query is not
     /// in flight.
     pub fn abandon(&mut self, query: QueryId) {
-        if self.in_flight.remove(query) {
+        if self.admitted.remove(query) {
             self.staged
                 .push(Event::ClientDisconnected(query_name(query)));
         }
@@ -69,10 +69,9 @@
         }
         let mut rejected = Vec::new();
         for query in queries {
-            if self.in_flight.try_insert(&query) {
-                self.staged.extend(query_events(&query));
-            } else {
-                rejected.push(self.reject_over_capacity(&query));
+            match self.admitted.admit(&query) {
+                Ok(()) => self.staged.extend(query_events(&query)),
+                Err(OverCapacity) => rejected.push(self.reject_over_capacity(&query)),
             }
         }
         let mut decisions = self.run_policy(now);
@@ -99,7 +98,7 @@
     /// The latest time at which [`PolicyEngine::poll`] has to be called next; `None` where there is none.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let query_expires = self.in_flight.earliest_deadline();
+        let query_expires = self.admitted.earliest_deadline();
         let fail_at = query_expires.map(|deadline| deadline - self.expiry_margin());
         let run_at = if self.staged.is_empty() {
             self.wake_at
@@ -118,7 +117,7 @@
     /// Number of queries and parts in flight.
     #[must_use]
     pub fn in_flight(&self) -> usize {
-        self.in_flight.in_use()
+        self.admitted.in_use()
     }
 
     /// Time before its deadline at which an undecided query fails: one tick of the settings.
@@ -137,7 +136,7 @@
     /// Guarantees an answer before the deadline, whatever the policy does.
     fn fail_expiring_queries(&mut self, now: Timestamp, decisions: &mut Decisions) {
         let latest = now + self.expiry_margin();
-        while let Some(query) = self.in_flight.first_due_by(latest) {
+        while let Some(query) = self.admitted.first_due_by(latest) {
             self.abandon(query);
             decisions.finished.push(FinishedQuery {
                 query,
@@ -204,7 +203,7 @@
         timeout: Option<Ms>,
     ) -> Option<Dispatch> {
         let part = parse_part(part)?;
-        let attempt = self.in_flight.start_attempt(part.query, part.part)?;
+        let attempt = self.admitted.start_attempt(part.query, part.part)?;
         let query_deadline = attempt.query_deadline;
         let deadline = timeout.map_or(query_deadline, |timeout| {
             query_deadline.min(now + millis(timeout))
@@ -219,7 +218,7 @@
     /// Ends a query with its outcome; `None` where it is no longer in flight.
     fn finish(&mut self, query: &PolicyQueryId, outcome: QueryOutcome) -> Option<FinishedQuery> {
         let query = parse_query(query)?;
-        self.in_flight
+        self.admitted
             .remove(query)
             .then_some(FinishedQuery { query, outcome })
     }
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -9,10 +9,10 @@
 //! capacity. A query is in flight from [`PolicyEngine::submit`] until its one [`FinishedQuery`] or a call of
 //! [`PolicyEngine::abandon`].
 
+mod admitted;
 mod commands;
 mod engine;
 mod events;
-mod in_flight;
 mod names;
 mod summary;
 
