--- a/crates/broker/src/discovery/client.rs
+++ b/crates/broker/src/discovery/client.rs
@@ -36,13 +36,8 @@
     decoder: ResponseDecoder,
     /// Bytes received and not yet decoded.
     input: Vec<u8>,
-}
-
-/// A list from discovery.
-pub(super) struct ListResponse {
-    pub(super) list: EndpointList,
-    /// Whether the connection can be used again.
-    pub(super) keep_alive: bool,
+    /// Whether the last response allows another request.
+    is_reusable: bool,
 }
 
 impl DiscoveryClient {
@@ -55,6 +50,7 @@
             stream,
             decoder: ResponseDecoder::new(RESPONSE_LIMITS),
             input: Vec::new(),
+            is_reusable: true,
         })
     }
 
@@ -62,7 +58,7 @@
     pub(super) async fn fetch(
         &mut self,
         revision: Option<u64>,
-    ) -> Result<ListResponse, DiscoveryError> {
+    ) -> Result<EndpointList, DiscoveryError> {
         let request = self.request(revision);
         self.stream.write_all(request.as_bytes()).await?;
         let timeout = match revision {
@@ -76,10 +72,13 @@
         }
         let list: EndpointList = serde_json::from_slice(response.body())?;
         check_continuity(&list, revision)?;
-        Ok(ListResponse {
-            list,
-            keep_alive: message.keep_alive,
-        })
+        self.is_reusable = message.keep_alive;
+        Ok(list)
+    }
+
+    /// Whether the connection can be used for another request.
+    pub(super) fn is_reusable(&self) -> bool {
+        self.is_reusable
     }
 
     fn request(&self, revision: Option<u64>) -> String {
--- a/crates/broker/src/discovery/watcher.rs
+++ b/crates/broker/src/discovery/watcher.rs
@@ -54,29 +54,25 @@
     /// Opens a connection and polls on it until discovery closes it.
     async fn watch_connection(&mut self) -> Result<(), DiscoveryError> {
         let mut client = DiscoveryClient::connect(self.address).await?;
-        loop {
+        while client.is_reusable() {
             let started_at = Instant::now();
-            let response = client.fetch(self.revision).await?;
-            let is_changed = self.on_list(response.list);
-            if !is_changed && started_at.elapsed() < POLL_WAIT / 2 {
+            let list = client.fetch(self.revision).await?;
+            let is_unchanged = self.revision == Some(list.revision);
+            self.on_list(list);
+            if is_unchanged && started_at.elapsed() < POLL_WAIT / 2 {
                 // The response is premature. Polling again without a pause would use up the whole core.
                 Timer::after(MIN_DELAY).await;
             }
-            if !response.keep_alive {
-                return Ok(());
-            }
         }
+        Ok(())
     }
 
-    /// Queues an event for the list unless it is empty. Returns whether its revision is new.
-    fn on_list(&mut self, list: EndpointList) -> bool {
-        let revision = Some(list.revision);
-        let is_changed = self.revision != revision;
-        self.revision = revision;
+    /// Continues from the list's revision, and queues an event for the list unless it is empty.
+    fn on_list(&mut self, list: EndpointList) {
+        self.revision = Some(list.revision);
         self.backoff.reset();
         if list.is_snapshot || !list.endpoints.is_empty() {
             self.event_queue.push(Event::EndpointsUpdated(list));
         }
-        is_changed
     }
 }
