--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -242,7 +242,7 @@
         match self.queries.prepare_attempt(now, dispatch) {
             Ok(outgoing) => return Some(outgoing),
             Err(DispatchError::QueryFinished) => {}
-            Err(DispatchError::IdempotencyWindowClosed) => {
+            Err(DispatchError::IdempotencyWindowClosed(_)) => {
                 // An earlier query with the same key may have executed this part. The query can neither be served nor
                 // be rejected as if nothing had been executed.
                 self.policy.abandon(attempt.query);
--- a/crates/broker/src/queries/idempotency.rs
+++ b/crates/broker/src/queries/idempotency_guard.rs
@@ -1,15 +1,15 @@
 //! Idempotency keys of the queries in flight: which attempts may be sent, and what their ends prove.
 
-use super::DispatchError;
-use ::idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
-use broker_types::query::{AttemptId, PartSpec};
+use broker_types::query::{AttemptId, FinalResponse, PartSpec};
 use broker_types::server::Outcome;
 use broker_types::time::{Timestamp, millis};
 use fanout_policy::api::{RetrySafety, Settings};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
 use policy_engine::Dispatch;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 
 /// Largest number of idempotency keys in the register. Each takes 200 to 300 bytes.
 const MAX_KEYS: usize = 8192;
@@ -22,6 +22,31 @@
     in_flight: BTreeMap<AttemptId, KeyedPart>,
 }
 
+/// An earlier attempt at a part may have been executed, so long ago that the data servers no longer recognize a retry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the window of the idempotency key is closed")]
+pub(crate) struct WindowClosed;
+
+/// How a query ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum QueryEnd {
+    /// With an answer, after which its client has no reason to retry.
+    Answered,
+    /// Rejected, failed, or abandoned by its client.
+    Unanswered,
+}
+
+impl From<&FinalResponse> for QueryEnd {
+    fn from(response: &FinalResponse) -> Self {
+        match response {
+            FinalResponse::Answered { .. } => QueryEnd::Answered,
+            FinalResponse::Rejected { .. }
+            | FinalResponse::Failed
+            | FinalResponse::Invalid { .. } => QueryEnd::Unanswered,
+        }
+    }
+}
+
 /// A part of a query with an idempotency key.
 struct KeyedPart {
     key: Rc<str>,
@@ -70,15 +95,15 @@
     /// # Errors
     ///
     /// That time has come already.
-    pub(super) fn reserve(
+    pub(super) fn reserve_attempt(
         &mut self,
         now: Timestamp,
         key: &Rc<str>,
         shard: usize,
         dispatch: &Dispatch,
-    ) -> Result<Option<Timestamp>, DispatchError> {
+    ) -> Result<Option<Timestamp>, WindowClosed> {
         if !self.register.may_send(now, key, shard) {
-            return Err(DispatchError::IdempotencyWindowClosed);
+            return Err(WindowClosed);
         }
         let send_before = self.register.window_ends_at(key, shard);
         self.register
@@ -103,7 +128,8 @@
     }
 
     /// Releases the key of a query that has ended.
-    pub(super) fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, is_answered: bool) {
+    pub(super) fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, end: QueryEnd) {
+        let is_answered = end == QueryEnd::Answered;
         self.register.on_query_ended(now, key, is_answered);
     }
 }
