--- a/crates/admission/src/resource_limits.rs
+++ b/crates/admission/src/resource_limits.rs
@@ -9,17 +9,17 @@
 
 /// Memory in bytes that an HTTP/2 stream uses beside its header list and its share of the connection's window: its
 /// task and its table entries.
-pub const STREAM_OVERHEAD_BYTES: u64 = 4 * 1024;
+const STREAM_OVERHEAD_BYTES: u64 = 4 * 1024;
 /// Memory in bytes that an HTTP/2 connection uses beside its streams: its tables for header compression, and its read
 /// and write buffers.
-pub const CONNECTION_OVERHEAD_BYTES: u64 = 64 * 1024;
+const CONNECTION_OVERHEAD_BYTES: u64 = 64 * 1024;
 
 /// Default for [`Http2Overrides::max_streams`]. RFC 9113, section 6.5.2, asks for at least 100.
-pub const DEFAULT_MAX_STREAMS: u32 = 200;
+const DEFAULT_MAX_STREAMS: u32 = 200;
 /// Default for [`Http2Overrides::connection_window`], in bytes: several of the longest bodies.
-pub const DEFAULT_CONNECTION_WINDOW: u32 = 512 * 1024;
+const DEFAULT_CONNECTION_WINDOW: u32 = 512 * 1024;
 /// Default for [`Http2Overrides::max_header_list`], in bytes.
-pub const DEFAULT_MAX_HEADER_LIST: u32 = 8 * 1024;
+const DEFAULT_MAX_HEADER_LIST: u32 = 8 * 1024;
 
 /// What the platform gives to client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -106,7 +106,7 @@
 pub enum AllocationError {
     /// Not even one connection fits.
     #[error(
-        "a connection may hold {connection_bytes} bytes, but {available_bytes} are there for all: lower \
+        "a connection may use {connection_bytes} bytes, but only {available_bytes} are available for all: lower \
          http2-streams, http2-header-list or http2-connection-window"
     )]
     ConnectionTooLarge {
@@ -117,8 +117,8 @@
     },
     /// The limit of connections is too high.
     #[error(
-        "http2-connections {requested} do not fit: {fitting} do, with {connection_bytes} bytes each of \
-         {available_bytes} and {available_descriptors} descriptors"
+        "http2-connections {requested} exceeds the limit of {fitting} connections, with {connection_bytes} bytes each \
+         of {available_bytes} and {available_descriptors} descriptors"
     )]
     TooManyConnections {
         /// The limit that the operator set.
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -18,7 +18,8 @@
 use broker_types::time::Timestamp;
 use client_query::ClientQuery;
 use fanout_policy::api::Settings;
-use idempotency_guard::{QueryEnd, WindowClosed};
+use idempotency::QueryEnd;
+use idempotency_guard::WindowClosed;
 use policy_engine::{Dispatch, QuerySpec};
 use reservations::QueryReservations;
 use std::collections::BTreeMap;
@@ -98,7 +99,7 @@
         let values = query.take_values();
         let answered_parts = values.len();
         let response = respond(values);
-        let end = QueryEnd::from(&response);
+        let end = query_end(&response);
         self.release(now, &query, end);
         query.log_finished(&response);
         if end == QueryEnd::Unanswered {
@@ -146,3 +147,13 @@
         }
     }
 }
+
+/// How a query with this final response ended.
+fn query_end(response: &FinalResponse) -> QueryEnd {
+    match response {
+        FinalResponse::Answered { .. } => QueryEnd::Answered,
+        FinalResponse::Rejected { .. } | FinalResponse::Failed | FinalResponse::Invalid { .. } => {
+            QueryEnd::Unanswered
+        }
+    }
+}
--- a/crates/broker/src/queries/idempotency_guard.rs
+++ b/crates/broker/src/queries/idempotency_guard.rs
@@ -1,10 +1,10 @@
 //! Idempotency keys of the queries in flight: which attempts may be sent, and what their ends prove.
 
-use broker_types::query::{AttemptId, FinalResponse, PartSpec};
+use broker_types::query::{AttemptId, PartSpec};
 use broker_types::server::Outcome;
 use broker_types::time::{Timestamp, millis};
 use fanout_policy::api::{RetrySafety, Settings};
-use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, RegisterLimits};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, QueryEnd, RegisterLimits};
 use policy_engine::Dispatch;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -27,26 +27,6 @@
 #[error("the window of the idempotency key is closed")]
 pub(crate) struct WindowClosed;
 
-/// How a query ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum QueryEnd {
-    /// With an answer, after which its client has no reason to retry.
-    Answered,
-    /// Rejected, failed, or abandoned by its client.
-    Unanswered,
-}
-
-impl From<&FinalResponse> for QueryEnd {
-    fn from(response: &FinalResponse) -> Self {
-        match response {
-            FinalResponse::Answered { .. } => QueryEnd::Answered,
-            FinalResponse::Rejected { .. }
-            | FinalResponse::Failed
-            | FinalResponse::Invalid { .. } => QueryEnd::Unanswered,
-        }
-    }
-}
-
 /// A part of a query with an idempotency key.
 struct KeyedPart {
     key: Rc<str>,
@@ -129,8 +109,7 @@
 
     /// Releases the key of a query that has ended.
     pub(super) fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, end: QueryEnd) {
-        let is_answered = end == QueryEnd::Answered;
-        self.register.on_query_ended(now, key, is_answered);
+        self.register.on_query_ended(now, key, end);
     }
 }
 
--- a/crates/broker/src/queries/reservations.rs
+++ b/crates/broker/src/queries/reservations.rs
@@ -3,14 +3,14 @@
 //! [`QueryReservations`] owns these, and decides by them whether a query is admitted. An admitted query must be released
 //! once, when it ends.
 
-use super::idempotency_guard::{IdempotencyGuard, QueryEnd, WindowClosed};
+use super::idempotency_guard::{IdempotencyGuard, WindowClosed};
 use crate::event_queue::ReceivedQuery;
 use admission::{ConnectionId, ConnectionQuota};
 use broker_types::query::{AttemptId, FinalResponse, QueryRequest};
 use broker_types::server::Outcome;
 use broker_types::time::{Timestamp, millis};
 use fanout_policy::api::Settings;
-use idempotency::KeyAdmission;
+use idempotency::{KeyAdmission, QueryEnd};
 use policy_engine::Dispatch;
 use std::collections::BTreeSet;
 use std::rc::Rc;
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -1,12 +1,24 @@
 //! Decisions of an aggregator that answers each query from many shards.
 //!
-//! For each query the policy selects how many complete replica rows to contact, distributes the parts of the
-//! query over those rows and batches the parts for one server into one call. From the outcomes of its own
-//! attempts it detects failing and slow servers, retries and hedges within a budget, answers, and rejects
-//! queries that cannot be answered in time.
+//! For each query the policy selects how many complete replica rows to contact, distributes the
+//! parts of the query over those rows and batches the parts for one server into one call. From
+//! the outcomes of its own attempts it detects failing and slow servers, retries and hedges
+//! within a budget, answers, and rejects queries that cannot be answered in time.
 //!
-//! The crate performs no input or output: the caller passes events in and carries out the actions that come
-//! back.
+//! The crate performs no input or output: the caller passes events in and carries out the
+//! actions that come back.
+//!
+//! # Main types
+//!
+//! [`Aggregator`] composes the components and keeps the order of a batch: events, control loops,
+//! queries, gossip, timer. Its input and output are in [`api`], its statistics in [`view`].
+//!
+//! The private module `policy` holds the components that decide. Each owns the state of one
+//! decision, and gets time, settings and random numbers as arguments. `fleet` holds the servers of
+//! the endpoint list; each composes its components for health, ejections, slow start, latency and
+//! outstanding work. `queries` holds the queries in flight, their parts and attempts.
+//!
+//! # Example
 //!
 //! ```
 //! use fanout_policy::Aggregator;
@@ -87,14 +99,12 @@
 
 mod aggregator;
 pub mod api;
-mod attempt_statistics;
-mod control_interval;
-mod gossip_exchange;
-pub mod json;
+mod fleet;
 mod policy;
-mod query_lifecycle;
+mod queries;
+mod random;
 pub mod settings;
-mod state;
+mod statistics;
 pub mod view;
 
 pub use aggregator::Aggregator;
