--- a/crates/broker/src/event_loop/iteration.rs
+++ b/crates/broker/src/event_loop/iteration.rs
@@ -62,27 +62,21 @@
             runtime.clock(),
             config.pool,
         );
+        let mut discovery =
+            DiscoveryWatch::new(runtime.executor(), runtime.event_queue(), config.seed);
+        discovery.continue_from(config.discovery, config.cached_endpoints.revision);
         let mut event_loop = EventLoop {
             clock: runtime.clock(),
             event_queue: runtime.event_queue(),
             zones: config.names.zones,
             configuration: Configuration::new(operator, config.clients, tick),
             processor: QueryProcessor::new(policy, queries, servers),
-            discovery: DiscoveryWatch::start(
-                runtime.executor(),
-                runtime.event_queue(),
-                config.discovery,
-                config.cached_endpoints.revision,
-                config.seed,
-            ),
+            discovery,
             listeners: ClientListeners::start(context, listeners, runtime.executor()),
             shutdown: GracefulShutdown::default(),
         };
-        event_loop.update_endpoints(
-            runtime.clock().now(),
-            ListScope::Cached,
-            &config.cached_endpoints,
-        );
+        let now = runtime.clock().now();
+        event_loop.update_endpoints(now, ListScope::Cached, &config.cached_endpoints);
         event_loop
     }
 
