--- a/crates/broker/src/listeners/http2/stream.rs
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -101,25 +101,18 @@
         };
         let is_valid_request = pending.reply.is_valid_request;
         let response = context.with_date(pending.reply.response);
-        let OutgoingResponse { head, body: bytes } = OutgoingResponse::new(response, body_policy);
-        let Ok(mut sender) = respond.send_response(head, bytes.is_empty()) else {
-            return StreamOutcome::cancelled(is_valid_request);
-        };
-        // The rest of the request, if any, is not needed (RFC 9113, section 8.1).
-        drop(body);
-        let body_bytes = bytes.len();
-        let deadline = pending.deadline.max(Instant::now() + MIN_SEND_TIME);
-        match send_body(&mut sender, bytes, deadline).await {
-            Ok(()) => StreamOutcome {
-                sent_body_bytes: Some(body_bytes),
-                is_valid_request,
-            },
-            Err(SendError::DeadlineExceeded) => {
+        let response = OutgoingResponse::new(response, body_policy);
+        let sent_body_bytes = match response.send(respond, body, pending.deadline).await {
+            Ok(body_bytes) => Some(body_bytes),
+            Err(SendError::DeadlineExceeded { body_bytes }) => {
                 warn!(name: "http2_reader_stalled", connection = connection.0, body_bytes);
-                sender.send_reset(Reason::CANCEL);
-                StreamOutcome::cancelled(is_valid_request)
+                None
             }
-            Err(SendError::StreamClosed) => StreamOutcome::cancelled(is_valid_request),
+            Err(SendError::StreamClosed) => None,
+        };
+        StreamOutcome {
+            sent_body_bytes,
+            is_valid_request,
         }
     }
 }
@@ -187,44 +180,62 @@
             },
         }
     }
+
+    /// Sends the response and returns the length of the body that was sent. `request_body` is what remains of the
+    /// request's body. The client has at least [`MIN_SEND_TIME`] to read the response.
+    async fn send(
+        self,
+        mut respond: SendResponse<Bytes>,
+        request_body: RecvStream,
+        deadline: Instant,
+    ) -> Result<usize, SendError> {
+        let body_bytes = self.body.len();
+        let mut sender = respond
+            .send_response(self.head, self.body.is_empty())
+            .map_err(|_| SendError::StreamClosed)?;
+        // The rest of the request, if any, is not needed (RFC 9113, section 8.1).
+        drop(request_body);
+        let deadline = deadline.max(Instant::now() + MIN_SEND_TIME);
+        let expired = async {
+            Timer::at(deadline).await;
+            Err(SendError::DeadlineExceeded { body_bytes })
+        };
+        let sent = send_body(&mut sender, self.body).or(expired).await;
+        if let Err(SendError::DeadlineExceeded { .. }) = sent {
+            sender.send_reset(Reason::CANCEL);
+        }
+        sent.map(|()| body_bytes)
+    }
 }
 
-/// Why a body was not sent completely.
+/// Why a response was not sent completely.
 #[derive(Debug, Error)]
 enum SendError {
     /// The client did not open its flow-control window in time.
     #[error("the client did not read the response in time")]
-    DeadlineExceeded,
+    DeadlineExceeded {
+        /// Length of the body.
+        body_bytes: usize,
+    },
     /// The stream was reset, or the connection closed.
     #[error("the stream was closed")]
     StreamClosed,
 }
 
-/// Sends a body as the client's flow-control windows allow, until the deadline.
-async fn send_body(
-    sender: &mut SendStream<Bytes>,
-    bytes: Vec<u8>,
-    deadline: Instant,
-) -> Result<(), SendError> {
-    let mut rest = Bytes::from(bytes);
-    let sent = async {
-        while !rest.is_empty() {
-            sender.reserve_capacity(rest.len().min(SEND_CHUNK_BYTES));
-            let capacity = match poll_fn(|cx| sender.poll_capacity(cx)).await {
-                Some(Ok(capacity)) => capacity,
-                Some(Err(_)) | None => return Err(SendError::StreamClosed),
-            };
-            let chunk = rest.split_to(capacity.min(rest.len()));
-            let is_last = rest.is_empty();
-            sender
-                .send_data(chunk, is_last)
-                .map_err(|_| SendError::StreamClosed)?;
-        }
-        Ok(())
-    };
-    let expired = async {
-        Timer::at(deadline).await;
-        Err(SendError::DeadlineExceeded)
-    };
-    sent.or(expired).await
+/// Sends a body as the client's flow-control windows allow.
+async fn send_body(sender: &mut SendStream<Bytes>, body: Vec<u8>) -> Result<(), SendError> {
+    let mut rest = Bytes::from(body);
+    while !rest.is_empty() {
+        sender.reserve_capacity(rest.len().min(SEND_CHUNK_BYTES));
+        let capacity = match poll_fn(|cx| sender.poll_capacity(cx)).await {
+            Some(Ok(capacity)) => capacity,
+            Some(Err(_)) | None => return Err(SendError::StreamClosed),
+        };
+        let chunk = rest.split_to(capacity.min(rest.len()));
+        let is_last = rest.is_empty();
+        sender
+            .send_data(chunk, is_last)
+            .map_err(|_| SendError::StreamClosed)?;
+    }
+    Ok(())
 }
