--- a/crates/broker/src/event_loop/dispatch_queue.rs
+++ b/crates/broker/src/event_loop/dispatch_queue.rs
@@ -1,4 +1,7 @@
 //! The attempts that wait for the end of an iteration to be sent.
+//!
+//! [`DispatchQueue`] owns an attempt from its dispatch by the policy until it is handed to the server pools or ends
+//! unsent.
 
 use crate::upstream::EndedAttempt;
 use broker_types::query::AttemptId;
--- a/crates/broker/src/event_loop/policy_report.rs
+++ b/crates/broker/src/event_loop/policy_report.rs
@@ -1,4 +1,4 @@
-//! Regular reports on the policy's state in the log.
+//! Regular reports on the policy's state in the log. [`PolicyReporter`] owns the time of the next one.
 
 use broker_types::time::Timestamp;
 use policy_engine::PolicyEngine;
--- a/crates/broker/src/event_loop/shutdown.rs
+++ b/crates/broker/src/event_loop/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: when the listeners are closed and when the program may end.
+//! Graceful shutdown: when the listeners are closed and when the program may end. [`GracefulShutdown`] owns the time at
+//! which it started.
 
 use crate::listeners::ClientListeners;
 use broker_types::time::Timestamp;
--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -1,4 +1,7 @@
 //! Queue of events between the tasks that serve sockets and the event loop, which drains it once per iteration.
+//!
+//! The queue owns an event until it is drained. The task that submits a query holds a [`QueryHandle`], whose drop before
+//! the response reports that the client has disconnected.
 
 use crate::notify::Notify;
 use crate::upstream::ServerConnectionId;
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -1,5 +1,5 @@
-//! The broker on sockets: it serves clients' queries with the help of data servers. Which attempts are sent, and when a
-//! query is answered or rejected, is decided by `fanout_policy` behind the facade `policy_engine`.
+//! The broker on sockets: it serves clients' queries by sending calls to data servers. Which attempts are sent, and when
+//! a query is answered or rejected, is decided by `fanout_policy` behind `policy_engine`.
 //!
 //! [`event_loop`] executes these decisions. [`listeners`] serve the clients' connections, [`upstream`] the connections to
 //! data servers, and [`discovery`] watches the endpoint list. They report events through the [`event_queue`].
--- a/crates/broker/src/listeners/accept.rs
+++ b/crates/broker/src/listeners/accept.rs
@@ -1,4 +1,5 @@
-//! Accepting connections, for every version of HTTP.
+//! Accepting connections, for every version of HTTP. A connection that gets a slot is served by a task of its own; any
+//! other is rejected.
 
 use super::slots::{ConnectionSlots, Slot};
 use crate::net::{LINGER, linger};
--- a/crates/broker/src/listeners/http1/input.rs
+++ b/crates/broker/src/listeners/http1/input.rs
@@ -1,4 +1,4 @@
-//! Reading requests from a connection.
+//! Reading requests from a connection, including those that are pipelined while a response is outstanding.
 
 use crate::clock::with_timeout;
 use crate::listeners::timeouts::{MESSAGE_TIMEOUT, SILENCE_TIMEOUT};
--- a/crates/broker/src/listeners/http1/mod.rs
+++ b/crates/broker/src/listeners/http1/mod.rs
@@ -1,4 +1,5 @@
-//! The listener for HTTP/1.1.
+//! The listener for HTTP/1.1. One task serves each connection and closes it; `connection` owns its state, and `input` the
+//! bytes that it has received.
 
 mod connection;
 mod input;
--- a/crates/broker/src/listeners/slots.rs
+++ b/crates/broker/src/listeners/slots.rs
@@ -1,4 +1,7 @@
 //! Connection slots of a listener: their number, and which connections are evicted when they run out.
+//!
+//! [`ConnectionSlots`] counts the slots. A connection owns its [`Slot`] and frees it by dropping it; while it may be
+//! evicted it holds an [`Evictable`], whose drop ends that.
 
 use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
--- a/crates/broker/src/queries/client_query.rs
+++ b/crates/broker/src/queries/client_query.rs
@@ -1,4 +1,4 @@
-//! One query in flight.
+//! One query in flight: the way back to its client, the values received so far and the log of its attempts.
 
 use super::attempt_log::AttemptLog;
 use crate::event_queue::ReceivedQuery;
--- a/crates/http2-flood-guard/src/guard.rs
+++ b/crates/http2-flood-guard/src/guard.rs
@@ -6,8 +6,8 @@
 use crate::violation::Violation;
 use broker_types::time::Timestamp;
 
-/// Tokens of [`FloodLimits::new`] beyond two for each stream, for the control frames of an ordinary client. The figures
-/// here are choices of this project; RFC 9113, section 10.5, names none.
+/// Tokens of [`FloodLimits::new`] beyond two for each stream, for the control frames of an ordinary client. RFC 9113,
+/// section 10.5, names no figure.
 const BASE_BURST_TOKENS: u32 = 200;
 /// Refill of [`FloodLimits::new`], in tokens a second.
 const TOKENS_PER_SECOND: u32 = 100;
--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! Drives the fan-out policy and keeps track of the queries in flight.
+//! Drives the fan-out policy and keeps track of the queries that it has admitted.
 //!
 //! [`PolicyEngine`] is a synchronous state machine without I/O and without a clock: the caller passes in the current
 //! time and what happened, and carries out the returned [`Decisions`]. Each of its methods that returns [`Decisions`]
