--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -6,9 +6,9 @@
 
 use super::dispatch_queue::{Cancellation, DispatchQueue};
 use super::policy_report::PolicyReporter;
-use crate::event_queue::{ConnectionEvent, ReceivedQuery};
+use crate::event_queue::{ConnectionEvent, ReceivedQuery, ServerConnectionId};
 use crate::queries::{ClientQueries, DispatchError};
-use crate::upstream::{EndedAttempt, OutgoingAttempt, ServerConnectionId, ServerPools};
+use crate::upstream::{EndedAttempt, OutgoingAttempt, ServerPools};
 use broker_types::query::{AttemptId, FinalResponse, PartIndex, QueryId};
 use broker_types::server::{EndpointList, ListScope, NodeId, Outcome, ServerInfo, ServingState};
 use broker_types::time::Timestamp;
--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -4,7 +4,6 @@
 //! the response reports that the client has disconnected.
 
 use crate::notify::Notify;
-use crate::upstream::ServerConnectionId;
 use admission::ConnectionId;
 use async_channel::{Receiver, Sender};
 use broker_types::query::{FinalResponse, QueryId, QueryRequest};
@@ -50,6 +49,10 @@
     pub reply: Sender<FinalResponse>,
 }
 
+/// Number of a connection to a data server. It is never used twice.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ServerConnectionId(pub u64);
+
 /// Something that happened on a connection to a data server.
 pub enum ConnectionEvent {
     /// A whole frame was received.
--- a/crates/broker/src/upstream/assignment.rs
+++ b/crates/broker/src/upstream/assignment.rs
@@ -1,12 +1,9 @@
 //! The place of an attempt on a connection.
 
+use crate::event_queue::ServerConnectionId;
 use broker_types::time::Timestamp;
 use std::time::Duration;
 
-/// Number of a connection to a data server. It is never used twice.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ServerConnectionId(pub u64);
-
 /// The place of an attempt on the connection that it was assigned to.
 pub(super) struct Assignment {
     connection: ServerConnectionId,
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -3,7 +3,7 @@
 //! [`ServerConnection`] decides on the outcomes of its attempts from what was written and received. Its socket is
 //! served by a task of its own: see [`SocketHandle`].
 
-use super::assignment::{Assignment, ServerConnectionId};
+use super::assignment::Assignment;
 use super::attempt::{AttemptEnd, OutgoingAttempt, OutgoingPart};
 use super::cancelled_parts::CancelledParts;
 use super::connection_event::{EventEffect, ProtocolViolation};
@@ -12,6 +12,7 @@
 use super::socket::SocketHandle;
 use super::timeouts::ConnectionTimeouts;
 use crate::event_queue::ConnectionEvent;
+use crate::event_queue::ServerConnectionId;
 use broker_types::query::AttemptId;
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Timestamp;
--- a/crates/broker/src/upstream/connection_pool.rs
+++ b/crates/broker/src/upstream/connection_pool.rs
@@ -3,12 +3,13 @@
 //! [`ConnectionPool`] owns each connection from its opening until its socket task is dropped, which closes the
 //! socket. What ends an attempt is reported to the caller.
 
-use super::assignment::{Assignment, ServerConnectionId};
+use super::assignment::Assignment;
 use super::connection::{ServerConnection, StopReason, Stopped};
 use super::selection::{ConnectionSelector, Selection};
 use super::server_table::ServerTable;
 use super::socket::Connector;
 use super::timeouts::ConnectionTimeouts;
+use crate::event_queue::ServerConnectionId;
 use broker_types::limits::PoolLimits;
 use broker_types::query::AttemptId;
 use broker_types::server::NodeId;
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -32,6 +32,5 @@
 mod tests;
 mod timeouts;
 
-pub use assignment::ServerConnectionId;
 pub use attempt::{EndedAttempt, OutgoingAttempt, OutgoingPart};
 pub use pools::ServerPools;
--- a/crates/broker/src/upstream/pools.rs
+++ b/crates/broker/src/upstream/pools.rs
@@ -3,7 +3,6 @@
 //! [`ServerPools`] composes the [`ConnectionPool`] and the [`AttemptTracker`]: whatever ends an attempt on the one
 //! side is passed on to the other.
 
-use super::assignment::ServerConnectionId;
 use super::attempt::{AttemptEnd, AttemptResult, EndedAttempt, OutgoingAttempt};
 use super::attempt_tracker::{AttemptTracker, Expiry};
 use super::connection::{StopReason, Stopped};
@@ -11,6 +10,7 @@
 use super::connection_pool::ConnectionPool;
 use super::socket::Connector;
 use crate::clock::Clock;
+use crate::event_queue::ServerConnectionId;
 use crate::event_queue::{ConnectionEvent, EventQueue};
 use async_executor::LocalExecutor;
 use broker_types::limits::PoolLimits;
--- a/crates/broker/src/upstream/selection.rs
+++ b/crates/broker/src/upstream/selection.rs
@@ -1,8 +1,8 @@
 //! Choice of the connection that a call is sent on.
 
-use super::assignment::ServerConnectionId;
 use super::connection::ServerConnection;
 use super::server_table::ServerTable;
+use crate::event_queue::ServerConnectionId;
 use broker_types::limits::PoolLimits;
 use broker_types::server::NodeId;
 use std::collections::BTreeMap;
--- a/crates/broker/src/upstream/server_table.rs
+++ b/crates/broker/src/upstream/server_table.rs
@@ -1,6 +1,6 @@
 //! The data servers: their addresses, and which connections lead to each.
 
-use super::assignment::ServerConnectionId;
+use crate::event_queue::ServerConnectionId;
 use broker_types::server::NodeId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
--- a/crates/broker/src/upstream/socket.rs
+++ b/crates/broker/src/upstream/socket.rs
@@ -1,9 +1,9 @@
 //! The sockets of connections. Each is opened, written and read by a task of its own, which reports what happens to
 //! the event queue.
 
-use super::assignment::ServerConnectionId;
 use super::send_queue::{SendQueue, StartedFrame};
 use crate::clock::{Clock, with_timeout};
+use crate::event_queue::ServerConnectionId;
 use crate::event_queue::{ConnectionEvent, Event, EventQueue};
 use crate::net::read_some;
 use async_executor::{LocalExecutor, Task};
--- a/crates/broker/src/upstream/tests/mod.rs
+++ b/crates/broker/src/upstream/tests/mod.rs
@@ -8,9 +8,9 @@
 mod send_queue;
 
 use super::send_queue::SendQueue;
-use super::{EndedAttempt, OutgoingAttempt, OutgoingPart, ServerConnectionId, ServerPools, socket};
+use super::{EndedAttempt, OutgoingAttempt, OutgoingPart, ServerPools, socket};
 use crate::clock::Clock;
-use crate::event_queue::{ConnectionEvent, Event, EventQueue};
+use crate::event_queue::{ConnectionEvent, Event, EventQueue, ServerConnectionId};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use broker_types::limits::PoolLimits;
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors in an operator's file, each with its place and what is expected instead.
 
-use crate::MAX_FILE_BYTES;
+use crate::limits::MAX_FILE_BYTES;
 use crate::values::InvalidValue;
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceCode};
 use std::fmt;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -17,15 +17,14 @@
 mod error;
 mod grammar;
 mod keywords;
+mod limits;
 mod parser;
 mod settings;
 mod values;
 
 pub use error::{ConfigFileError, ConfigFileErrors, ErrorKind};
 pub use keywords::{Effect, KEYWORDS, Keyword};
+pub use limits::MAX_FILE_BYTES;
 pub use parser::parse;
 pub use settings::{Changes, Http2Settings, LogFormat, LogLevel, LogSettings, Settings};
 pub use values::InvalidValue;
-
-/// Longest file that is read, in bytes.
-pub const MAX_FILE_BYTES: usize = 1 << 20;
--- a/crates/operator-config/src/parser.rs
+++ b/crates/operator-config/src/parser.rs
@@ -1,9 +1,9 @@
 //! Makes typed settings of a file's text and collects all errors on the way.
 
-use crate::MAX_FILE_BYTES;
 use crate::error::{ConfigFileError, ConfigFileErrors, ErrorKind, SourceText};
 use crate::grammar::{Line, Word, parse_lines};
 use crate::keywords::{self, KEYWORDS, Keyword};
+use crate::limits::MAX_FILE_BYTES;
 use crate::settings::{Http2Settings, LogFormat, LogLevel, LogSettings, Settings};
 use crate::values::{self, InvalidValue};
 use std::collections::BTreeMap;
