--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -1,10 +1,10 @@
 //! The aggregator: composes the components of the policy and keeps the order of a batch.
 //!
-//! [`Aggregator`] owns the settings, the queries in flight and the timers, [`Components`] what
-//! the decisions are based on. [`query_driver`] advances queries, [`learning`] takes note of
-//! outcomes, [`views`] gives read access.
+//! [`Aggregator`] owns the settings, the queries in flight and the timers, [`Components`] what the
+//! decisions are based on. [`query_driver`] advances queries, [`attempt_outcomes`] records how
+//! attempts ended, [`views`] gives read access.
 
-mod learning;
+mod attempt_outcomes;
 mod query_driver;
 mod views;
 
@@ -14,7 +14,7 @@
 use crate::fleet::{Fleet, ServerIndex};
 use crate::policy::admission::AdmissionController;
 use crate::policy::batch_context::BatchContext;
-use crate::policy::batch_timer::{BatchTimer, ControlTimer, QueryLoad};
+use crate::policy::batch_timer::{BatchTimer, ControlTimer, IntervalStart, QueryLoad};
 use crate::policy::class_estimates::ClassEstimates;
 use crate::policy::ended_attempt::AttemptEnd;
 use crate::policy::endpoint_list_poller::{EndpointListPoller, PollDecision};
@@ -88,7 +88,7 @@
         if self.list_poller.poll_if_due(now) == PollDecision::Poll {
             actions.push(Action::PollEndpointList);
         }
-        if self.control_timer.start_interval_if_due(now) {
+        if self.control_timer.start_interval_if_due(now) == IntervalStart::Started {
             self.run_control_loops(now);
         }
         self.advance_queries(now, &mut actions);
@@ -131,13 +131,7 @@
                 },
             ),
             Event::ClientDisconnected(id) => self.on_client_disconnected(now, &id, actions),
-            Event::Gossip { from, bytes } => {
-                let message = GossipMessage {
-                    from,
-                    bytes: &bytes,
-                };
-                self.on_gossip(now, message);
-            }
+            Event::Gossip { from, bytes } => self.on_gossip(now, GossipMessage::new(from, &bytes)),
             Event::TimerFired => self.batch_timer.on_fired(),
         }
     }
@@ -174,15 +168,11 @@
     fn on_attempt_ended(&mut self, now: Ms, report: &AttemptReport) {
         let batch = BatchContext::new(now, &self.settings);
         if let Some(attempt) = self.components.attempts.remove(&report.part, report.number) {
-            let end = AttemptEnd {
-                outcome: report.outcome,
-                elapsed: report.elapsed,
-                punctuality: self.batch_timer.punctuality(),
-            };
-            self.components.learn_from_end(&batch, &attempt, end);
+            let punctuality = self.batch_timer.punctuality();
+            let end = AttemptEnd::new(report.outcome, report.elapsed, punctuality);
+            self.components.record_attempt_end(&batch, &attempt, end);
             if let Some(load) = report.load {
-                self.components
-                    .learn_from_load_report(&batch, &attempt, load);
+                self.components.record_load_report(&batch, &attempt, load);
             }
         }
         self.queries
--- a/crates/fanout-policy/src/aggregator/learning.rs
+++ b/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
@@ -1,55 +1,55 @@
-//! What the components learn from the end of an attempt, in order.
+//! Passes the end of an attempt on to the components that learn from it.
 
 use super::Components;
 use crate::api::Ms;
 use crate::policy::batch_context::BatchContext;
-use crate::policy::ended_attempt::{AttemptEnd, EndedAttempt, Lesson};
-use crate::policy::outlier_detection::{EjectionJitter, EjectionScale};
+use crate::policy::ended_attempt::{AttemptEnd, EndedAttempt, HealthSignal};
+use crate::policy::outlier_detection::{EjectionContext, EjectionJitter};
 use crate::queries::InFlightAttempt;
 
 impl Components {
     /// Learns from the end of an attempt.
-    pub(super) fn learn_from_end(
+    pub(super) fn record_attempt_end(
         &mut self,
         batch: &BatchContext,
         attempt: &InFlightAttempt,
         end: AttemptEnd,
     ) {
         let jitter = EjectionJitter::draw(&mut self.random);
-        let server = self.fleet.server(attempt.server);
-        let ended = EndedAttempt::new(batch, attempt, end, server);
+        let health = self.fleet.server(attempt.server).health();
+        let ended = EndedAttempt::new(batch, attempt, end, health.last_served_sent_at());
         self.gossip.mark_changed(attempt.server);
         self.fleet.record_end(&ended);
         let width = &mut self.fanout_widths[attempt.class];
-        match ended.lesson() {
-            Lesson::Nothing => {}
-            Lesson::Answer => {
-                width.record_success();
+        match ended.health_signal() {
+            HealthSignal::None => {}
+            HealthSignal::Answer => {
+                width.record_normal_end();
                 self.classes[attempt.class].record_answer_time(ended.answer_time());
                 self.fleet.on_answer(batch, &ended);
             }
-            Lesson::Overload => {
+            HealthSignal::Overload => {
                 width.record_overload();
-                let scale = self.ejection_scale(batch, jitter);
-                self.fleet.on_overload(&ended, &scale);
+                let context = self.ejection_context(batch, jitter);
+                self.fleet.on_overload(&ended, &context);
             }
-            Lesson::Timeout => {
+            HealthSignal::Timeout => {
                 width.record_overload();
-                let scale = self.ejection_scale(batch, jitter);
+                let context = self.ejection_context(batch, jitter);
                 self.fleet.on_timeout(batch, &ended);
-                self.fleet.on_failure(batch, &ended, &scale);
+                self.fleet.on_failure(batch, &ended, &context);
             }
-            Lesson::OutdatedTimeout => width.record_success(),
-            Lesson::Failure => {
-                let scale = self.ejection_scale(batch, jitter);
-                self.fleet.on_failure(batch, &ended, &scale);
+            HealthSignal::OutdatedTimeout => width.record_normal_end(),
+            HealthSignal::Failure => {
+                let context = self.ejection_context(batch, jitter);
+                self.fleet.on_failure(batch, &ended, &context);
             }
         }
     }
 
     /// Takes over a server's report of its load. It is late and may be wrong, so it only
     /// affects forecasts.
-    pub(super) fn learn_from_load_report(
+    pub(super) fn record_load_report(
         &mut self,
         batch: &BatchContext,
         attempt: &InFlightAttempt,
@@ -60,9 +60,9 @@
             .on_load_report(batch, attempt.server, load, part_cost);
     }
 
-    fn ejection_scale(&self, batch: &BatchContext, jitter: EjectionJitter) -> EjectionScale {
+    fn ejection_context(&self, batch: &BatchContext, jitter: EjectionJitter) -> EjectionContext {
         let servers = self.fleet.rows().server_count();
         let send_interval: Ms = self.retry_budget.mean_send_interval(batch, servers);
-        EjectionScale::new(batch.now, batch.shortest_objective(), send_interval, jitter)
+        EjectionContext::new(batch.now, batch.shortest_objective(), send_interval, jitter)
     }
 }
--- a/crates/fanout-policy/src/aggregator/query_driver.rs
+++ b/crates/fanout-policy/src/aggregator/query_driver.rs
@@ -7,12 +7,12 @@
 use crate::policy::batch_context::BatchContext;
 use crate::policy::completion::{Completion, CompletionDecision};
 use crate::policy::forecast::Forecaster;
-use crate::policy::retry_after::{Refusal, RetryAfter};
+use crate::policy::retry_after::{EndWithoutAnswer, RetryAfter};
 use crate::policy::retry_policy::{HedgeDecision, PartStep, RetryPolicy};
 use crate::policy::row_planner::RowPlanner;
 use crate::policy::server_selection::ServerSelector;
 use crate::policy::time_limits::TimeLimits;
-use crate::queries::{AnswerKind, InFlightQuery, QueryProgress};
+use crate::queries::{AnswerKind, InFlightQuery, PartState, QueryProgress};
 
 /// Advances the queries of one batch.
 pub(super) struct QueryDriver<'a> {
@@ -40,7 +40,7 @@
         let progress = match self.completion().decide(query) {
             CompletionDecision::Wait => QueryProgress::InFlight,
             CompletionDecision::Answer(answer) => self.answer(id, query, answer),
-            CompletionDecision::GiveUp => self.refuse(id, query),
+            CompletionDecision::GiveUp => self.end_without_answer(id, query),
         };
         if progress == QueryProgress::Ended {
             return progress;
@@ -104,7 +104,7 @@
             AdmissionDecision::Reject => {
                 classes[query.class()].record_rejection();
                 query.discard_forecast();
-                self.refuse(id, query)
+                self.end_without_answer(id, query)
             }
         }
     }
@@ -126,9 +126,10 @@
     }
 
     fn retry(&mut self, query: &mut InFlightQuery, index: usize) {
-        if !self.components.retry_budget.allows_retry(&self.batch) {
+        let retry_budget = &mut self.components.retry_budget;
+        let Some(permit) = retry_budget.try_acquire_retry(&self.batch) else {
             return;
-        }
+        };
         let part = &query.parts()[index];
         let Some(server) = self.selector().select(query, part) else {
             return;
@@ -136,43 +137,52 @@
         if self.retry_policy().must_wait_for_capacity(part, server) {
             return;
         }
-        self.send_again(query, index, server);
+        self.components
+            .retry_budget
+            .record_sent(self.batch.now, permit);
+        self.send(query, index, server);
     }
 
     fn hedge(&mut self, query: &mut InFlightQuery, index: usize) {
         let part = &query.parts()[index];
-        if !self.retry_policy().is_overdue(query, part)
-            || !self.components.retry_budget.allows_hedge(&self.batch)
-        {
+        if !self.retry_policy().is_overdue(query, part) {
             return;
         }
-        let Some(server) = self.selector().select(query, part) else {
+        let retry_budget = &mut self.components.retry_budget;
+        let Some(permit) = retry_budget.try_acquire_hedge(&self.batch) else {
             return;
         };
-        if part.is_in_flight_to(server) || !self.selector().is_eligible(server, 0.0) {
+        let Some(server) = self.select_for_hedge(query, part) else {
             return;
-        }
-        let work = self.forecaster().attempt_work(query, part, server);
-        let forecast = self.forecaster().latency(server, query.class(), work);
+        };
+        let forecast = self.forecaster().attempt_latency(query, part, server);
         match self.retry_policy().hedge_decision(query, part, forecast) {
             HedgeDecision::Wait => {}
-            HedgeDecision::Send => self.send_again(query, index, server),
-            HedgeDecision::CancelFirst => {
-                let part_id = part.id().clone();
-                let last = part.last_number();
-                self.actions
-                    .extend(last.map(|attempt| Action::CancelAttempt {
-                        part: part_id,
-                        attempt,
-                    }));
+            HedgeDecision::Send => {
+                self.components
+                    .retry_budget
+                    .record_sent(self.batch.now, permit);
+                self.send(query, index, server);
             }
+            HedgeDecision::CancelFirst => self.cancel_last_attempt(part),
         }
     }
 
-    /// Sends a retry or a hedged request.
-    fn send_again(&mut self, query: &mut InFlightQuery, index: usize, server: ServerIndex) {
-        self.components.retry_budget.record_sent(self.batch.now);
-        self.send(query, index, server);
+    /// The server for a hedged request, unless an attempt for the part is in flight to it.
+    fn select_for_hedge(&self, query: &InFlightQuery, part: &PartState) -> Option<ServerIndex> {
+        let selector = self.selector();
+        let server = selector.select(query, part)?;
+        let is_usable = !part.is_in_flight_to(server) && selector.is_eligible(server, 0.0);
+        is_usable.then_some(server)
+    }
+
+    fn cancel_last_attempt(&mut self, part: &PartState) {
+        if let Some(attempt) = part.last_number() {
+            self.actions.push(Action::CancelAttempt {
+                part: part.id().clone(),
+                attempt,
+            });
+        }
     }
 
     /// Sends an attempt for a part and records it.
@@ -218,15 +228,15 @@
     }
 
     /// Ends a query without an answer.
-    fn refuse(&mut self, id: &QueryId, query: &InFlightQuery) -> QueryProgress {
+    fn end_without_answer(&mut self, id: &QueryId, query: &InFlightQuery) -> QueryProgress {
         let query_id = id.clone();
-        let refusal = RetryAfter::new(&self.batch, self.retry_policy()).refuse(query);
-        self.actions.push(match refusal {
-            Refusal::Reject { retry_after } => Action::Reject {
+        let end = RetryAfter::new(&self.batch, self.retry_policy()).decide(query);
+        self.actions.push(match end {
+            EndWithoutAnswer::Reject { retry_after } => Action::Reject {
                 query: query_id,
                 retry_after,
             },
-            Refusal::Fail => Action::Fail { query: query_id },
+            EndWithoutAnswer::Fail => Action::Fail { query: query_id },
         });
         self.finish(query);
         QueryProgress::Ended
--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -108,14 +108,11 @@
             (Outcome::Error, report.errors),
             (Outcome::Served, report.served),
         ];
+        let punctuality = self.batch_timer.punctuality();
         for (outcome, attempts) in outcomes {
-            let end = AttemptEnd {
-                outcome,
-                elapsed,
-                punctuality: self.batch_timer.punctuality(),
-            };
+            let end = AttemptEnd::new(outcome, elapsed, punctuality);
             for _ in 0..sample_count(attempts, total) {
-                self.components.learn_from_end(&batch, attempt, end);
+                self.components.record_attempt_end(&batch, attempt, end);
             }
         }
     }
--- a/crates/fanout-policy/src/fleet.rs
+++ b/crates/fanout-policy/src/fleet.rs
@@ -16,8 +16,8 @@
 use crate::policy::ended_attempt::EndedAttempt;
 use crate::policy::gossip_codec::ShortName;
 use crate::policy::latency::FleetLatency;
-use crate::policy::outlier_detection::EjectionScale;
-use crate::policy::outstanding_work::PeerStatus;
+use crate::policy::outlier_detection::EjectionContext;
+use crate::policy::outstanding_work::PeerReport;
 use crate::policy::slow_start::ServedRate;
 use crate::policy::zone_silence::ZoneSilence;
 use crate::queries::InFlightAttempt;
@@ -175,8 +175,8 @@
     }
 
     /// Learns from an attempt that was rejected for lack of capacity.
-    pub(crate) fn on_overload(&mut self, ended: &EndedAttempt, scale: &EjectionScale) {
-        self.servers[ended.attempt().server].on_overload(scale);
+    pub(crate) fn on_overload(&mut self, ended: &EndedAttempt, context: &EjectionContext) {
+        self.servers[ended.attempt().server].on_overload(context);
     }
 
     /// Learns from an attempt that timed out, before it counts as a failure.
@@ -189,9 +189,9 @@
         &mut self,
         batch: &BatchContext,
         ended: &EndedAttempt,
-        scale: &EjectionScale,
+        context: &EjectionContext,
     ) {
-        self.servers[ended.attempt().server].on_failure(batch, ended, scale);
+        self.servers[ended.attempt().server].on_failure(batch, ended, context);
     }
 
     /// Takes over a server's report of its load, the number of requests there, each with this cost.
@@ -205,18 +205,16 @@
         self.servers[server].on_load_report(batch, load, part_cost, &self.latency);
     }
 
-    /// Takes over what another aggregator published about a server, if it is known. A
-    /// failure there ejects it for this time.
-    pub(crate) fn on_peer_report(&mut self, batch: &BatchContext, report: &PeerReport) {
-        let Some(&index) = self.by_short_name.get(&report.server) else {
-            return;
-        };
-        let server = &mut self.servers[index];
-        let previous = server.on_peer_report(batch.now, report.peer, report.work, report.status);
-        if report.status == PeerStatus::Failing {
-            server.on_peer_failure(batch.now, report.ejection);
-        } else if previous == PeerStatus::Failing {
-            server.on_peer_recovery(batch, &self.latency);
+    /// Takes over what another aggregator published about a server, if the server is known.
+    pub(crate) fn on_peer_report(
+        &mut self,
+        batch: &BatchContext,
+        peer: usize,
+        server: ShortName,
+        report: PeerReport,
+    ) {
+        if let Some(&index) = self.by_short_name.get(&server) {
+            self.servers[index].on_peer_report(batch, peer, report, &self.latency);
         }
     }
 
@@ -276,17 +274,3 @@
         self.rows = ReplicaRows::new(cells, replica_cells, serving);
     }
 }
-
-/// What another aggregator published about a server.
-pub(crate) struct PeerReport {
-    /// Index of the other aggregator.
-    pub(crate) peer: usize,
-    /// The server.
-    pub(crate) server: ShortName,
-    /// Outstanding work of the other aggregator there.
-    pub(crate) work: Ms,
-    /// Whether its attempts there fail.
-    pub(crate) status: PeerStatus,
-    /// Time for which the server is ejected if they do.
-    pub(crate) ejection: Ms,
-}
--- a/crates/fanout-policy/src/fleet/server.rs
+++ b/crates/fanout-policy/src/fleet/server.rs
@@ -7,8 +7,8 @@
 use crate::policy::batch_context::BatchContext;
 use crate::policy::ended_attempt::EndedAttempt;
 use crate::policy::latency::{FleetLatency, LatencyEstimator};
-use crate::policy::outlier_detection::{EjectionScale, OutlierDetector};
-use crate::policy::outstanding_work::{OutstandingWork, PeerStatus};
+use crate::policy::outlier_detection::{EjectionContext, OutlierDetector};
+use crate::policy::outstanding_work::{OutstandingWork, PeerReport};
 use crate::policy::server_health::{Continuity, ServerHealth};
 use crate::policy::slow_start::SlowStart;
 use crate::queries::InFlightAttempt;
@@ -143,8 +143,10 @@
         fleet_latency: &FleetLatency,
     ) {
         self.latency.decay(batch.now, fleet_latency);
-        self.health
-            .decay(self.outstanding.has_no_attempt_in_flight());
+        self.health.decay_class_error_rates();
+        if self.outstanding.has_no_attempt_in_flight() {
+            self.health.decay_error_rate();
+        }
         self.slow_start.start_interval(batch, draw);
         self.outstanding.expire_peer_reports(batch.now);
     }
@@ -158,8 +160,7 @@
     /// Records that an attempt is no longer in flight, however it ended.
     pub(super) fn record_end(&mut self, ended: &EndedAttempt) {
         self.outstanding.record_end(ended.attempt());
-        self.health
-            .record_class_outcome(ended.attempt(), ended.outcome(), ended.is_overdue());
+        self.health.record_class_outcome(ended);
     }
 
     /// Learns from an attempt that was served.
@@ -176,8 +177,8 @@
     }
 
     /// Learns from an attempt that was rejected for lack of capacity.
-    pub(super) fn on_overload(&mut self, scale: &EjectionScale) {
-        self.outliers.on_overload(scale);
+    pub(super) fn on_overload(&mut self, context: &EjectionContext) {
+        self.outliers.on_overload(context);
     }
 
     /// Learns from an attempt that timed out, before it counts as a failure.
@@ -191,13 +192,11 @@
         &mut self,
         batch: &BatchContext,
         ended: &EndedAttempt,
-        scale: &EjectionScale,
+        context: &EjectionContext,
     ) {
         let objective = batch.shortest_objective();
-        let verdict = self
-            .health
-            .record_failure(ended.attempt(), ended.outcome(), objective);
-        self.outliers.on_failure(verdict, scale);
+        let verdict = self.health.record_failure(ended, objective);
+        self.outliers.on_failure(verdict, context);
     }
 
     /// Takes over the number of requests that it reports as its load, each with this cost.
@@ -212,22 +211,29 @@
             .record_load_report(batch, load, part_cost, fleet_latency.per_work());
     }
 
-    /// Takes over what another aggregator published, and returns the status that it
-    /// published before.
+    /// Takes over what another aggregator published.
     pub(super) fn on_peer_report(
         &mut self,
-        now: Ms,
+        batch: &BatchContext,
         peer: usize,
-        work: Ms,
-        status: PeerStatus,
-    ) -> PeerStatus {
-        self.outstanding
-            .replace_peer_report(now, peer, work, status)
+        report: PeerReport,
+        fleet_latency: &FleetLatency,
+    ) {
+        let previous = self
+            .outstanding
+            .replace_peer_report(batch.now, peer, report);
+        match (previous, report) {
+            (_, PeerReport::Failing { ejection }) => self.on_peer_failure(batch.now, ejection),
+            (PeerReport::Failing { .. }, PeerReport::Answering { .. }) => {
+                self.on_peer_recovery(batch, fleet_latency);
+            }
+            (PeerReport::Answering { .. }, PeerReport::Answering { .. }) => {}
+        }
     }
 
     /// Ejects the server since it fails for another aggregator, unless it has answered this
     /// one as recently.
-    pub(super) fn on_peer_failure(&mut self, now: Ms, ejection: Ms) {
+    fn on_peer_failure(&mut self, now: Ms, ejection: Ms) {
         if self.health.last_served_sent_at() < now - ejection {
             self.outliers.on_peer_failure(now, ejection);
         }
@@ -235,7 +241,7 @@
 
     /// Ends the ejection of a server that answers another aggregator again. All aggregators
     /// return to it at once, so it is assumed to be slow at first.
-    pub(super) fn on_peer_recovery(&mut self, batch: &BatchContext, fleet_latency: &FleetLatency) {
+    fn on_peer_recovery(&mut self, batch: &BatchContext, fleet_latency: &FleetLatency) {
         self.outliers.on_peer_recovery(batch.now);
         let initial_capacity = batch.settings.warm_up.initial_capacity;
         self.latency.on_recovery(initial_capacity, fleet_latency);
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -6,7 +6,7 @@
 use super::batch_context::BatchContext;
 use super::client_timeout::ClientTimeoutEstimate;
 use super::completion::SHARE_TOLERANCE;
-use super::forecast::{Forecaster, QueryForecast};
+use super::forecast::Forecaster;
 use super::tenant_quotas::{QuotaUse, TenantQuotas};
 use super::time_limits::TimeLimits;
 use crate::api::{Class, Ms, Query, Settings};
@@ -33,6 +33,31 @@
     Reject,
 }
 
+/// Forecast for the parts of a query, each at its best holder.
+#[derive(Default)]
+struct QueryForecast {
+    /// Mean latency.
+    mean: Ms,
+    /// Latency of the slowest part.
+    slowest: Ms,
+    /// Total work.
+    work: Ms,
+}
+
+impl QueryForecast {
+    fn new(query: &InFlightQuery, forecaster: &Forecaster) -> Self {
+        let mut forecast = QueryForecast::default();
+        for part in query.parts() {
+            forecast.work += forecaster.part_cost(query, part);
+            if let Some(latency) = forecaster.best_latency(query, part) {
+                forecast.mean += latency / query.parts().len() as f64;
+                forecast.slowest = forecast.slowest.max(latency);
+            }
+        }
+        forecast
+    }
+}
+
 /// Decides which queries are admitted.
 pub(crate) struct AdmissionController {
     /// Usual timeout of clients, by class.
@@ -81,7 +106,7 @@
         limits: &TimeLimits,
     ) -> AdmissionDecision {
         let quota_use = self.quotas.quota_use(batch, query.tenant());
-        let forecast = forecaster.query(query);
+        let forecast = QueryForecast::new(query, forecaster);
         let limit = self.limit_share(batch, query, forecast.work, quota_use);
         let class = batch.class_of(query);
         let latency = expected_latency(batch, class, &forecast);
--- a/crates/fanout-policy/src/policy/batch_timer.rs
+++ b/crates/fanout-policy/src/policy/batch_timer.rs
@@ -88,6 +88,15 @@
     Busy,
 }
 
+/// Whether a control interval starts with the current batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum IntervalStart {
+    /// It does.
+    Started,
+    /// The current interval goes on.
+    NotDue,
+}
+
 /// The timer of the control loops.
 pub(crate) struct ControlTimer {
     /// Start of the next control interval.
@@ -102,12 +111,12 @@
         }
     }
 
-    /// Starts a control interval if it is time for it, and returns whether it has.
-    pub(crate) fn start_interval_if_due(&mut self, now: Ms) -> bool {
-        let is_due = now >= self.next_interval_at;
-        if is_due {
-            self.next_interval_at = now + CONTROL_INTERVAL_MS;
+    /// Starts a control interval if it is time for it.
+    pub(crate) fn start_interval_if_due(&mut self, now: Ms) -> IntervalStart {
+        if now < self.next_interval_at {
+            return IntervalStart::NotDue;
         }
-        is_due
+        self.next_interval_at = now + CONTROL_INTERVAL_MS;
+        IntervalStart::Started
     }
 }
--- a/crates/fanout-policy/src/policy/class_estimates.rs
+++ b/crates/fanout-policy/src/policy/class_estimates.rs
@@ -2,7 +2,7 @@
 //!
 //! [`ClassEstimates`] owns them.
 
-use super::latency::SAMPLE_WEIGHT;
+use super::smoothing::SAMPLE_WEIGHT;
 use crate::api::{Ms, Settings};
 use crate::statistics::{decay, smooth};
 
--- a/crates/fanout-policy/src/policy/ended_attempt.rs
+++ b/crates/fanout-policy/src/policy/ended_attempt.rs
@@ -3,10 +3,9 @@
 
 use super::batch_context::BatchContext;
 use super::batch_timer::Punctuality;
-use super::latency::{SAMPLE_WEIGHT, STRONG_SAMPLE_WEIGHT};
+use super::smoothing::{SAMPLE_WEIGHT, STRONG_SAMPLE_WEIGHT};
 use super::zone_silence::Response;
 use crate::api::{Ms, Outcome};
-use crate::fleet::Server;
 use crate::queries::InFlightAttempt;
 
 /// An attempt is overdue after this multiple of its forecast: earlier hedges double work that
@@ -15,11 +14,11 @@
 /// Least age of an overdue attempt, in latency objectives.
 pub(crate) const MIN_OVERDUE_OBJECTIVES: f64 = 0.25;
 
-/// What the statistics learn from the end of an attempt.
+/// What the end of an attempt says about the health of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Lesson {
+pub(crate) enum HealthSignal {
     /// Nothing.
-    Nothing,
+    None,
     /// The server answered.
     Answer,
     /// The server rejected the part for lack of capacity.
@@ -45,19 +44,15 @@
 }
 
 impl<'a> EndedAttempt<'a> {
-    /// An attempt that has ended at `server` after this time, or after the time since it
-    /// was sent if the one given is not a number.
+    /// An attempt that has ended so. The server answered no attempt sent after
+    /// `last_served_sent_at`.
     pub(crate) fn new(
         batch: &BatchContext,
         attempt: &'a InFlightAttempt,
         end: AttemptEnd,
-        server: &Server,
+        last_served_sent_at: Ms,
     ) -> Self {
-        let elapsed = if end.elapsed.is_finite() {
-            end.elapsed.max(0.0)
-        } else {
-            batch.now - attempt.sent_at
-        };
+        let elapsed = end.valid_elapsed(batch.now, attempt.sent_at);
         let min_age = MIN_OVERDUE_OBJECTIVES * batch.shortest_objective();
         let overdue_age = (OVERDUE_FORECAST_FACTOR * attempt.expected_latency).max(min_age);
         EndedAttempt {
@@ -66,7 +61,7 @@
             elapsed,
             punctuality: end.punctuality,
             is_overdue: end.punctuality == Punctuality::OnTime && elapsed > overdue_age,
-            is_newest: server.health().is_newest(attempt),
+            is_newest: attempt.sent_at > last_served_sent_at,
         }
     }
 
@@ -91,20 +86,20 @@
         self.is_overdue
     }
 
-    /// What to learn from it.
-    pub(crate) fn lesson(&self) -> Lesson {
+    /// What it says about the health of its server.
+    pub(crate) fn health_signal(&self) -> HealthSignal {
         match self.outcome {
-            Outcome::NotSent => Lesson::Nothing,
-            Outcome::TimedOut if self.punctuality == Punctuality::Paused => Lesson::Nothing,
-            Outcome::Cancelled if !self.is_silent() => Lesson::Nothing,
-            Outcome::Served => Lesson::Answer,
-            Outcome::Overloaded => Lesson::Overload,
-            Outcome::TimedOut if self.is_newest => Lesson::Timeout,
-            Outcome::TimedOut => Lesson::OutdatedTimeout,
+            Outcome::NotSent => HealthSignal::None,
+            Outcome::TimedOut if self.punctuality == Punctuality::Paused => HealthSignal::None,
+            Outcome::Cancelled if !self.is_silent() => HealthSignal::None,
+            Outcome::Served => HealthSignal::Answer,
+            Outcome::Overloaded => HealthSignal::Overload,
+            Outcome::TimedOut if self.is_newest => HealthSignal::Timeout,
+            Outcome::TimedOut => HealthSignal::OutdatedTimeout,
             Outcome::Error
             | Outcome::Cancelled
             | Outcome::Unreachable
-            | Outcome::ConnectionLost => Lesson::Failure,
+            | Outcome::ConnectionLost => HealthSignal::Failure,
         }
     }
 
@@ -150,10 +145,27 @@
 /// How an attempt ended, as the caller reports it.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptEnd {
-    /// How it ended.
-    pub(crate) outcome: Outcome,
-    /// Reported time since it was sent.
-    pub(crate) elapsed: Ms,
-    /// Whether this aggregator was paused in that time.
-    pub(crate) punctuality: Punctuality,
+    outcome: Outcome,
+    elapsed: Ms,
+    punctuality: Punctuality,
+}
+
+impl AttemptEnd {
+    /// An end with this outcome after this time, in which the aggregator was paused or not.
+    pub(crate) fn new(outcome: Outcome, elapsed: Ms, punctuality: Punctuality) -> Self {
+        AttemptEnd {
+            outcome,
+            elapsed,
+            punctuality,
+        }
+    }
+
+    /// The reported time if it is a number, or else the time since the attempt was sent.
+    fn valid_elapsed(&self, now: Ms, sent_at: Ms) -> Ms {
+        if self.elapsed.is_finite() {
+            self.elapsed.max(0.0)
+        } else {
+            now - sent_at
+        }
+    }
 }
--- a/crates/fanout-policy/src/policy/fanout_width.rs
+++ b/crates/fanout-policy/src/policy/fanout_width.rs
@@ -47,7 +47,7 @@
     }
 
     /// Counts an attempt that ended without a sign of overload.
-    pub(crate) fn record_success(&mut self) {
+    pub(crate) fn record_normal_end(&mut self) {
         self.ended += 1;
     }
 
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -12,17 +12,6 @@
 /// shortest latency objectives.
 const ERROR_PENALTY_OBJECTIVES: f64 = 0.5;
 
-/// Forecast for the parts of a query, each at its best holder.
-#[derive(Default)]
-pub(crate) struct QueryForecast {
-    /// Mean latency.
-    pub(crate) mean: Ms,
-    /// Latency of the slowest part.
-    pub(crate) slowest: Ms,
-    /// Total work.
-    pub(crate) work: Ms,
-}
-
 /// Forecasts latencies for one batch.
 #[derive(Clone, Copy)]
 pub(crate) struct Forecaster<'a> {
@@ -74,12 +63,7 @@
     }
 
     /// Work that an attempt for a part adds at a server.
-    pub(crate) fn attempt_work(
-        &self,
-        query: &InFlightQuery,
-        part: &PartState,
-        server: ServerIndex,
-    ) -> Ms {
+    fn attempt_work(&self, query: &InFlightQuery, part: &PartState, server: ServerIndex) -> Ms {
         self.part_cost(query, part) + self.call_cost(server)
     }
 
@@ -103,21 +87,24 @@
         }
     }
 
-    /// Forecast for all parts of a query that has arrived.
-    pub(crate) fn query(&self, query: &InFlightQuery) -> QueryForecast {
-        let mut forecast = QueryForecast::default();
-        for part in query.parts() {
-            let work = self.part_cost(query, part);
-            forecast.work += work;
-            let holders = self.fleet.holders(part.shard()).iter();
-            let latencies = holders.map(|server| self.latency(*server, query.class(), work));
-            let best = latencies.fold(f64::INFINITY, f64::min);
-            if best.is_finite() {
-                forecast.mean += best / query.parts().len() as f64;
-                forecast.slowest = forecast.slowest.max(best);
-            }
-        }
-        forecast
+    /// Forecast time until the answer to an attempt for a part that is sent now.
+    pub(crate) fn attempt_latency(
+        &self,
+        query: &InFlightQuery,
+        part: &PartState,
+        server: ServerIndex,
+    ) -> Ms {
+        let work = self.attempt_work(query, part, server);
+        self.latency(server, query.class(), work)
+    }
+
+    /// Forecast time until the answer to a part from its best holder, if it has any.
+    pub(crate) fn best_latency(&self, query: &InFlightQuery, part: &PartState) -> Option<Ms> {
+        let work = self.part_cost(query, part);
+        let holders = self.fleet.holders(part.shard()).iter();
+        let latencies = holders.map(|server| self.latency(*server, query.class(), work));
+        let best = latencies.fold(f64::INFINITY, f64::min);
+        best.is_finite().then_some(best)
     }
 
     /// By how much queries of the same class take longer than forecast.
--- a/crates/fanout-policy/src/policy/latency.rs
+++ b/crates/fanout-policy/src/policy/latency.rs
@@ -3,16 +3,11 @@
 //! [`LatencyEstimator`] owns the estimate of one server, [`FleetLatency`] that of the whole fleet.
 
 use super::batch_timer::CONTROL_INTERVAL_MS;
+use super::smoothing::{DECAY_SHARE, SAMPLE_WEIGHT};
 use crate::api::Ms;
 use crate::queries::InFlightAttempt;
 use crate::statistics::smooth;
 
-/// Weight of a sample in a moving average: about the last five samples count.
-pub(crate) const SAMPLE_WEIGHT: f64 = 0.2;
-/// Weight of a sample that must count sooner: an overdue answer, or a failure within one class.
-pub(crate) const STRONG_SAMPLE_WEIGHT: f64 = 0.3;
-/// Share by which statistics without new samples return to their defaults in each control interval.
-pub(crate) const DECAY_SHARE: f64 = 0.12;
 /// Lower bound of a latency per work used as a divisor, in ms per ms of work.
 pub(crate) const MIN_LATENCY_PER_WORK: f64 = 0.2;
 /// Lower bound of the share of its capacity that a server is assumed to have when it is back.
--- a/crates/fanout-policy/src/policy/load_gossip.rs
+++ b/crates/fanout-policy/src/policy/load_gossip.rs
@@ -7,9 +7,9 @@
 use super::batch_timer::CONTROL_INTERVAL_MS;
 use super::gossip_codec::{GossipEntry, GossipStatus, ShortName};
 use super::outlier_detection::EjectionJitter;
-use super::outstanding_work::PeerStatus;
+use super::outstanding_work::PeerReport;
 use crate::api::Ms;
-use crate::fleet::{Fleet, PeerReport, Server, ServerIndex};
+use crate::fleet::{Fleet, Server, ServerIndex};
 use crate::random::RandomSource;
 use std::collections::BTreeSet;
 
@@ -96,18 +96,13 @@
         let jitter = EjectionJitter::draw(random);
         let ejection = jitter.peer_ejection(batch.shortest_objective());
         for entry in entries {
-            let (work, status) = match entry.status {
-                GossipStatus::Failing => (0.0, PeerStatus::Failing),
-                GossipStatus::Work { steps } => (steps * work_step(batch), PeerStatus::Answering),
+            let report = match entry.status {
+                GossipStatus::Failing => PeerReport::Failing { ejection },
+                GossipStatus::Work { steps } => PeerReport::Answering {
+                    work: steps * work_step(batch),
+                },
             };
-            let report = PeerReport {
-                peer: message.from,
-                server: entry.server,
-                work,
-                status,
-                ejection,
-            };
-            fleet.on_peer_report(batch, &report);
+            fleet.on_peer_report(batch, message.from, entry.server, report);
         }
     }
 
@@ -120,10 +115,15 @@
 /// A message of another aggregator.
 #[derive(Clone, Copy)]
 pub(crate) struct GossipMessage<'a> {
-    /// Index of the sender.
-    pub(crate) from: usize,
-    /// The encoded entries.
-    pub(crate) bytes: &'a [u8],
+    from: usize,
+    bytes: &'a [u8],
+}
+
+impl<'a> GossipMessage<'a> {
+    /// A message from the aggregator with this index.
+    pub(crate) fn new(from: usize, bytes: &'a [u8]) -> Self {
+        GossipMessage { from, bytes }
+    }
 }
 
 /// What to publish about a server. Without this, a server that others have loaded looks idle.
--- a/crates/fanout-policy/src/policy/mod.rs
+++ b/crates/fanout-policy/src/policy/mod.rs
@@ -54,6 +54,7 @@
 pub(crate) mod server_health;
 pub(crate) mod server_selection;
 pub(crate) mod slow_start;
+pub(crate) mod smoothing;
 pub(crate) mod tenant_quotas;
 pub(crate) mod time_limits;
 pub(crate) mod zone_silence;
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -41,24 +41,24 @@
     }
 }
 
-/// Time from which a server's ejections are derived.
+/// What the length of an ejection depends on besides the server.
 #[derive(Clone, Copy)]
-pub(crate) struct EjectionScale {
+pub(crate) struct EjectionContext {
     now: Ms,
     shortest_objective: Ms,
     send_interval: Ms,
     jitter: EjectionJitter,
 }
 
-impl EjectionScale {
-    /// The scale at this time, with the mean time between this aggregator's sends to one server.
+impl EjectionContext {
+    /// The context at this time, with the mean time between this aggregator's sends to one server.
     pub(crate) fn new(
         now: Ms,
         shortest_objective: Ms,
         send_interval: Ms,
         jitter: EjectionJitter,
     ) -> Self {
-        EjectionScale {
+        EjectionContext {
             now,
             shortest_objective,
             send_interval,
@@ -123,34 +123,34 @@
     }
 
     /// Ejects a server that rejected a part for lack of capacity.
-    pub(crate) fn on_overload(&mut self, scale: &EjectionScale) {
-        let objective = scale.shortest_objective;
+    pub(crate) fn on_overload(&mut self, context: &EjectionContext) {
+        let objective = context.shortest_objective;
         let max = MAX_EJECTION_OBJECTIVES * objective;
         let min = (FIRST_OVERLOAD_EJECTION_OBJECTIVES * objective)
-            .max(FIRST_OVERLOAD_EJECTION_SENDS * scale.send_interval);
+            .max(FIRST_OVERLOAD_EJECTION_SENDS * context.send_interval);
         self.duration = (self.duration * EJECTION_GROWTH_FACTOR).clamp(min.min(max), max);
-        self.overloaded_until = scale.now + self.duration * scale.jitter.0;
+        self.overloaded_until = context.now + self.duration * context.jitter.0;
         self.ejected_until = self.overloaded_until;
     }
 
     /// Ejects a server that fails or cannot be reached, if it is not ejected yet.
-    pub(crate) fn on_failure(&mut self, verdict: FailureVerdict, scale: &EjectionScale) {
+    pub(crate) fn on_failure(&mut self, verdict: FailureVerdict, context: &EjectionContext) {
         // An unreachable server is ejected beyond the next sends to it, or each of them
         // would fail as well.
         let interval = match verdict {
             FailureVerdict::Tolerable => return,
             FailureVerdict::Failing => 0.0,
-            FailureVerdict::Unreachable => scale.send_interval,
+            FailureVerdict::Unreachable => context.send_interval,
         };
-        if self.is_ejected(scale.now) {
+        if self.is_ejected(context.now) {
             return;
         }
-        let objective = scale.shortest_objective;
+        let objective = context.shortest_objective;
         let min = interval.max(FIRST_EJECTION_OBJECTIVES * objective);
         let max =
             (MAX_UNREACHABLE_EJECTION_SENDS * interval).max(MAX_EJECTION_OBJECTIVES * objective);
         self.duration = (self.duration * EJECTION_GROWTH_FACTOR).clamp(min, max);
-        self.ejected_until = scale.now + self.duration * scale.jitter.0;
+        self.ejected_until = context.now + self.duration * context.jitter.0;
         if verdict == FailureVerdict::Unreachable {
             self.unreachable_until = self.ejected_until;
         }
--- a/crates/fanout-policy/src/policy/outstanding_work.rs
+++ b/crates/fanout-policy/src/policy/outstanding_work.rs
@@ -17,21 +17,37 @@
 /// Most work that a load report may state, in latency objectives at the fleet's latency.
 const MAX_REPORTED_WORK_OBJECTIVES: f64 = 3.0;
 
+/// What an aggregator that has not reported is assumed to do.
+const NO_REPORT: PeerReport = PeerReport::Answering { work: 0.0 };
+
 /// What another aggregator published about a server.
-#[derive(Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) enum PeerStatus {
-    /// Its attempts there are answered.
-    #[default]
-    Answering,
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum PeerReport {
     /// Its attempts there have just failed.
-    Failing,
+    Failing {
+        /// Time for which the server is ejected.
+        ejection: Ms,
+    },
+    /// Its attempts there are answered.
+    Answering {
+        /// Its outstanding work there.
+        work: Ms,
+    },
+}
+
+impl PeerReport {
+    fn work(self) -> Ms {
+        match self {
+            PeerReport::Failing { .. } => 0.0,
+            PeerReport::Answering { work } => work,
+        }
+    }
 }
 
 /// The newest report of another aggregator about a server.
-#[derive(Clone, Copy, Default)]
-struct PeerLoadReport {
-    work: Ms,
-    status: PeerStatus,
+#[derive(Clone, Copy)]
+struct ReceivedReport {
+    report: PeerReport,
     received_at: Ms,
 }
 
@@ -62,7 +78,7 @@
     /// Work of the other aggregators, the sum of their reports.
     published: Ms,
     /// The newest report of each other aggregator.
-    peer_reports: BTreeMap<usize, PeerLoadReport>,
+    peer_reports: BTreeMap<usize, ReceivedReport>,
     /// Work of other aggregators according to the server's own load report.
     reported: Ms,
     /// When that load report first arrived.
@@ -143,31 +159,30 @@
         }
     }
 
-    /// Replaces the report of another aggregator and returns the status that the previous
-    /// one stated.
+    /// Replaces the report of another aggregator and returns the previous one.
     pub(crate) fn replace_peer_report(
         &mut self,
         now: Ms,
         peer: usize,
-        work: Ms,
-        status: PeerStatus,
-    ) -> PeerStatus {
-        let report = PeerLoadReport {
-            work,
-            status,
+        report: PeerReport,
+    ) -> PeerReport {
+        let received = ReceivedReport {
+            report,
             received_at: now,
         };
-        let previous = self.peer_reports.insert(peer, report).unwrap_or_default();
-        self.published = (self.published + work - previous.work).max(0.0);
-        previous.status
+        let previous = self.peer_reports.insert(peer, received);
+        let previous = previous.map_or(NO_REPORT, |previous| previous.report);
+        self.published = (self.published + report.work() - previous.work()).max(0.0);
+        previous
     }
 
     /// Discards the reports of other aggregators that have expired.
     pub(crate) fn expire_peer_reports(&mut self, now: Ms) {
         let deadline = now - PEER_REPORT_LIFETIME_MS;
         self.peer_reports
-            .retain(|_, report| report.received_at > deadline);
-        self.published = self.peer_reports.values().map(|report| report.work).sum();
+            .retain(|_, received| received.received_at > deadline);
+        let reports = self.peer_reports.values();
+        self.published = reports.map(|received| received.report.work()).sum();
     }
 
     /// Takes over the number of requests that the server reports as its load, each with
--- a/crates/fanout-policy/src/policy/retry_after.rs
+++ b/crates/fanout-policy/src/policy/retry_after.rs
@@ -27,7 +27,7 @@
 
 /// How a query ends without an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Refusal {
+pub(crate) enum EndWithoutAnswer {
     /// Rejected: the client may retry.
     Reject {
         /// When the client should retry.
@@ -51,12 +51,12 @@
     }
 
     /// Rejects a query where a retry is safe, and fails it otherwise.
-    pub(crate) fn refuse(&self, query: &InFlightQuery) -> Refusal {
+    pub(crate) fn decide(&self, query: &InFlightQuery) -> EndWithoutAnswer {
         let retry_after = self.retry_after(query);
         if self.is_retry_safe(query, retry_after) {
-            Refusal::Reject { retry_after }
+            EndWithoutAnswer::Reject { retry_after }
         } else {
-            Refusal::Fail
+            EndWithoutAnswer::Fail
         }
     }
 
--- a/crates/fanout-policy/src/policy/retry_budget.rs
+++ b/crates/fanout-policy/src/policy/retry_budget.rs
@@ -16,6 +16,11 @@
 /// Least number of hedged requests per accepted query or part among many aggregators.
 const MIN_HEDGES_PER_REQUEST: f64 = 0.1;
 
+/// Permission to send one retry or hedged request. It counts against the budget only once it is
+/// used.
+#[must_use]
+pub(crate) struct RetryPermit(());
+
 /// Requests accepted and further attempts sent in the budget's sliding window.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
@@ -31,23 +36,23 @@
         self.accepted.record(now);
     }
 
-    /// Counts a retry or a hedged request that is sent.
-    pub(crate) fn record_sent(&mut self, now: Ms) {
-        self.sent.record(now);
+    /// Permission for one more retry, if the window allows it. Discards what lies before
+    /// the window.
+    pub(crate) fn try_acquire_retry(&mut self, batch: &BatchContext) -> Option<RetryPermit> {
+        self.try_acquire(batch, &budget(batch, 1.0))
     }
 
-    /// Discards what lies before the window, and returns whether one more retry is allowed.
-    pub(crate) fn allows_retry(&mut self, batch: &BatchContext) -> bool {
-        self.discard_expired(batch);
-        self.is_within(&budget(batch, 1.0))
+    /// Permission for one more hedged request, if the window allows it. Discards what lies
+    /// before the window. By default many aggregators hedge less, down to the slowest tenth
+    /// of parts: their hedges add up and go to servers of whose load one aggregator knows
+    /// little.
+    pub(crate) fn try_acquire_hedge(&mut self, batch: &BatchContext) -> Option<RetryPermit> {
+        self.try_acquire(batch, &budget(batch, batch.load_visibility()))
     }
 
-    /// Discards what lies before the window, and returns whether one more hedged request is
-    /// allowed. By default many aggregators hedge less, down to the slowest tenth of parts:
-    /// their hedges add up and go to servers of whose load one aggregator knows little.
-    pub(crate) fn allows_hedge(&mut self, batch: &BatchContext) -> bool {
-        self.discard_expired(batch);
-        self.is_within(&budget(batch, batch.load_visibility()))
+    /// Counts an attempt that is sent with a permission.
+    pub(crate) fn record_sent(&mut self, now: Ms, _permit: RetryPermit) {
+        self.sent.record(now);
     }
 
     /// Discards what lies before the window. The settings do not say whether the ends of
@@ -68,9 +73,15 @@
         window * servers as f64 / accepted.max(1) as f64
     }
 
-    fn is_within(&self, budget: &BudgetSettings) -> bool {
+    fn try_acquire(
+        &mut self,
+        batch: &BatchContext,
+        budget: &BudgetSettings,
+    ) -> Option<RetryPermit> {
+        self.discard_expired(batch);
         let allowed = budget.free_attempts + budget.per_request * self.accepted.len() as f64;
-        (self.sent.len() + 1) as f64 <= allowed
+        let is_within_budget = (self.sent.len() + 1) as f64 <= allowed;
+        is_within_budget.then_some(RetryPermit(()))
     }
 }
 
--- a/crates/fanout-policy/src/policy/server_health.rs
+++ b/crates/fanout-policy/src/policy/server_health.rs
@@ -2,7 +2,8 @@
 //!
 //! [`ServerHealth`] owns the error rates and consecutive failures of one server.
 
-use super::latency::{DECAY_SHARE, SAMPLE_WEIGHT, STRONG_SAMPLE_WEIGHT};
+use super::ended_attempt::EndedAttempt;
+use super::smoothing::{DECAY_SHARE, SAMPLE_WEIGHT, STRONG_SAMPLE_WEIGHT};
 use crate::api::{Ms, Outcome};
 use crate::queries::InFlightAttempt;
 use crate::statistics::{decay, smooth};
@@ -101,25 +102,16 @@
         self.consecutive_failures >= FAILING_CONSECUTIVE_FAILURES
     }
 
-    /// Whether an attempt was sent after the newest one that was served.
-    pub(crate) fn is_newest(&self, attempt: &InFlightAttempt) -> bool {
-        attempt.sent_at > self.last_served_sent_at
-    }
-
     /// Updates the error rate of the attempt's class. An overdue attempt counts as failed
     /// if none of its class that was sent later has been served.
-    pub(crate) fn record_class_outcome(
-        &mut self,
-        attempt: &InFlightAttempt,
-        outcome: Outcome,
-        is_overdue: bool,
-    ) {
+    pub(crate) fn record_class_outcome(&mut self, ended: &EndedAttempt) {
+        let attempt = ended.attempt();
         let health = self.by_class.entry(attempt.class).or_default();
-        let is_lost = is_overdue && attempt.sent_at > health.last_served_sent_at;
-        if outcome == Outcome::Served {
+        let is_lost = ended.is_overdue() && attempt.sent_at > health.last_served_sent_at;
+        if ended.outcome() == Outcome::Served {
             decay(&mut health.error_rate, STRONG_SAMPLE_WEIGHT);
             health.last_served_sent_at = health.last_served_sent_at.max(attempt.sent_at);
-        } else if is_lost || outcome == Outcome::Error {
+        } else if is_lost || ended.outcome() == Outcome::Error {
             smooth(&mut health.error_rate, STRONG_SAMPLE_WEIGHT, 1.0);
         }
     }
@@ -147,10 +139,10 @@
     /// Learns from an attempt that failed.
     pub(crate) fn record_failure(
         &mut self,
-        attempt: &InFlightAttempt,
-        outcome: Outcome,
+        ended: &EndedAttempt,
         shortest_objective: Ms,
     ) -> FailureVerdict {
+        let outcome = ended.outcome();
         smooth(&mut self.error_rate, SAMPLE_WEIGHT, 1.0);
         self.consecutive_failures += 1;
         // A server that answered what was sent later, or just before, has lost a
@@ -159,7 +151,7 @@
             self.last_served_sent_at + RECENT_ANSWER_OBJECTIVES * shortest_objective;
         let is_unreachable = match outcome {
             Outcome::Unreachable => true,
-            Outcome::ConnectionLost => answered_until <= attempt.sent_at,
+            Outcome::ConnectionLost => answered_until <= ended.attempt().sent_at,
             _ => false,
         };
         self.is_unresponsive |= is_unreachable || outcome == Outcome::TimedOut;
@@ -172,14 +164,15 @@
         }
     }
 
-    /// Lets the error rates return to zero, that of the server only while no attempt of it
-    /// is in flight.
-    pub(crate) fn decay(&mut self, has_no_attempt_in_flight: bool) {
+    /// Lets the error rate of the server return to zero.
+    pub(crate) fn decay_error_rate(&mut self) {
+        decay(&mut self.error_rate, DECAY_SHARE);
+    }
+
+    /// Lets the error rates of all classes return to zero.
+    pub(crate) fn decay_class_error_rates(&mut self) {
         for health in self.by_class.values_mut() {
             decay(&mut health.error_rate, DECAY_SHARE);
         }
-        if has_no_attempt_in_flight {
-            decay(&mut self.error_rate, DECAY_SHARE);
-        }
     }
 }
--- a/crates/fanout-policy/src/policy/slow_start.rs
+++ b/crates/fanout-policy/src/policy/slow_start.rs
@@ -5,7 +5,7 @@
 
 use super::batch_context::BatchContext;
 use super::batch_timer::CONTROL_INTERVAL_MS;
-use super::latency::SAMPLE_WEIGHT;
+use super::smoothing::SAMPLE_WEIGHT;
 use crate::api::{Ms, WarmUp};
 use crate::statistics::smooth;
 use std::collections::VecDeque;
