--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -100,7 +100,6 @@
 mod aggregator;
 pub mod api;
 mod fleet;
-pub mod json;
 mod policy;
 mod queries;
 mod random;
--- a/crates/http2-flood-guard/src/guard.rs
+++ b/crates/http2-flood-guard/src/guard.rs
@@ -1,6 +1,7 @@
 //! The guard of one connection and its limits.
 
-use crate::frame_scanner::{FrameHeader, FrameKind, FrameScanner};
+use crate::frame::{FrameHeader, FrameKind};
+use crate::frame_scanner::FrameScanner;
 use crate::token_bucket::TokenBucket;
 use crate::violation::Violation;
 use broker_types::time::Timestamp;
@@ -49,6 +50,7 @@
     tokens: TokenBucket,
     scanner: FrameScanner,
     incomplete_since: Option<Timestamp>,
+    /// Whether the client has sent its first SETTINGS frame, which completes the start of a connection.
     has_received_settings: bool,
     /// Length of the current header block so far, in bytes; 0 between header blocks.
     header_block_bytes: u32,
@@ -109,12 +111,6 @@
         self.incomplete_since
     }
 
-    /// Whether the client has sent its first SETTINGS frame, which completes the start of a connection.
-    #[must_use]
-    pub fn has_received_settings(&self) -> bool {
-        self.has_received_settings
-    }
-
     fn on_frame(&mut self, now: Timestamp, frame: FrameHeader) -> Result<(), Violation> {
         let is_first = !std::mem::replace(&mut self.has_received_settings, true);
         if is_first && frame.kind != FrameKind::Settings {
--- a/crates/http2-flood-guard/src/token_bucket.rs
+++ b/crates/http2-flood-guard/src/token_bucket.rs
@@ -7,7 +7,7 @@
 
 /// Tokens that refill at a constant rate up to a capacity.
 #[derive(Clone, Copy, Debug)]
-pub struct TokenBucket {
+pub(crate) struct TokenBucket {
     /// In millionths of a token, like `level`.
     capacity: u64,
     refill_per_second: u64,
@@ -18,8 +18,7 @@
 
 impl TokenBucket {
     /// Creates a full bucket of `capacity` tokens, which refills by `refill_per_second` tokens a second.
-    #[must_use]
-    pub fn new(now: Timestamp, capacity: u32, refill_per_second: u32) -> Self {
+    pub(crate) fn new(now: Timestamp, capacity: u32, refill_per_second: u32) -> Self {
         let capacity = u64::from(capacity) * MILLIONTHS_PER_TOKEN;
         TokenBucket {
             capacity,
@@ -30,7 +29,7 @@
     }
 
     /// Takes tokens if there are enough, and returns whether that was the case. Otherwise none is taken.
-    pub fn try_take(&mut self, now: Timestamp, tokens: u32) -> bool {
+    pub(crate) fn try_take(&mut self, now: Timestamp, tokens: u32) -> bool {
         self.refill(now);
         let cost = u64::from(tokens) * MILLIONTHS_PER_TOKEN;
         let is_affordable = self.level >= cost;
@@ -41,7 +40,7 @@
     }
 
     /// Adds tokens. Those beyond the capacity are lost.
-    pub fn add(&mut self, tokens: u32) {
+    pub(crate) fn add(&mut self, tokens: u32) {
         self.add_millionths(u64::from(tokens) * MILLIONTHS_PER_TOKEN);
     }
 
@@ -56,3 +55,6 @@
         self.level = self.level.saturating_add(millionths).min(self.capacity);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/http2-flood-guard/tests/token_bucket.rs
+++ b/crates/http2-flood-guard/src/token_bucket/tests.rs
@@ -1,7 +1,7 @@
 //! The token bucket by itself.
 
+use super::TokenBucket;
 use broker_types::time::Timestamp;
-use http2_flood_guard::TokenBucket;
 
 /// A time in microseconds.
 const fn at(micros: u64) -> Timestamp {
--- a/crates/query-broker/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -3,18 +3,21 @@
 use clap::{Args, Parser, Subcommand};
 use clap_complete::Shell;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use std::path::PathBuf;
+use std::time::Duration;
+use thiserror::Error;
 
 /// The program in one sentence.
-const ABOUT: &str = "A query broker: clients ask it over HTTP, it asks the data servers that hold the parts of each \
-    query, and answers";
+const ABOUT: &str = "A query broker: accepts queries over HTTP, sends calls to the data servers that hold the parts \
+    of each query, and responds with the combined answer";
 
 /// The program in a few sentences.
-const LONG_ABOUT: &str = "A query broker: clients ask it over HTTP, it asks the data servers that hold the parts of \
-    each query, and answers.\n\n\
-    Without a sub-command it serves. What it serves is said by the platform's configuration, JSON, at the path in \
-    RELAY_CONFIG; RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY go before that file. SIGHUP reads it again, SIGTERM and \
-    Ctrl-C end the program in order.";
+const LONG_ABOUT: &str = "A query broker: accepts queries over HTTP, sends calls to the data servers that hold the \
+    parts of each query, and responds with the combined answer.\n\n\
+    Without a sub-command it serves. It is configured by the platform's JSON file at the path in RELAY_CONFIG; \
+    RELAY_NAME, RELAY_LISTEN and RELAY_DISCOVERY override values of that file. SIGHUP reloads the configuration. \
+    SIGTERM and Ctrl-C shut the program down gracefully.";
 
 /// The command line.
 #[derive(Debug, Parser)]
@@ -27,15 +30,15 @@
 
 #[derive(Debug, Subcommand)]
 pub(crate) enum Command {
-    /// Serve, with the operator's own file beside the platform's configuration
+    /// Serve, with an operator's file in addition to the platform's configuration
     Serve(ServeArguments),
-    /// Check an operator's file: 0 if it can be used, 1 with every fault in it
+    /// Check an operator's file: exits with 0 if it is valid, otherwise prints all its errors and exits with 1
     Check(CheckArguments),
-    /// Serve on this machine alone: a broker with test doubles of data servers, until Ctrl-C
+    /// Run a broker with test doubles of data servers on this machine until Ctrl-C
     Demo(DemoArguments),
     /// Measure both listeners side by side, against test doubles on this machine
     Bench(BenchArguments),
-    /// Print completions for a shell
+    /// Print the completion script for a shell
     Completions {
         /// The shell
         shell: Shell,
@@ -44,7 +47,7 @@
 
 #[derive(Args, Debug)]
 pub(crate) struct ServeArguments {
-    /// The operator's own file; without it, only the platform's configuration holds
+    /// The operator's file; without it, only the platform's configuration applies
     #[arg(long, value_name = "FILE")]
     pub(crate) config: Option<PathBuf>,
 }
@@ -54,48 +57,60 @@
     /// The file
     #[arg(value_name = "FILE", required_unless_present = "keywords")]
     pub(crate) file: Option<PathBuf>,
-    /// Print the faults as JSON
+    /// Print the errors as JSON
     #[arg(long)]
     pub(crate) json: bool,
-    /// Print what may stand in such a file, and when a change takes effect
+    /// Print all keywords of such a file, and when a change of each takes effect
     #[arg(long, conflicts_with = "file")]
     pub(crate) keywords: bool,
 }
 
 #[derive(Args, Debug)]
 pub(crate) struct DemoArguments {
-    /// Where clients with HTTP/1.1 connect
+    /// Address of the HTTP/1.1 listener
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8080")]
     pub(crate) listen: SocketAddr,
-    /// Where clients with HTTP/2 connect
+    /// Address of the HTTP/2 listener
     #[arg(long, value_name = "ADDR", default_value = "127.0.0.1:8081")]
     pub(crate) http2: SocketAddr,
-    /// Test doubles of data servers
+    /// Number of test doubles of data servers
     #[arg(long, value_name = "N", default_value_t = 4, value_parser = clap::value_parser!(u16).range(1..=64))]
     pub(crate) servers: u16,
 }
 
 #[derive(Args, Debug)]
 pub(crate) struct BenchArguments {
-    /// How long each measurement takes, in seconds
-    #[arg(long, value_name = "S", default_value_t = 5.0, value_parser = seconds)]
-    pub(crate) seconds: f64,
+    /// Duration of each measurement, in seconds
+    #[arg(long = "seconds", value_name = "S", default_value = "5", value_parser = parse_measurement_duration)]
+    pub(crate) duration: Duration,
     /// Print the figures as JSON
     #[arg(long)]
     pub(crate) json: bool,
-    /// Another build of the broker, to be measured in place of this one
+    /// Executable of another build of the broker, to measure in place of this one
     #[arg(long, value_name = "FILE")]
     pub(crate) exe: Option<PathBuf>,
-    /// HTTP/1.1 alone, for builds that speak nothing else
+    /// Measure HTTP/1.1 only, for builds without HTTP/2
     #[arg(long)]
     pub(crate) http1_only: bool,
 }
 
-/// Parses the duration of a measurement; the error says what is expected.
-fn seconds(text: &str) -> Result<f64, String> {
-    let number = text
-        .parse()
-        .ok()
-        .filter(|s: &f64| (0.5..=600.0).contains(s));
-    number.ok_or_else(|| "expected seconds, 0.5 to 600".to_owned())
+/// Bounds of the duration of a measurement, in seconds.
+const MEASUREMENT_SECONDS: RangeInclusive<f64> = 0.5..=600.0;
+
+/// The duration of a measurement is not a number of seconds within [`MEASUREMENT_SECONDS`].
+#[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
+#[error("expected seconds, {} to {}", MEASUREMENT_SECONDS.start(), MEASUREMENT_SECONDS.end())]
+struct InvalidMeasurementDuration;
+
+/// Parses the duration of a measurement: a number of seconds without a unit.
+fn parse_measurement_duration(text: &str) -> Result<Duration, InvalidMeasurementDuration> {
+    let seconds: f64 = text.parse().map_err(|_| InvalidMeasurementDuration)?;
+    if MEASUREMENT_SECONDS.contains(&seconds) {
+        Ok(Duration::from_secs_f64(seconds))
+    } else {
+        Err(InvalidMeasurementDuration)
+    }
 }
+
+#[cfg(test)]
+mod tests;
