--- a/crates/fanout-policy/src/policy/ended_attempt.rs
+++ b/crates/fanout-policy/src/policy/ended_attempt.rs
@@ -1,5 +1,7 @@
-//! What the end of an attempt says before any statistics: whether it was overdue, and what to
-//! learn from it.
+//! What the end of an attempt says before any statistics: whether it was overdue, and what
+//! it says about the health of its server.
+//!
+//! [`EndedAttempt`] lives while the components learn from it.
 
 use super::batch_context::BatchContext;
 use super::batch_timer::Punctuality;
--- a/crates/fanout-policy/src/policy/outstanding_work.rs
+++ b/crates/fanout-policy/src/policy/outstanding_work.rs
@@ -14,7 +14,8 @@
 const REPORTED_WORK_DRAIN_SHARE: f64 = 0.5;
 /// Time after which a report of another aggregator expires, since that aggregator may have failed.
 const PEER_REPORT_LIFETIME_MS: Ms = 1.5 * CONTROL_INTERVAL_MS;
-/// Most work that a load report may state, in latency objectives at the fleet's latency.
+/// Most work that a load report may state: what takes this time at the fleet's latency, in
+/// shortest latency objectives.
 const MAX_REPORTED_WORK_OBJECTIVES: f64 = 3.0;
 
 /// What an aggregator that has not reported is assumed to do.
