--- a/crates/platform-config/src/resources.rs
+++ b/crates/platform-config/src/resources.rs
@@ -3,11 +3,10 @@
 use crate::ConfigError;
 use admission::resource_limits::ClientResources;
 use broker_types::limits::PoolLimits;
-use broker_types::time::{millis, whole_micros};
+use broker_types::time::millis;
 use fanout_policy::settings::SiteSettings;
 
-/// Descriptors that are used at the most, and where the configuration names no limit: the least that deployments
-/// give.
+/// Most descriptors that are used, and those that are assumed where the configuration names no limit.
 pub(crate) const MAX_DESCRIPTORS: u64 = 1024;
 /// Least limit on descriptors to serve with.
 const MIN_DESCRIPTORS: u64 = 64;
@@ -24,8 +23,7 @@
 /// Most memory of an HTTP/1.1 connection while it sends a request, in bytes.
 const HTTP1_CONNECTION_BYTES: u64 = 128 * 1024;
 
-/// Time to establish a connection to a data server where the settings name none, in milliseconds: a figure that is
-/// harmless where a deployment says nothing.
+/// Time to establish a connection to a data server where the settings name none, in milliseconds.
 const DEFAULT_DIAL_TIMEOUT_MS: f64 = 250.0;
 /// Idle time after which a data server closes a connection where the settings name none, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
@@ -77,12 +75,8 @@
             max_connections: (self.connection_descriptors / 3) as usize,
             max_parts_per_call,
             max_parts_per_connection: max_parts_per_connection.max(max_parts_per_call),
-            dial_timeout: whole_micros(millis(
-                site.dial_timeout.unwrap_or(DEFAULT_DIAL_TIMEOUT_MS),
-            )),
-            idle_timeout: whole_micros(millis(
-                site.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT_MS),
-            )),
+            dial_timeout: millis(site.dial_timeout.unwrap_or(DEFAULT_DIAL_TIMEOUT_MS)),
+            idle_timeout: millis(site.idle_timeout.unwrap_or(DEFAULT_IDLE_TIMEOUT_MS)),
         }
     }
 }
