--- a/crates/fanout-policy/tests/policy/admission.rs
+++ b/crates/fanout-policy/tests/policy/admission.rs
@@ -1,17 +1,14 @@
 //! Admission of queries, and the retry-after value of rejected ones.
 
 use crate::common::{
-    Harness, SentAttempt, answer_queries, attempt_ended, class, final_responses, rejected, ring,
-    ring_with_class, sent_attempts, served,
+    Harness, SentAttempt, answer_queries, class, class_without_late_weight, final_responses,
+    rejected, ring, ring_with_class, sent_attempts, served,
 };
 use fanout_policy::api::{Action, Class, Ms, Outcome, Settings};
 
 #[test]
 fn timeouts_make_admission_reject_with_retry_after() {
-    let class = Class {
-        late_weight: 0.0,
-        ..class()
-    };
+    let class = class_without_late_weight();
     let mut policy = Harness::new(
         Settings {
             classes: vec![class],
@@ -39,10 +36,7 @@
 fn client_retry_past_its_objective_is_recognized_by_its_shorter_deadline() {
     // The client's timeout over all its attempts is 4000 ms: with 2000 ms left instead of the usual 3500 ms, its first
     // attempt was 2000 ms ago.
-    let class = Class {
-        late_weight: 0.0,
-        ..class()
-    };
+    let class = class_without_late_weight();
     let mut policy = Harness::new(ring_with_class(class), 1);
     answer_queries(&mut policy, 20, 3500.0);
     let events = policy.query_events("again", 0, &[0], 2000.0);
@@ -56,10 +50,7 @@
 
 #[test]
 fn one_long_client_timeout_does_not_make_other_queries_retries() {
-    let class = Class {
-        late_weight: 0.0,
-        ..class()
-    };
+    let class = class_without_late_weight();
     let mut policy = Harness::new(ring_with_class(class), 1);
     answer_queries(&mut policy, 10, 2500.0);
     answer_queries(&mut policy, 1, 4000.0);
@@ -71,10 +62,7 @@
 fn past_overload_does_not_reject_queries_of_an_idle_fleet_for_good() {
     // Queries end long after their forecast, at servers whose answers show the usual latency. A class with a much larger
     // weight leaves this one the least share of its time.
-    let low_weight = Class {
-        late_weight: 0.0,
-        ..class()
-    };
+    let low_weight = class_without_late_weight();
     let high_weight = Class {
         priority_weight: 50.0,
         ..low_weight.clone()
@@ -89,10 +77,7 @@
     );
     let events = policy.query_events("high", 1, &[0], 4000.0);
     let sent = sent_attempts(&policy.advance(5.0, events));
-    policy.advance(
-        20.0,
-        vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)],
-    );
+    policy.end_attempt(&sent[0].part, 0, Outcome::Served, 20.0);
     let admitted: Vec<bool> = (0..60)
         .map(|k| {
             let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
@@ -181,10 +166,7 @@
         1,
     );
     policy.submit("q", &[0]);
-    policy.advance(
-        5.0,
-        vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)],
-    );
+    policy.end_attempt("q.0", 0, Outcome::Unreachable, 5.0);
     let actions = policy.submit("next", &[0, 1]);
     assert_eq!(
         (sent_attempts(&actions), final_responses(&actions)),
@@ -231,10 +213,7 @@
 
 #[test]
 fn query_is_rejected_immediately_while_all_replicas_are_overloaded() {
-    let class = Class {
-        late_weight: 0.0,
-        ..class()
-    };
+    let class = class_without_late_weight();
     let settings = Settings {
         classes: vec![class],
         cells: 1,
@@ -251,9 +230,11 @@
         last = open.clone();
         let mut attempt = 0;
         while let Some(SentAttempt { part, .. }) = open.pop() {
-            open.extend(sent_attempts(&policy.advance(
+            open.extend(sent_attempts(&policy.end_attempt(
+                &part,
+                attempt,
+                Outcome::Overloaded,
                 5.0,
-                vec![attempt_ended(&part, attempt, Outcome::Overloaded, 5.0)],
             )));
             attempt += 1;
         }
--- a/crates/fanout-policy/tests/policy/answers.rs
+++ b/crates/fanout-policy/tests/policy/answers.rs
@@ -1,8 +1,8 @@
 //! Final responses: complete, partial, and of queries with a second step.
 
 use crate::common::{
-    Harness, attempt_ended, class, complete_answer, final_responses, part_id, partial_answer,
-    query_id, rejected, ring, ring_with_class, sent_attempts, served,
+    Harness, attempt_ended, class, class_without_late_weight, complete_answer, final_responses,
+    part_id, partial_answer, query_id, rejected, ring, ring_with_class, sent_attempts, served,
 };
 use fanout_policy::api::{Action, Class, Event, Outcome, Part, Settings};
 
@@ -25,27 +25,28 @@
     assert!(final_responses(&late).is_empty() && sent_attempts(&late).is_empty());
 }
 
-#[test]
-fn partial_answer_is_marked_incomplete_and_counts_each_part_once() {
+/// Settings with one class, which may be answered from half of its parts, each of which is sent once.
+fn half_answer_without_retries() -> Settings {
     let class = Class {
         minimum_share: 0.5,
-        late_weight: 0.0,
-        ..class()
+        ..class_without_late_weight()
     };
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            max_attempts: 1,
-            ..ring()
-        },
-        1,
-    );
+    Settings {
+        classes: vec![class],
+        max_attempts: 1,
+        ..ring()
+    }
+}
+
+#[test]
+fn partial_answer_is_marked_incomplete_and_counts_each_part_once() {
+    let mut policy = Harness::new(half_answer_without_retries(), 1);
     policy.submit("q", &[0, 1, 2, 3]);
-    let first = policy.advance(10.0, vec![attempt_ended("q.0", 0, Outcome::Served, 10.0)]);
+    let first = policy.end_attempt("q.0", 0, Outcome::Served, 10.0);
     assert!(final_responses(&first).is_empty());
-    let repeated = policy.advance(10.0, vec![attempt_ended("q.0", 0, Outcome::Served, 10.0)]);
+    let repeated = policy.end_attempt("q.0", 0, Outcome::Served, 10.0);
     assert!(final_responses(&repeated).is_empty(), "a part counts once");
-    policy.advance(10.0, vec![attempt_ended("q.1", 0, Outcome::Served, 10.0)]);
+    policy.end_attempt("q.1", 0, Outcome::Served, 10.0);
     let mut last = Vec::new();
     for _ in 0..250 {
         last.extend(policy.advance(5.0, vec![]));
@@ -83,19 +84,7 @@
 #[test]
 fn partial_answer_waits_for_parts_that_may_still_be_served() {
     // One part of four uses up its attempts early; the others are only slower.
-    let class = Class {
-        minimum_share: 0.5,
-        late_weight: 0.0,
-        ..class()
-    };
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            max_attempts: 1,
-            ..ring()
-        },
-        1,
-    );
+    let mut policy = Harness::new(half_answer_without_retries(), 1);
     policy.submit("q", &[0, 1, 2, 3]);
     let served = |part: &str| attempt_ended(part, 0, Outcome::Served, 20.0);
     let early = vec![
@@ -119,11 +108,11 @@
     };
     let mut policy = Harness::new(ring_with_class(class), 1);
     policy.submit("q", &[0]);
-    let first_step = policy.advance(20.0, vec![attempt_ended("q.0", 0, Outcome::Served, 20.0)]);
+    let first_step = policy.end_attempt("q.0", 0, Outcome::Served, 20.0);
     assert_eq!(final_responses(&first_step), vec![complete_answer("q")]);
     let parts = vec![second_step_part("x", 1, 0.5), second_step_part("y", 1, 0.5)];
     assert_eq!(sent_attempts(&policy.advance(5.0, parts)).len(), 2);
-    let one_served = policy.advance(20.0, vec![attempt_ended("x", 0, Outcome::Served, 20.0)]);
+    let one_served = policy.end_attempt("x", 0, Outcome::Served, 20.0);
     assert!(final_responses(&one_served).is_empty());
     let both_served = policy.advance(5.0, vec![attempt_ended("y", 0, Outcome::Served, 25.0)]);
     assert_eq!(final_responses(&both_served), vec![complete_answer("q")]);
@@ -158,7 +147,7 @@
 fn second_step_is_not_ended_by_a_batch_before_its_parts() {
     let mut policy = Harness::new(second_step_settings(), 1);
     policy.submit("q", &[0]);
-    let first_step = policy.advance(20.0, vec![attempt_ended("q.0", 0, Outcome::Served, 20.0)]);
+    let first_step = policy.end_attempt("q.0", 0, Outcome::Served, 20.0);
     assert_eq!(final_responses(&first_step), vec![complete_answer("q")]);
     let empty_batch = policy.advance(5.0, vec![]);
     assert!(
@@ -176,29 +165,13 @@
     for k in 1..30 {
         let name = format!("u{k}");
         policy.submit(&name, &[0]);
-        policy.advance(
-            20.0,
-            vec![attempt_ended(
-                &format!("{name}.0"),
-                0,
-                Outcome::Served,
-                20.0,
-            )],
-        );
+        policy.end_attempt(&format!("{name}.0"), 0, Outcome::Served, 20.0);
         policy.advance(5.0, vec![second_step_part(&format!("{name}x"), k, 1.0)]);
-        policy.advance(
-            295.0,
-            vec![attempt_ended(
-                &format!("{name}x"),
-                0,
-                Outcome::Served,
-                295.0,
-            )],
-        );
+        policy.end_attempt(&format!("{name}x"), 0, Outcome::Served, 295.0);
     }
     policy.submit("q", &[0, 1]);
     let submitted = policy.now;
-    policy.advance(20.0, vec![attempt_ended("q.0", 0, Outcome::Served, 20.0)]);
+    policy.end_attempt("q.0", 0, Outcome::Served, 20.0);
     while final_responses(&policy.advance(5.0, vec![])).is_empty() {}
     let first_answer = policy.now - submitted;
     assert!(
--- a/crates/fanout-policy/tests/policy/backoff.rs
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -1,6 +1,6 @@
 //! How long unreachable and overloaded servers are avoided.
 
-use crate::common::{Harness, answer_queries, attempt_ended, ring, sent_attempts, served};
+use crate::common::{Harness, answer_queries, ring, sent_attempts, served};
 use fanout_policy::api::{Ms, Outcome};
 
 #[test]
@@ -22,7 +22,7 @@
         } else {
             Outcome::Served
         };
-        let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
+        let more = policy.end_attempt(&sent[0].part, 0, outcome, 20.0);
         let events = served(&sent_attempts(&more), 1, 20.0);
         policy.advance(0.0, events);
     }
@@ -39,7 +39,7 @@
     let mut policy = Harness::new(ring(), 1);
     let first = sent_attempts(&policy.submit("q", &[0]));
     let overloaded = first[0].node.clone();
-    policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Overloaded, 5.0)]);
+    policy.end_attempt("q.0", 0, Outcome::Overloaded, 5.0);
     for k in 0..12 {
         let sent = sent_attempts(&policy.submit(&format!("n{k}"), &[0]));
         let is_avoided = sent.iter().all(|attempt| attempt.node != overloaded);
@@ -58,10 +58,7 @@
 fn unreachable_server_is_avoided_for_the_interval_between_its_parts() {
     let mut policy = Harness::new(ring(), 1);
     policy.submit("q", &[0]);
-    policy.advance(
-        5.0,
-        vec![attempt_ended("q.0", 0, Outcome::Unreachable, 5.0)],
-    );
+    policy.end_attempt("q.0", 0, Outcome::Unreachable, 5.0);
     let until = policy
         .aggregator
         .server_views(policy.now)
@@ -90,7 +87,7 @@
         } else {
             Outcome::Served
         };
-        let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
+        let more = policy.end_attempt(&sent[0].part, 0, outcome, 20.0);
         policy.advance(0.0, served(&sent_attempts(&more), 1, 20.0));
     }
     let gaps: Vec<Ms> = attempt_times
--- a/crates/fanout-policy/tests/policy/common.rs
+++ b/crates/fanout-policy/tests/policy/common.rs
@@ -32,6 +32,14 @@
     }
 }
 
+/// The same class where an answer after the latency objective earns nothing.
+pub fn class_without_late_weight() -> Class {
+    Class {
+        late_weight: 0.0,
+        ..class()
+    }
+}
+
 /// A ring of six cells, three of which hold a shard.
 pub fn ring() -> Settings {
     Settings {
@@ -73,6 +81,23 @@
     }
 }
 
+/// The ring where a part may have one attempt in flight only.
+pub fn ring_without_hedging() -> Settings {
+    Settings {
+        hedging: false,
+        ..ring()
+    }
+}
+
+/// One cell that holds all shards.
+pub fn one_cell() -> Settings {
+    Settings {
+        cells: 1,
+        replica_cells: 1,
+        ..ring()
+    }
+}
+
 /// Two sets of servers, each of which holds every second shard.
 pub fn sets() -> Settings {
     Settings {
@@ -265,6 +290,18 @@
         actions
     }
 
+    /// Advances by this time, at the end of which an attempt ends that took as long.
+    pub fn end_attempt(
+        &mut self,
+        part: &str,
+        attempt: u32,
+        outcome: Outcome,
+        elapsed: Ms,
+    ) -> Vec<Action> {
+        let end = attempt_ended(part, attempt, outcome, elapsed);
+        self.advance(elapsed, vec![end])
+    }
+
     /// The arrival of a query at the next tick, with a part `name.shard` of equal weight for each shard.
     pub fn query_events(
         &mut self,
--- a/crates/fanout-policy/tests/policy/endpoint_list.rs
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! Updates of the endpoint list.
 
 use crate::common::{
-    Harness, SentAttempt, attempt_ended, endpoint, list_event, ring, sent_attempts,
+    Harness, SentAttempt, attempt_ended, endpoint, list_event, one_cell, ring, sent_attempts,
 };
 use fanout_policy::Aggregator;
 use fanout_policy::api::{
@@ -66,14 +66,7 @@
 /// Over time every server is replaced many times under new names: no state may grow with their number.
 #[test]
 fn removed_servers_are_forgotten_once_unreferenced() {
-    let mut policy = Harness::new(
-        Settings {
-            cells: 1,
-            replica_cells: 1,
-            ..ring()
-        },
-        0,
-    );
+    let mut policy = Harness::new(one_cell(), 0);
     let list = |names: &[&str]| {
         let endpoints = names.iter().map(|name| endpoint(name, 0)).collect();
         vec![list_event(ListUpdate::Snapshot, endpoints)]
--- a/crates/fanout-policy/tests/policy/hedging.rs
+++ b/crates/fanout-policy/tests/policy/hedging.rs
@@ -1,6 +1,9 @@
 //! Hedged requests, and cancellation of overdue attempts.
 
-use crate::common::{Harness, answer_queries, attempt_ended, part_id, ring, sent_attempts, served};
+use crate::common::{
+    Harness, answer_queries, attempt_ended, one_cell, part_id, ring, ring_without_hedging,
+    sent_attempts, served,
+};
 use fanout_policy::api::{Action, Event, Outcome, Settings};
 
 #[test]
@@ -46,13 +49,7 @@
 /// overdue one is cancelled first, and the retry is sent once that has ended.
 #[test]
 fn overdue_part_is_cancelled_and_retried_elsewhere_without_hedging() {
-    let mut policy = Harness::new(
-        Settings {
-            hedging: false,
-            ..ring()
-        },
-        1,
-    );
+    let mut policy = Harness::new(ring_without_hedging(), 1);
     let first = sent_attempts(&policy.submit("q", &[0]));
     let cancellation = Action::CancelAttempt {
         part: part_id("q.0"),
@@ -73,13 +70,7 @@
 /// In normal operation an answer that takes slightly longer than forecast will arrive: cancelling it wastes its work.
 #[test]
 fn slightly_late_attempt_is_not_cancelled() {
-    let mut policy = Harness::new(
-        Settings {
-            hedging: false,
-            ..ring()
-        },
-        1,
-    );
+    let mut policy = Harness::new(ring_without_hedging(), 1);
     // Three replicas with three parts each: the last part waits behind two others, and then all replicas are idle.
     let sent: Vec<_> = (0..9)
         .flat_map(|n| sent_attempts(&policy.submit(&format!("t{n}"), &[0])))
@@ -117,14 +108,7 @@
 fn hedge_is_sent_sooner_when_the_other_replica_is_idle() {
     // Two aggregators whose attempt is in flight equally long; one of them has loaded the other replica.
     let batches_until_hedge = |other_is_loaded: bool| {
-        let mut policy = Harness::new(
-            Settings {
-                cells: 1,
-                replica_cells: 1,
-                ..ring()
-            },
-            2,
-        );
+        let mut policy = Harness::new(one_cell(), 2);
         answer_queries(&mut policy, 20, 4000.0);
         let first = sent_attempts(&policy.submit("q", &[0]))[0].clone();
         if other_is_loaded {
--- a/crates/fanout-policy/tests/policy/idempotency.rs
+++ b/crates/fanout-policy/tests/policy/idempotency.rs
@@ -14,12 +14,9 @@
     };
     let mut policy = Harness::new(ring_with_class(class), 1);
     policy.submit("q", &[0]);
-    let retry = policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Overloaded, 5.0)]);
+    let retry = policy.end_attempt("q.0", 0, Outcome::Overloaded, 5.0);
     assert_eq!(sent_attempts(&retry).len(), 1, "a rejected part never ran");
-    let mut after = policy.advance(
-        5.0,
-        vec![attempt_ended("q.0", 1, Outcome::ConnectionLost, 5.0)],
-    );
+    let mut after = policy.end_attempt("q.0", 1, Outcome::ConnectionLost, 5.0);
     for _ in 0..900 {
         after.extend(policy.advance(5.0, vec![]));
     }
@@ -70,10 +67,7 @@
             1,
         );
         policy.submit("q", &[0]);
-        let lost = policy.advance(
-            400.0,
-            vec![attempt_ended("q.0", 0, Outcome::ConnectionLost, 400.0)],
-        );
+        let lost = policy.end_attempt("q.0", 0, Outcome::ConnectionLost, 400.0);
         assert_eq!(final_responses(&lost), vec![failed("q")]);
         assert!(sent_attempts(&lost).is_empty());
     }
@@ -96,9 +90,7 @@
             1,
         );
         policy.submit("q", &[0]);
-        final_responses(
-            &policy.advance(200.0, vec![attempt_ended("q.0", 0, Outcome::Error, 200.0)]),
-        )
+        final_responses(&policy.end_attempt("q.0", 0, Outcome::Error, 200.0))
     };
     assert_eq!(response(1000.0), vec![rejected("q")]);
     assert_eq!(
--- a/crates/fanout-policy/tests/policy/load_reports.rs
+++ b/crates/fanout-policy/tests/policy/load_reports.rs
@@ -1,8 +1,8 @@
 //! Load reports of servers and gossip between aggregators.
 
 use crate::common::{
-    Harness, SentAttempt, answer_queries, attempt_ended, endpoint, list_event, part_id, ring,
-    sent_attempts, servers_of,
+    Harness, SentAttempt, answer_queries, attempt_ended, endpoint, list_event, one_cell, part_id,
+    ring, sent_attempts, servers_of,
 };
 use fanout_policy::api::{Action, Event, ListUpdate, MAX_GOSSIP_BYTES, Ms, Outcome, Settings};
 use std::collections::BTreeSet;
@@ -141,14 +141,7 @@
 #[test]
 fn load_report_moves_parts_to_the_idle_replica() {
     let parts_after_report = |load: f64| {
-        let mut policy = Harness::new(
-            Settings {
-                cells: 1,
-                replica_cells: 1,
-                ..ring()
-            },
-            2,
-        );
+        let mut policy = Harness::new(one_cell(), 2);
         answer_queries(&mut policy, 4, 4000.0);
         let sent = sent_attempts(&policy.submit("q", &[0]))[0].clone();
         policy.advance(20.0, vec![served_with_load(&sent.part, 20.0, load)]);
@@ -207,10 +200,7 @@
     for k in 0..count {
         let sent = sent_attempts(&policy.submit(&format!("{name}{k}"), &[0]));
         nodes.insert(sent[0].node.clone());
-        policy.advance(
-            20.0,
-            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)],
-        );
+        policy.end_attempt(&sent[0].part, 0, Outcome::Served, 20.0);
     }
     nodes
 }
@@ -226,10 +216,7 @@
     let mut count = 0;
     for k in 0..queries {
         let sent = sent_attempts(&policy.submit(&format!("n{k}-{}", policy.now), &[0]));
-        policy.advance(
-            20.0,
-            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)],
-        );
+        policy.end_attempt(&sent[0].part, 0, Outcome::Served, 20.0);
         count += usize::from(sent[0].node == node);
     }
     count
--- a/crates/fanout-policy/tests/policy/outlier_detection.rs
+++ b/crates/fanout-policy/tests/policy/outlier_detection.rs
@@ -12,10 +12,7 @@
     let mut policy = Harness::new(ring(), 1);
     for k in 0..6 {
         let sent = sent_attempts(&policy.submit(&format!("w{k}"), &[0]));
-        policy.advance(
-            40.0,
-            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 40.0)],
-        );
+        policy.end_attempt(&sent[0].part, 0, Outcome::Served, 40.0);
     }
     let silent = sent_attempts(&policy.submit("stuck", &[0]))[0].node.clone();
     policy.advance(800.0, vec![]);
@@ -115,7 +112,7 @@
             } else {
                 Outcome::Served
             };
-            let more = policy.advance(50.0, vec![attempt_ended(&sent[0].part, 0, outcome, 50.0)]);
+            let more = policy.end_attempt(&sent[0].part, 0, outcome, 50.0);
             policy.advance(50.0, served(&sent_attempts(&more), 1, 50.0));
         }
         count
@@ -148,7 +145,7 @@
         } else {
             Outcome::Served
         };
-        let more = policy.advance(20.0, vec![attempt_ended(&sent[0].part, 0, outcome, 20.0)]);
+        let more = policy.end_attempt(&sent[0].part, 0, outcome, 20.0);
         policy.advance(20.0, served(&sent_attempts(&more), 1, 20.0));
     }
     let [failing, other] = attempts_by_class;
@@ -173,10 +170,7 @@
         let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
         assert_eq!(sent.len(), 1, "query {k} must not be rejected");
         if !servers_with_lost_part.insert(sent[0].node.clone()) {
-            policy.advance(
-                20.0,
-                vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 20.0)],
-            );
+            policy.end_attempt(&sent[0].part, 0, Outcome::Served, 20.0);
         }
     }
 }
--- a/crates/fanout-policy/tests/policy/replica_selection.rs
+++ b/crates/fanout-policy/tests/policy/replica_selection.rs
@@ -58,10 +58,7 @@
         let name = format!("q{k}");
         let sent = sent_attempts(&policy.submit(&name, &[0]));
         nodes.insert(sent[0].node.clone());
-        policy.advance(
-            5.0,
-            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 5.0)],
-        );
+        policy.end_attempt(&sent[0].part, 0, Outcome::Served, 5.0);
     }
     assert_eq!(nodes.len(), 3);
 }
@@ -198,10 +195,7 @@
 fn single_very_slow_answer_moves_parts_to_other_replicas() {
     let mut policy = Harness::new(ring(), 1);
     let slow = sent_attempts(&policy.submit("slow", &[0]))[0].clone();
-    policy.advance(
-        280.0,
-        vec![attempt_ended(&slow.part, 0, Outcome::Served, 280.0)],
-    );
+    policy.end_attempt(&slow.part, 0, Outcome::Served, 280.0);
     for k in 0..12 {
         let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
         assert_ne!(sent[0].node, slow.node);
--- a/crates/fanout-policy/tests/policy/retries.rs
+++ b/crates/fanout-policy/tests/policy/retries.rs
@@ -13,10 +13,7 @@
     let mut attempts = 0;
     let mut last = Vec::new();
     while let Some(SentAttempt { part, .. }) = open.pop() {
-        last = policy.advance(
-            10.0,
-            vec![attempt_ended(&part, attempts, Outcome::Error, 10.0)],
-        );
+        last = policy.end_attempt(&part, attempts, Outcome::Error, 10.0);
         open.extend(sent_attempts(&last));
         attempts += 1;
     }
@@ -131,7 +128,7 @@
         1,
     );
     policy.submit("q", &[0, 1]);
-    let actions = policy.advance(5.0, vec![attempt_ended("q.0", 0, Outcome::Overloaded, 5.0)]);
+    let actions = policy.end_attempt("q.0", 0, Outcome::Overloaded, 5.0);
     assert_eq!(
         (sent_attempts(&actions), final_responses(&actions)),
         (vec![], vec![])
