--- a/crates/policy-engine/src/lib.rs
+++ b/crates/policy-engine/src/lib.rs
@@ -1,4 +1,4 @@
-//! Drives the fan-out policy and keeps track of the queries in flight.
+//! Drives the fan-out policy and keeps track of the queries that it has admitted.
 //!
 //! [`PolicyEngine`] is a synchronous state machine without I/O and without a clock: the caller passes in the current
 //! time and what happened, and carries out the returned [`Decisions`]. Each of its methods that returns [`Decisions`]
@@ -9,10 +9,10 @@
 //! capacity. A query is in flight from [`PolicyEngine::submit`] until its one [`FinishedQuery`] or a call of
 //! [`PolicyEngine::abandon`].
 
+mod admitted;
 mod commands;
 mod engine;
 mod events;
-mod in_flight;
 mod names;
 mod summary;
 
