--- a/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
+++ b/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Takes over a server's report of its load. It is late and may be wrong, so it only
+    /// Applies a server's report of its load. It is late and may be wrong, so it only
     /// affects forecasts.
     pub(super) fn record_load_report(
         &mut self,
--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes over what others observed since their last reports. Each report counts as a
+    /// Applies what others observed since their last reports. Each report counts as a
     /// few attempts in the same proportion, failures first, so that the answers beside them
     /// show that the server is up.
     pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
--- a/crates/fanout-policy/src/fleet.rs
+++ b/crates/fanout-policy/src/fleet.rs
@@ -126,14 +126,14 @@
             .max(health.class_error_rate(class))
     }
 
-    /// Takes note of the start of a batch.
+    /// Starts a batch.
     pub(crate) fn on_batch(&mut self) {
         for server in self.servers.iter_mut() {
             server.on_batch();
         }
     }
 
-    /// Takes over an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub(crate) fn apply_list(
         &mut self,
         batch: &BatchContext,
@@ -194,7 +194,7 @@
         self.servers[ended.attempt().server].on_failure(batch, ended, context);
     }
 
-    /// Takes over a server's report of its load, the number of requests there, each with this cost.
+    /// Applies a server's report of its load, the number of requests there, each with this cost.
     pub(crate) fn on_load_report(
         &mut self,
         batch: &BatchContext,
@@ -205,7 +205,7 @@
         self.servers[server].on_load_report(batch, load, part_cost, &self.latency);
     }
 
-    /// Takes over what another aggregator published about a server, if the server is known.
+    /// Applies what another aggregator published about a server, if the server is known.
     pub(crate) fn on_peer_report(
         &mut self,
         batch: &BatchContext,
--- a/crates/fanout-policy/src/fleet/server.rs
+++ b/crates/fanout-policy/src/fleet/server.rs
@@ -115,7 +115,7 @@
         may_try && !self.outliers.is_ejected(now)
     }
 
-    /// Takes over its entry in an endpoint list.
+    /// Applies its entry in an endpoint list.
     pub(super) fn update(&mut self, batch: &BatchContext, endpoint: &Endpoint) {
         self.cell = endpoint.cell;
         self.state = endpoint.state;
@@ -125,12 +125,12 @@
         }
     }
 
-    /// Takes note that an endpoint list does not contain it.
+    /// Marks it as missing from an endpoint list.
     pub(super) fn mark_removed(&mut self) {
         self.state = ServingState::Removed;
     }
 
-    /// Takes note of the start of a batch.
+    /// Starts a batch.
     pub(super) fn on_batch(&mut self) {
         self.outstanding.on_batch();
     }
@@ -199,7 +199,7 @@
         self.outliers.on_failure(verdict, context);
     }
 
-    /// Takes over the number of requests that it reports as its load, each with this cost.
+    /// Records the number of requests that it reports as its load, each with this cost.
     pub(super) fn on_load_report(
         &mut self,
         batch: &BatchContext,
@@ -211,7 +211,7 @@
             .record_load_report(batch, load, part_cost, fleet_latency.per_work());
     }
 
-    /// Takes over what another aggregator published.
+    /// Applies what another aggregator published.
     pub(super) fn on_peer_report(
         &mut self,
         batch: &BatchContext,
--- a/crates/fanout-policy/src/policy/batch_timer.rs
+++ b/crates/fanout-policy/src/policy/batch_timer.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes note of the start of a batch.
+    /// Starts a batch.
     pub(crate) fn on_batch(&mut self, batch: &BatchContext) {
         let is_late = batch.now > self.fires_at + PAUSE_OBJECTIVES * batch.shortest_objective();
         self.punctuality = if is_late {
@@ -54,7 +54,7 @@
         };
     }
 
-    /// Takes note that the timer has fired.
+    /// Handles the firing of the timer.
     pub(crate) fn on_fired(&mut self) {
         self.fires_at = f64::INFINITY;
     }
@@ -93,7 +93,7 @@
 pub(crate) enum IntervalStart {
     /// It does.
     Started,
-    /// The current interval goes on.
+    /// The current interval continues.
     NotDue,
 }
 
--- a/crates/fanout-policy/src/policy/class_estimates.rs
+++ b/crates/fanout-policy/src/policy/class_estimates.rs
@@ -89,8 +89,8 @@
         );
     }
 
-    /// Takes note of a rejected query. These give no samples: without decay, one bad period
-    /// would count for ever.
+    /// Lets the forecast error decay with each rejected query. These give no samples, so that
+    /// otherwise one bad period would count for good.
     pub(crate) fn record_rejection(&mut self) {
         decay(&mut self.forecast_error, FORECAST_ERROR_SAMPLE_WEIGHT / 2.0);
     }
--- a/crates/fanout-policy/src/policy/completion.rs
+++ b/crates/fanout-policy/src/policy/completion.rs
@@ -1,6 +1,6 @@
 //! Completion of a query: when to answer it, and when to give it up.
 //!
-//! [`Completion`] decides from the progress of the query's parts; it owns nothing.
+//! [`Completion`] decides from the progress of the query's parts; it has no state of its own.
 
 use super::batch_context::BatchContext;
 use super::retry_policy::RetryPolicy;
--- a/crates/fanout-policy/src/policy/ended_attempt.rs
+++ b/crates/fanout-policy/src/policy/ended_attempt.rs
@@ -30,7 +30,7 @@
     /// No answer came in time, but an attempt sent later was answered: the backlog of a
     /// stall times out long after the stall.
     OutdatedTimeout,
-    /// The attempt failed. Quick errors tell of the server, not of its load.
+    /// The attempt failed. Quick errors say nothing about the load of the server.
     Failure,
 }
 
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -1,6 +1,7 @@
 //! Latency forecasts.
 //!
-//! [`Forecaster`] derives them from the servers and the estimates of the classes; it owns nothing.
+//! [`Forecaster`] derives them from the servers and the estimates of the classes; it has no
+//! state of its own.
 
 use super::batch_context::BatchContext;
 use super::class_estimates::ClassEstimates;
--- a/crates/fanout-policy/src/policy/latency.rs
+++ b/crates/fanout-policy/src/policy/latency.rs
@@ -112,7 +112,7 @@
     }
 
     /// Sets the latency to the median of the servers observed of late. Without any it
-    /// returns to the default: else it would be believed for ever where all queries are
+    /// returns to the default: else it would never change where all queries are
     /// rejected after a bad period.
     pub(crate) fn update<'a>(
         &mut self,
--- a/crates/fanout-policy/src/policy/load_gossip.rs
+++ b/crates/fanout-policy/src/policy/load_gossip.rs
@@ -78,7 +78,7 @@
         GossipEntry::encode(&entries)
     }
 
-    /// Takes over a message. One that is malformed or from an unknown aggregator is ignored.
+    /// Applies a message. One that is malformed or from an unknown aggregator is ignored.
     pub(crate) fn on_message(
         &mut self,
         batch: &BatchContext,
--- a/crates/fanout-policy/src/policy/mod.rs
+++ b/crates/fanout-policy/src/policy/mod.rs
@@ -27,10 +27,10 @@
 //! - [`endpoint_list_poller`] owns the next poll and its backoff;
 //! - [`batch_timer`] owns when the next batch and the next control interval are due.
 //!
-//! The other modules own nothing and decide from the state that they are given: [`forecast`],
-//! [`time_limits`], [`row_planner`], [`server_selection`], [`retry_policy`], [`completion`],
-//! [`retry_after`] and [`ended_attempt`]. Time and settings come in a [`batch_context`], random
-//! numbers as an argument.
+//! The other modules have no state of their own and decide from the state that they are given:
+//! [`forecast`], [`time_limits`], [`row_planner`], [`server_selection`], [`retry_policy`],
+//! [`completion`], [`retry_after`] and [`ended_attempt`]. Time and settings come in a
+//! [`batch_context`], random numbers as an argument.
 
 pub(crate) mod admission;
 pub(crate) mod batch_context;
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -115,8 +115,8 @@
         (self.overloaded_until.max(self.unreachable_until) - now).max(0.0)
     }
 
-    /// Takes note that the server has served an attempt. The current ejection goes on, the
-    /// next is a first one.
+    /// Handles a served attempt: the current ejection continues, and the next one is as short
+    /// as a first one.
     pub(crate) fn on_answer(&mut self) {
         self.duration = 0.0;
         self.unreachable_until = f64::NEG_INFINITY;
--- a/crates/fanout-policy/src/policy/outstanding_work.rs
+++ b/crates/fanout-policy/src/policy/outstanding_work.rs
@@ -139,7 +139,7 @@
         oldest.map_or(0.0, lateness).max(0.0)
     }
 
-    /// Takes note of the start of a batch.
+    /// Starts a batch.
     pub(crate) fn on_batch(&mut self) {
         self.parts_in_batch = 0;
     }
@@ -186,7 +186,7 @@
         self.published = reports.map(|received| received.report.work()).sum();
     }
 
-    /// Takes over the number of requests that the server reports as its load, each with
+    /// Records the number of requests that the server reports as its load, each with
     /// this cost. The report is late and may be wrong, so that it is limited.
     pub(crate) fn record_load_report(
         &mut self,
--- a/crates/fanout-policy/src/policy/retry_after.rs
+++ b/crates/fanout-policy/src/policy/retry_after.rs
@@ -76,7 +76,7 @@
     }
 
     /// Whether the client may repeat the query. With an idempotency key this holds until
-    /// the window of any attempt that may have run ends; clients may come back later than
+    /// the window of any attempt that may have run ends; clients may retry later than
     /// advised.
     fn is_retry_safe(&self, query: &InFlightQuery, retry_after: Option<Ms>) -> bool {
         let delay = RETRY_DELAY_FACTOR * retry_after.unwrap_or(f64::INFINITY);
--- a/crates/fanout-policy/src/policy/retry_policy.rs
+++ b/crates/fanout-policy/src/policy/retry_policy.rs
@@ -1,6 +1,6 @@
 //! When a part gets its first attempt, a retry or a hedged request.
 //!
-//! [`RetryPolicy`] decides from the state of the query and its servers; it owns nothing.
+//! [`RetryPolicy`] decides from the state of the query and its servers; it has no state of its own.
 
 use super::batch_context::BatchContext;
 use super::ended_attempt::{MIN_OVERDUE_OBJECTIVES, OVERDUE_FORECAST_FACTOR};
--- a/crates/fanout-policy/src/policy/row_planner.rs
+++ b/crates/fanout-policy/src/policy/row_planner.rs
@@ -1,6 +1,6 @@
 //! Assignment of a query's parts to replica rows, and the parts that an answer can do without.
 //!
-//! [`RowPlanner`] owns nothing.
+//! [`RowPlanner`] has no state of its own.
 
 use super::batch_context::BatchContext;
 use super::completion::SHARE_TOLERANCE;
--- a/crates/fanout-policy/src/policy/server_selection.rs
+++ b/crates/fanout-policy/src/policy/server_selection.rs
@@ -1,6 +1,6 @@
 //! Selection of the server for an attempt.
 //!
-//! [`ServerSelector`] compares the holders of a shard; it owns nothing.
+//! [`ServerSelector`] compares the holders of a shard; it has no state of its own.
 
 use super::batch_context::BatchContext;
 use super::forecast::Forecaster;
--- a/crates/fanout-policy/src/policy/slow_start.rs
+++ b/crates/fanout-policy/src/policy/slow_start.rs
@@ -47,7 +47,7 @@
         self.warming_since
     }
 
-    /// Takes over the start that the endpoint list states, unless a later one is known.
+    /// Applies the start that the endpoint list states, unless a later one is known.
     pub(crate) fn on_listed_start(&mut self, batch: &BatchContext, started: Ms) {
         let is_recent = started + batch.settings.warm_up.duration > batch.now;
         if is_recent && self.warming_since.is_none_or(|since| since < started) {
--- a/crates/fanout-policy/src/policy/time_limits.rs
+++ b/crates/fanout-policy/src/policy/time_limits.rs
@@ -1,7 +1,7 @@
 //! Until when answers are useful, and how much time is left for a step of a query.
 //!
 //! [`TimeLimits`] derives these times from the settings and the estimates of the classes; it
-//! owns nothing.
+//! has no state of its own.
 
 use super::batch_context::BatchContext;
 use super::class_estimates::ClassEstimates;
