--- a/crates/broker-types/src/time.rs
+++ b/crates/broker-types/src/time.rs
@@ -7,6 +7,9 @@
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
+/// Microseconds in a millisecond.
+const MICROS_PER_MILLISECOND: f64 = 1000.0;
+
 /// A point in time on the program's clock.
 #[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp {
@@ -82,14 +85,5 @@
 /// Converts a time span from milliseconds, rounded to whole microseconds. A negative span counts as 0.
 #[must_use]
 pub fn millis(ms: f64) -> Duration {
-    Duration::from_micros((ms.max(0.0) * MILLI as f64).round() as u64)
+    Duration::from_micros((ms.max(0.0) * MICROS_PER_MILLISECOND).round() as u64)
 }
-
-/// A point in time or a time span in microseconds, for the packages that do not use [`Timestamp`] and [`Duration`] yet.
-pub type Micros = u64;
-
-/// Microseconds in a millisecond.
-pub const MILLI: Micros = 1000;
-
-/// Microseconds in a second.
-pub const SECOND: Micros = 1_000_000;
