--- a/crates/load-generator/src/http2.rs
+++ b/crates/load-generator/src/http2.rs
@@ -17,6 +17,15 @@
     _driver: Task<()>,
 }
 
+/// What follows the head of a request on its stream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum RequestBody {
+    /// Nothing: the head ends the stream.
+    Empty,
+    /// The body.
+    Follows,
+}
+
 /// A request in flight.
 pub struct Http2Stream {
     response: ResponseFuture,
@@ -72,10 +81,11 @@
     /// If the connection has ended or the request cannot be sent.
     pub async fn open(&self, request: &Request<Vec<u8>>) -> Result<Http2Stream, h2::Error> {
         let (head, body) = request.clone().into_parts();
-        let mut stream = self.open_with_head(head, body.is_empty()).await?;
-        if !body.is_empty() {
-            stream.body.send_data(Bytes::from(body), true)?;
+        if body.is_empty() {
+            return self.open_with_head(head, RequestBody::Empty).await;
         }
+        let mut stream = self.open_with_head(head, RequestBody::Follows).await?;
+        stream.body.send_data(Bytes::from(body), true)?;
         Ok(stream)
     }
 
@@ -89,17 +99,18 @@
         request: &Request<Vec<u8>>,
     ) -> Result<Http2Stream, h2::Error> {
         let (head, _) = request.clone().into_parts();
-        self.open_with_head(head, false).await
+        self.open_with_head(head, RequestBody::Follows).await
     }
 
     async fn open_with_head(
         &self,
         head: http::request::Parts,
-        end_of_stream: bool,
+        body: RequestBody,
     ) -> Result<Http2Stream, h2::Error> {
         let mut sender = self.sender.clone().ready().await?;
         let request = Request::from_parts(head, ());
-        let (response, body) = sender.send_request(request, end_of_stream)?;
+        let ends_stream = body == RequestBody::Empty;
+        let (response, body) = sender.send_request(request, ends_stream)?;
         Ok(Http2Stream { response, body })
     }
 
--- a/crates/load-generator/src/raw_http2.rs
+++ b/crates/load-generator/src/raw_http2.rs
@@ -11,7 +11,7 @@
     SETTINGS, WINDOW_UPDATE, encode_frame,
 };
 
-use std::io::{ErrorKind, Read, Write};
+use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::{Duration, Instant};
 
@@ -42,6 +42,15 @@
     .concat()
 }
 
+/// What a read of the connection led to.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum ReadOutcome {
+    /// The connection may be read again.
+    Continued,
+    /// The connection has ended, or nothing came until the deadline.
+    Ended,
+}
+
 /// A connection whose frames the caller writes.
 pub struct RawHttp2Client {
     stream: TcpStream,
@@ -94,9 +103,13 @@
             .expect("the peer keeps the connection open and reads");
     }
 
-    /// Sends all bytes, and returns whether the peer took them.
-    pub fn try_send(&mut self, bytes: &[u8]) -> bool {
-        self.stream.write_all(bytes).is_ok()
+    /// Sends all bytes.
+    ///
+    /// # Errors
+    ///
+    /// If the connection has ended or the peer does not read in time.
+    pub fn try_send(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.stream.write_all(bytes)
     }
 
     /// Waits for the next frame; `None` if the connection ends or no frame comes within this time.
@@ -106,26 +119,27 @@
             if let Some(frame) = Frame::take_from(&mut self.input) {
                 return Some(frame);
             }
-            if !self.read(deadline) {
+            if self.read(deadline) == ReadOutcome::Ended {
                 return None;
             }
         }
     }
 
-    /// Reads once; false if the connection ends or nothing comes until the deadline.
-    fn read(&mut self, deadline: Instant) -> bool {
+    /// Reads once.
+    fn read(&mut self, deadline: Instant) -> ReadOutcome {
         let remaining = deadline.saturating_duration_since(Instant::now());
         self.stream
             .set_read_timeout(Some(remaining.max(MIN_READ_TIMEOUT)))
             .expect("the timeout is not zero");
         let mut chunk = [0; READ_CHUNK_BYTES];
         match self.stream.read(&mut chunk) {
-            Ok(0) => false,
+            Ok(0) => ReadOutcome::Ended,
             Ok(length) => {
                 self.input.extend(&chunk[..length]);
-                true
+                ReadOutcome::Continued
             }
-            Err(error) => error.kind() == ErrorKind::Interrupted,
+            Err(error) if error.kind() == ErrorKind::Interrupted => ReadOutcome::Continued,
+            Err(_) => ReadOutcome::Ended,
         }
     }
 
@@ -172,7 +186,7 @@
     /// If the connection does not end in time.
     pub fn text_until_close(&mut self) -> String {
         let deadline = Instant::now() + READ_TIMEOUT;
-        while self.read(deadline) {}
+        while self.read(deadline) == ReadOutcome::Continued {}
         assert!(Instant::now() < deadline, "the connection stays open");
         String::from_utf8_lossy(&self.input).into_owned()
     }
--- a/crates/query-broker/src/bench/broker_build.rs
+++ b/crates/query-broker/src/bench/broker_build.rs
@@ -29,13 +29,15 @@
     pub(super) listeners: Listeners,
 }
 
+/// A broker of the build, with a fleet of its own.
+pub(super) struct Testbed {
+    pub(super) fleet: Fleet,
+    pub(super) broker: BrokerProcess,
+}
+
 impl BrokerBuild {
     /// Starts a fleet, and a broker with all listeners that the build has.
-    pub(super) fn start(
-        &self,
-        plan: FleetPlan,
-        pacing: Pacing,
-    ) -> Result<(Fleet, BrokerProcess), BenchError> {
+    pub(super) fn start(&self, plan: FleetPlan, pacing: Pacing) -> Result<Testbed, BenchError> {
         let deployment = Deployment {
             max_in_flight: MAX_IN_FLIGHT,
             memory_limit_mb: MEMORY_LIMIT_MB,
@@ -44,7 +46,7 @@
         let fleet = Fleet::start(plan)?;
         let operator_config = self.operator_config(pacing);
         let broker = BrokerProcess::start(&self.executable, deployment, &fleet, &operator_config)?;
-        Ok((fleet, broker))
+        Ok(Testbed { fleet, broker })
     }
 
     fn operator_config(&self, pacing: Pacing) -> String {
--- a/crates/query-broker/src/bench/flood.rs
+++ b/crates/query-broker/src/bench/flood.rs
@@ -116,8 +116,8 @@
         part_duration: PART_DURATION,
         ..FleetPlan::default()
     };
-    let (_fleet, broker) = build.start(plan, Pacing::BatchWindow)?;
-    let address = http2_address(&broker)?;
+    let testbed = build.start(plan, Pacing::BatchWindow)?;
+    let address = http2_address(&testbed.broker)?;
     let stop = Arc::new(AtomicBool::new(false));
     let attacker = start_attacker(kind, address, stop.clone());
     let target = Target::Http2 {
@@ -161,17 +161,27 @@
     let mut figures = AttackFigures::default();
     while !stop.load(Ordering::Relaxed) {
         let start = Instant::now();
-        if !flood_until_ended(kind, broker, stop) {
-            break;
+        match flood_connection(kind, broker, stop) {
+            FloodEnd::Stopped => break,
+            FloodEnd::ConnectionEnded => {
+                figures.ended += 1;
+                figures.longest = figures.longest.max(start.elapsed());
+            }
         }
-        figures.ended += 1;
-        figures.longest = figures.longest.max(start.elapsed());
     }
     figures
 }
 
-/// Floods one connection until the broker ends it; false: the attack was stopped first.
-fn flood_until_ended(kind: FloodKind, broker: SocketAddr, stop: &AtomicBool) -> bool {
+/// Why the flood of a connection ended.
+enum FloodEnd {
+    /// The broker ended the connection.
+    ConnectionEnded,
+    /// The attack was stopped.
+    Stopped,
+}
+
+/// Floods one connection until the broker ends it or the attack is stopped.
+fn flood_connection(kind: FloodKind, broker: SocketAddr, stop: &AtomicBool) -> FloodEnd {
     let mut client = RawHttp2Client::connect_with_preface(broker);
     let mut sent = 0;
     loop {
@@ -179,11 +189,11 @@
             .flat_map(|number| kind.bytes(number))
             .collect();
         sent += BURST_LENGTH;
-        if !client.try_send(&burst) {
-            return true;
+        if client.try_send(&burst).is_err() {
+            return FloodEnd::ConnectionEnded;
         }
         if stop.load(Ordering::Relaxed) {
-            return false;
+            return FloodEnd::Stopped;
         }
     }
 }
--- a/crates/query-broker/src/bench/load.rs
+++ b/crates/query-broker/src/bench/load.rs
@@ -1,7 +1,7 @@
 //! Latency, rate and processor time under load.
 
 use super::WARM_UP_SHARE;
-use super::broker_build::{BrokerBuild, http2_address};
+use super::broker_build::{BrokerBuild, Testbed, http2_address};
 use super::error::BenchError;
 use super::measurements::{LoadMeasurement, Route};
 use hdrhistogram::Histogram;
@@ -45,7 +45,7 @@
         part_duration: Duration::ZERO,
         ..FleetPlan::default()
     };
-    let (fleet, broker) = build.start(plan, measurement.pacing)?;
+    let Testbed { fleet, broker } = build.start(plan, measurement.pacing)?;
     let target = target(measurement.route, &fleet, &broker)?;
     let warm_up = load_profile(measurement, duration.mul_f64(WARM_UP_SHARE), WARM_UP_SEED);
     open_loop(target, &warm_up)?;
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -84,10 +84,11 @@
         part_duration: Duration::ZERO,
         ..FleetPlan::default()
     };
-    let (_fleet, broker) = build.start(plan, Pacing::Ticks)?;
+    let testbed = build.start(plan, Pacing::Ticks)?;
+    let broker = &testbed.broker;
     let executor = LocalExecutor::new();
     let before = broker.resident_memory()?;
-    let with_requests = memory_with_requests(&broker, measurement, &executor);
+    let with_requests = memory_with_requests(broker, measurement, &executor);
     let with_requests = async_io::block_on(executor.run(with_requests))?;
     Ok(MemoryFigures {
         measurement,
--- a/crates/query-broker/tests/http2/arbitrary_frames.rs
+++ b/crates/query-broker/tests/http2/arbitrary_frames.rs
@@ -73,7 +73,7 @@
         .run(&(frame_sequences(), 1usize..400), |(frames, cut)| {
             let mut raw = fixture.connect_raw();
             for piece in frames.concat().chunks(cut) {
-                if !raw.try_send(piece) {
+                if raw.try_send(piece).is_err() {
                     break;
                 }
             }
--- a/crates/query-broker/tests/http2/fault_injection.rs
+++ b/crates/query-broker/tests/http2/fault_injection.rs
@@ -133,7 +133,13 @@
     }
 }
 
-fn start(seed: u64) -> (Fixture, QueryEnds) {
+/// A broker whose clients have sent all their queries while faults were injected.
+struct FaultyRun {
+    fixture: Fixture,
+    ends: QueryEnds,
+}
+
+fn run(seed: u64) -> FaultyRun {
     let plan = FleetPlan {
         servers: 6,
         part_duration: Duration::from_millis(10),
@@ -162,7 +168,7 @@
             client.await;
         }
     });
-    (fixture, ends)
+    FaultyRun { fixture, ends }
 }
 
 fn check_ends(fixture: &mut Fixture, ends: &BTreeMap<String, Vec<QueryEnd>>) {
@@ -187,7 +193,7 @@
 #[test]
 fn every_query_ends_exactly_once_under_faults_and_resets() {
     for seed in [1, 2] {
-        let (mut fixture, ends) = start(seed);
+        let FaultyRun { mut fixture, ends } = run(seed);
         fixture.broker.signal("TERM").unwrap();
         assert!(fixture.broker.wait_for_exit().unwrap().success());
         check_ends(&mut fixture, &ends.take());
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -25,7 +25,7 @@
             burst.extend(bytes(n));
             n += 1;
         }
-        if !raw.try_send(&burst) {
+        if raw.try_send(&burst).is_err() {
             break;
         }
     }
