--- a/crates/http1-codec/src/body.rs
+++ b/crates/http1-codec/src/body.rs
@@ -38,7 +38,7 @@
     /// Bytes of chunk lines so far.
     chunk_overhead_bytes: usize,
     /// The data decoded so far.
-    pub(crate) data: Vec<u8>,
+    data: Vec<u8>,
 }
 
 /// The element of the body that comes next.
@@ -112,6 +112,16 @@
         }
     }
 
+    /// Whether any data has been decoded.
+    pub(crate) fn has_data(&self) -> bool {
+        !self.data.is_empty()
+    }
+
+    /// The data decoded so far.
+    pub(crate) fn into_data(self) -> Vec<u8> {
+        self.data
+    }
+
     /// Whether the end of the connection completes this body.
     pub(crate) fn ends_with_connection(&self) -> bool {
         matches!(self.state, State::UntilConnectionClose)
--- a/crates/http1-codec/src/decode.rs
+++ b/crates/http1-codec/src/decode.rs
@@ -1,8 +1,9 @@
 //! Incremental decoders of the messages on one connection.
 
 use crate::error::ParseError;
-use crate::head::{PartialMessage, parse_request_head, parse_response_head};
+use crate::head::{parse_request_head, parse_response_head};
 use crate::limits::Limits;
+use crate::partial_message::{BodyState, HasBody, MessageHead, PartialMessage};
 use http::{Request, Response};
 
 /// A complete message.
@@ -71,7 +72,7 @@
             input.drain(..head.length);
             self.current = Some(head.message);
         }
-        decode_body(&mut self.current, input, |request| request.body_mut())
+        decode_body(&mut self.current, input)
     }
 }
 
@@ -115,48 +116,43 @@
                 return Ok(Progress::incomplete());
             };
             input.drain(..head.length);
-            if !head.message.value.status().is_informational() {
+            if !head.message.value().status().is_informational() {
                 self.current = Some(head.message);
             }
         }
-        decode_body(&mut self.current, input, |response| response.body_mut())
+        decode_body(&mut self.current, input)
     }
 
     /// Handles the orderly end of the connection (not a reset): returns the response that this end completes, if any
     /// (RFC 9112, section 6.3).
     pub fn finish(&mut self) -> Option<Message<Response<Vec<u8>>>> {
-        let mut response = self
+        let response = self
             .current
             .take()
-            .filter(|response| response.body.ends_with_connection())?;
-        *response.value.body_mut() = response.body.data;
+            .filter(PartialMessage::ends_with_connection)?;
         Some(Message {
-            value: response.value,
+            value: response.into_head_with_body().value,
             keep_alive: false,
         })
     }
 }
 
 /// Continues the body of the current message, and takes the message out once it is complete.
-fn decode_body<T>(
+fn decode_body<T: HasBody>(
     current: &mut Option<PartialMessage<T>>,
     input: &mut Vec<u8>,
-    body_of: impl Fn(&mut T) -> &mut Vec<u8>,
 ) -> Result<Progress<T>, ParseError> {
     let Some(message) = current else {
         return Ok(Progress::incomplete());
     };
-    let body_started = !input.is_empty() || !message.body.data.is_empty();
-    let awaits_continue = message.expects_continue && !body_started;
-    let progress = message.body.decode(input)?;
-    input.drain(..progress.consumed);
-    match current.take_if(|_| progress.is_complete) {
-        Some(mut message) => {
-            *body_of(&mut message.value) = message.body.data;
-            Ok(Progress::Complete(Message {
-                value: message.value,
-                keep_alive: message.keep_alive,
-            }))
+    let awaits_continue = message.awaits_continue(input);
+    let state = message.decode_body(input)?;
+    match current.take_if(|_| state == BodyState::Complete) {
+        Some(message) => {
+            let MessageHead {
+                value, keep_alive, ..
+            } = message.into_head_with_body();
+            Ok(Progress::Complete(Message { value, keep_alive }))
         }
         None => Ok(Progress::Incomplete { awaits_continue }),
     }
--- a/crates/http1-codec/src/head.rs
+++ b/crates/http1-codec/src/head.rs
@@ -4,22 +4,13 @@
 use crate::error::ParseError;
 use crate::fields;
 use crate::limits::Limits;
+use crate::partial_message::{MessageHead, PartialMessage};
 use http::header::{EXPECT, HeaderMap};
 use http::{Method, Request, Response, StatusCode, Version};
 
 /// What precedes the minor version in a start line.
 const VERSION_PREFIX: &[u8; 7] = b"HTTP/1.";
 
-/// A message whose head is parsed and whose body is being decoded.
-#[derive(Debug)]
-pub(crate) struct PartialMessage<T> {
-    pub(crate) value: T,
-    pub(crate) keep_alive: bool,
-    /// Whether the client sends the body only after `100 Continue` (RFC 9110, section 10.1.1).
-    pub(crate) expects_continue: bool,
-    pub(crate) body: BodyDecoder,
-}
-
 /// A parsed head.
 #[derive(Debug)]
 pub(crate) struct ParsedHead<T> {
@@ -70,12 +61,12 @@
     *value.uri_mut() = uri;
     *value.version_mut() = version;
     *value.headers_mut() = header_fields;
-    Ok(PartialMessage {
+    let head = MessageHead {
         value,
         keep_alive,
         expects_continue,
-        body,
-    })
+    };
+    Ok(PartialMessage::new(head, body))
 }
 
 /// How a request's body is delimited. A method that implies a body requires a declared length.
@@ -166,12 +157,12 @@
     *value.status_mut() = status;
     *value.version_mut() = version;
     *value.headers_mut() = header_fields;
-    Ok(PartialMessage {
+    let head = MessageHead {
         value,
         keep_alive,
         expects_continue: false,
-        body,
-    })
+    };
+    Ok(PartialMessage::new(head, body))
 }
 
 /// The typed version for a minor version of HTTP/1.
--- a/crates/http1-codec/src/lib.rs
+++ b/crates/http1-codec/src/lib.rs
@@ -20,6 +20,7 @@
 mod fields;
 mod head;
 mod limits;
+mod partial_message;
 
 pub use decode::{Message, Progress, RequestDecoder, ResponseDecoder};
 pub use encode::{ResponseOptions, encode_response};
