--- a/crates/broker/src/queries/idempotency.rs
+++ b/crates/broker/src/queries/idempotency_guard.rs
@@ -1,17 +1,15 @@
 //! Idempotency keys of the queries in flight: which attempts may be sent, and what their ends prove.
 
-use super::DispatchError;
-use ::idempotency::{
-    ExecutionEvidence, IdempotencyRegister, KeyAdmission, QueryEnd, RegisterLimits,
-};
 use broker_types::query::{AttemptId, PartSpec};
 use broker_types::server::Outcome;
 use broker_types::time::{Timestamp, millis};
 use fanout_policy::api::{RetrySafety, Settings};
+use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, QueryEnd, RegisterLimits};
 use policy_engine::Dispatch;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
+use thiserror::Error;
 
 /// Largest number of idempotency keys in the register. Each takes 200 to 300 bytes.
 const MAX_KEYS: usize = 8192;
@@ -24,6 +22,11 @@
     in_flight: BTreeMap<AttemptId, KeyedPart>,
 }
 
+/// An earlier attempt at a part may have been executed, so long ago that the data servers no longer recognize a retry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the window of the idempotency key is closed")]
+pub(crate) struct WindowClosed;
+
 /// A part of a query with an idempotency key.
 struct KeyedPart {
     key: Rc<str>,
@@ -72,15 +75,15 @@
     /// # Errors
     ///
     /// That time has come already.
-    pub(super) fn reserve(
+    pub(super) fn reserve_attempt(
         &mut self,
         now: Timestamp,
         key: &Rc<str>,
         shard: usize,
         dispatch: &Dispatch,
-    ) -> Result<Option<Timestamp>, DispatchError> {
+    ) -> Result<Option<Timestamp>, WindowClosed> {
         if !self.register.may_send(now, key, shard) {
-            return Err(DispatchError::IdempotencyWindowClosed);
+            return Err(WindowClosed);
         }
         let send_before = self.register.window_ends_at(key, shard);
         self.register
@@ -105,12 +108,7 @@
     }
 
     /// Releases the key of a query that has ended.
-    pub(super) fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, is_answered: bool) {
-        let end = if is_answered {
-            QueryEnd::Answered
-        } else {
-            QueryEnd::Unanswered
-        };
+    pub(super) fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, end: QueryEnd) {
         self.register.on_query_ended(now, key, end);
     }
 }
