--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -104,7 +104,7 @@
 /// shows the line of the file.
 #[derive(Clone, Debug)]
 pub struct ConfigFileError {
-    pub(crate) file: Arc<NamedSource<String>>,
+    file: Arc<NamedSource<String>>,
     /// The invalid word, as a range of bytes of the text.
     pub span: Range<usize>,
     /// Line of the word, from 1.
--- a/crates/test-fleet/src/fault.rs
+++ b/crates/test-fleet/src/fault.rs
@@ -35,23 +35,62 @@
 /// The state of a data server that tests change while it runs.
 #[derive(Debug, Default)]
 pub(crate) struct FaultInjection {
-    pub(crate) fault: Fault,
+    fault: Fault,
     /// How long a part takes at full speed.
-    pub(crate) part_duration: Duration,
+    part_duration: Duration,
     /// The warm-up since the last restart, if there was one.
-    pub(crate) warm_up: Option<WarmUp>,
+    warm_up: Option<WarmUp>,
     /// When its drain was published.
-    pub(crate) draining_since: Option<Instant>,
+    draining_since: Option<Instant>,
 }
 
 /// The time after a restart in which a server's speed grows linearly from [`INITIAL_SPEED_SHARE`] to full speed.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct WarmUp {
-    pub(crate) started_at: Instant,
-    pub(crate) duration: Duration,
+struct WarmUp {
+    started_at: Instant,
+    duration: Duration,
 }
 
 impl FaultInjection {
+    /// The state of a server that works, and takes this long for a part.
+    pub(crate) fn new(part_duration: Duration) -> Self {
+        FaultInjection {
+            part_duration,
+            ..FaultInjection::default()
+        }
+    }
+
+    pub(crate) fn fault(&self) -> Fault {
+        self.fault
+    }
+
+    pub(crate) fn set_fault(&mut self, fault: Fault) {
+        self.fault = fault;
+    }
+
+    pub(crate) fn set_part_duration(&mut self, part_duration: Duration) {
+        self.part_duration = part_duration;
+    }
+
+    /// When the server's drain was published, if it drains.
+    pub(crate) fn draining_since(&self) -> Option<Instant> {
+        self.draining_since
+    }
+
+    pub(crate) fn on_drain_published(&mut self, now: Instant) {
+        self.draining_since = Some(now);
+    }
+
+    /// Makes the server faultless, warming up and not draining, as after a start of its process.
+    pub(crate) fn on_restart(&mut self, now: Instant, warm_up_duration: Duration) {
+        self.fault = Fault::None;
+        self.warm_up = Some(WarmUp {
+            started_at: now,
+            duration: warm_up_duration,
+        });
+        self.draining_since = None;
+    }
+
     /// How long a part takes that arrives at this moment.
     pub(crate) fn part_duration_at(&self, now: Instant) -> Duration {
         let delay = if let Fault::Slow(delay) = self.fault {
--- a/crates/test-fleet/src/fault/tests.rs
+++ b/crates/test-fleet/src/fault/tests.rs
@@ -1,23 +1,18 @@
 //! How long a server takes for a part.
 
-use super::{Fault, FaultInjection, WarmUp};
+use super::{Fault, FaultInjection};
 use std::time::{Duration, Instant};
 
 const PART_DURATION: Duration = Duration::from_millis(10);
 
 fn injection() -> FaultInjection {
-    FaultInjection {
-        part_duration: PART_DURATION,
-        ..FaultInjection::default()
-    }
+    FaultInjection::new(PART_DURATION)
 }
 
 #[test]
 fn slow_server_takes_its_delay_longer() {
-    let slow = FaultInjection {
-        fault: Fault::Slow(Duration::from_millis(5)),
-        ..injection()
-    };
+    let mut slow = injection();
+    slow.set_fault(Fault::Slow(Duration::from_millis(5)));
     let now = Instant::now();
     assert_eq!(injection().part_duration_at(now), PART_DURATION);
     assert_eq!(slow.part_duration_at(now), Duration::from_millis(15));
@@ -27,13 +22,8 @@
 fn restarted_server_starts_at_a_fifth_of_its_speed_and_warms_up() {
     let started_at = Instant::now();
     let duration = Duration::from_secs(10);
-    let restarted = FaultInjection {
-        warm_up: Some(WarmUp {
-            started_at,
-            duration,
-        }),
-        ..injection()
-    };
+    let mut restarted = injection();
+    restarted.on_restart(started_at, duration);
     assert_eq!(restarted.part_duration_at(started_at), 5 * PART_DURATION);
     let warmed_up = started_at + duration;
     assert_eq!(restarted.part_duration_at(warmed_up), PART_DURATION);
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -162,10 +162,7 @@
 
 impl ServerHandle {
     fn new(number: usize, listener: &TcpListener, plan: FleetPlan) -> io::Result<Self> {
-        let fault_injection = FaultInjection {
-            part_duration: plan.part_duration,
-            ..FaultInjection::default()
-        };
+        let fault_injection = FaultInjection::new(plan.part_duration);
         Ok(ServerHandle {
             name: format!("s{number}"),
             address: listener.local_addr()?,
@@ -175,12 +172,12 @@
 
     /// Sets the server's fault, or removes it with [`Fault::None`]. Use [`Fleet::kill`] to stop its process.
     pub fn set_fault(&self, fault: Fault) {
-        self.change(|injection| injection.fault = fault);
+        self.change(|injection| injection.set_fault(fault));
     }
 
     /// Sets how long a part takes from now on.
     pub fn set_part_duration(&self, part_duration: Duration) {
-        self.change(|injection| injection.part_duration = part_duration);
+        self.change(|injection| injection.set_part_duration(part_duration));
     }
 
     fn change(&self, change: impl FnOnce(&mut FaultInjection)) {
--- a/crates/test-fleet/src/fleet/runtime.rs
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -3,7 +3,6 @@
 use super::{FleetPlan, ServerHandle};
 use crate::attempt_log::AttemptLog;
 use crate::discovery::{Discovery, Endpoint, EndpointState};
-use crate::fault::{Fault, WarmUp};
 use crate::server::{Server, accept_connections, lock};
 use async_channel::Receiver;
 use async_executor::{LocalExecutor, Task};
@@ -118,7 +117,10 @@
         match command {
             FleetCommand::Drain(number) => {
                 if let Some(server) = self.servers.get(number) {
-                    server.server.fault_injection().draining_since = Some(Instant::now());
+                    server
+                        .server
+                        .fault_injection()
+                        .on_drain_published(Instant::now());
                     self.discovery
                         .publish(server.endpoint(EndpointState::Draining));
                 }
@@ -148,7 +150,10 @@
         let accept_task = self.spawn_accept_task(&down.server, listener);
         let restarted = &mut self.servers[number];
         restarted.started_at_ms = unix_time_ms();
-        restarted.reset_faults(self.plan);
+        restarted
+            .server
+            .fault_injection()
+            .on_restart(Instant::now(), self.plan.warm_up_duration);
         restarted.accept_task = Some(accept_task);
         self.discovery
             .publish(restarted.endpoint(EndpointState::Active));
@@ -172,17 +177,6 @@
         }
         self.server.reset_connections();
     }
-
-    /// Makes the server faultless, warming up and not draining, as after a start of its process.
-    fn reset_faults(&self, plan: FleetPlan) {
-        let mut injection = self.server.fault_injection();
-        injection.fault = Fault::None;
-        injection.warm_up = Some(WarmUp {
-            started_at: Instant::now(),
-            duration: plan.warm_up_duration,
-        });
-        injection.draining_since = None;
-    }
 }
 
 /// Records by how much timers of this thread fire late, until the task is dropped.
--- a/crates/test-fleet/src/server.rs
+++ b/crates/test-fleet/src/server.rs
@@ -20,7 +20,7 @@
 /// One data server, on the fleet's thread.
 pub(crate) struct Server {
     pub(crate) name: String,
-    pub(crate) fault_injection: Arc<Mutex<FaultInjection>>,
+    fault_injection: Arc<Mutex<FaultInjection>>,
     attempt_log: Arc<Mutex<AttemptLog>>,
     /// Parts in flight, over all connections.
     parts_in_flight: Cell<usize>,
--- a/crates/test-fleet/src/server/connection.rs
+++ b/crates/test-fleet/src/server/connection.rs
@@ -128,9 +128,9 @@
         let (fault, duration, draining_since) = {
             let injection = self.server.fault_injection();
             (
-                injection.fault,
+                injection.fault(),
                 injection.part_duration_at(now),
-                injection.draining_since,
+                injection.draining_since(),
             )
         };
         let number = self.server.attempt_log().record_attempt(Attempt {
@@ -218,7 +218,7 @@
     fn complete(&self, part: &PartRequest) -> Completion {
         let number = self.server.next_finished_part();
         let hits = |every: u32| every > 0 && number.is_multiple_of(every);
-        let fault = self.server.fault_injection().fault;
+        let fault = self.server.fault_injection().fault();
         let status = match fault {
             Fault::ResetEvery(every) if hits(every) => return Completion::ResetConnection,
             Fault::GarbleEvery(every) if hits(every) => {
