--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -6,9 +6,9 @@
 
 use super::dispatch_queue::{Cancellation, DispatchQueue};
 use super::policy_report::PolicyReporter;
-use crate::event_queue::{ConnectionEvent, ReceivedQuery};
+use crate::event_queue::{ConnectionEvent, ReceivedQuery, ServerConnectionId};
 use crate::queries::{ClientQueries, DispatchError};
-use crate::upstream::{EndedAttempt, OutgoingAttempt, ServerConnectionId, ServerPools};
+use crate::upstream::{EndedAttempt, OutgoingAttempt, ServerPools};
 use broker_types::query::{AttemptId, FinalResponse, PartIndex, QueryId};
 use broker_types::server::{EndpointList, ListScope, NodeId, Outcome, ServerInfo, ServingState};
 use broker_types::time::Timestamp;
@@ -239,7 +239,7 @@
         match self.queries.prepare_attempt(now, dispatch) {
             Ok(outgoing) => return Some(outgoing),
             Err(DispatchError::QueryFinished) => {}
-            Err(DispatchError::IdempotencyWindowClosed) => {
+            Err(DispatchError::IdempotencyWindowClosed(_)) => {
                 // An earlier query with the same key may have executed this part. The query can neither be served nor
                 // be rejected as if nothing had been executed.
                 self.policy.abandon(attempt.query);
--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Takes over what others observed since their last reports. Each report counts as a
+    /// Applies what others observed since their last reports. Each report counts as a
     /// few attempts in the same proportion, failures first, so that the answers beside them
     /// show that the server is up.
     pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
@@ -108,14 +108,11 @@
             (Outcome::Error, report.errors),
             (Outcome::Served, report.served),
         ];
+        let punctuality = self.batch_timer.punctuality();
         for (outcome, attempts) in outcomes {
-            let end = AttemptEnd {
-                outcome,
-                elapsed,
-                punctuality: self.batch_timer.punctuality(),
-            };
+            let end = AttemptEnd::new(outcome, elapsed, punctuality);
             for _ in 0..sample_count(attempts, total) {
-                self.components.learn_from_end(&batch, attempt, end);
+                self.components.record_attempt_end(&batch, attempt, end);
             }
         }
     }
--- a/crates/fanout-policy/src/policy/batch_timer.rs
+++ b/crates/fanout-policy/src/policy/batch_timer.rs
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Takes note of the start of a batch.
+    /// Starts a batch.
     pub(crate) fn on_batch(&mut self, batch: &BatchContext) {
         let is_late = batch.now > self.fires_at + PAUSE_OBJECTIVES * batch.shortest_objective();
         self.punctuality = if is_late {
@@ -54,7 +54,7 @@
         };
     }
 
-    /// Takes note that the timer has fired.
+    /// Handles the firing of the timer.
     pub(crate) fn on_fired(&mut self) {
         self.fires_at = f64::INFINITY;
     }
@@ -88,6 +88,15 @@
     Busy,
 }
 
+/// Whether a control interval starts with the current batch.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(crate) enum IntervalStart {
+    /// It does.
+    Started,
+    /// The current interval continues.
+    NotDue,
+}
+
 /// The timer of the control loops.
 pub(crate) struct ControlTimer {
     /// Start of the next control interval.
@@ -102,12 +111,12 @@
         }
     }
 
-    /// Starts a control interval if it is time for it, and returns whether it has.
-    pub(crate) fn start_interval_if_due(&mut self, now: Ms) -> bool {
-        let is_due = now >= self.next_interval_at;
-        if is_due {
-            self.next_interval_at = now + CONTROL_INTERVAL_MS;
+    /// Starts a control interval if it is time for it.
+    pub(crate) fn start_interval_if_due(&mut self, now: Ms) -> IntervalStart {
+        if now < self.next_interval_at {
+            return IntervalStart::NotDue;
         }
-        is_due
+        self.next_interval_at = now + CONTROL_INTERVAL_MS;
+        IntervalStart::Started
     }
 }
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors in an operator's file, each with its place and what is expected instead.
 
-use crate::MAX_FILE_BYTES;
+use crate::limits::MAX_FILE_BYTES;
 use crate::values::InvalidValue;
 use miette::{Diagnostic, LabeledSpan, NamedSource, SourceCode};
 use std::fmt;
@@ -104,7 +104,7 @@
 /// shows the line of the file.
 #[derive(Clone, Debug)]
 pub struct ConfigFileError {
-    pub(crate) file: Arc<NamedSource<String>>,
+    file: Arc<NamedSource<String>>,
     /// The invalid word, as a range of bytes of the text.
     pub span: Range<usize>,
     /// Line of the word, from 1.
