--- a/crates/operator-config/src/parser.rs
+++ b/crates/operator-config/src/parser.rs
@@ -5,19 +5,21 @@
 use crate::keywords::{self, KEYWORDS, Keyword};
 use crate::limits::MAX_FILE_BYTES;
 use crate::settings::{Http2Settings, LogFormat, LogLevel, LogSettings, Settings};
-use crate::values::{self, InvalidValue};
+use crate::values::{self, Choice, InvalidValue, choice};
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-const LOG_FORMATS: &[(&str, LogFormat)] =
-    &[("logfmt", LogFormat::Logfmt), ("json", LogFormat::Json)];
-const LOG_LEVELS: &[(&str, LogLevel)] = &[
-    ("error", LogLevel::Error),
-    ("warn", LogLevel::Warn),
-    ("info", LogLevel::Info),
-    ("debug", LogLevel::Debug),
-    ("trace", LogLevel::Trace),
+const LOG_FORMATS: &[Choice<LogFormat>] = &[
+    choice("logfmt", LogFormat::Logfmt),
+    choice("json", LogFormat::Json),
+];
+const LOG_LEVELS: &[Choice<LogLevel>] = &[
+    choice("error", LogLevel::Error),
+    choice("warn", LogLevel::Warn),
+    choice("info", LogLevel::Info),
+    choice("debug", LogLevel::Debug),
+    choice("trace", LogLevel::Trace),
 ];
 
 /// Bounds of `gather-time`.
--- a/crates/operator-config/src/values.rs
+++ b/crates/operator-config/src/values.rs
@@ -73,6 +73,17 @@
     Unit { name, factor }
 }
 
+/// A word and the value that it stands for.
+pub(crate) struct Choice<T> {
+    name: &'static str,
+    value: T,
+}
+
+/// A word and the value that it stands for.
+pub(crate) const fn choice<T: Copy>(name: &'static str, value: T) -> Choice<T> {
+    Choice { name, value }
+}
+
 /// Parses a socket address.
 pub(crate) fn parse_address(word: &str) -> Result<SocketAddr, InvalidValue> {
     word.parse().map_err(|_| InvalidValue::Address)
@@ -121,14 +132,11 @@
 }
 
 /// The value whose name the word is.
-pub(crate) fn parse_choice<T: Copy>(
-    word: &str,
-    choices: &[(&'static str, T)],
-) -> Result<T, InvalidValue> {
-    match choices.iter().find(|(name, _)| *name == word) {
-        Some((_, value)) => Ok(*value),
+pub(crate) fn parse_choice<T: Copy>(word: &str, choices: &[Choice<T>]) -> Result<T, InvalidValue> {
+    match choices.iter().find(|choice| choice.name == word) {
+        Some(choice) => Ok(choice.value),
         None => Err(InvalidValue::Choice {
-            names: choices.iter().map(|(name, _)| *name).collect(),
+            names: choices.iter().map(|choice| choice.name).collect(),
         }),
     }
 }
