--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -2,6 +2,7 @@
 
 mod wire;
 
+use crate::time::SignedTimestamp;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
@@ -18,9 +19,8 @@
     pub state: ServingState,
     /// Index of the server's zone; `None` where the configuration does not name it.
     pub zone: Option<usize>,
-    /// Time at which the server's process started, in microseconds on the program's clock, negative before its origin;
-    /// `None` where that is long ago.
-    pub started_at: Option<i64>,
+    /// Time at which the server's process started; `None` where that is long ago.
+    pub started_at: Option<SignedTimestamp>,
 }
 
 /// What the entries of an endpoint list are.
@@ -76,7 +76,11 @@
 
     /// The entries as the policy takes them. `zones` are the configured names of the zones; `from_unix_ms` converts
     /// Unix time in milliseconds to the program's clock.
-    pub fn servers(&self, zones: &[String], from_unix_ms: impl Fn(i64) -> i64) -> Vec<ServerInfo> {
+    pub fn servers(
+        &self,
+        zones: &[String],
+        from_unix_ms: impl Fn(i64) -> SignedTimestamp,
+    ) -> Vec<ServerInfo> {
         self.endpoints
             .iter()
             .map(|endpoint| endpoint.server(zones, &from_unix_ms))
@@ -85,7 +89,11 @@
 }
 
 impl Endpoint {
-    fn server(&self, zones: &[String], from_unix_ms: impl Fn(i64) -> i64) -> ServerInfo {
+    fn server(
+        &self,
+        zones: &[String],
+        from_unix_ms: impl Fn(i64) -> SignedTimestamp,
+    ) -> ServerInfo {
         ServerInfo {
             name: NodeId(self.name.as_str().into()),
             cell: self.cell,
--- a/crates/broker-types/src/time.rs
+++ b/crates/broker-types/src/time.rs
@@ -76,6 +76,28 @@
     }
 }
 
+/// A point in time on the program's clock that may lie before its origin, as the start of another process may.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct SignedTimestamp {
+    micros_since_origin: i64,
+}
+
+impl SignedTimestamp {
+    /// The time so many microseconds after the origin, or before it where they are negative.
+    #[must_use]
+    pub const fn from_micros(micros_since_origin: i64) -> Self {
+        SignedTimestamp {
+            micros_since_origin,
+        }
+    }
+
+    /// Microseconds since the origin, negative before it.
+    #[must_use]
+    pub const fn as_micros(self) -> i64 {
+        self.micros_since_origin
+    }
+}
+
 /// Whole microseconds in a time span; the greatest number where there are more.
 #[must_use]
 pub fn whole_micros(span: Duration) -> u64 {
--- a/crates/broker-types/tests/endpoint_list.rs
+++ b/crates/broker-types/tests/endpoint_list.rs
@@ -1,6 +1,7 @@
 //! Decoding of the endpoint list.
 
 use broker_types::server::{EndpointList, ListScope, NodeId, ServerInfo, ServingState};
+use broker_types::time::SignedTimestamp;
 
 const CHANGES: &str = r#"{"rev":43,"all":false,"targets":[
     {"uid":"a","endpoint":"127.0.0.1:80","az":"y","model":"m","pod_group":3,"state":"leaving","boot_ms":0},
@@ -20,13 +21,15 @@
 #[test]
 fn list_with_missing_and_unknown_fields_is_decoded() {
     let list: EndpointList = serde_json::from_str(CHANGES).unwrap();
-    let servers = list.servers(&["x".to_owned(), "y".to_owned()], |unix_ms| unix_ms - 1);
+    let servers = list.servers(&["x".to_owned(), "y".to_owned()], |unix_ms| {
+        SignedTimestamp::from_micros(unix_ms - 1)
+    });
     let draining = ServerInfo {
         zone: Some(1),
         ..server("a", 3, ServingState::Draining)
     };
     let active = ServerInfo {
-        started_at: Some(1_796_125_499_999),
+        started_at: Some(SignedTimestamp::from_micros(1_796_125_499_999)),
         ..server("b", 1, ServingState::Serving)
     };
     let removed = server("c", 0, ServingState::Removed);
@@ -136,7 +139,7 @@
         let list = decode(&list_with(fields)).unwrap();
         assert_eq!(list.scope(), ListScope::Snapshot);
         assert_eq!(list.endpoints[0].address, None);
-        let servers = list.servers(&["y".to_owned()], |_| 0);
+        let servers = list.servers(&["y".to_owned()], |_| SignedTimestamp::from_micros(0));
         assert_eq!(servers, [server("a", 0, ServingState::Serving)]);
     }
 }
@@ -151,7 +154,8 @@
         ("1e300", Some(i64::MAX)),
     ] {
         let list = decode(&list_with(&format!(r#","boot_ms":{started}"#))).unwrap();
-        let servers = list.servers(&[], |unix_ms| unix_ms);
+        let servers = list.servers(&[], SignedTimestamp::from_micros);
+        let expected = expected.map(SignedTimestamp::from_micros);
         assert_eq!(servers[0].started_at, expected, "{started}");
     }
 }
@@ -161,7 +165,7 @@
 fn list_of_values_in_order_is_decoded() {
     let list = decode(r#"[7,false,[["a",null,"y",2,"left",0]]]"#).unwrap();
     assert_eq!((list.revision, list.scope()), (7, ListScope::Delta));
-    let servers = list.servers(&[], |_| 0);
+    let servers = list.servers(&[], |_| SignedTimestamp::from_micros(0));
     assert_eq!(servers, [server("a", 2, ServingState::Removed)]);
 }
 
--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -1,7 +1,7 @@
 //! The clock of the program, which counts time on the monotonic clock since the program started, and time limits.
 
 use async_io::Timer;
-use broker_types::time::{Timestamp, whole_micros};
+use broker_types::time::{SignedTimestamp, Timestamp, whole_micros};
 use futures_lite::FutureExt;
 use std::io;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -42,12 +42,11 @@
         self.origin + at.saturating_since(Timestamp::ORIGIN)
     }
 
-    /// Converts a Unix time in milliseconds to microseconds on this clock; negative before the origin.
+    /// Converts a Unix time in milliseconds to a time on this clock.
     #[must_use]
-    pub fn at_unix_ms(&self, unix_ms: i64) -> i64 {
-        unix_ms
-            .saturating_sub(self.unix_origin_ms)
-            .saturating_mul(MICROS_PER_MILLISECOND)
+    pub fn at_unix_ms(&self, unix_ms: i64) -> SignedTimestamp {
+        let ms_since_origin = unix_ms.saturating_sub(self.unix_origin_ms);
+        SignedTimestamp::from_micros(ms_since_origin.saturating_mul(MICROS_PER_MILLISECOND))
     }
 }
 
--- a/crates/broker/src/clock/tests.rs
+++ b/crates/broker/src/clock/tests.rs
@@ -8,7 +8,8 @@
         origin: Instant::now(),
         unix_origin_ms: 1_000_000,
     };
-    assert_eq!(clock.at_unix_ms(1_000_250), 250_000);
-    assert_eq!(clock.at_unix_ms(999_000), -1_000_000);
-    assert_eq!(clock.at_unix_ms(i64::MIN), i64::MIN);
+    let at = SignedTimestamp::from_micros;
+    assert_eq!(clock.at_unix_ms(1_000_250), at(250_000));
+    assert_eq!(clock.at_unix_ms(999_000), at(-1_000_000));
+    assert_eq!(clock.at_unix_ms(i64::MIN), at(i64::MIN));
 }
--- a/crates/broker/src/event_loop/iteration.rs
+++ b/crates/broker/src/event_loop/iteration.rs
@@ -86,9 +86,11 @@
             let now = self.clock.now();
             self.iterate(now);
             let queries_in_flight = self.processor.queries_in_flight();
-            let shutdown = &mut self.shutdown;
-            let progress = shutdown.advance(now, &mut self.listeners, queries_in_flight);
-            if progress.await == ShutdownProgress::Complete {
+            let progress = self
+                .shutdown
+                .advance(now, &mut self.listeners, queries_in_flight)
+                .await;
+            if progress == ShutdownProgress::Complete {
                 return;
             }
             self.wait(now, self.next_deadline(now)).await;
--- a/crates/policy-engine/src/events.rs
+++ b/crates/policy-engine/src/events.rs
@@ -47,8 +47,9 @@
         cell: server.cell,
         state: server.state,
         zone: server.zone,
-        // Unlike other times, this one may lie before the origin of the program's clock.
-        started: server.started_at.map(|at| from_micros(at as f64)),
+        started: server
+            .started_at
+            .map(|at| from_micros(at.as_micros() as f64)),
     }
 }
 
