--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -1,4 +1,4 @@
-//! Load at a given rate, whatever is answered.
+//! Open-loop load: queries are sent at a given rate, however fast they are answered.
 
 mod arrivals;
 mod recorder;
@@ -127,7 +127,7 @@
     Ok(recorder.report())
 }
 
-/// Limits the queries in flight: each takes a slot and gives it back.
+/// Limits the queries in flight: each acquires a slot and releases it.
 #[derive(Clone)]
 struct QuerySlots {
     /// Holds a message for each free slot.
@@ -154,7 +154,7 @@
         let _ = self.released.try_send(());
     }
 
-    /// Waits until so many slots are free, for each of them no longer than [`ANSWER_GRACE`].
+    /// Waits until this number of slots is free, for each of them no longer than [`ANSWER_GRACE`].
     async fn wait_until_free(&self, count: usize) {
         for _ in 0..count {
             let acquired = async {
--- a/crates/load-generator/src/raw_http2.rs
+++ b/crates/load-generator/src/raw_http2.rs
@@ -1,6 +1,6 @@
 //! An HTTP/2 client that writes its frames by itself, so that it can break the rules of RFC 9113 as no library does.
 //!
-//! It is made for tests: where an expected frame does not come, it panics with what came instead.
+//! It is made for tests: if an expected frame does not arrive, it panics with the frames that did.
 
 mod fields;
 mod frame;
@@ -26,7 +26,7 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
 /// Longest wait for an expected frame or text.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// The shortest timeout of a read; sockets take zero for none.
+/// The shortest timeout of a read; sockets interpret zero as no timeout.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
 /// Bytes that are read at once.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
--- a/crates/load-generator/src/raw_http2/fields.rs
+++ b/crates/load-generator/src/raw_http2/fields.rs
@@ -97,7 +97,7 @@
     digits.parse().expect("a status is a number")
 }
 
-/// Decodes so many Huffman coded digits.
+/// Decodes this number of Huffman coded digits.
 fn decode_huffman_digits(bytes: &[u8], count: usize) -> String {
     let bits: String = bytes.iter().map(|byte| format!("{byte:08b}")).collect();
     let mut rest = bits.as_str();
--- a/crates/load-generator/src/raw_http2/frame.rs
+++ b/crates/load-generator/src/raw_http2/frame.rs
@@ -38,7 +38,7 @@
 }
 
 impl Frame {
-    /// Takes the first frame from received bytes, if it is there whole.
+    /// Removes the first frame from received bytes, if it is complete.
     pub(super) fn take_from(input: &mut Vec<u8>) -> Option<Frame> {
         let header: [u8; HEADER_BYTES] = input.get(..HEADER_BYTES)?.try_into().ok()?;
         let [length_0, length_1, length_2, frame_type, flags, id @ ..] = header;
--- a/crates/operator-config/src/keywords.rs
+++ b/crates/operator-config/src/keywords.rs
@@ -29,7 +29,7 @@
 pub struct Keyword {
     /// Its name.
     pub name: &'static str,
-    /// Description of its argument, for a person.
+    /// Description of its argument, for the operator.
     pub argument: &'static str,
     /// What it is for.
     pub description: &'static str,
@@ -39,7 +39,7 @@
     pub requires: Option<&'static str>,
 }
 
-/// All keywords. Each may stand on one line of a file, with one argument.
+/// All keywords. Each may occur once in a file, with one argument.
 pub const KEYWORDS: &[Keyword] = &[
     Keyword {
         name: LOG_FORMAT,
@@ -104,7 +104,7 @@
     KEYWORDS.iter().find(|keyword| keyword.name == name)
 }
 
-/// The keyword that a misspelt one was probably meant to be: the nearest, if at most a third of it differs.
+/// The keyword that a misspelt one probably means: the nearest by edit distance, if at most a third of it differs.
 pub(crate) fn find_similar(name: &str) -> Option<&'static str> {
     if name.len() > MAX_MISSPELT_BYTES {
         return None;
--- a/crates/operator-config/src/parser.rs
+++ b/crates/operator-config/src/parser.rs
@@ -1,4 +1,4 @@
-//! Makes typed settings of a file's text and collects all errors on the way.
+//! Parses the text of a file into typed settings, and collects all errors.
 
 use crate::error::{ConfigFileError, ConfigFileErrors, ErrorKind, SourceText};
 use crate::grammar::{Line, Word, parse_lines};
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -60,9 +60,9 @@
 pub struct Settings {
     /// The log.
     pub log: LogSettings,
-    /// The HTTP/2 listener, if there is to be one.
+    /// The HTTP/2 listener, if the file configures one.
     pub http2: Option<Http2Settings>,
-    /// Longest wait for parts that could share a batch; `None` means a tick of the platform's settings.
+    /// Longest wait for parts that could share a batch; `None` means the tick interval of the platform's settings.
     pub gather_time: Option<Duration>,
     /// The arguments as written in the file, by keyword.
     pub(crate) arguments: BTreeMap<&'static str, String>,
--- a/crates/operator-config/src/values.rs
+++ b/crates/operator-config/src/values.rs
@@ -44,7 +44,7 @@
         /// The longest.
         max: Duration,
     },
-    /// One of some words.
+    /// One of several words.
     #[error("expected one of {}", .names.join(", "))]
     Choice {
         /// The words.
@@ -52,7 +52,7 @@
     },
 }
 
-/// A unit and how many of the smallest unit it stands for.
+/// A unit, as a multiple of the smallest unit.
 struct Unit {
     name: &'static str,
     factor: u64,
--- a/crates/query-broker/src/bench/flood.rs
+++ b/crates/query-broker/src/bench/flood.rs
@@ -1,4 +1,4 @@
-//! What a flood on one connection costs clients on others.
+//! Effect of a flood on one connection on the clients of others.
 
 use super::WARM_UP_SHARE;
 use super::broker_build::{BrokerBuild, http2_address};
@@ -16,16 +16,16 @@
 use std::time::{Duration, Instant};
 use test_fleet::FleetPlan;
 
-/// Queries a second of the usual clients.
+/// Queries a second that regular clients send.
 const CLIENT_QUERIES_PER_SECOND: f64 = 500.0;
 
-/// Most queries at once of the usual clients.
+/// Largest number of queries in flight of regular clients.
 const CLIENT_CONCURRENCY: usize = 100;
 
-/// Connections of the usual clients.
+/// Number of connections of regular clients.
 const CLIENT_CONNECTIONS: usize = 2;
 
-/// Seed of their arrivals.
+/// Seed of the arrivals of regular clients.
 const SEED: u64 = 9;
 
 /// How long a data server takes for a part.
@@ -94,19 +94,19 @@
     pub(super) longest: Duration,
 }
 
-/// What a flood did to the usual clients and to the attacker.
+/// Effect of a flood on regular clients and on the attacker.
 pub(super) struct FloodFigures {
     /// The flood.
     pub(super) kind: FloodKind,
-    /// Latency of the usual clients, in microseconds.
+    /// Latency of regular clients, in microseconds.
     pub(super) latency: Histogram<u64>,
-    /// Queries of the usual clients that were not served.
+    /// Queries of regular clients that were not served.
     pub(super) unserved: u64,
     /// The attacker's connections.
     pub(super) attack: AttackFigures,
 }
 
-/// Measures the usual load beside an attacker that reconnects as soon as its connection is ended.
+/// Measures the load of regular clients beside an attacker that reconnects as soon as its connection is closed.
 pub(super) fn measure(
     build: &BrokerBuild,
     kind: FloodKind,
--- a/crates/query-broker/src/bench/measurements.rs
+++ b/crates/query-broker/src/bench/measurements.rs
@@ -3,13 +3,13 @@
 use super::broker_build::Listeners;
 use super::flood::FloodKind;
 
-/// Queries a second of clients that ask one after another, far from any load.
+/// Queries a second of a single client, far below the capacity.
 const SINGLE_CLIENT_QUERIES_PER_SECOND: f64 = 50.0;
 
-/// Queries a second of a steady load.
+/// Queries a second under a steady load.
 const STEADY_QUERIES_PER_SECOND: f64 = 4000.0;
 
-/// Most queries at once under a steady load.
+/// Largest number of queries in flight under a steady load.
 const STEADY_CONCURRENCY: usize = 256;
 
 /// How the broker's iterations are paced in a measurement.
@@ -60,9 +60,9 @@
     pub(super) route: Route,
     /// How the broker's iterations are paced.
     pub(super) pacing: Pacing,
-    /// Queries a second; `None`: as many as are answered.
+    /// Queries a second; `None` sends a query as soon as another one has ended.
     pub(super) rate: Option<f64>,
-    /// Most queries at once.
+    /// Largest number of queries in flight.
     pub(super) max_concurrent: usize,
 }
 
@@ -80,7 +80,7 @@
 pub(super) struct MemoryMeasurement {
     /// What clients speak.
     pub(super) version: HttpVersion,
-    /// Requests at once; over HTTP/1.1 as far as its slots go.
+    /// Number of concurrent requests; over HTTP/1.1 at most the number of connection slots.
     pub(super) requests: usize,
 }
 
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -17,7 +17,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Share of a measurement's duration that goes before it and does not count.
+/// Duration of the warm-up before a measurement, as a share of the measurement's duration.
 const WARM_UP_SHARE: f64 = 0.2;
 
 /// Runs all measurements and prints them.
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -84,7 +84,7 @@
     json!({"line": error.line, "column": error.column, "what": error.kind.to_string(), "expected": expected})
 }
 
-/// Every error with its line and the word underlined.
+/// Displays every error with its line of the file and the word underlined.
 fn graphical_report(errors: &ConfigFileErrors) -> String {
     let theme = if std::io::stderr().is_terminal() {
         GraphicalTheme::unicode()
--- a/crates/query-broker/tests/http2/fault_injection.rs
+++ b/crates/query-broker/tests/http2/fault_injection.rs
@@ -75,7 +75,7 @@
     let id = &query.id;
     let response = match stream.response().await {
         Ok(response) => response,
-        // A stream that was reset may count for a moment longer there than here: harmless to repeat.
+        // The broker may count a stream that was just reset for a moment longer than the client does.
         Err(error) if error.reason() == Some(Reason::REFUSED_STREAM) => return QueryEnd::Rejected,
         Err(error) => panic!("{id}: {error}"),
     };
@@ -198,8 +198,8 @@
         assert!(fixture.broker.wait_for_exit().unwrap().success());
         check_ends(&mut fixture, &ends.take());
         fixture.check_invariants();
-        // In the broker each accepted query ended once too: none was in flight when it exited by itself. One that was
-        // would have delayed the exit, or the log would show its expiry.
+        // Each accepted query ended in the broker too: a query in flight would have delayed the exit, or the log would
+        // show its expiry.
         let log = fixture.broker.log_lines();
         let has_expired = log
             .iter()
--- a/crates/query-broker/tests/http2/fixture.rs
+++ b/crates/query-broker/tests/http2/fixture.rs
@@ -13,13 +13,13 @@
 use std::time::{Duration, Instant};
 use test_fleet::{AttemptLimits, BrokerProcess, Deployment, Fault, Fleet, FleetPlan, part_value};
 
-/// Far beyond what a slow machine needs for whatever is waited for.
+/// Bound on every wait, far longer than a slow machine needs.
 pub(crate) const BOUND: Duration = Duration::from_secs(30);
 
-/// An operator's file that asks for HTTP/2 and nothing else.
+/// An operator's file that configures the HTTP/2 listener only.
 pub(crate) const OPERATOR_CONFIG: &str = "listen-http2 127.0.0.1:0\n";
 
-/// Pause between two looks at what the data servers have seen.
+/// Interval at which the attempt log is polled.
 const ATTEMPT_POLL: Duration = Duration::from_millis(1);
 
 /// Pause between two attempts to connect.
@@ -33,7 +33,7 @@
 }
 
 impl Fixture {
-    /// Starts a usual deployment, whose data servers take this long for a part.
+    /// Starts the default deployment, whose data servers take this long for a part.
     pub(crate) fn with_part_duration(part_duration: Duration) -> Self {
         let plan = FleetPlan {
             part_duration,
@@ -92,7 +92,7 @@
         RawHttp2Client::connect(self.http2_address())
     }
 
-    /// Makes all data servers faulty, or sound again.
+    /// Sets the fault of all data servers, or removes it with [`Fault::None`].
     pub(crate) fn set_fault(&self, fault: Fault) {
         for server in self.fleet.servers() {
             server.set_fault(fault);
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -13,8 +13,8 @@
 /// Bound on the end of a flooded or silent connection.
 const CLOSE_BOUND: Duration = Duration::from_secs(20);
 
-/// Sends the same again and again until the connection ends. What is measured is the broker's time, so that the bound
-/// on a slow machine is far beyond the three seconds that the page states; `query-broker bench` shows the figure.
+/// Sends the same frames again and again until the connection ends. A slow machine needs longer than the three seconds
+/// in which the broker has to end it, so that the bound is far longer; `query-broker bench` shows the real duration.
 fn flood(fixture: &Fixture, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
     let mut raw = fixture.connect_raw();
     let start = Instant::now();
--- a/crates/query-broker/tests/http2/malformed_requests.rs
+++ b/crates/query-broker/tests/http2/malformed_requests.rs
@@ -10,7 +10,7 @@
 /// The error code `PROTOCOL_ERROR` (RFC 9113, section 7).
 const PROTOCOL_ERROR: u32 = 1;
 
-/// A request with a fault in its fields.
+/// A request with an error in its fields.
 struct MalformedRequest {
     /// What is wrong.
     fault: &'static str,
--- a/crates/test-fleet/src/attempt_log.rs
+++ b/crates/test-fleet/src/attempt_log.rs
@@ -43,7 +43,7 @@
     pub server: String,
     /// The id of the part.
     pub part_id: String,
-    /// The shard that the part asks for.
+    /// The shard that the part queries.
     pub shard: usize,
     /// The idempotency key of the part's query, if it has one.
     pub idempotency_key: Option<String>,
@@ -124,8 +124,8 @@
         &self.attempts
     }
 
-    /// Checks the rules of the protocol over all logged attempts and returns each violation. The tolerance of the limits
-    /// holds as it is, unless twice the largest recorded lag exceeds it.
+    /// Checks the rules of the protocol over all logged attempts and returns each violation. The tolerance is that of the
+    /// limits, or twice the largest recorded lag if that is longer.
     #[must_use]
     pub fn check_invariants(&self, limits: AttemptLimits) -> Vec<Violation> {
         let clock_tolerance = limits
--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -19,12 +19,12 @@
 
 /// Longest wait for the end of the process; a slow machine needs far less.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time between two looks at whether the process has ended.
+/// Interval at which the end of the process is polled.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Words of the log line with the address of the HTTP/1.1 listener: the event's name, and the one that earlier builds gave
 /// it, so that `bench` can measure such a build too.
 const HTTP1_LISTENER_STARTED: [&str; 2] = ["event=broker_started ", "event=started "];
-/// Words of the log line with the address of the HTTP/2 listener, likewise.
+/// Words of the log line with the address of the HTTP/2 listener, in this and in earlier builds.
 const HTTP2_LISTENER_STARTED: [&str; 2] = ["event=http2_listener_started ", "event=started_http2 "];
 /// Setting of the operator's file that opens the HTTP/2 listener.
 const HTTP2_LISTENER_SETTING: &str = "listen-http2";
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -110,7 +110,7 @@
         self.changed.notify_all();
     }
 
-    /// The whole list, or what changed after a revision. A revision of the future is treated as none.
+    /// The whole list, or its changes after a revision. A revision that has not been published is treated as none.
     pub(crate) fn list(&self, after: Option<u64>) -> Value {
         let state = self.state.borrow();
         let after = after.filter(|revision| *revision <= state.revision);
--- a/crates/test-fleet/src/fleet/runtime.rs
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -179,7 +179,7 @@
     }
 }
 
-/// Records by how much timers of this thread fire late, until the task is dropped.
+/// Records the delay with which timers of this thread fire, until the task is dropped.
 async fn measure_lag(attempt_log: Arc<Mutex<AttemptLog>>) {
     loop {
         let due = Instant::now() + LAG_MEASUREMENT_INTERVAL;
