--- a/crates/fanout-policy/tests/policy/admission.rs
+++ b/crates/fanout-policy/tests/policy/admission.rs
@@ -1,22 +1,18 @@
 //! Admission of queries, and the retry-after value of rejected ones.
 
 use crate::common::{
-    Harness, SentAttempt, answer_queries, class, class_without_late_weight, final_responses,
-    rejected, ring, ring_with_class, sent_attempts, served,
+    Harness, SentAttempt, class, class_without_late_weight, final_responses, one_cell, rejected,
+    ring, ring_with_class, sent_attempts, served,
 };
 use fanout_policy::api::{Action, Class, Ms, Outcome, Settings};
 
 #[test]
 fn timeouts_make_admission_reject_with_retry_after() {
-    let class = class_without_late_weight();
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            hedging: false,
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        hedging: false,
+        ..ring_with_class(class_without_late_weight())
+    };
+    let mut policy = Harness::new(settings, 1);
     let mut rejections = 0;
     for k in 0..200 {
         let name = format!("q{k}");
@@ -34,53 +30,46 @@
 
 #[test]
 fn client_retry_past_its_objective_is_recognized_by_its_shorter_deadline() {
-    // The client's timeout over all its attempts is 4000 ms: with 2000 ms left instead of the usual 3500 ms, its first
-    // attempt was 2000 ms ago.
-    let class = class_without_late_weight();
-    let mut policy = Harness::new(ring_with_class(class), 1);
-    answer_queries(&mut policy, 20, 3500.0);
+    // The client's timeout over all its attempts is 4000 ms: with 2000 ms left instead of the usual
+    // 3500 ms, its first attempt was 2000 ms ago.
+    let mut policy = Harness::new(ring_with_class(class_without_late_weight()), 1);
+    policy.answer_queries(20, 3500.0);
     let events = policy.query_events("again", 0, &[0], 2000.0);
-    assert_eq!(
-        final_responses(&policy.advance(5.0, events)),
-        vec![rejected("again")]
-    );
+    assert_eq!(policy.responses_after(5.0, events), vec![rejected("again")]);
     let events = policy.query_events("first", 0, &[0], 3500.0);
-    assert_eq!(sent_attempts(&policy.advance(5.0, events)).len(), 1);
+    assert_eq!(policy.attempts_after(5.0, events).len(), 1);
 }
 
 #[test]
 fn one_long_client_timeout_does_not_make_other_queries_retries() {
-    let class = class_without_late_weight();
-    let mut policy = Harness::new(ring_with_class(class), 1);
-    answer_queries(&mut policy, 10, 2500.0);
-    answer_queries(&mut policy, 1, 4000.0);
+    let mut policy = Harness::new(ring_with_class(class_without_late_weight()), 1);
+    policy.answer_queries(10, 2500.0);
+    policy.answer_queries(1, 4000.0);
     let events = policy.query_events("q", 0, &[0], 2500.0);
-    assert_eq!(sent_attempts(&policy.advance(5.0, events)).len(), 1);
+    assert_eq!(policy.attempts_after(5.0, events).len(), 1);
 }
 
 #[test]
 fn past_overload_does_not_reject_queries_of_an_idle_fleet_for_good() {
-    // Queries end long after their forecast, at servers whose answers show the usual latency. A class with a much larger
-    // weight leaves this one the least share of its time.
+    // Queries end long after their forecast, at servers whose answers show the usual latency. A
+    // class with a much larger weight leaves this one the least share of its time.
     let low_weight = class_without_late_weight();
     let high_weight = Class {
         priority_weight: 50.0,
         ..low_weight.clone()
     };
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![low_weight, high_weight],
-            max_attempts: 1,
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        classes: vec![low_weight, high_weight],
+        max_attempts: 1,
+        ..ring()
+    };
+    let mut policy = Harness::new(settings, 1);
     let events = policy.query_events("high", 1, &[0], 4000.0);
-    let sent = sent_attempts(&policy.advance(5.0, events));
+    let sent = policy.attempts_after(5.0, events);
     policy.end_attempt(&sent[0].part, 0, Outcome::Served, 20.0);
     let admitted: Vec<bool> = (0..60)
         .map(|k| {
-            let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
+            let sent = policy.attempts_for(&format!("q{k}"), &[0]);
             policy.advance(900.0, served(&sent, 0, 20.0));
             !sent.is_empty()
         })
@@ -94,15 +83,12 @@
 /// The retry-after value of a query of this class without any server, where clients respect at most
 /// `max_retry_after`.
 fn retry_after_of(class: Class, max_retry_after: Ms) -> Option<Ms> {
-    let mut policy = Harness::new(
-        Settings {
-            classes: vec![class],
-            max_retry_after: Some(max_retry_after),
-            ..ring()
-        },
-        0,
-    );
-    match final_responses(&policy.submit("q", &[0])).as_slice() {
+    let settings = Settings {
+        max_retry_after: Some(max_retry_after),
+        ..ring_with_class(class)
+    };
+    let mut policy = Harness::new(settings, 0);
+    match policy.responses_to("q", &[0]).as_slice() {
         [Action::Reject { retry_after, .. }] => *retry_after,
         responses => panic!("{responses:?}"),
     }
@@ -110,7 +96,8 @@
 
 #[test]
 fn retry_after_lets_the_retry_meet_its_objective() {
-    // Clients respect up to twice the latency objective; a retry after that time would earn nothing.
+    // Clients respect up to twice the latency objective; a retry after that time would earn
+    // nothing.
     let retry_after = retry_after_of(class(), 2000.0).unwrap();
     assert!(
         retry_after > 0.0 && retry_after < 500.0,
@@ -123,48 +110,42 @@
     );
 }
 
-/// In sev6538 an answer past its objective earned a tenth, and two thirds of the work of overloaded servers was late.
+/// In sev6538 an answer past its objective earned a tenth, and two thirds of the work of overloaded
+/// servers was late.
 #[test]
 fn attempt_ends_at_the_objective_when_late_answers_earn_little() {
-    for (late_weight, timeout) in [(0.1, 990.0), (0.3, 3990.0)] {
-        let classes = vec![Class {
+    for (late_weight, timeout, expected) in
+        [(0.1, 990.0, vec![rejected("q")]), (0.3, 3990.0, vec![])]
+    {
+        let class = Class {
             late_weight,
             ..class()
-        }];
-        let mut policy = Harness::new(
-            Settings {
-                classes,
-                aggregators: 100,
-                ..ring()
-            },
-            1,
-        );
-        let sent = sent_attempts(&policy.submit("q", &[0]));
+        };
+        let settings = Settings {
+            aggregators: 100,
+            ..ring_with_class(class)
+        };
+        let mut policy = Harness::new(settings, 1);
+        let sent = policy.attempts_for("q", &[0]);
         assert!(
             (sent[0].timeout.unwrap() - timeout).abs() < 1.0,
             "{late_weight}: {sent:?}"
         );
-        let responses = final_responses(&policy.advance(995.0, vec![]));
-        let expected = if late_weight < 0.2 {
-            vec![rejected("q")]
-        } else {
-            vec![]
-        };
-        assert_eq!(responses, expected);
+        let responses = policy.responses_after(995.0, vec![]);
+        assert_eq!(responses, expected, "{late_weight}");
     }
 }
 
-/// Otherwise seventeen parts of a query run for nothing while the eighteenth has no reachable replica.
+/// Otherwise seventeen parts of a query run for nothing while the eighteenth has no reachable
+/// replica.
 #[test]
 fn query_is_rejected_immediately_while_a_part_has_no_reachable_replica() {
-    let mut policy = Harness::new(
-        Settings {
-            replica_cells: 1,
-            max_attempts: 1,
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        replica_cells: 1,
+        max_attempts: 1,
+        ..ring()
+    };
+    let mut policy = Harness::new(settings, 1);
     policy.submit("q", &[0]);
     policy.end_attempt("q.0", 0, Outcome::Unreachable, 5.0);
     let actions = policy.submit("next", &[0, 1]);
@@ -173,11 +154,11 @@
         (vec![], vec![rejected("next")])
     );
     policy.advance(8000.0, vec![]);
-    assert_eq!(sent_attempts(&policy.submit("later", &[0, 1])).len(), 2);
+    assert_eq!(policy.attempts_for("later", &[0, 1]).len(), 2);
 }
 
-/// A mean over many parts hides the one server that makes the query late, and each of many brokers may send few hedges
-/// around that server.
+/// A mean over many parts hides the one server that makes the query late, and each of many brokers
+/// may send few hedges around that server.
 #[test]
 fn query_that_needs_all_parts_is_rejected_for_one_late_part() {
     for (required_share, aggregators, is_rejected) in
@@ -188,21 +169,18 @@
             minimum_share: required_share,
             ..class()
         };
-        let mut policy = Harness::new(
-            Settings {
-                classes: vec![class],
-                aggregators,
-                replica_cells: 1,
-                ..ring()
-            },
-            1,
-        );
+        let settings = Settings {
+            aggregators,
+            replica_cells: 1,
+            ..ring_with_class(class)
+        };
+        let mut policy = Harness::new(settings, 1);
         for k in 0..30 {
-            let sent = sent_attempts(&policy.submit(&format!("w{k}"), &[k % 6]));
+            let sent = policy.attempts_for(&format!("w{k}"), &[k % 6]);
             let elapsed = if k % 6 == 0 { 1100.0 } else { 40.0 };
             policy.advance(elapsed, served(&sent, 0, elapsed));
         }
-        let responses = final_responses(&policy.submit("q", &[0, 1, 2, 3, 4, 5]));
+        let responses = policy.responses_to("q", &[0, 1, 2, 3, 4, 5]);
         assert_eq!(
             !responses.is_empty(),
             is_rejected,
@@ -213,29 +191,22 @@
 
 #[test]
 fn query_is_rejected_immediately_while_all_replicas_are_overloaded() {
-    let class = class_without_late_weight();
     let settings = Settings {
-        classes: vec![class],
-        cells: 1,
-        replica_cells: 1,
+        classes: vec![class_without_late_weight()],
         max_attempts: 1,
-        ..ring()
+        ..one_cell()
     };
     let mut policy = Harness::new(settings, 2);
-    answer_queries(&mut policy, 10, 4000.0);
+    policy.answer_queries(10, 4000.0);
     // Each time that both replicas reject a part they are avoided for longer.
     let mut last = vec![];
     for k in 0..12 {
-        let mut open = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
+        let mut open = policy.attempts_for(&format!("q{k}"), &[0]);
         last = open.clone();
         let mut attempt = 0;
         while let Some(SentAttempt { part, .. }) = open.pop() {
-            open.extend(sent_attempts(&policy.end_attempt(
-                &part,
-                attempt,
-                Outcome::Overloaded,
-                5.0,
-            )));
+            let actions = policy.end_attempt(&part, attempt, Outcome::Overloaded, 5.0);
+            open.extend(sent_attempts(&actions));
             attempt += 1;
         }
     }
@@ -245,7 +216,7 @@
     );
     policy.advance(6000.0, vec![]);
     assert!(
-        !sent_attempts(&policy.submit("later", &[0])).is_empty(),
+        !policy.attempts_for("later", &[0]).is_empty(),
         "a replica is used as soon as it may be"
     );
 }
--- a/crates/fanout-policy/tests/policy/answers.rs
+++ b/crates/fanout-policy/tests/policy/answers.rs
@@ -1,20 +1,21 @@
 //! Final responses: complete, partial, and of queries with a second step.
 
 use crate::common::{
-    Harness, attempt_ended, class, class_without_late_weight, complete_answer, final_responses,
-    part_id, partial_answer, query_id, rejected, ring, ring_with_class, sent_attempts, served,
+    Harness, attempt_ended, cancels_an_attempt, class, class_without_late_weight, complete_answer,
+    final_responses, part_id, partial_answer, query_id, rejected, ring, ring_with_class,
+    ring_without_retries, sent_attempts, served,
 };
-use fanout_policy::api::{Action, Class, Event, Outcome, Part, Settings};
+use fanout_policy::api::{Class, Event, Outcome, Part, Settings};
 
 #[test]
 fn query_gets_one_final_response_before_the_client_deadline() {
     let mut policy = Harness::new(ring(), 1);
     let mut responses = Vec::new();
     let events = policy.query_events("q", 0, &[0, 1], 1500.0);
-    responses.extend(final_responses(&policy.advance(5.0, events)));
+    responses.extend(policy.responses_after(5.0, events));
     let client_deadline = policy.now + 1500.0;
     while policy.now + 5.0 < client_deadline {
-        responses.extend(final_responses(&policy.advance(5.0, vec![])));
+        responses.extend(policy.responses_after(5.0, vec![]));
     }
     assert_eq!(responses, vec![rejected("q")]);
     let late_events = vec![
@@ -25,17 +26,13 @@
     assert!(final_responses(&late).is_empty() && sent_attempts(&late).is_empty());
 }
 
-/// Settings with one class, which may be answered from half of its parts, each of which is sent once.
+/// Settings with one class, which may be answered from half of its parts, each of which is sent
+/// once.
 fn half_answer_without_retries() -> Settings {
-    let class = Class {
+    ring_without_retries(Class {
         minimum_share: 0.5,
         ..class_without_late_weight()
-    };
-    Settings {
-        classes: vec![class],
-        max_attempts: 1,
-        ..ring()
-    }
+    })
 }
 
 #[test]
@@ -48,9 +45,7 @@
     assert!(final_responses(&repeated).is_empty(), "a part counts once");
     policy.end_attempt("q.1", 0, Outcome::Served, 10.0);
     let mut last = Vec::new();
-    for _ in 0..250 {
-        last.extend(policy.advance(5.0, vec![]));
-    }
+    last.extend(policy.run_ticks(250));
     assert_eq!(final_responses(&last), vec![partial_answer("q")]);
 }
 
@@ -62,10 +57,10 @@
         ..class()
     };
     let mut policy = Harness::new(ring_with_class(class), 1);
-    let sent = sent_attempts(&policy.submit("q", &[0, 1, 2, 3, 4, 5]));
+    let sent = policy.attempts_for("q", &[0, 1, 2, 3, 4, 5]);
     assert_eq!(sent.len(), 5);
     let error = attempt_ended(&sent[0].part, 0, Outcome::Error, 10.0);
-    let more = sent_attempts(&policy.advance(10.0, vec![error]));
+    let more = policy.attempts_after(10.0, vec![error]);
     assert_eq!(
         more.len(),
         2,
@@ -75,10 +70,10 @@
     events.push(attempt_ended(&more[0].part, 0, Outcome::Served, 5.0));
     let last = policy.advance(10.0, events);
     assert_eq!(final_responses(&last), vec![complete_answer("q")]);
-    let cancels = last
-        .iter()
-        .any(|action| matches!(action, Action::CancelAttempt { .. }));
-    assert!(cancels, "the attempt in flight is cancelled");
+    assert!(
+        cancels_an_attempt(&last),
+        "the attempt in flight is cancelled"
+    );
 }
 
 #[test]
@@ -93,7 +88,7 @@
         served("q.2"),
     ];
     assert!(
-        final_responses(&policy.advance(20.0, early)).is_empty(),
+        policy.responses_after(20.0, early).is_empty(),
         "the last part would add a quarter"
     );
     let last = policy.advance(100.0, vec![served("q.3")]);
@@ -111,7 +106,7 @@
     let first_step = policy.end_attempt("q.0", 0, Outcome::Served, 20.0);
     assert_eq!(final_responses(&first_step), vec![complete_answer("q")]);
     let parts = vec![second_step_part("x", 1, 0.5), second_step_part("y", 1, 0.5)];
-    assert_eq!(sent_attempts(&policy.advance(5.0, parts)).len(), 2);
+    assert_eq!(policy.attempts_after(5.0, parts).len(), 2);
     let one_served = policy.end_attempt("x", 0, Outcome::Served, 20.0);
     assert!(final_responses(&one_served).is_empty());
     let both_served = policy.advance(5.0, vec![attempt_ended("y", 0, Outcome::Served, 25.0)]);
@@ -126,9 +121,8 @@
         ..class()
     };
     Settings {
-        classes: vec![class],
         hedging: false,
-        ..ring()
+        ..ring_with_class(class)
     }
 }
 
@@ -155,7 +149,7 @@
         "its parts have not arrived yet"
     );
     let parts = vec![second_step_part("x", 1, 1.0)];
-    assert_eq!(sent_attempts(&policy.advance(5.0, parts)).len(), 1);
+    assert_eq!(policy.attempts_after(5.0, parts).len(), 1);
 }
 
 #[test]
@@ -172,7 +166,7 @@
     policy.submit("q", &[0, 1]);
     let submitted = policy.now;
     policy.end_attempt("q.0", 0, Outcome::Served, 20.0);
-    while final_responses(&policy.advance(5.0, vec![])).is_empty() {}
+    while policy.responses_after(5.0, vec![]).is_empty() {}
     let first_answer = policy.now - submitted;
     assert!(
         first_answer > 600.0 && first_answer < 750.0,
--- a/crates/fanout-policy/tests/policy/endpoint_list.rs
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -1,8 +1,6 @@
 //! Updates of the endpoint list.
 
-use crate::common::{
-    Harness, SentAttempt, attempt_ended, endpoint, list_event, one_cell, ring, sent_attempts,
-};
+use crate::common::{Harness, all_ended, endpoint, list_event, one_cell, ring};
 use fanout_policy::Aggregator;
 use fanout_policy::api::{
     Action, Endpoint, EndpointListSource, ListUpdate, Outcome, ServingState, Settings,
@@ -15,14 +13,14 @@
         state: ServingState::Draining,
         ..endpoint("c0n0", 0)
     }];
-    policy.advance(5.0, vec![list_event(ListUpdate::Delta, endpoints)]);
+    policy.update_list(ListUpdate::Delta, endpoints);
     assert!(
         !policy
             .run_traffic(40, &[], Outcome::Served)
             .contains_key("c0n0")
     );
     let endpoints = vec![endpoint("c1n0", 1), endpoint("c3n0", 3)];
-    policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
+    policy.update_list(ListUpdate::Snapshot, endpoints);
     let seen = policy.run_traffic(40, &[], Outcome::Served);
     assert!(seen.keys().all(|n| n == "c1n0" || n == "c3n0"), "{seen:?}");
 }
@@ -63,7 +61,8 @@
     );
 }
 
-/// Over time every server is replaced many times under new names: no state may grow with their number.
+/// Over time every server is replaced many times under new names: no state may grow with their
+/// number.
 #[test]
 fn removed_servers_are_forgotten_once_unreferenced() {
     let mut policy = Harness::new(one_cell(), 0);
@@ -73,7 +72,7 @@
     };
     policy.advance(5.0, list(&["stays", "busy"]));
     let in_flight: Vec<_> = (0..8)
-        .flat_map(|n| sent_attempts(&policy.submit(&format!("q{n}"), &[0])))
+        .flat_map(|n| policy.attempts_for(&format!("q{n}"), &[0]))
         .collect();
     for n in 0..100 {
         policy.advance(1500.0, list(&["stays", &format!("new{n}")]));
@@ -85,10 +84,7 @@
         policy.aggregator.servers_known()
     );
     // The late end of an attempt still finds its own server.
-    let timed_out =
-        |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, Outcome::TimedOut, 4000.0);
-    let ends = in_flight.iter().map(timed_out).collect();
-    policy.advance(1500.0, ends);
+    policy.advance(1500.0, all_ended(&in_flight, 0, Outcome::TimedOut, 4000.0));
     assert_eq!(
         policy
             .run_traffic(20, &[], Outcome::Served)
--- a/crates/fanout-policy/tests/policy/hedging.rs
+++ b/crates/fanout-policy/tests/policy/hedging.rs
@@ -1,56 +1,55 @@
 //! Hedged requests, and cancellation of overdue attempts.
 
 use crate::common::{
-    Harness, answer_queries, attempt_ended, one_cell, part_id, ring, ring_without_hedging,
-    sent_attempts, served,
+    Harness, SentAttempt, attempt_ended, cancels_an_attempt, one_cell, part_id, ring,
+    ring_without_hedging, sent_attempts, served,
 };
 use fanout_policy::api::{Action, Event, Outcome, Settings};
 
 #[test]
 fn overdue_part_is_hedged_on_another_server() {
     let mut policy = Harness::new(ring(), 1);
-    let first = sent_attempts(&policy.submit("q", &[0]));
+    let first = policy.attempts_for("q", &[0]);
     let mut hedges = Vec::new();
     for _ in 0..60 {
-        hedges.extend(sent_attempts(&policy.advance(10.0, vec![])));
+        hedges.extend(policy.attempts_after(10.0, vec![]));
     }
     assert_eq!(hedges.len(), 1);
     assert_ne!(hedges[0].node, first[0].node);
 }
 
-/// Number of hedges that one of so many aggregators sends for ten queries without answers, each at its own servers.
+/// Number of hedges that one of so many aggregators sends for ten queries without answers, each at
+/// its own servers.
 fn hedges_of_one_among(aggregators: usize) -> usize {
-    let mut policy = Harness::new(
-        Settings {
-            aggregators,
-            cells: 60,
-            shards: 180,
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        aggregators,
+        cells: 60,
+        shards: 180,
+        ..ring()
+    };
+    let mut policy = Harness::new(settings, 1);
     let mut events = Vec::new();
     for k in 0..10 {
         events.extend(policy.query_events(&format!("q{k}"), 0, &[6 * k], 4000.0));
     }
-    let first = sent_attempts(&policy.advance(5.0, events)).len();
+    let first = policy.attempts_after(5.0, events).len();
     assert_eq!(first, 10);
-    sent_attempts(&policy.advance(600.0, vec![])).len()
+    policy.attempts_after(600.0, vec![]).len()
 }
 
-/// At a hot spot all attempts are late. The hedges of a hundred brokers, each within a limit that suits three brokers,
-/// would double its load.
+/// At a hot spot all attempts are late. The hedges of a hundred brokers, each within a limit that
+/// suits three brokers, would double its load.
 #[test]
 fn hedges_of_many_aggregators_together_are_limited() {
     assert_eq!([3, 100].map(hedges_of_one_among), [10, 2]);
 }
 
-/// A single lost answer or slow server must not fail the query: where a part may have one attempt in flight only, the
-/// overdue one is cancelled first, and the retry is sent once that has ended.
+/// A single lost answer or slow server must not fail the query: where a part may have one attempt
+/// in flight only, the overdue one is cancelled first, and the retry is sent once that has ended.
 #[test]
 fn overdue_part_is_cancelled_and_retried_elsewhere_without_hedging() {
     let mut policy = Harness::new(ring_without_hedging(), 1);
-    let first = sent_attempts(&policy.submit("q", &[0]));
+    let first = policy.attempts_for("q", &[0]);
     let cancellation = Action::CancelAttempt {
         part: part_id("q.0"),
         attempt: 0,
@@ -61,28 +60,26 @@
         .unwrap();
     assert!(sent_attempts(&cancelling).is_empty());
     let cancelled = attempt_ended("q.0", 0, Outcome::Cancelled, 300.0);
-    let retries = sent_attempts(&policy.advance(5.0, vec![cancelled]));
+    let retries = policy.attempts_after(5.0, vec![cancelled]);
     assert_eq!(retries.len(), 1);
     assert_ne!(retries[0].node, first[0].node);
-    assert!((0..20).all(|_| sent_attempts(&policy.advance(10.0, vec![])).is_empty()));
+    assert!((0..20).all(|_| policy.attempts_after(10.0, vec![]).is_empty()));
 }
 
-/// In normal operation an answer that takes slightly longer than forecast will arrive: cancelling it wastes its work.
+/// In normal operation an answer that takes slightly longer than forecast will arrive: cancelling
+/// it wastes its work.
 #[test]
 fn slightly_late_attempt_is_not_cancelled() {
     let mut policy = Harness::new(ring_without_hedging(), 1);
-    // Three replicas with three parts each: the last part waits behind two others, and then all replicas are idle.
+    // Three replicas with three parts each: the last part waits behind two others, and then all
+    // replicas are idle.
     let sent: Vec<_> = (0..9)
-        .flat_map(|n| sent_attempts(&policy.submit(&format!("t{n}"), &[0])))
+        .flat_map(|n| policy.attempts_for(&format!("t{n}"), &[0]))
         .collect();
     let ends = served(&sent[..8], 0, 100.0);
     let mut is_cancelled = |batches: usize, events: Vec<Event>| {
-        let first = policy.advance(50.0, events);
-        let later = (0..batches).flat_map(|_| policy.advance(10.0, vec![]));
-        first
-            .into_iter()
-            .chain(later)
-            .any(|action| matches!(action, Action::CancelAttempt { .. }))
+        let first = cancels_an_attempt(&policy.advance(50.0, events));
+        first || (0..batches).any(|_| cancels_an_attempt(&policy.advance(10.0, vec![])))
     };
     assert!(!is_cancelled(30, ends));
     assert!(is_cancelled(30, vec![]));
@@ -90,43 +87,34 @@
 
 #[test]
 fn overdue_part_is_not_hedged_when_hedging_is_disabled() {
-    let mut policy = Harness::new(
-        Settings {
-            hedging: false,
-            cancellation: false,
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        hedging: false,
+        cancellation: false,
+        ..ring()
+    };
+    let mut policy = Harness::new(settings, 1);
     policy.submit("q", &[0]);
     for _ in 0..60 {
-        assert!(sent_attempts(&policy.advance(10.0, vec![])).is_empty());
+        assert!(policy.attempts_after(10.0, vec![]).is_empty());
     }
 }
 
 #[test]
 fn hedge_is_sent_sooner_when_the_other_replica_is_idle() {
-    // Two aggregators whose attempt is in flight equally long; one of them has loaded the other replica.
-    let batches_until_hedge = |other_is_loaded: bool| {
+    // Two aggregators whose attempt is in flight equally long; one of them has loaded the other
+    // replica.
+    let batches_until_hedge = |other_queries: usize| {
         let mut policy = Harness::new(one_cell(), 2);
-        answer_queries(&mut policy, 20, 4000.0);
-        let first = sent_attempts(&policy.submit("q", &[0]))[0].clone();
-        if other_is_loaded {
-            for k in 0..12 {
-                policy.submit(&format!("f{k}"), &[0]);
-            }
-        }
-        for k in 0..300 {
-            let actions = policy.advance(5.0, vec![]);
-            if sent_attempts(&actions)
-                .iter()
-                .any(|attempt| attempt.part == first.part)
-            {
-                return k;
-            }
+        policy.answer_queries(20, 4000.0);
+        let first = policy.attempts_for("q", &[0])[0].clone();
+        for k in 0..other_queries {
+            policy.submit(&format!("f{k}"), &[0]);
         }
-        300
+        let is_hedged = |sent: &[SentAttempt]| sent.iter().any(|hedge| hedge.part == first.part);
+        (0..300)
+            .position(|_| is_hedged(&policy.attempts_after(5.0, vec![])))
+            .unwrap_or(300)
     };
-    let (idle, loaded) = (batches_until_hedge(false), batches_until_hedge(true));
+    let (idle, loaded) = (batches_until_hedge(0), batches_until_hedge(12));
     assert!(idle < loaded, "{idle} and {loaded}");
 }
--- a/crates/fanout-policy/tests/policy/load_reports.rs
+++ b/crates/fanout-policy/tests/policy/load_reports.rs
@@ -1,21 +1,19 @@
 //! Load reports of servers and gossip between aggregators.
 
 use crate::common::{
-    Harness, SentAttempt, answer_queries, attempt_ended, endpoint, list_event, one_cell, part_id,
-    ring, sent_attempts, servers_of,
+    Harness, SentAttempt, all_ended, endpoint, one_cell, part_id, ring, ring_with_gossip,
+    servers_of,
 };
 use fanout_policy::api::{Action, Event, ListUpdate, MAX_GOSSIP_BYTES, Ms, Outcome, Settings};
 use std::collections::BTreeSet;
 
-/// The gossip of another aggregator with work in flight at servers, or with this outcome of its attempts there.
+/// The gossip of another aggregator with work in flight at servers, or with this outcome of its
+/// attempts there.
 fn gossip_of_a_peer(settings: &Settings, shards: &[usize], outcome: Option<Outcome>) -> Vec<u8> {
     let mut peer = Harness::new(settings.clone(), 1);
-    let sent = sent_attempts(&peer.submit("other", shards));
+    let sent = peer.attempts_for("other", shards);
     let actions = match outcome {
-        Some(outcome) => {
-            let end = |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, outcome, 150.0);
-            peer.advance(150.0, sent.iter().map(end).collect())
-        }
+        Some(outcome) => peer.advance(150.0, all_ended(&sent, 0, outcome, 150.0)),
         None => peer.submit("o2", shards),
     };
     let mut message = Vec::new();
@@ -27,20 +25,26 @@
     message
 }
 
+/// The arrival of gossip.
+fn gossip_from(aggregator: usize, bytes: &[u8]) -> Event {
+    Event::Gossip {
+        from: aggregator,
+        bytes: bytes.to_vec(),
+    }
+}
+
 #[test]
 fn work_reported_by_a_peer_moves_parts_to_idle_servers() {
     let settings = Settings {
         gossip: true,
-        cells: 1,
-        replica_cells: 1,
-        ..ring()
+        ..one_cell()
     };
     let mut policy = Harness::new(settings.clone(), 2);
     let gossip = gossip_of_a_peer(&settings, &[0], None);
     assert!(!gossip.is_empty() && gossip.len() <= MAX_GOSSIP_BYTES && gossip[2] > 0);
     // The server that the peer has loaded, whichever it is, is avoided here.
-    let bytes = vec![gossip[0], gossip[1], 200];
-    policy.advance(5.0, vec![Event::Gossip { from: 1, bytes }]);
+    let loaded = gossip_from(1, &[gossip[0], gossip[1], 200]);
+    policy.advance(5.0, vec![loaded]);
     let mut nodes = BTreeSet::new();
     for k in 0..6 {
         nodes.extend(servers_of(&policy.submit(&format!("n{k}"), &[0])));
@@ -50,35 +54,20 @@
 
 #[test]
 fn server_reported_unreachable_by_a_peer_is_avoided_until_it_answers_there() {
-    let settings = Settings {
-        gossip: true,
-        ..ring()
-    };
+    let settings = ring_with_gossip();
     let mut policy = Harness::new(settings.clone(), 1);
     let gossip = gossip_of_a_peer(&settings, &[0], Some(Outcome::Unreachable));
     assert_eq!(gossip.len() % 3, 0);
     let unreachable: Vec<&[u8]> = gossip.chunks(3).filter(|entry| entry[2] == 255).collect();
     assert_eq!(unreachable.len(), 1);
-    policy.advance(
-        5.0,
-        vec![Event::Gossip {
-            from: 1,
-            bytes: gossip.clone(),
-        }],
-    );
+    policy.advance(5.0, vec![gossip_from(1, &gossip)]);
     let others = servers_of_queries(&mut policy, "q", 20);
     assert!(
         others.len() < 3,
         "one of three replicas is avoided: {others:?}"
     );
-    let recovered = vec![unreachable[0][0], unreachable[0][1], 0];
-    policy.advance(
-        5.0,
-        vec![Event::Gossip {
-            from: 1,
-            bytes: recovered,
-        }],
-    );
+    let recovered = [unreachable[0][0], unreachable[0][1], 0];
+    policy.advance(5.0, vec![gossip_from(1, &recovered)]);
     let soon = servers_of_queries(&mut policy, "soon", 4);
     assert!(
         soon.len() < 3,
@@ -91,27 +80,13 @@
 #[test]
 fn malformed_gossip_and_unknown_senders_are_ignored() {
     let attempts_after = |gossip: Vec<Event>| {
-        let mut policy = Harness::new(
-            Settings {
-                gossip: true,
-                ..ring()
-            },
-            1,
-        );
+        let mut policy = Harness::new(ring_with_gossip(), 1);
         policy.advance(5.0, gossip);
         (0..10)
-            .map(|k| sent_attempts(&policy.submit(&format!("q{k}"), &[0, 1])))
+            .map(|k| policy.attempts_for(&format!("q{k}"), &[0, 1]))
             .collect::<Vec<_>>()
     };
-    let gossip_from = |from, bytes: &[u8]| Event::Gossip {
-        from,
-        bytes: bytes.to_vec(),
-    };
-    let settings = Settings {
-        gossip: true,
-        ..ring()
-    };
-    let gossip = gossip_of_a_peer(&settings, &[0], Some(Outcome::Unreachable));
+    let gossip = gossip_of_a_peer(&ring_with_gossip(), &[0], Some(Outcome::Unreachable));
     let truncated = &gossip[..gossip.len() - 1];
     let without_gossip = attempts_after(vec![]);
     let invalid = vec![
@@ -142,8 +117,8 @@
 fn load_report_moves_parts_to_the_idle_replica() {
     let parts_after_report = |load: f64| {
         let mut policy = Harness::new(one_cell(), 2);
-        answer_queries(&mut policy, 4, 4000.0);
-        let sent = sent_attempts(&policy.submit("q", &[0]))[0].clone();
+        policy.answer_queries(4, 4000.0);
+        let sent = policy.attempts_for("q", &[0])[0].clone();
         policy.advance(20.0, vec![served_with_load(&sent.part, 20.0, load)]);
         let soon = parts_sent_to(&sent.node, &mut policy, 3);
         policy.advance(20_000.0, vec![]);
@@ -158,36 +133,30 @@
     assert!(parts_after_report(f64::NAN).later > 0);
 }
 
-/// A server puts one report into many answers. A repeated report holds nothing new: the load in it decays with time.
+/// A server puts one report into many answers. A repeated report holds nothing new: the load in it
+/// decays with time.
 #[test]
 fn repeated_load_report_expires() {
-    let parts_sent_to_a = |repeated: bool| {
-        let mut policy = Harness::new(
-            Settings {
-                cells: 1,
-                replica_cells: 1,
-                max_parts_per_call: 1,
-                ..ring()
-            },
-            0,
-        );
+    let parts_sent_to_a = |reported_load: fn(usize) -> f64| {
+        let settings = Settings {
+            max_parts_per_call: 1,
+            ..one_cell()
+        };
+        let mut policy = Harness::new(settings, 0);
         let endpoints = vec![endpoint("a", 0), endpoint("b", 0)];
-        policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
+        policy.update_list(ListUpdate::Snapshot, endpoints);
         let mut parts_sent = 0;
         for n in 0..200 {
-            for SentAttempt { part, node, .. } in
-                sent_attempts(&policy.submit(&format!("q{n}"), &[0]))
-            {
+            for SentAttempt { part, node, .. } in policy.attempts_for(&format!("q{n}"), &[0]) {
                 parts_sent += usize::from(node == "a" && n > 20);
-                // The load of `a` is 9 in the same report each time, or slightly more in each new report.
-                let load_of_a = 9.0 + if repeated { 0.0 } else { n as f64 / 1000.0 };
-                let load = if node == "a" { load_of_a } else { 0.0 };
+                let load = if node == "a" { reported_load(n) } else { 0.0 };
                 policy.advance(30.0, vec![served_with_load(&part, 30.0, load)]);
             }
         }
         parts_sent
     };
-    let (repeated, new) = (parts_sent_to_a(true), parts_sent_to_a(false));
+    let repeated = parts_sent_to_a(|_| 9.0);
+    let new = parts_sent_to_a(|query| 9.0 + query as f64 / 1000.0);
     assert!(
         repeated > new + 10,
         "{repeated} with a repeated report, {new} with new ones"
@@ -196,13 +165,8 @@
 
 /// Submits one-part queries that are all answered and returns the servers that they were sent to.
 fn servers_of_queries(policy: &mut Harness, name: &str, count: usize) -> BTreeSet<String> {
-    let mut nodes = BTreeSet::new();
-    for k in 0..count {
-        let sent = sent_attempts(&policy.submit(&format!("{name}{k}"), &[0]));
-        nodes.insert(sent[0].node.clone());
-        policy.end_attempt(&sent[0].part, 0, Outcome::Served, 20.0);
-    }
-    nodes
+    let serve = |k| policy.serve_part(&format!("{name}{k}"), 0, 20.0);
+    (0..count).map(serve).collect()
 }
 
 /// Parts that a server receives within moments of its load report, and long after it.
@@ -213,13 +177,11 @@
 
 /// Submits one-part queries that are all answered and counts those that were sent to this server.
 fn parts_sent_to(node: &str, policy: &mut Harness, queries: usize) -> usize {
-    let mut count = 0;
-    for k in 0..queries {
-        let sent = sent_attempts(&policy.submit(&format!("n{k}-{}", policy.now), &[0]));
-        policy.end_attempt(&sent[0].part, 0, Outcome::Served, 20.0);
-        count += usize::from(sent[0].node == node);
-    }
-    count
+    let serve = |k| policy.serve_part(&format!("n{k}-{}", policy.now), 0, 20.0);
+    (0..queries)
+        .map(serve)
+        .filter(|server| server == node)
+        .count()
 }
 
 /// The end of a first attempt that was served, with the server's load report.
--- a/crates/fanout-policy/tests/policy/outlier_detection.rs
+++ b/crates/fanout-policy/tests/policy/outlier_detection.rs
@@ -1,23 +1,22 @@
 //! Ejection of servers that fail or do not answer.
 
 use crate::common::{
-    Harness, SentAttempt, answer_queries, attempt_ended, class, complete_answer, endpoint,
-    final_responses, list_event, ring, sent_attempts, served, servers_of, sets,
+    Harness, SentAttempt, all_ended, attempt_ended, class, complete_answer, endpoint,
+    final_responses, one_cell, ring, sent_attempts, served, servers_of, sets,
 };
-use fanout_policy::api::{Endpoint, ListUpdate, Outcome, Settings};
+use fanout_policy::api::{Endpoint, Event, ListUpdate, Outcome, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
 fn silent_server_is_avoided_before_any_timeout() {
     let mut policy = Harness::new(ring(), 1);
     for k in 0..6 {
-        let sent = sent_attempts(&policy.submit(&format!("w{k}"), &[0]));
-        policy.end_attempt(&sent[0].part, 0, Outcome::Served, 40.0);
+        policy.serve_part(&format!("w{k}"), 0, 40.0);
     }
-    let silent = sent_attempts(&policy.submit("stuck", &[0]))[0].node.clone();
+    let silent = policy.attempts_for("stuck", &[0])[0].node.clone();
     policy.advance(800.0, vec![]);
     for k in 0..10 {
-        let sent = sent_attempts(&policy.submit(&format!("n{k}"), &[0]));
+        let sent = policy.attempts_for(&format!("n{k}"), &[0]);
         assert!(
             sent.iter().all(|attempt| attempt.node != silent),
             "{silent} has not answered for long"
@@ -47,64 +46,53 @@
 #[test]
 fn pause_of_the_aggregator_ejects_no_server() {
     // The same outcomes, received in time or after a pause of the aggregator.
-    let attempts_after = |pause: bool| {
+    let attempts_after = |receive: fn(&mut Harness, Vec<Event>)| {
         let mut policy = Harness::new(ring(), 1);
-        answer_queries(&mut policy, 10, 4000.0);
-        let sent = sent_attempts(&policy.submit("q", &[0, 6, 12, 18]));
-        let timed_out =
-            |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, Outcome::TimedOut, 900.0);
-        let events = sent.iter().map(timed_out).collect();
-        let end = policy.now + 900.0;
-        if pause {
-            policy.run_batch(end, events);
-        } else {
-            policy.advance(900.0, events);
-        }
+        policy.answer_queries(10, 4000.0);
+        let sent = policy.attempts_for("q", &[0, 6, 12, 18]);
+        receive(&mut policy, all_ended(&sent, 0, Outcome::TimedOut, 900.0));
         let timed_out_node = &sent[0].node;
         let next_queries = (0..12).map(|k| policy.submit(&format!("n{k}"), &[0]));
         next_queries
             .filter(|actions| servers_of(actions).contains(timed_out_node))
             .count()
     };
-    assert!(
-        attempts_after(true) > 0,
-        "the aggregator paused, not the server"
-    );
-    assert_eq!(attempts_after(false), 0);
+    let after_pause = attempts_after(|policy, timeouts| {
+        policy.run_batch(policy.now + 900.0, timeouts);
+    });
+    assert!(after_pause > 0, "the aggregator paused, not the server");
+    let in_time = attempts_after(|policy, timeouts| {
+        policy.advance(900.0, timeouts);
+    });
+    assert_eq!(in_time, 0);
 }
 
 #[test]
 fn unreachable_zone_is_contacted_at_few_servers_only() {
     // Each shard has two replicas: one in the unreachable zone, one in the other.
-    let attempts_there = |zones: bool| {
-        let mut policy = Harness::new(
-            Settings {
-                cells: 12,
-                replica_cells: 1,
-                aggregators: 1,
-                ..ring()
-            },
-            0,
-        );
-        let zone = |z| zones.then_some(z);
+    let attempts_there = |zone_here: Option<usize>, zone_there: Option<usize>| {
+        let settings = Settings {
+            cells: 12,
+            replica_cells: 1,
+            aggregators: 1,
+            ..ring()
+        };
+        let mut policy = Harness::new(settings, 0);
         let endpoints = (0..12).flat_map(|cell| {
             let here = Endpoint {
-                zone: zone(0),
+                zone: zone_here,
                 ..endpoint(&format!("here{cell}"), cell)
             };
             let there = Endpoint {
-                zone: zone(1),
+                zone: zone_there,
                 ..endpoint(&format!("there{cell}"), cell)
             };
             [here, there]
         });
-        policy.advance(
-            5.0,
-            vec![list_event(ListUpdate::Snapshot, endpoints.collect())],
-        );
+        policy.update_list(ListUpdate::Snapshot, endpoints.collect());
         let mut count = 0;
         for k in 0..12 {
-            let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[k]));
+            let sent = policy.attempts_for(&format!("q{k}"), &[k]);
             let there = sent[0].node.starts_with("there");
             count += usize::from(there);
             let outcome = if there {
@@ -117,7 +105,8 @@
         }
         count
     };
-    let (with_zones, without_zones) = (attempts_there(true), attempts_there(false));
+    let with_zones = attempts_there(Some(0), Some(1));
+    let without_zones = attempts_there(None, None);
     assert!(
         with_zones < without_zones,
         "{with_zones} and {without_zones}"
@@ -136,10 +125,11 @@
     let mut attempts_by_class = [0, 0];
     for k in 0..200 {
         let events = policy.query_events(&format!("q{k}"), k % 2, &[0], 4000.0);
-        let sent = sent_attempts(&policy.advance(5.0, events));
+        let sent = policy.attempts_after(5.0, events);
         let is_faulty = sent[0].node == faulty;
         attempts_by_class[k % 2] += usize::from(is_faulty && k > 40);
-        // Half of one class's parts fail there; all others are served, so that it never fails twice in a row.
+        // Half of one class's parts fail there; all others are served, so that it never fails twice
+        // in a row.
         let outcome = if is_faulty && k % 4 == 0 {
             Outcome::Error
         } else {
@@ -158,16 +148,14 @@
 #[test]
 fn single_lost_part_does_not_eject_its_server() {
     let settings = Settings {
-        cells: 1,
-        replica_cells: 1,
         hedging: false,
-        ..ring()
+        ..one_cell()
     };
     let mut policy = Harness::new(settings, 2);
     // Each of the two servers leaves one part unanswered and answers all others.
     let mut servers_with_lost_part = BTreeSet::new();
     for k in 0..60 {
-        let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
+        let sent = policy.attempts_for(&format!("q{k}"), &[0]);
         assert_eq!(sent.len(), 1, "query {k} must not be rejected");
         if !servers_with_lost_part.insert(sent[0].node.clone()) {
             policy.end_attempt(&sent[0].part, 0, Outcome::Served, 20.0);
@@ -175,27 +163,21 @@
     }
 }
 
-/// Servers close single connections at any time. A server that continues to answer is not avoided for that, and a
-/// query with two lost connections is retried.
+/// Servers close single connections at any time. A server that continues to answer is not avoided
+/// for that, and a query with two lost connections is retried.
 #[test]
 fn lost_connection_beside_answers_neither_ejects_the_server_nor_ends_the_query() {
-    let mut policy = Harness::new(
-        Settings {
-            hedging: false,
-            ..sets()
-        },
-        1,
-    );
+    let settings = Settings {
+        hedging: false,
+        ..sets()
+    };
+    let mut policy = Harness::new(settings, 1);
     let mut retries_by_server = BTreeMap::new();
     for n in 0..40 {
-        let beside = sent_attempts(&policy.submit(&format!("b{n}"), &[0, 1, 2, 3]));
-        let lost = sent_attempts(&policy.submit(&format!("q{n}"), &[0, 1]));
+        let beside = policy.attempts_for(&format!("b{n}"), &[0, 1, 2, 3]);
+        let lost = policy.attempts_for(&format!("q{n}"), &[0, 1]);
         let mut events = served(&beside, 0, 10.0);
-        events.extend(
-            lost.iter().map(|SentAttempt { part, .. }| {
-                attempt_ended(part, 0, Outcome::ConnectionLost, 5.0)
-            }),
-        );
+        events.extend(all_ended(&lost, 0, Outcome::ConnectionLost, 5.0));
         let actions = policy.advance(5.0, events);
         let expected = complete_answer(&format!("b{n}"));
         assert!(
@@ -205,7 +187,7 @@
             "{actions:?}"
         );
         let mut retries = sent_attempts(&actions);
-        retries.extend(sent_attempts(&policy.advance(20.0, vec![])));
+        retries.extend(policy.attempts_after(20.0, vec![]));
         for SentAttempt { part, node, .. } in retries {
             *retries_by_server.entry(node).or_insert(0) += 1;
             policy.advance(5.0, vec![attempt_ended(&part, 1, Outcome::Served, 10.0)]);
--- a/crates/fanout-policy/tests/policy/replica_selection.rs
+++ b/crates/fanout-policy/tests/policy/replica_selection.rs
@@ -1,21 +1,19 @@
 //! Selection of replica rows and servers.
 
 use crate::common::{
-    Harness, SentAttempt, attempt_ended, endpoint, final_responses, list_event, rejected, ring,
+    Harness, SentAttempt, attempt_ended, endpoint, final_responses, one_cell, rejected, ring,
     sent_attempts, servers_of, sets,
 };
-use fanout_policy::api::{Endpoint, Event, ListUpdate, Outcome, ServingState, Settings};
+use fanout_policy::api::{Endpoint, Event, ListUpdate, Ms, Outcome, ServingState, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[test]
 fn parts_of_adjacent_shards_share_servers_on_a_ring() {
-    let mut policy = Harness::new(
-        Settings {
-            call_cost: 10.0,
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        call_cost: 10.0,
+        ..ring()
+    };
+    let mut policy = Harness::new(settings, 1);
     let actions = policy.submit("q", &[0, 1, 2, 3, 4, 5]);
     let sent = sent_attempts(&actions);
     assert_eq!(sent.len(), 6);
@@ -35,14 +33,12 @@
 
 #[test]
 fn one_server_receives_all_parts_of_a_cell_in_a_set() {
-    let mut policy = Harness::new(
-        Settings {
-            call_cost: 10.0,
-            ..sets()
-        },
-        3,
-    );
-    let sent = sent_attempts(&policy.submit("q", &[0, 1, 2, 3, 4, 5]));
+    let settings = Settings {
+        call_cost: 10.0,
+        ..sets()
+    };
+    let mut policy = Harness::new(settings, 3);
+    let sent = policy.attempts_for("q", &[0, 1, 2, 3, 4, 5]);
     for cell in ["c0", "c1"] {
         let nodes = sent.iter().map(|attempt| &attempt.node);
         let nodes_of_cell: BTreeSet<_> = nodes.filter(|node| node.starts_with(cell)).collect();
@@ -55,10 +51,7 @@
     let mut policy = Harness::new(sets(), 3);
     let mut nodes = BTreeSet::new();
     for k in 0..30 {
-        let name = format!("q{k}");
-        let sent = sent_attempts(&policy.submit(&name, &[0]));
-        nodes.insert(sent[0].node.clone());
-        policy.end_attempt(&sent[0].part, 0, Outcome::Served, 5.0);
+        nodes.insert(policy.serve_part(&format!("q{k}"), 0, 5.0));
     }
     assert_eq!(nodes.len(), 3);
 }
@@ -71,8 +64,8 @@
         ..endpoint(name, cell)
     };
     let endpoints = vec![removed("c1n0", 1), removed("c2n0", 2), endpoint("c0n1", 0)];
-    policy.advance(5.0, vec![list_event(ListUpdate::Delta, endpoints)]);
-    let sent = sent_attempts(&policy.submit("q", &[0, 1]));
+    policy.update_list(ListUpdate::Delta, endpoints);
+    let sent = policy.attempts_for("q", &[0, 1]);
     assert!(
         sent.iter()
             .any(|attempt| attempt.part == "q.0" && attempt.node.starts_with("c0"))
@@ -83,48 +76,48 @@
     );
 }
 
+/// Six adjacent shards. The number of servers that they are sent to shows the width: 6 servers mean
+/// one row.
+const ADJACENT_SHARDS: [usize; 6] = [0, 1, 2, 3, 4, 5];
+
+/// Submits one-part queries, each of which ends with this outcome, and one every `interval`.
+fn end_queries(policy: &mut Harness, outcome: Outcome, interval: Ms) {
+    for k in 0..12 {
+        let sent = policy.attempts_for(&format!("f{k}"), &[0]);
+        let end = attempt_ended(&sent[0].part, 0, outcome, 5.0);
+        policy.advance(interval, vec![end]);
+    }
+}
+
 #[test]
 fn width_narrows_after_overload_and_stays_wide_after_answers() {
-    // The number of servers of a query over six adjacent shards shows its width: 6 servers mean one row.
-    let settings = || Settings {
+    let settings = Settings {
         max_attempts: 1,
         call_cost: 10.0,
         ..ring()
     };
-    let mut overloaded = Harness::new(settings(), 1);
-    let wide = servers_of(&overloaded.submit("before", &[0, 1, 2, 3, 4, 5])).len();
-    for k in 0..12 {
-        let sent = sent_attempts(&overloaded.submit(&format!("f{k}"), &[0]));
-        overloaded.advance(
-            6000.0,
-            vec![attempt_ended(&sent[0].part, 0, Outcome::Overloaded, 5.0)],
-        );
-    }
-    let mut healthy = Harness::new(settings(), 1);
-    for k in 0..12 {
-        let sent = sent_attempts(&healthy.submit(&format!("f{k}"), &[0]));
-        healthy.advance(
-            500.0,
-            vec![attempt_ended(&sent[0].part, 0, Outcome::Served, 5.0)],
-        );
-    }
+    let mut overloaded = Harness::new(settings.clone(), 1);
+    let wide = servers_of(&overloaded.submit("before", &ADJACENT_SHARDS)).len();
+    end_queries(&mut overloaded, Outcome::Overloaded, 6000.0);
     overloaded.advance(2000.0, vec![]);
-    let narrow = servers_of(&overloaded.submit("after", &[0, 1, 2, 3, 4, 5])).len();
-    let still_wide = servers_of(&healthy.submit("after", &[0, 1, 2, 3, 4, 5])).len();
+    let narrow = servers_of(&overloaded.submit("after", &ADJACENT_SHARDS)).len();
     assert!(narrow > wide, "narrow {narrow}, wide {wide}");
+
+    let mut healthy = Harness::new(settings, 1);
+    end_queries(&mut healthy, Outcome::Served, 500.0);
+    let still_wide = servers_of(&healthy.submit("after", &ADJACENT_SHARDS)).len();
     assert!(still_wide <= 3, "still wide: {still_wide}");
 }
 
-/// Traffic across zones has a cost, so that parts leave a replica in another zone sooner. Rows are still selected at
-/// random: a replica in another zone that is not slower keeps its parts.
+/// Traffic across zones has a cost, so that parts leave a replica in another zone sooner. Rows are
+/// still selected at random: a replica in another zone that is not slower keeps its parts.
 #[test]
 fn same_zone_replica_is_preferred_when_it_is_not_slower() {
     let settings = Settings {
         zone: Some(1),
-        cells: 1,
-        replica_cells: 1,
+
         max_parts_per_call: 1,
-        ..ring()
+        ..one_cell()
     };
     let mut policy = Harness::new(settings, 0);
     let in_zone = |zone: usize| Endpoint {
@@ -132,14 +125,14 @@
         ..endpoint(&format!("z{zone}"), 0)
     };
     let endpoints = (0..3).map(in_zone).collect();
-    policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, endpoints)]);
+    policy.update_list(ListUpdate::Snapshot, endpoints);
     let even = policy.run_traffic(90, &[], Outcome::Served);
     assert!(even.values().all(|n| *n > 15), "{even:?}");
-    // Other zones are slower, by less than what would move parts away from a replica in the same zone.
+    // Other zones are slower, by less than what would move parts away from a replica in the same
+    // zone.
     let mut attempts_by_server = BTreeMap::new();
     for n in 0..90 {
-        for SentAttempt { part, node, .. } in sent_attempts(&policy.submit(&format!("u{n}"), &[0]))
-        {
+        for SentAttempt { part, node, .. } in policy.attempts_for(&format!("u{n}"), &[0]) {
             let elapsed = if node == "z1" { 30.0 } else { 60.0 };
             *attempts_by_server.entry(node).or_insert(0) += 1;
             policy.advance(
@@ -168,21 +161,16 @@
 #[test]
 fn query_for_a_shard_without_replicas_is_rejected_immediately() {
     let mut policy = Harness::new(ring(), 0);
-    assert_eq!(
-        final_responses(&policy.submit("q", &[0])),
-        vec![rejected("q")]
-    );
+    assert_eq!(policy.responses_to("q", &[0]), vec![rejected("q")]);
 }
 
 #[test]
 fn last_replica_is_used_even_after_errors() {
-    let mut policy = Harness::new(
-        Settings {
-            replica_cells: 1,
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        replica_cells: 1,
+        ..ring()
+    };
+    let mut policy = Harness::new(settings, 1);
     // Three attempts, which are enough for an ejection.
     policy.run_traffic(1, &["c0n0"], Outcome::Error);
     assert_eq!(
@@ -194,10 +182,10 @@
 #[test]
 fn single_very_slow_answer_moves_parts_to_other_replicas() {
     let mut policy = Harness::new(ring(), 1);
-    let slow = sent_attempts(&policy.submit("slow", &[0]))[0].clone();
+    let slow = policy.attempts_for("slow", &[0])[0].clone();
     policy.end_attempt(&slow.part, 0, Outcome::Served, 280.0);
     for k in 0..12 {
-        let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0]));
+        let sent = policy.attempts_for(&format!("q{k}"), &[0]);
         assert_ne!(sent[0].node, slow.node);
         policy.advance(
             20.0,
--- a/crates/fanout-policy/tests/policy/retries.rs
+++ b/crates/fanout-policy/tests/policy/retries.rs
@@ -1,7 +1,8 @@
 //! Retries: their limits, the retry budget and queries that break servers.
 
 use crate::common::{
-    Harness, SentAttempt, attempt_ended, final_responses, rejected, ring, sent_attempts,
+    Harness, SentAttempt, all_ended, attempt_ended, final_responses, rejected, ring, sent_attempts,
+    served,
 };
 use fanout_policy::api::{Action, Ms, Outcome, RetryBudget, Settings};
 use std::collections::BTreeMap;
@@ -9,7 +10,7 @@
 #[test]
 fn query_is_rejected_immediately_after_its_last_attempt() {
     let mut policy = Harness::new(ring(), 1);
-    let mut open = sent_attempts(&policy.submit("q", &[0]));
+    let mut open = policy.attempts_for("q", &[0]);
     let mut attempts = 0;
     let mut last = Vec::new();
     while let Some(SentAttempt { part, .. }) = open.pop() {
@@ -28,13 +29,11 @@
         per_request: 0.1,
         window: 1000.0,
     };
-    let mut policy = Harness::new(
-        Settings {
-            retry_budget: Some(retry_budget),
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        retry_budget: Some(retry_budget),
+        ..ring()
+    };
+    let mut policy = Harness::new(settings, 1);
     let mut request_times: Vec<Ms> = Vec::new();
     let mut retry_times: Vec<Ms> = Vec::new();
     let mut attempts = BTreeMap::<String, u32>::new();
@@ -56,16 +55,12 @@
                 continue;
             }
             retry_times.push(policy.now);
-            let window_start = policy.now - 1000.0;
-            let requests = request_times
-                .iter()
-                .filter(|time| **time > window_start)
-                .count();
-            let retries = retry_times
-                .iter()
-                .filter(|time| **time >= window_start)
-                .count();
-            let budget = 2.0 + 0.1 * requests as f64;
+            let window_start = policy.now - retry_budget.window;
+            let is_recent = |time: &&Ms| **time > window_start;
+            let requests = request_times.iter().filter(is_recent).count();
+            let is_counted = |time: &&Ms| **time >= window_start;
+            let retries = retry_times.iter().filter(is_counted).count();
+            let budget = retry_budget.free_attempts + retry_budget.per_request * requests as f64;
             assert!(
                 retries as f64 <= budget,
                 "{retries} retries, budget for {budget}"
@@ -78,9 +73,9 @@
 #[test]
 fn query_that_breaks_connections_is_not_retried() {
     let mut policy = Harness::new(ring(), 1);
-    let sent = sent_attempts(&policy.submit("bad", &[0, 1, 2, 3]));
-    let connection_lost = |n: usize| attempt_ended(&sent[n].part, 0, Outcome::ConnectionLost, 20.0);
-    let first = policy.advance(20.0, vec![connection_lost(0), connection_lost(1)]);
+    let sent = policy.attempts_for("bad", &[0, 1, 2, 3]);
+    let lost = all_ended(&sent[..2], 0, Outcome::ConnectionLost, 20.0);
+    let first = policy.advance(20.0, lost);
     assert!(
         sent_attempts(&first).is_empty(),
         "each retry may crash one more server"
@@ -103,35 +98,26 @@
 #[test]
 fn lost_connections_among_answers_are_retried() {
     let mut policy = Harness::new(ring(), 1);
-    let sent = sent_attempts(&policy.submit("good", &[0, 1, 2, 3, 4, 5]));
-    let outcome = |n: usize| {
-        if n < 2 {
-            Outcome::ConnectionLost
-        } else {
-            Outcome::Served
-        }
-    };
-    let events = (0..6)
-        .map(|n| attempt_ended(&sent[n].part, 0, outcome(n), 20.0))
-        .collect();
-    assert_eq!(sent_attempts(&policy.advance(20.0, events)).len(), 2);
+    let sent = policy.attempts_for("good", &[0, 1, 2, 3, 4, 5]);
+    let mut events = all_ended(&sent[..2], 0, Outcome::ConnectionLost, 20.0);
+    events.extend(served(&sent[2..6], 0, 20.0));
+    assert_eq!(policy.attempts_after(20.0, events).len(), 2);
 }
 
-/// Three attempts at overloaded servers within six milliseconds failed a query of 18 parts, 17 of them in flight.
+/// Three attempts at overloaded servers within six milliseconds failed a query of 18 parts, 17 of
+/// them in flight.
 #[test]
 fn part_rejected_by_all_replicas_is_not_retried_immediately() {
-    let mut policy = Harness::new(
-        Settings {
-            replica_cells: 1,
-            ..ring()
-        },
-        1,
-    );
+    let settings = Settings {
+        replica_cells: 1,
+        ..ring()
+    };
+    let mut policy = Harness::new(settings, 1);
     policy.submit("q", &[0, 1]);
     let actions = policy.end_attempt("q.0", 0, Outcome::Overloaded, 5.0);
     assert_eq!(
         (sent_attempts(&actions), final_responses(&actions)),
         (vec![], vec![])
     );
-    assert_eq!(sent_attempts(&policy.advance(200.0, vec![])).len(), 1);
+    assert_eq!(policy.attempts_after(200.0, vec![]).len(), 1);
 }
--- a/crates/fanout-policy/tests/policy/robustness.rs
+++ b/crates/fanout-policy/tests/policy/robustness.rs
@@ -1,7 +1,7 @@
 //! Unexpected events, repeatability, and the size of the decision files.
 
 use crate::common::{
-    Harness, SentAttempt, attempt_ended, final_responses, part_id, query_id, ring, sent_attempts,
+    Harness, all_ended, attempt_ended, final_responses, part_id, query_id, ring, sent_attempts,
 };
 use fanout_policy::api::{Event, Outcome, Part};
 use std::fs;
@@ -22,11 +22,9 @@
             cost_hint: Some(f64::INFINITY),
         }),
     ];
-    assert!(final_responses(&policy.advance(5.0, stray)).is_empty());
+    assert!(policy.responses_after(5.0, stray).is_empty());
     let mut last = policy.submit("empty", &[]);
-    for _ in 0..900 {
-        last.extend(policy.advance(5.0, vec![]));
-    }
+    last.extend(policy.run_ticks(900));
     assert_eq!(
         final_responses(&last).len(),
         1,
@@ -47,10 +45,8 @@
                 Outcome::Served
             };
             let sent = sent_attempts(&actions);
-            let end = |attempt: &SentAttempt| attempt_ended(&attempt.part, 0, outcome, 40.0);
-            let events = sent.iter().map(end).collect();
             all.extend(actions);
-            all.extend(policy.advance(40.0, events));
+            all.extend(policy.advance(40.0, all_ended(&sent, 0, outcome, 40.0)));
         }
         all
     };
--- a/crates/fanout-policy/tests/policy/server_views.rs
+++ b/crates/fanout-policy/tests/policy/server_views.rs
@@ -17,7 +17,8 @@
     }
 }
 
-/// An aggregator that knows a long-running server, one that is warming up, one that drains and one removed.
+/// An aggregator that knows a long-running server, one that is warming up, one that drains and one
+/// removed.
 fn aggregator() -> Aggregator {
     let settings = Settings {
         aggregators: 1,
--- a/crates/fanout-policy/tests/policy/settings/fixture.rs
+++ b/crates/fanout-policy/tests/policy/settings/fixture.rs
@@ -7,18 +7,32 @@
 /// Settings with one class, one tenant and the optional fields.
 pub fn settings() -> Value {
     json!({
-        "Allowed": {"Cancel": true, "DialTimeout": 250.0, "Keepalive": 15000.0, "MaxOpen": 100.0, "MaxRetryAfter": 2000.0,
-            "Multiplex": 50, "Peers": true, "RetryAfter": true, "SecondCopies": false, "SendCap": 4},
+        "Allowed": {
+            "Cancel": true, "DialTimeout": 250.0, "Keepalive": 15000.0, "MaxOpen": 100.0,
+            "MaxRetryAfter": 2000.0, "Multiplex": 50, "Peers": true, "RetryAfter": true,
+            "SecondCopies": false, "SendCap": 4,
+        },
         "Clients": {"MarksRetry": true},
-        "FamilyInfo": {"Batch": 2, "Call": 1.5, "ClassNeed": [0.9], "FetchParts": [2], "MinShare": [0.5],
-            "PartialEarns": [0.8], "Positions": 6, "Shards": 12, "Width": 3},
-        "Locality": 1, "MembershipMode": "on_request", "OverShareWorth": 0.1, "PeersTotal": 7,
+        "FamilyInfo": {
+            "Batch": 2, "Call": 1.5, "ClassNeed": [0.9], "FetchParts": [2], "MinShare": [0.5],
+            "PartialEarns": [0.8], "Positions": 6, "Shards": 12, "Width": 3,
+        },
+        "Locality": 1,
+        "MembershipMode": "on_request",
+        "OverShareWorth": 0.1,
+        "PeersTotal": 7,
         "Projects": [{"Name": "acme", "QuotaPerS": 1000.0}],
-        "Rules": {"AskWithin": 9000.0, "Cold": 1000.0, "ColdFrom": 0.5, "Fall": 900.0, "FallMultiple": 2.5,
-            "ExtraRatio": 0.1, "RatioSpan": 500.0},
-        "Services": [{"Name": "save", "Aim": 800.0, "GiveUp": 4000.0, "Gain": 2.0, "LateWorth": 0.3,
-            "Semantics": "by_key", "MemorySpan": 5000.0}],
-        "Tick": 5.0, "WorthBy": "work", "Zones": ["near", "far"],
+        "Rules": {
+            "AskWithin": 9000.0, "Cold": 1000.0, "ColdFrom": 0.5, "Fall": 900.0,
+            "FallMultiple": 2.5, "ExtraRatio": 0.1, "RatioSpan": 500.0,
+        },
+        "Services": [{
+            "Name": "save", "Aim": 800.0, "GiveUp": 4000.0, "Gain": 2.0, "LateWorth": 0.3,
+            "Semantics": "by_key", "MemorySpan": 5000.0,
+        }],
+        "Tick": 5.0,
+        "WorthBy": "work",
+        "Zones": ["near", "far"],
     })
 }
 
@@ -43,7 +57,8 @@
     value
 }
 
-/// The settings read from a text in which a field of the outer object stands twice, last with this value.
+/// The settings read from a text in which a field of the outer object stands twice, last with this
+/// value.
 pub fn settings_with_duplicate(field: &str, first: &str, last: &str) -> Value {
     let mut fields = settings();
     fields.as_object_mut().unwrap().remove(field).expect(field);
--- a/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
+++ b/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
@@ -1,4 +1,5 @@
-//! Objects with unknown, duplicate, deeply nested or several faulty fields, and the texts of errors.
+//! Objects with unknown, duplicate, deeply nested or several faulty fields, and the texts of
+//! errors.
 
 use super::fixture::{accept, decode_value, error_with, settings_with, settings_with_duplicate};
 use serde_json::{Value, json};
--- a/crates/fanout-policy/tests/policy/warm_up.rs
+++ b/crates/fanout-policy/tests/policy/warm_up.rs
@@ -1,56 +1,56 @@
 //! Servers that have just started.
 
 use crate::common::{
-    Harness, answer_queries, attempt_ended, endpoint, list_event, ring, sent_attempts, served,
+    Harness, SentAttempt, attempt_ended, endpoint, one_cell, ring, served, started_endpoint,
 };
 use fanout_policy::Aggregator;
-use fanout_policy::api::{Endpoint, ListUpdate, Ms, Outcome, Settings};
+use fanout_policy::api::{ListUpdate, Ms, Outcome, Settings};
 
 /// Cost of a part in milliseconds before any has been served: twice the cost of a call.
 const INITIAL_PART_COST: f64 = 40.0;
 
+/// Number of parts that were sent to this server.
+fn parts_at(sent: &[SentAttempt], node: &str) -> usize {
+    sent.iter().filter(|attempt| attempt.node == node).count()
+}
+
 #[test]
 fn warming_up_server_receives_at_most_its_allowance() {
     let mut policy = Harness::new(ring(), 1);
-    let started = Some(policy.now);
-    let endpoints = vec![Endpoint {
-        started,
-        ..endpoint("c1n0", 1)
-    }];
-    policy.advance(5.0, vec![list_event(ListUpdate::Delta, endpoints)]);
-    // Initial capacity of one core, times the overload factor and window, for one of two aggregators.
+    let started = started_endpoint("c1n0", 1, policy.now);
+    policy.update_list(ListUpdate::Delta, vec![started]);
+    // Initial capacity of one core, times the overload factor and window, for one of two
+    // aggregators.
     let allowance = 0.2 * 2.0 * 2000.0 / 2.0;
     let mut work = 0.0;
     for k in 0..40 {
-        let sent = sent_attempts(&policy.submit(&format!("q{k}"), &[0, 1]));
-        let parts = sent.iter().filter(|attempt| attempt.node == "c1n0").count();
-        work += parts as f64 * INITIAL_PART_COST;
+        let sent = policy.attempts_for(&format!("q{k}"), &[0, 1]);
+        work += parts_at(&sent, "c1n0") as f64 * INITIAL_PART_COST;
         policy.advance(10.0, served(&sent, 0, 40.0));
     }
     assert!(work > 0.0, "it must be used");
     assert!(work <= allowance, "{work} of {allowance}");
 }
 
-/// Number of parts, of ten queries with two parts each, that the only replica receives after silence of this length.
+/// Number of parts, of ten queries with two parts each, that the only replica receives after
+/// silence of this length.
 fn parts_sent_after_silence(silence: Ms) -> usize {
     let settings = Settings {
-        cells: 1,
-        replica_cells: 1,
         max_attempts: 1,
-        ..ring()
+        ..one_cell()
     };
     let mut policy = Harness::new(settings, 1);
-    answer_queries(&mut policy, 10, 4000.0);
+    policy.answer_queries(10, 4000.0);
     for k in 0..6 {
         policy.submit(&format!("q{k}"), &[0]);
     }
     let timed_out = |k| attempt_ended(&format!("q{k}.0"), 0, Outcome::TimedOut, silence);
     policy.advance(silence, (0..6).map(timed_out).collect());
-    let sent = sent_attempts(&policy.submit("back", &[0]));
+    let sent = policy.attempts_for("back", &[0]);
     policy.advance(20.0, served(&sent, 0, 20.0));
     (0..10)
         .map(|k| {
-            let sent = sent_attempts(&policy.submit(&format!("r{k}"), &[0, 0]));
+            let sent = policy.attempts_for(&format!("r{k}"), &[0, 0]);
             policy.advance(5.0, served(&sent, 0, 5.0));
             sent.len()
         })
@@ -77,33 +77,25 @@
     limit: f64,
 }
 
-/// The load of a server that has just started. Each aggregator submits a query every `interval`, and has done so for
-/// `warm_time` before the server starts.
+/// The load of a server that has just started. Each aggregator submits a query every `interval`,
+/// and has done so for `warm_time` before the server starts.
 fn warm_up_load(aggregators: usize, interval: Ms, warm_time: Ms) -> WarmUpLoad {
     let settings = Settings {
         aggregators,
-        cells: 1,
-        replica_cells: 1,
-        ..ring()
+
+        ..one_cell()
     };
     let mut work = 0.0;
     for seed in 0..aggregators {
         let mut policy = Harness::new(settings.clone(), 0);
         policy.aggregator = Aggregator::new(settings.clone(), seed as u64 * 7919 + 1);
-        policy.advance(
-            5.0,
-            vec![list_event(ListUpdate::Snapshot, vec![endpoint("warm", 0)])],
-        );
+        policy.update_list(ListUpdate::Snapshot, vec![endpoint("warm", 0)]);
         let mut submit_for = |policy: &mut Harness, duration: Ms| {
             let end = policy.now + duration;
             policy.advance(interval * seed as f64 / aggregators as f64, vec![]);
             while policy.now < end {
-                let sent = sent_attempts(&policy.submit(&format!("q{}", policy.now), &[0]));
-                let parts = sent
-                    .iter()
-                    .filter(|attempt| attempt.node == "started")
-                    .count();
-                work += parts as f64 * INITIAL_PART_COST;
+                let sent = policy.attempts_for(&format!("q{}", policy.now), &[0]);
+                work += parts_at(&sent, "started") as f64 * INITIAL_PART_COST;
                 // An overloaded server answers nothing.
                 let answers = if warm_time > 0.0 {
                     served(&sent, 0, 40.0)
@@ -115,11 +107,8 @@
             }
         };
         submit_for(&mut policy, warm_time);
-        let endpoints = vec![Endpoint {
-            started: Some(policy.now),
-            ..endpoint("started", 0)
-        }];
-        policy.advance(5.0, vec![list_event(ListUpdate::Delta, endpoints)]);
+        let started = started_endpoint("started", 0, policy.now);
+        policy.update_list(ListUpdate::Delta, vec![started]);
         submit_for(&mut policy, 1900.0);
     }
     // Overload factor and window, times the capacity of one core at the end of the window.
@@ -132,7 +121,8 @@
 #[test]
 fn many_aggregators_together_stay_below_the_overload_factor() {
     for aggregators in [1, 2, 10, 60, 120] {
-        // All have just started and submit far more than can be served, or all have long submitted what loads one core.
+        // All have just started and submit far more than can be served, or all have long submitted
+        // what loads one core.
         for (interval, warm_time) in [(100.0, 0.0), (50.0 * aggregators as f64, 20_000.0)] {
             let WarmUpLoad { work, limit } = warm_up_load(aggregators, interval, warm_time);
             assert!(
@@ -146,28 +136,25 @@
 
 #[test]
 fn busiest_aggregator_loads_a_warming_up_server_in_proportion_to_warm_ones() {
-    // One of sixty aggregators has nearly all the traffic: by an equal share it would send one part in ten seconds.
+    // One of sixty aggregators has nearly all the traffic: by an equal share it would send one part
+    // in ten seconds.
     let settings = Settings {
         aggregators: 60,
-        cells: 1,
-        replica_cells: 1,
-        ..ring()
+        ..one_cell()
     };
     let mut policy = Harness::new(settings, 0);
     let warm = ["a", "b", "c"].map(|name| endpoint(name, 0));
-    policy.advance(5.0, vec![list_event(ListUpdate::Snapshot, warm.to_vec())]);
+    policy.update_list(ListUpdate::Snapshot, warm.to_vec());
     submit_queries(&mut policy, 10);
-    let started = Endpoint {
-        started: Some(policy.now),
-        ..endpoint("started", 0)
-    };
-    policy.advance(5.0, vec![list_event(ListUpdate::Delta, vec![started])]);
+    let started = started_endpoint("started", 0, policy.now);
+    policy.update_list(ListUpdate::Delta, vec![started]);
     let PartCounts { started, all } = submit_queries(&mut policy, 2);
     assert!(
         started >= 4,
         "{started} of {all} parts went to the server that warms up"
     );
-    // The overload factor, 2, times the capacity by then, 0.36, of the parts of one of three warm servers.
+    // The overload factor, 2, times the capacity by then, 0.36, of the parts of one of three warm
+    // servers.
     assert!(
         (started as f64) < 2.0 * 0.36 * all as f64 / 3.0,
         "{started} of {all}"
@@ -186,8 +173,8 @@
 fn submit_queries(policy: &mut Harness, seconds: usize) -> PartCounts {
     let mut counts = PartCounts { started: 0, all: 0 };
     for k in 0..seconds * 40 {
-        let sent = sent_attempts(&policy.submit(&format!("q{}-{k}", policy.now), &[0]));
-        counts.started += usize::from(sent.iter().any(|attempt| attempt.node == "started"));
+        let sent = policy.attempts_for(&format!("q{}-{k}", policy.now), &[0]);
+        counts.started += parts_at(&sent, "started");
         counts.all += sent.len();
         policy.advance(20.0, served(&sent, 0, 20.0));
     }
