--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -1,6 +1,6 @@
 //! The aggregator: composes the components of the policy and keeps the order of a batch.
 //!
-//! [`Aggregator`] owns the settings, the queries in flight and the timers, [`Components`] what the
+//! [`Aggregator`] owns the settings, the queries in flight and the timers, [`PolicyState`] what the
 //! decisions are based on. [`query_driver`] advances queries, [`attempt_outcomes`] records how
 //! attempts ended, [`views`] gives read access.
 
@@ -30,14 +30,14 @@
 pub struct Aggregator {
     settings: Settings,
     queries: QueryTable,
-    components: Components,
+    state: PolicyState,
     list_poller: EndpointListPoller,
     batch_timer: BatchTimer,
     control_timer: ControlTimer,
 }
 
 /// What the decisions on queries are based on.
-struct Components {
+struct PolicyState {
     random: RandomSource,
     fleet: Fleet,
     attempts: AttemptTable,
@@ -66,7 +66,7 @@
     pub fn new(settings: Settings, seed: u64) -> Self {
         Aggregator {
             queries: QueryTable::default(),
-            components: Components::new(&settings, seed),
+            state: PolicyState::new(&settings, seed),
             list_poller: EndpointListPoller::new(&settings),
             batch_timer: BatchTimer::new(),
             control_timer: ControlTimer::new(),
@@ -81,7 +81,7 @@
         let mut actions = Vec::new();
         self.batch_timer
             .on_batch(&BatchContext::new(now, &self.settings));
-        self.components.fleet.on_batch();
+        self.state.fleet.on_batch();
         for event in events {
             self.handle_event(now, event, &mut actions);
         }
@@ -100,7 +100,7 @@
     /// Number of servers of which records are held.
     #[must_use]
     pub fn servers_known(&self) -> usize {
-        self.components.fleet.record_count()
+        self.state.fleet.record_count()
     }
 
     /// Applies one event.
@@ -111,7 +111,7 @@
             }
             Event::Query(query) => self.on_query(now, query, actions),
             Event::Part(part) => {
-                self.components.retry_budget.record_accepted(now);
+                self.state.retry_budget.record_accepted(now);
                 self.queries.add_part(part);
             }
             Event::AttemptEnded {
@@ -140,13 +140,13 @@
         let batch = BatchContext::new(now, &self.settings);
         match update {
             ListUpdate::Failed => {
-                let random = &mut self.components.random;
+                let random = &mut self.state.random;
                 return self.list_poller.on_failure(now, &self.settings, random);
             }
             ListUpdate::Delta | ListUpdate::Snapshot => self.list_poller.on_success(&self.settings),
             ListUpdate::Cached => {}
         }
-        self.components.fleet.apply_list(&batch, update, endpoints);
+        self.state.fleet.apply_list(&batch, update, endpoints);
     }
 
     fn on_query(&mut self, now: Ms, query: Query, actions: &mut Vec<Action>) {
@@ -154,12 +154,12 @@
             return actions.push(Action::Fail { query: query.id });
         }
         let batch = BatchContext::new(now, &self.settings);
-        self.components.retry_budget.record_accepted(now);
+        self.state.retry_budget.record_accepted(now);
         let class = query.class.0.min(self.settings.classes.len() - 1);
         let arrival = Arrival {
             class,
             arrived_at: now,
-            first_sent_at: self.components.admission.on_arrival(&batch, class, &query),
+            first_sent_at: self.state.admission.on_arrival(&batch, class, &query),
         };
         let in_flight = InFlightQuery::new(&query, arrival);
         self.queries.add(query.id, in_flight);
@@ -167,12 +167,12 @@
 
     fn on_attempt_ended(&mut self, now: Ms, report: &AttemptReport) {
         let batch = BatchContext::new(now, &self.settings);
-        if let Some(attempt) = self.components.attempts.remove(&report.part, report.number) {
-            let punctuality = self.batch_timer.punctuality();
-            let end = AttemptEnd::new(report.outcome, report.elapsed, punctuality);
-            self.components.record_attempt_end(&batch, &attempt, end);
+        if let Some(attempt) = self.state.attempts.remove(&report.part, report.number) {
+            let timing = self.batch_timer.timing();
+            let end = AttemptEnd::new(report.outcome, report.elapsed, timing);
+            self.state.record_attempt_end(&batch, &attempt, end);
             if let Some(load) = report.load {
-                self.components.record_load_report(&batch, &attempt, load);
+                self.state.record_load_report(&batch, &attempt, load);
             }
         }
         self.queries
@@ -182,18 +182,18 @@
     fn on_client_disconnected(&mut self, now: Ms, id: &QueryId, actions: &mut Vec<Action>) {
         if let Some(query) = self.queries.remove(id) {
             let batch = BatchContext::new(now, &self.settings);
-            QueryDriver::new(batch, &mut self.components, actions).finish(&query);
+            QueryDriver::new(batch, &mut self.state, actions).finish(&query);
         }
     }
 
     fn on_gossip(&mut self, now: Ms, message: GossipMessage) {
         let batch = BatchContext::new(now, &self.settings);
-        let Components {
+        let PolicyState {
             gossip,
             fleet,
             random,
             ..
-        } = &mut self.components;
+        } = &mut self.state;
         gossip.on_message(&batch, message, fleet, random);
     }
 
@@ -201,14 +201,14 @@
     fn run_control_loops(&mut self, now: Ms) {
         let batch = BatchContext::new(now, &self.settings);
         let in_use = self.servers_in_use();
-        let Components {
+        let PolicyState {
             random,
             fleet,
             fanout_widths,
             retry_budget,
             gossip,
             ..
-        } = &mut self.components;
+        } = &mut self.state;
         let max_rows = fleet.rows().max_holders();
         for width in fanout_widths {
             width.adjust(max_rows);
@@ -224,21 +224,21 @@
 
     /// Servers that queries or attempts refer to.
     fn servers_in_use(&self) -> BTreeSet<ServerIndex> {
-        let attempts = self.components.attempts.servers();
+        let attempts = self.state.attempts.servers();
         self.queries.servers().chain(attempts).collect()
     }
 
     /// Advances all queries and removes those that have ended.
     fn advance_queries(&mut self, now: Ms, actions: &mut Vec<Action>) {
         let batch = BatchContext::new(now, &self.settings);
-        let mut driver = QueryDriver::new(batch, &mut self.components, actions);
+        let mut driver = QueryDriver::new(batch, &mut self.state, actions);
         self.queries
             .advance_each(|id, query| driver.advance(id, query));
     }
 
     fn publish_load(&mut self, now: Ms, actions: &mut Vec<Action>) {
         let batch = BatchContext::new(now, &self.settings);
-        let Components { gossip, fleet, .. } = &mut self.components;
+        let PolicyState { gossip, fleet, .. } = &mut self.state;
         let messages = gossip.publish_if_due(&batch, fleet).into_iter();
         actions.extend(messages.map(|bytes| Action::PublishLoad { bytes }));
     }
@@ -256,11 +256,11 @@
     }
 }
 
-impl Components {
+impl PolicyState {
     fn new(settings: &Settings, seed: u64) -> Self {
         let classes = settings.classes.len();
         let fanout_width = FanoutWidthController::new(settings.replica_cells.max(1));
-        Components {
+        PolicyState {
             random: RandomSource::new(seed),
             fleet: Fleet::new(),
             attempts: AttemptTable::default(),
--- a/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
+++ b/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
@@ -1,13 +1,13 @@
 //! Passes the end of an attempt on to the components that learn from it.
 
-use super::Components;
+use super::PolicyState;
 use crate::api::Ms;
 use crate::policy::batch_context::BatchContext;
 use crate::policy::ended_attempt::{AttemptEnd, EndedAttempt, HealthSignal};
 use crate::policy::outlier_detection::{EjectionContext, EjectionJitter};
 use crate::queries::InFlightAttempt;
 
-impl Components {
+impl PolicyState {
     /// Learns from the end of an attempt.
     pub(super) fn record_attempt_end(
         &mut self,
--- a/crates/fanout-policy/src/aggregator/query_driver.rs
+++ b/crates/fanout-policy/src/aggregator/query_driver.rs
@@ -1,6 +1,6 @@
 //! Advances queries within a batch: carries out what the components decide.
 
-use super::Components;
+use super::PolicyState;
 use crate::api::{Action, QueryId};
 use crate::fleet::ServerIndex;
 use crate::policy::admission::AdmissionDecision;
@@ -17,7 +17,7 @@
 /// Advances the queries of one batch.
 pub(super) struct QueryDriver<'a> {
     batch: BatchContext<'a>,
-    components: &'a mut Components,
+    state: &'a mut PolicyState,
     actions: &'a mut Vec<Action>,
 }
 
@@ -25,12 +25,12 @@
     /// A driver that adds to these actions.
     pub(super) fn new(
         batch: BatchContext<'a>,
-        components: &'a mut Components,
+        state: &'a mut PolicyState,
         actions: &'a mut Vec<Action>,
     ) -> Self {
         QueryDriver {
             batch,
-            components,
+            state,
             actions,
         }
     }
@@ -58,7 +58,7 @@
     pub(super) fn finish(&mut self, query: &InFlightQuery) {
         self.cancel_attempts(query);
         let objective = self.batch.objective(query);
-        let class = &mut self.components.classes[query.class()];
+        let class = &mut self.state.classes[query.class()];
         if let Some(error) = query.forecast_error(self.batch.now) {
             class.record_forecast_error(error, objective);
         }
@@ -74,13 +74,13 @@
         if !query.in_second_step() && self.admit(id, query) == QueryProgress::Ended {
             return QueryProgress::Ended;
         }
-        let Components {
+        let PolicyState {
             random,
             fleet,
             classes,
             fanout_widths,
             ..
-        } = &mut *self.components;
+        } = &mut *self.state;
         let forecaster = Forecaster::new(&self.batch, fleet, classes);
         let width = &fanout_widths[query.class()];
         RowPlanner::new(&self.batch, fleet, forecaster).plan(query, width, random);
@@ -88,12 +88,12 @@
     }
 
     fn admit(&mut self, id: &QueryId, query: &mut InFlightQuery) -> QueryProgress {
-        let Components {
+        let PolicyState {
             fleet,
             classes,
             admission,
             ..
-        } = &mut *self.components;
+        } = &mut *self.state;
         let forecaster = Forecaster::new(&self.batch, fleet, classes);
         let limits = TimeLimits::new(&self.batch, classes);
         match admission.decide(&self.batch, query, &forecaster, &limits) {
@@ -126,7 +126,7 @@
     }
 
     fn retry(&mut self, query: &mut InFlightQuery, index: usize) {
-        let retry_budget = &mut self.components.retry_budget;
+        let retry_budget = &mut self.state.retry_budget;
         let Some(permit) = retry_budget.try_acquire_retry(&self.batch) else {
             return;
         };
@@ -137,9 +137,7 @@
         if self.retry_policy().must_wait_for_capacity(part, server) {
             return;
         }
-        self.components
-            .retry_budget
-            .record_sent(self.batch.now, permit);
+        self.state.retry_budget.record_sent(self.batch.now, permit);
         self.send(query, index, server);
     }
 
@@ -148,7 +146,7 @@
         if !self.retry_policy().is_overdue(query, part) {
             return;
         }
-        let retry_budget = &mut self.components.retry_budget;
+        let retry_budget = &mut self.state.retry_budget;
         let Some(permit) = retry_budget.try_acquire_hedge(&self.batch) else {
             return;
         };
@@ -159,9 +157,7 @@
         match self.retry_policy().hedge_decision(query, part, forecast) {
             HedgeDecision::Wait => {}
             HedgeDecision::Send => {
-                self.components
-                    .retry_budget
-                    .record_sent(self.batch.now, permit);
+                self.state.retry_budget.record_sent(self.batch.now, permit);
                 self.send(query, index, server);
             }
             HedgeDecision::CancelFirst => self.cancel_last_attempt(part),
@@ -197,12 +193,12 @@
         let number = part.record_send(&attempt);
         self.actions.push(Action::SendAttempt {
             part: part.id().clone(),
-            node: self.components.fleet.server(server).node().clone(),
+            node: self.state.fleet.server(server).node().clone(),
             timeout,
         });
-        self.components.fleet.record_send(&attempt);
-        self.components.gossip.on_send(self.batch.now, server);
-        self.components
+        self.state.fleet.record_send(&attempt);
+        self.state.gossip.on_send(self.batch.now, server);
+        self.state
             .attempts
             .insert(part.id().clone(), number, attempt);
     }
@@ -259,21 +255,21 @@
     }
 
     fn forecaster(&self) -> Forecaster<'_> {
-        let Components { fleet, classes, .. } = &*self.components;
+        let PolicyState { fleet, classes, .. } = &*self.state;
         Forecaster::new(&self.batch, fleet, classes)
     }
 
     fn limits(&self) -> TimeLimits<'_> {
-        TimeLimits::new(&self.batch, &self.components.classes)
+        TimeLimits::new(&self.batch, &self.state.classes)
     }
 
     fn selector(&self) -> ServerSelector<'_> {
-        let Components { fleet, gossip, .. } = &*self.components;
+        let PolicyState { fleet, gossip, .. } = &*self.state;
         ServerSelector::new(&self.batch, fleet, gossip, self.forecaster())
     }
 
     fn retry_policy(&self) -> RetryPolicy<'_> {
-        RetryPolicy::new(&self.batch, &self.components.fleet, self.limits())
+        RetryPolicy::new(&self.batch, &self.state.fleet, self.limits())
     }
 
     fn completion(&self) -> Completion<'_> {
--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -3,7 +3,7 @@
 //! Nothing here decides anything: load reports update the same statistics as the aggregator's
 //! own attempts.
 
-use super::{Aggregator, Components};
+use super::{Aggregator, PolicyState};
 use crate::api::{ClassIndex, Ms, Outcome};
 use crate::fleet::Server;
 use crate::policy::batch_context::BatchContext;
@@ -32,24 +32,24 @@
             part_cost: class.part_cost(),
             forecast_error: class.forecast_error(),
         };
-        let Components {
+        let PolicyState {
             classes,
             fanout_widths,
             ..
-        } = &self.components;
+        } = &self.state;
         classes.iter().zip(fanout_widths).map(view).collect()
     }
 
     /// Median latency per outstanding work over the fleet.
     #[must_use]
     pub fn fleet_latency_per_work(&self) -> f64 {
-        self.components.fleet.latency().per_work()
+        self.state.fleet.latency().per_work()
     }
 
     /// All servers that serve or drain, in order of their names.
     #[must_use]
     pub fn server_views(&self, now: Ms) -> Vec<ServerView> {
-        let servers = self.components.fleet.listed();
+        let servers = self.state.fleet.listed();
         servers
             .map(|server| self.server_view(server, now))
             .collect()
@@ -75,13 +75,13 @@
     /// few attempts in the same proportion, failures first, so that the answers beside them
     /// show that the server is up.
     pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
-        let Some(estimates) = self.components.classes.get(class.0) else {
+        let Some(estimates) = self.state.classes.get(class.0) else {
             return;
         };
         let work = estimates.part_cost().max(MIN_REPORTED_WORK_MS);
         let fleet_latency = self.fleet_latency_per_work();
         for report in reports {
-            let Some(server) = self.components.fleet.find(&report.node) else {
+            let Some(server) = self.state.fleet.find(&report.node) else {
                 continue;
             };
             let expected_latency = work * fleet_latency;
@@ -108,11 +108,11 @@
             (Outcome::Error, report.errors),
             (Outcome::Served, report.served),
         ];
-        let punctuality = self.batch_timer.punctuality();
+        let timing = self.batch_timer.timing();
         for (outcome, attempts) in outcomes {
-            let end = AttemptEnd::new(outcome, elapsed, punctuality);
+            let end = AttemptEnd::new(outcome, elapsed, timing);
             for _ in 0..sample_count(attempts, total) {
-                self.components.record_attempt_end(&batch, attempt, end);
+                self.state.record_attempt_end(&batch, attempt, end);
             }
         }
     }
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -114,12 +114,12 @@
         // forecast error. Neither counts where the client leaves before the objective:
         // its retries would fill the fleet.
         let client_stays = query.client_deadline() > batch.objective_end(query);
-        let partial = if client_stays {
-            partial_answer_weight(class)
+        let (partial, late) = if client_stays {
+            (partial_answer_weight(class), class.late_weight)
         } else {
-            0.0
+            (0.0, 0.0)
         };
-        let fallback = partial.max(f64::from(client_stays) * class.late_weight);
+        let fallback = partial.max(late);
         let end = batch.objective_end(query).min(query.client_deadline());
         let time_left = end - batch.now - limits.second_step_reserve(query);
         let limit = limit + (1.0 - limit) * partial;
--- a/crates/fanout-policy/src/policy/batch_timer.rs
+++ b/crates/fanout-policy/src/policy/batch_timer.rs
@@ -19,12 +19,12 @@
 
 /// Whether this aggregator ran without a pause until the current batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Punctuality {
+pub(crate) enum BatchTiming {
     /// The batch came when it was due or before.
     OnTime,
     /// The batch came so late that this aggregator itself must have been paused, so that
     /// the time which attempts took says little about their servers.
-    Paused,
+    AfterPause,
 }
 
 /// The timer of the next batch.
@@ -32,7 +32,7 @@
     /// When the timer fires; infinite while none is set.
     fires_at: Ms,
     /// Whether the last batch came on time.
-    punctuality: Punctuality,
+    timing: BatchTiming,
 }
 
 impl BatchTimer {
@@ -40,17 +40,17 @@
     pub(crate) fn new() -> Self {
         BatchTimer {
             fires_at: f64::INFINITY,
-            punctuality: Punctuality::OnTime,
+            timing: BatchTiming::OnTime,
         }
     }
 
     /// Starts a batch.
     pub(crate) fn on_batch(&mut self, batch: &BatchContext) {
         let is_late = batch.now > self.fires_at + PAUSE_OBJECTIVES * batch.shortest_objective();
-        self.punctuality = if is_late {
-            Punctuality::Paused
+        self.timing = if is_late {
+            BatchTiming::AfterPause
         } else {
-            Punctuality::OnTime
+            BatchTiming::OnTime
         };
     }
 
@@ -60,8 +60,8 @@
     }
 
     /// Whether the last batch came on time.
-    pub(crate) fn punctuality(&self) -> Punctuality {
-        self.punctuality
+    pub(crate) fn timing(&self) -> BatchTiming {
+        self.timing
     }
 
     /// Sets the timer if it is not set, and returns the time after which it is to fire.
--- a/crates/fanout-policy/src/policy/ended_attempt.rs
+++ b/crates/fanout-policy/src/policy/ended_attempt.rs
@@ -4,7 +4,7 @@
 //! [`EndedAttempt`] lives while the components learn from it.
 
 use super::batch_context::BatchContext;
-use super::batch_timer::Punctuality;
+use super::batch_timer::BatchTiming;
 use super::smoothing::{SAMPLE_WEIGHT, STRONG_SAMPLE_WEIGHT};
 use super::zone_silence::Response;
 use crate::api::{Ms, Outcome};
@@ -39,7 +39,7 @@
     attempt: &'a InFlightAttempt,
     outcome: Outcome,
     elapsed: Ms,
-    punctuality: Punctuality,
+    timing: BatchTiming,
     is_overdue: bool,
     /// Whether the server answered no attempt that was sent later.
     is_newest: bool,
@@ -61,8 +61,8 @@
             attempt,
             outcome: end.outcome,
             elapsed,
-            punctuality: end.punctuality,
-            is_overdue: end.punctuality == Punctuality::OnTime && elapsed > overdue_age,
+            timing: end.timing,
+            is_overdue: end.timing == BatchTiming::OnTime && elapsed > overdue_age,
             is_newest: attempt.sent_at > last_served_sent_at,
         }
     }
@@ -92,7 +92,7 @@
     pub(crate) fn health_signal(&self) -> HealthSignal {
         match self.outcome {
             Outcome::NotSent => HealthSignal::None,
-            Outcome::TimedOut if self.punctuality == Punctuality::Paused => HealthSignal::None,
+            Outcome::TimedOut if self.timing == BatchTiming::AfterPause => HealthSignal::None,
             Outcome::Cancelled if !self.is_silent() => HealthSignal::None,
             Outcome::Served => HealthSignal::Answer,
             Outcome::Overloaded => HealthSignal::Overload,
@@ -107,7 +107,7 @@
 
     /// Whether the server responded; `None` if the attempt does not show it.
     pub(crate) fn response(&self) -> Option<Response> {
-        if self.punctuality == Punctuality::Paused {
+        if self.timing == BatchTiming::AfterPause {
             return None;
         }
         match self.outcome {
@@ -122,9 +122,9 @@
 
     /// Time that the answer took, without a pause of this aggregator.
     pub(crate) fn answer_time(&self) -> Ms {
-        match self.punctuality {
-            Punctuality::OnTime => self.elapsed,
-            Punctuality::Paused => self.elapsed.min(self.attempt.expected_latency),
+        match self.timing {
+            BatchTiming::OnTime => self.elapsed,
+            BatchTiming::AfterPause => self.elapsed.min(self.attempt.expected_latency),
         }
     }
 
@@ -149,16 +149,16 @@
 pub(crate) struct AttemptEnd {
     outcome: Outcome,
     elapsed: Ms,
-    punctuality: Punctuality,
+    timing: BatchTiming,
 }
 
 impl AttemptEnd {
     /// An end with this outcome after this time, in which the aggregator was paused or not.
-    pub(crate) fn new(outcome: Outcome, elapsed: Ms, punctuality: Punctuality) -> Self {
+    pub(crate) fn new(outcome: Outcome, elapsed: Ms, timing: BatchTiming) -> Self {
         AttemptEnd {
             outcome,
             elapsed,
-            punctuality,
+            timing,
         }
     }
 
