--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -4,20 +4,16 @@
 //! own attempts.
 
 use super::{Aggregator, PolicyState};
-use crate::api::{ClassIndex, Ms, Outcome};
+use crate::api::{ClassIndex, Ms};
 use crate::fleet::Server;
 use crate::policy::batch_context::BatchContext;
 use crate::policy::class_estimates::ClassEstimates;
 use crate::policy::ended_attempt::AttemptEnd;
 use crate::policy::fanout_width::FanoutWidthController;
+use crate::policy::report_sampling::samples;
 use crate::queries::InFlightAttempt;
 use crate::view::{ClassView, LoadReport, ServerView};
 
-/// Largest number of attempts that one report counts as. Outlier detection works on shares and
-/// on consecutive failures, so that more samples add nothing and would outweigh the reports of
-/// others.
-const MAX_SAMPLES: u64 = 8;
-
 /// Lower bound of the fleet's latency per work as a divisor.
 const MIN_LATENCY_PER_WORK: f64 = 1e-9;
 /// Least work that a reported attempt is assumed to be.
@@ -71,9 +67,8 @@
         }
     }
 
-    /// Applies what others observed since their last reports. Each report counts as a
-    /// few attempts in the same proportion, failures first, so that the answers beside them
-    /// show that the server is up.
+    /// Applies what others observed since their last reports. Each report counts as a few
+    /// attempts in the same proportion.
     pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
         let Some(estimates) = self.state.classes.get(class.0) else {
             return;
@@ -102,27 +97,10 @@
     fn apply_load_report(&mut self, now: Ms, attempt: &InFlightAttempt, report: &LoadReport) {
         let batch = BatchContext::new(now, &self.settings);
         let elapsed = report.mean_latency.unwrap_or(attempt.expected_latency);
-        let total = report.served + report.errors + report.connection_failures;
-        let outcomes = [
-            (Outcome::ConnectionLost, report.connection_failures),
-            (Outcome::Error, report.errors),
-            (Outcome::Served, report.served),
-        ];
         let timing = self.batch_timer.timing();
-        for (outcome, attempts) in outcomes {
+        for outcome in samples(report) {
             let end = AttemptEnd::new(outcome, elapsed, timing);
-            for _ in 0..sample_count(attempts, total) {
-                self.state.record_attempt_end(&batch, attempt, end);
-            }
+            self.state.record_attempt_end(&batch, attempt, end);
         }
     }
 }
-
-/// Number of samples that stand for these attempts out of a report's total.
-fn sample_count(attempts: u64, total: u64) -> u64 {
-    if total <= MAX_SAMPLES {
-        attempts
-    } else {
-        (attempts * MAX_SAMPLES).div_ceil(total)
-    }
-}
--- a/crates/fanout-policy/src/policy/mod.rs
+++ b/crates/fanout-policy/src/policy/mod.rs
@@ -29,8 +29,8 @@
 //!
 //! The other modules have no state of their own and decide from the state that they are given:
 //! [`forecast`], [`time_limits`], [`row_planner`], [`server_selection`], [`retry_policy`],
-//! [`completion`], [`retry_after`] and [`ended_attempt`]. Time and settings come in a
-//! [`batch_context`], random numbers as an argument.
+//! [`completion`], [`retry_after`], [`ended_attempt`] and [`report_sampling`]. Time and settings
+//! come in a [`batch_context`], random numbers as an argument.
 
 pub(crate) mod admission;
 pub(crate) mod batch_context;
@@ -47,6 +47,7 @@
 pub(crate) mod load_gossip;
 pub(crate) mod outlier_detection;
 pub(crate) mod outstanding_work;
+pub(crate) mod report_sampling;
 pub(crate) mod retry_after;
 pub(crate) mod retry_budget;
 pub(crate) mod retry_policy;
--- a/crates/fanout-policy/tests/policy/robustness.rs
+++ b/crates/fanout-policy/tests/policy/robustness.rs
@@ -73,6 +73,8 @@
 
 /// Longest policy file, in lines: a module with one job is shorter.
 const MAX_POLICY_FILE_LINES: usize = 400;
+/// Widest line of a policy file, in columns: the default of rustfmt, for comments as well.
+const MAX_POLICY_LINE_COLUMNS: usize = 100;
 
 #[test]
 fn policy_files_stay_within_their_line_limits() {
@@ -83,7 +85,7 @@
         assert!(lines <= MAX_POLICY_FILE_LINES, "{file}: {lines} lines");
         for (index, line) in text.lines().enumerate() {
             assert!(
-                line.chars().count() <= 110,
+                line.chars().count() <= MAX_POLICY_LINE_COLUMNS,
                 "{file}: line {} is too wide",
                 index + 1
             );
