--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -16,6 +16,7 @@
 
 use broker_types::server::{NodeId, ServingState};
 use broker_types::time::Timestamp;
+use slow_start::SlowStartRule;
 use std::net::SocketAddr;
 use std::sync::Arc;
 
@@ -42,3 +43,11 @@
     /// Its latency per unit of outstanding work, relative to the fleet's: 1 is usual, 2 is half as fast.
     pub relative_latency: f64,
 }
+
+impl ServerView {
+    /// Whether the server is warming up at this moment.
+    fn is_warming_up(&self, now: Timestamp, rule: &SlowStartRule) -> bool {
+        self.started_at
+            .is_some_and(|started_at| !rule.is_warmed_up(now.saturating_since(started_at)))
+    }
+}
