--- a/crates/query-broker/tests/http2/arbitrary_frames.rs
+++ b/crates/query-broker/tests/http2/arbitrary_frames.rs
@@ -2,57 +2,82 @@
 //! lost.
 
 use crate::fixture::Fixture;
-use load_generator::raw_http2::{QUERY_BODY, encode_frame, query_fields, query_frames};
+use load_generator::raw_http2::{
+    DATA, END_HEADERS, END_STREAM, GOAWAY, HEADERS, PING, QUERY_BODY, RST_STREAM, SETTINGS,
+    WINDOW_UPDATE, encode_frame, query_fields, query_frames,
+};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, FileFailurePersistence, TestRunner};
 use std::time::Duration;
 
+/// Type of PRIORITY frames (RFC 9113, section 6.3).
+const PRIORITY: u8 = 2;
+/// The flag PADDED of DATA frames (RFC 9113, section 6.1).
+const PADDED: u8 = 8;
 /// Memory that the allocator may keep after all connections, in bytes.
 const MEMORY_TOLERANCE: u64 = 16 << 20;
 
+/// Ids of client streams, of streams that a client may not open, and of the connection.
+fn stream_ids() -> impl Strategy<Value = u32> + Clone {
+    prop::sample::select(vec![0u32, 1, 3, 5, 7, 2, 0x7fff_ffff])
+}
+
+/// A frame of any content.
+fn any_frame() -> impl Strategy<Value = Vec<u8>> {
+    let payload = prop::collection::vec(any::<u8>(), 0..60);
+    (0u8..12, any::<u8>(), stream_ids(), payload)
+        .prop_map(|(kind, flags, stream, payload)| encode_frame(kind, flags, stream, &payload))
+}
+
+/// The head of a query, which may lack its flags.
+fn headers_frame() -> impl Strategy<Value = Vec<u8>> {
+    let flags = prop::sample::select(vec![END_HEADERS, END_HEADERS | END_STREAM, 0, END_STREAM]);
+    (stream_ids(), flags, 0u32..1000).prop_map(|(stream, flags, id)| {
+        let fields = query_fields(&format!("f{id}"), &[]);
+        encode_frame(HEADERS, flags, stream, &fields)
+    })
+}
+
+/// The end of a query's body, which may be padded.
+fn data_frame() -> impl Strategy<Value = Vec<u8>> {
+    let flags = prop::sample::select(vec![0, END_STREAM, PADDED]);
+    (stream_ids(), flags, 0..QUERY_BODY.len())
+        .prop_map(|(stream, flags, cut)| encode_frame(DATA, flags, stream, &QUERY_BODY[cut..]))
+}
+
+/// A control frame of the right length and any content.
+fn control_frame() -> impl Strategy<Value = Vec<u8>> {
+    let kinds = vec![PRIORITY, RST_STREAM, SETTINGS, PING, GOAWAY, WINDOW_UPDATE];
+    let kind = prop::sample::select(kinds);
+    (kind, any::<bool>(), stream_ids(), any::<u64>()).prop_map(|(kind, ack, stream, content)| {
+        let length = match kind {
+            PRIORITY => 5,
+            RST_STREAM | WINDOW_UPDATE => 4,
+            SETTINGS => 6,
+            _ => 8,
+        };
+        encode_frame(
+            kind,
+            u8::from(ack),
+            stream,
+            &content.to_be_bytes()[..length],
+        )
+    })
+}
+
+/// A valid query.
+fn whole_query() -> impl Strategy<Value = Vec<u8>> {
+    (0u32..50, 0u32..1000).prop_map(|(n, id)| query_frames(1 + 2 * n, &format!("w{id}")))
+}
+
 fn frame_sequences() -> impl Strategy<Value = Vec<Vec<u8>>> {
-    let stream = prop::sample::select(vec![0u32, 1, 3, 5, 7, 2, 0x7fff_ffff]);
-    let any_frame = (
-        0u8..12,
-        any::<u8>(),
-        stream.clone(),
-        prop::collection::vec(any::<u8>(), 0..60),
-    )
-        .prop_map(|(kind, flags, stream, rest)| encode_frame(kind, flags, stream, &rest));
-    let headers = (
-        stream.clone(),
-        prop::sample::select(vec![4u8, 5, 0, 1]),
-        0u32..1000,
-    )
-        .prop_map(|(stream, flags, n)| {
-            encode_frame(1, flags, stream, &query_fields(&format!("f{n}"), &[]))
-        });
-    let data = (
-        stream.clone(),
-        prop::sample::select(vec![0u8, 1, 8]),
-        0..QUERY_BODY.len(),
-    )
-        .prop_map(|(stream, flags, cut)| encode_frame(0, flags, stream, &QUERY_BODY[cut..]));
-    let control = (
-        prop::sample::select(vec![2u8, 3, 4, 6, 7, 8]),
-        any::<bool>(),
-        stream,
-        any::<u64>(),
-    )
-        .prop_map(|(kind, ack, stream, n)| {
-            let rest = n.to_be_bytes();
-            let length = match kind {
-                2 => 5,
-                3 | 8 => 4,
-                4 => 6,
-                _ => 8,
-            };
-            encode_frame(kind, u8::from(ack), stream, &rest[..length])
-        });
-    let whole_query =
-        (0u32..50, 0u32..1000).prop_map(|(n, id)| query_frames(1 + 2 * n, &format!("w{id}")));
-    let any_item =
-        prop_oneof![2 => any_frame, 3 => headers, 3 => data, 3 => control, 3 => whole_query];
+    let any_item = prop_oneof![
+        2 => any_frame(),
+        3 => headers_frame(),
+        3 => data_frame(),
+        3 => control_frame(),
+        3 => whole_query(),
+    ];
     prop::collection::vec(any_item, 1..30)
 }
 
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -123,7 +123,12 @@
 struct OverQuota {
     /// Outcomes of 100 queries on the connection that is over its quota.
     over_quota: Vec<QueryOutcome>,
-    /// Outcomes of one query on each of five other connections, for shards 0 to 4.
+    others: OtherOutcomes,
+}
+
+/// What clients on other connections saw.
+struct OtherOutcomes {
+    /// Outcomes of one query on each of five connections, for shards 0 to 4.
     over_http2: Vec<QueryOutcome>,
     /// Outcome of a query over HTTP/1.1, for shard 6.
     over_http1: QueryOutcome,
@@ -153,12 +158,7 @@
                 send_on_others(&fixture, &others, http1),
             )
             .await;
-            let (over_http2, over_http1) = others;
-            OverQuota {
-                over_quota,
-                over_http2,
-                over_http1,
-            }
+            OverQuota { over_quota, others }
         })
     }
 }
@@ -168,7 +168,7 @@
     fixture: &Fixture,
     others: &[Http2Client],
     mut http1: Http1Client,
-) -> (Vec<QueryOutcome>, QueryOutcome) {
+) -> OtherOutcomes {
     fixture.wait_for_attempts(10).await;
     let queries: Vec<_> = (0..5).map(|n| lookup(&format!("o{n}"), &[n])).collect();
     let over_http2 = join_all(
@@ -180,10 +180,10 @@
     // Sent with the others: an unused connection is closed after 2 s.
     let request = lookup("http1", &[6]).request();
     let (over_http2, over_http1) = zip(over_http2, http1.send(&request)).await;
-    (
+    OtherOutcomes {
         over_http2,
-        QueryOutcome::from_response(&over_http1.unwrap()),
-    )
+        over_http1: QueryOutcome::from_response(&over_http1.unwrap()),
+    }
 }
 
 #[test]
@@ -200,7 +200,7 @@
 
 #[test]
 fn other_connections_are_served_while_one_is_over_its_quota() {
-    let outcomes = OverQuota::run();
+    let outcomes = OverQuota::run().others;
     for (shard, answer) in outcomes.over_http2.iter().enumerate() {
         assert_eq!(
             *answer,
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -41,7 +41,7 @@
 /// A discovery service and some data servers on a thread of their own. They end when the fleet is dropped.
 pub struct Fleet {
     /// The address on which discovery listens.
-    pub discovery_address: SocketAddr,
+    pub(crate) discovery_address: SocketAddr,
     servers: Vec<ServerHandle>,
     attempt_log: Arc<Mutex<AttemptLog>>,
     commands: Sender<FleetCommand>,
@@ -105,8 +105,7 @@
     }
 
     /// The endpoint list as it was at the start, in discovery's format.
-    #[must_use]
-    pub fn initial_endpoint_list(&self) -> &Value {
+    pub(crate) fn initial_endpoint_list(&self) -> &Value {
         &self.initial_endpoint_list
     }
 
