--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -8,6 +8,30 @@
 //! - [`ejection_quorum`] ejects a server on the reports of several proxies, never of one, and limits how many servers
 //!   are ejected;
 //! - [`endpoint_assignment`] makes the clusters and endpoints of the proxies.
+//!
+//! ```
+//! use broker_types::server::NodeId;
+//! use broker_types::time::Timestamp;
+//! use endpoint_control::leases::{LeaseRequest, LeaseTable, LeaseTimes};
+//! use std::time::Duration;
+//!
+//! let mut leases = LeaseTable::new(LeaseTimes {
+//!     time_to_live: Duration::from_secs(2),
+//!     max_request_duration: Duration::from_secs(4),
+//!     max_pause: Duration::from_secs(10),
+//! });
+//! let server = NodeId("s1".into());
+//! let mut grant = |holder: &str| {
+//!     let request = LeaseRequest {
+//!         server: &server,
+//!         holder: &holder.into(),
+//!         wanted_units: 2,
+//!         server_limit: 3,
+//!     };
+//!     leases.grant(Timestamp::ORIGIN, request)
+//! };
+//! assert_eq!((grant("proxy-a"), grant("proxy-b")), (2, 1), "three units in all");
+//! ```
 
 pub mod ejection_quorum;
 pub mod endpoint_assignment;
