--- a/crates/broker/src/listeners/http2/stream.rs
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -38,12 +38,16 @@
 }
 
 impl StreamOutcome {
-    fn cancelled(is_valid_request: bool) -> Self {
-        StreamOutcome {
-            sent_body_bytes: None,
-            is_valid_request,
-        }
-    }
+    /// The client cancelled the stream before its request was complete.
+    const REQUEST_CANCELLED: StreamOutcome = StreamOutcome {
+        sent_body_bytes: None,
+        is_valid_request: false,
+    };
+    /// The client cancelled the stream while its query was in flight.
+    const QUERY_CANCELLED: StreamOutcome = StreamOutcome {
+        sent_body_bytes: None,
+        is_valid_request: true,
+    };
 }
 
 /// A reply that has to be sent.
@@ -90,14 +94,14 @@
                 let reset = poll_fn(|cx| respond.poll_reset(cx));
                 match context.submit(connection, query, reset).await {
                     Ok(reply) => PendingReply { reply, deadline },
-                    Err(_reset) => return StreamOutcome::cancelled(true),
+                    Err(_reset) => return StreamOutcome::QUERY_CANCELLED,
                 }
             }
             Ok(RoutedRequest::Replied(reply)) => PendingReply {
                 reply,
                 deadline: received_at + MESSAGE_TIMEOUT,
             },
-            Err(_cancelled) => return StreamOutcome::cancelled(false),
+            Err(_cancelled) => return StreamOutcome::REQUEST_CANCELLED,
         };
         let is_valid_request = pending.reply.is_valid_request;
         let response = context.with_date(pending.reply.response);
