--- a/crates/query-broker/src/bench/load.rs
+++ b/crates/query-broker/src/bench/load.rs
@@ -1,7 +1,7 @@
 //! Latency, rate and processor time under load.
 
 use super::WARM_UP_SHARE;
-use super::broker_build::{BrokerBuild, http2_address};
+use super::broker_build::{BrokerBuild, Testbed, http2_address};
 use super::error::BenchError;
 use super::measurements::{LoadMeasurement, Route};
 use hdrhistogram::Histogram;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use test_fleet::{BrokerProcess, Fleet, FleetPlan, ReceivedCounts};
 
-/// Least processor time that a figure is made of: the system counts it in hundredths of a second.
+/// Shortest processor time from which a figure is derived, since the system counts it in hundredths of a second.
 const MIN_CPU_TIME: Duration = Duration::from_millis(200);
 
 /// Seed of the arrivals in the warm-up.
@@ -24,7 +24,7 @@
     pub(super) measurement: LoadMeasurement,
     /// Queries that were served a second.
     pub(super) served_per_second: f64,
-    /// The broker's processor time for each query, in microseconds; `None`: too little to be told from the system's
+    /// The broker's processor time for each query, in microseconds; `None` if it is too short to be measured with the system's
     /// clock ticks.
     pub(super) cpu_us_per_query: Option<f64>,
     /// Latency in microseconds.
@@ -45,7 +45,7 @@
         part_duration: Duration::ZERO,
         ..FleetPlan::default()
     };
-    let (fleet, broker) = build.start(plan, measurement.pacing)?;
+    let Testbed { fleet, broker } = build.start(plan, measurement.pacing)?;
     let target = target(measurement.route, &fleet, &broker)?;
     let warm_up = load_profile(measurement, duration.mul_f64(WARM_UP_SHARE), WARM_UP_SEED);
     open_loop(target, &warm_up)?;
--- a/crates/query-broker/tests/http2/fault_injection.rs
+++ b/crates/query-broker/tests/http2/fault_injection.rs
@@ -75,7 +75,7 @@
     let id = &query.id;
     let response = match stream.response().await {
         Ok(response) => response,
-        // A stream that was reset may count for a moment longer there than here: harmless to repeat.
+        // The broker may count a stream that was just reset for a moment longer than the client does.
         Err(error) if error.reason() == Some(Reason::REFUSED_STREAM) => return QueryEnd::Rejected,
         Err(error) => panic!("{id}: {error}"),
     };
@@ -133,7 +133,13 @@
     }
 }
 
-fn start(seed: u64) -> (Fixture, QueryEnds) {
+/// A broker whose clients have sent all their queries while faults were injected.
+struct FaultyRun {
+    fixture: Fixture,
+    ends: QueryEnds,
+}
+
+fn run(seed: u64) -> FaultyRun {
     let plan = FleetPlan {
         servers: 6,
         part_duration: Duration::from_millis(10),
@@ -162,7 +168,7 @@
             client.await;
         }
     });
-    (fixture, ends)
+    FaultyRun { fixture, ends }
 }
 
 fn check_ends(fixture: &mut Fixture, ends: &BTreeMap<String, Vec<QueryEnd>>) {
@@ -187,13 +193,13 @@
 #[test]
 fn every_query_ends_exactly_once_under_faults_and_resets() {
     for seed in [1, 2] {
-        let (mut fixture, ends) = start(seed);
+        let FaultyRun { mut fixture, ends } = run(seed);
         fixture.broker.signal("TERM").unwrap();
         assert!(fixture.broker.wait_for_exit().unwrap().success());
         check_ends(&mut fixture, &ends.take());
         fixture.check_invariants();
-        // In the broker each accepted query ended once too: none was in flight when it exited by itself. One that was
-        // would have delayed the exit, or the log would show its expiry.
+        // Each accepted query ended in the broker too: a query in flight would have delayed the exit, or the log would
+        // show its expiry.
         let log = fixture.broker.log_lines();
         let has_expired = log
             .iter()
