--- a/crates/broker/src/listeners/http2/guarded_socket.rs
+++ b/crates/broker/src/listeners/http2/guarded_socket.rs
@@ -45,8 +45,7 @@
     /// Inspects received bytes, and records a violation.
     fn inspect(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), Violation> {
         let inspected = self.guard.on_received(now, bytes);
-        self.violation = inspected.err();
-        inspected
+        inspected.inspect_err(|violation| self.violation = Some(*violation))
     }
 }
 
