--- a/crates/load-generator/src/query.rs
+++ b/crates/load-generator/src/query.rs
@@ -1,5 +1,11 @@
 //! Queries as clients send them, and how they end.
 
+use crate::wire::{
+    AUTHORITY, CLASS_HEADER, COMPLETE_FIELD, DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER,
+    QueryBodyWire, REQUEST_ID_HEADER, SHARD_FIELD, ShardWire, TENANT, TENANT_HEADER, VALUE_FIELD,
+    VALUES_FIELD,
+};
+use http::header::{CONTENT_LENGTH, RETRY_AFTER};
 use http::{Request, Response};
 use serde_json::{Value, json};
 use std::time::Duration;
@@ -56,31 +62,32 @@
     #[must_use]
     pub fn request(&self) -> Request<Vec<u8>> {
         let body = self.body();
-        let mut builder = Request::post(format!("http://broker.svc/{}", self.class))
-            .header("x-request-id", &self.id)
-            .header("x-class", &self.class)
-            .header("x-tenant", "public-site")
+        let mut builder = Request::post(format!("http://{AUTHORITY}/{}", self.class))
+            .header(REQUEST_ID_HEADER, &self.id)
+            .header(CLASS_HEADER, &self.class)
+            .header(TENANT_HEADER, TENANT)
             .header(
-                "x-deadline",
+                DEADLINE_HEADER,
                 format!("{}m", self.client_timeout.as_millis()),
             )
-            .header("content-length", body.len());
+            .header(CONTENT_LENGTH, body.len());
         if let Some(key) = &self.idempotency_key {
-            builder = builder.header("idempotency-key", key);
+            builder = builder.header(IDEMPOTENCY_KEY_HEADER, key);
         }
         builder.body(body).unwrap_or_default()
     }
 
     fn body(&self) -> Vec<u8> {
         let portion = 1.0 / self.shards.len() as f64;
-        let ranges: Vec<Value> = self
+        let shards = self
             .shards
             .iter()
-            .map(|shard| json!({"range": shard, "portion": portion}))
-            .collect();
-        json!({"ranges": ranges, "predicate": QUERY_TEXT})
-            .to_string()
-            .into_bytes()
+            .map(|&shard| ShardWire { portion, shard });
+        let body = QueryBodyWire {
+            text: QUERY_TEXT,
+            shards: shards.collect(),
+        };
+        json!(body).to_string().into_bytes()
     }
 }
 
@@ -131,9 +138,9 @@
 
 fn answered(body: &[u8]) -> QueryOutcome {
     let body: Value = serde_json::from_slice(body).unwrap_or(Value::Null);
-    let answers = body["answers"].as_array().map(Vec::as_slice);
+    let answers = body[VALUES_FIELD].as_array().map(Vec::as_slice);
     QueryOutcome::Answered {
-        complete: body["total"] == true,
+        complete: body[COMPLETE_FIELD] == true,
         values: answers
             .unwrap_or_default()
             .iter()
@@ -144,12 +151,12 @@
 
 fn shard_value(answer: &Value) -> ShardValue {
     ShardValue {
-        shard: answer["range"].as_u64().unwrap_or(0) as usize,
-        value: answer["blob"].as_str().unwrap_or_default().to_owned(),
+        shard: answer[SHARD_FIELD].as_u64().unwrap_or(0) as usize,
+        value: answer[VALUE_FIELD].as_str().unwrap_or_default().to_owned(),
     }
 }
 
 fn retry_after(response: &Response<Vec<u8>>) -> Option<f64> {
-    let header = response.headers().get("retry-after")?;
+    let header = response.headers().get(RETRY_AFTER)?;
     header.to_str().ok()?.parse().ok()
 }
--- a/crates/load-generator/src/raw_http2.rs
+++ b/crates/load-generator/src/raw_http2.rs
@@ -1,10 +1,12 @@
-//! An HTTP/2 client that writes its frames by itself, so that it can break the rules of RFC 9113 as no library does.
+//! An HTTP/2 client that writes its frames by itself, so that it can break the rules of RFC 9113 as
+//! no library does.
 //!
 //! It is made for tests: if an expected frame does not arrive, it panics with the frames that did.
 
 mod fields;
 mod frame;
 
+pub use crate::wire::QUERY_BODY;
 pub use fields::{encode_fields, query_fields, response_status};
 pub use frame::{
     CONTINUATION, DATA, END_HEADERS, END_STREAM, Frame, GOAWAY, HEADERS, PING, RST_STREAM,
@@ -17,10 +19,9 @@
 
 /// The connection preface of a client (RFC 9113, section 3.4).
 pub const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// The body of a query for shard 0.
-pub const QUERY_BODY: &[u8] = br#"{"ranges":[{"range":0,"portion":1}],"predicate":"c41e77d0"}"#;
 
-/// The payload of SETTINGS with `SETTINGS_HEADER_TABLE_SIZE` (1) set to 0, so that the peer indexes no fields.
+/// The payload of SETTINGS with `SETTINGS_HEADER_TABLE_SIZE` (1) set to 0, so that the peer indexes
+/// no fields.
 const SETTINGS_WITHOUT_INDEXING: [u8; 6] = [0, 1, 0, 0, 0, 0];
 /// Longest wait for the peer to take what is written.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
@@ -179,7 +180,8 @@
         frames
     }
 
-    /// Reads until the connection ends, and returns all bytes that were not taken as frames, as text.
+    /// Reads until the connection ends, and returns all bytes that were not taken as frames, as
+    /// text.
     ///
     /// # Panics
     ///
--- a/crates/load-generator/src/raw_http2/fields.rs
+++ b/crates/load-generator/src/raw_http2/fields.rs
@@ -1,6 +1,7 @@
 //! Field blocks: as much of HPACK (RFC 7541) as a test client needs.
 
 use super::Frame;
+use crate::wire::{AUTHORITY, REQUEST_ID_HEADER, TENANT, TENANT_HEADER};
 
 /// Longest string whose length fits into one byte of HPACK (section 5.1).
 const MAX_STRING_BYTES: usize = 126;
@@ -32,8 +33,8 @@
     block
 }
 
-/// Encodes the fields of a query. A change with the name of a usual field replaces its value, or leaves the field out
-/// if the new value is empty; other changes are appended.
+/// Encodes the fields of a query. A change with the name of a usual field replaces its value, or
+/// leaves the field out if the new value is empty; other changes are appended.
 ///
 /// # Panics
 ///
@@ -44,9 +45,9 @@
         (":method", "POST"),
         (":scheme", "http"),
         (":path", "/lookup"),
-        (":authority", "broker.svc"),
-        ("x-request-id", request_id),
-        ("x-tenant", "public-site"),
+        (":authority", AUTHORITY),
+        (REQUEST_ID_HEADER, request_id),
+        (TENANT_HEADER, TENANT),
     ];
     let is_usual = |name: &str| usual_fields.iter().any(|(usual, _)| *usual == name);
     let replacement = |name: &str| {
--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -6,6 +6,7 @@
 
 pub use error::BrokerProcessError;
 
+use crate::wire::{CONFIG_VARIABLE, DISCOVERY_VARIABLE, LISTEN_VARIABLE};
 use crate::{Deployment, Fleet};
 use log::ProcessLog;
 use std::collections::VecDeque;
@@ -21,8 +22,8 @@
 const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// Interval at which the end of the process is polled.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Words of the log line with the address of the HTTP/1.1 listener: the event's name, and the one that earlier builds gave
-/// it, so that `bench` can measure such a build too.
+/// Words of the log line with the address of the HTTP/1.1 listener: the event's name, and the one
+/// that earlier builds gave it, so that `bench` can measure such a build too.
 const HTTP1_LISTENER_STARTED: [&str; 2] = ["event=broker_started ", "event=started "];
 /// Words of the log line with the address of the HTTP/2 listener, in this and in earlier builds.
 const HTTP2_LISTENER_STARTED: [&str; 2] = ["event=http2_listener_started ", "event=started_http2 "];
@@ -44,7 +45,8 @@
 }
 
 impl BrokerProcess {
-    /// Starts a broker from its executable, with an operator's file of this text, and waits until it listens.
+    /// Starts a broker from its executable, with an operator's file of this text, and waits until
+    /// it listens.
     ///
     /// # Errors
     ///
@@ -137,8 +139,8 @@
         }
     }
 
-    /// The processor time that the process has used, in user and system mode. Its resolution is a hundredth of a
-    /// second.
+    /// The processor time that the process has used, in user and system mode. Its resolution is a
+    /// hundredth of a second.
     ///
     /// # Errors
     ///
@@ -171,9 +173,9 @@
     Command::new(executable)
         .args(["serve", "--config"])
         .arg(directory.join(OPERATOR_FILE))
-        .env("RELAY_CONFIG", directory.join(PLATFORM_FILE))
-        .env_remove("RELAY_LISTEN")
-        .env_remove("RELAY_DISCOVERY")
+        .env(CONFIG_VARIABLE, directory.join(PLATFORM_FILE))
+        .env_remove(LISTEN_VARIABLE)
+        .env_remove(DISCOVERY_VARIABLE)
         .stdout(Stdio::null())
         .stderr(Stdio::piped())
         .spawn()
--- a/crates/test-fleet/src/deployment.rs
+++ b/crates/test-fleet/src/deployment.rs
@@ -1,6 +1,10 @@
 //! The configuration of a broker beside a fleet.
 
 use crate::Fleet;
+use crate::wire::{
+    ClassWire, ClientsWire, DataLayoutWire, EndpointListSourceWire, LimitsWire, PermissionsWire,
+    PlatformFileWire, RetrySafetyWire, RulesWire, SettingsWire, TenantWire, WeightBasisWire,
+};
 use serde_json::{Value, json};
 
 /// The figures of a deployment that differ between tests.
@@ -46,35 +50,104 @@
     /// The settings of the decisions, in the platform's format.
     #[must_use]
     pub fn settings(&self) -> Value {
-        json!({
-            "Allowed": {"Cancel": true, "DialTimeout": 250.0, "Keepalive": 15000.0, "MaxOpen": self.max_in_flight,
-                "MaxRetryAfter": 2000.0, "Multiplex": 100, "Peers": false, "Probes": true, "RetryAfter": true,
-                "SecondCopies": false, "SendCap": 4},
-            "Clients": {"MarksRetry": true},
-            "FamilyInfo": {"Batch": self.max_parts_per_call, "Call": 1.0, "ClassNeed": [1.0, 1.0, 1.0],
-                "FetchParts": [0, 0, 0], "MinShare": [1.0, 1.0, 0.7], "PartialEarns": [0.9, 0.9, 0.9],
-                "Positions": self.cells, "Shards": self.shards, "Width": 1},
-            "MembershipMode": "pushed", "OverShareWorth": 0.1, "PeersTotal": 1,
-            "Projects": [{"Name": "public-site", "QuotaPerS": 100_000.0, "Share": 1.0}],
-            "Rules": {"AskWithin": 10000.0, "Cold": 16000.0, "ColdFrom": 0.18, "Fall": 1000.0, "FallMultiple": 2.5},
-            "Services": [self.service("lookup", 1.0, "repeatable"), self.service("watchlist-save", 1.0, "by_key"),
-                self.service("ranking", 2.0, "repeatable")],
-            "Tick": self.tick_interval_ms, "WorthBy": "request", "Zones": ["z"]
-        })
+        json!(self.settings_wire())
     }
 
-    /// The whole configuration of a broker beside this fleet that listens on this address, in the platform's format.
+    /// The whole configuration of a broker beside this fleet that listens on this address, in the
+    /// platform's format.
     #[must_use]
     pub fn configuration(&self, fleet: &Fleet, listen: &str) -> Value {
-        json!({"name": "test-double", "listen": listen, "discovery": fleet.discovery_address.to_string(),
-            "seed": "8c1f30d27a5be964",
-            "limits": {"sockets": self.max_sockets, "memory_mb": self.memory_limit_mb},
-            "known": fleet.initial_endpoint_list(), "settings": self.settings()})
+        json!(PlatformFileWire {
+            name: "test-double",
+            listen,
+            discovery: fleet.discovery_address.to_string(),
+            seed: "8c1f30d27a5be964",
+            limits: LimitsWire {
+                sockets: self.max_sockets,
+                memory_mb: self.memory_limit_mb,
+            },
+            cached_endpoints: fleet.initial_endpoint_list().clone(),
+            settings: self.settings_wire(),
+        })
+    }
+
+    fn settings_wire(&self) -> SettingsWire {
+        SettingsWire {
+            permissions: self.permissions(),
+            clients: ClientsWire {
+                marks_retries: true,
+            },
+            data_layout: self.data_layout(),
+            list_source: EndpointListSourceWire::Pushed,
+            over_quota_weight: 0.1,
+            aggregators: 1,
+            tenants: vec![TenantWire {
+                name: "public-site",
+                quota_per_s: 100_000.0,
+                share: 1.0,
+            }],
+            rules: RulesWire {
+                list_poll_deadline_ms: 10_000.0,
+                warm_up_ms: 16_000.0,
+                initial_capacity: 0.18,
+                overload_window_ms: 1000.0,
+                overload_factor: 2.5,
+            },
+            classes: vec![
+                self.class("lookup", 1.0, RetrySafetyWire::Idempotent),
+                self.class("watchlist-save", 1.0, RetrySafetyWire::IdempotencyKey),
+                self.class("ranking", 2.0, RetrySafetyWire::Idempotent),
+            ],
+            tick_ms: self.tick_interval_ms,
+            weight_basis: WeightBasisWire::Request,
+            zones: vec!["z"],
+        }
+    }
+
+    fn permissions(&self) -> PermissionsWire {
+        PermissionsWire {
+            cancellation: true,
+            dial_timeout_ms: 250.0,
+            idle_timeout_ms: 15_000.0,
+            max_in_flight: self.max_in_flight,
+            max_retry_after_ms: 2000.0,
+            max_parts_per_connection: 100,
+            gossip: false,
+            load_probes: true,
+            retry_after: true,
+            hedging: false,
+            max_attempts: 4,
+        }
+    }
+
+    fn data_layout(&self) -> DataLayoutWire {
+        DataLayoutWire {
+            max_parts_per_call: self.max_parts_per_call,
+            call_cost_ms: 1.0,
+            required_shares: vec![1.0, 1.0, 1.0],
+            second_step_parts: vec![0, 0, 0],
+            minimum_shares: vec![1.0, 1.0, 0.7],
+            partial_weights: vec![0.9, 0.9, 0.9],
+            cells: self.cells,
+            shards: self.shards,
+            replica_cells: 1,
+        }
     }
 
-    /// A class of queries in the platform's format; times are in milliseconds.
-    fn service(&self, name: &str, gain: f64, semantics: &str) -> Value {
-        json!({"Name": name, "Aim": self.latency_objective_ms, "GiveUp": self.client_timeout_ms, "Gain": gain,
-            "LateWorth": 0.3, "Semantics": semantics, "MemorySpan": 5000.0})
+    fn class(
+        &self,
+        name: &'static str,
+        priority_weight: f64,
+        retry_safety: RetrySafetyWire,
+    ) -> ClassWire {
+        ClassWire {
+            name,
+            latency_objective_ms: self.latency_objective_ms,
+            client_timeout_ms: self.client_timeout_ms,
+            priority_weight,
+            late_weight: 0.3,
+            retry_safety,
+            idempotency_window_ms: 5000.0,
+        }
     }
 }
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -1,6 +1,10 @@
 //! The fleet's discovery service: it publishes the endpoint list over HTTP/1.1, with watches.
 
 use crate::notifier::{Notifier, Subscription};
+use crate::wire::{
+    EndpointListWire, EndpointStateWire, EndpointWire, LIST_PATH, REVISION_PARAMETER,
+    WATCH_PARAMETER,
+};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
@@ -21,8 +25,6 @@
 };
 /// Bytes that are read at once.
 const READ_CHUNK_BYTES: usize = 4096;
-/// Path of the endpoint list.
-const LIST_PATH: &str = "/api/targets";
 /// The longest watch that is granted, in milliseconds.
 const MAX_WATCH_MS: u64 = 60_000;
 
@@ -33,11 +35,11 @@
     Draining,
 }
 
-impl EndpointState {
-    fn as_str(self) -> &'static str {
-        match self {
-            EndpointState::Active => "active",
-            EndpointState::Draining => "leaving",
+impl From<EndpointState> for EndpointStateWire {
+    fn from(state: EndpointState) -> Self {
+        match state {
+            EndpointState::Active => EndpointStateWire::Active,
+            EndpointState::Draining => EndpointStateWire::Draining,
         }
     }
 }
@@ -53,11 +55,18 @@
     pub(crate) started_at_ms: u64,
 }
 
-impl Endpoint {
-    fn to_json(&self) -> Value {
-        json!({"uid": self.name, "endpoint": self.address.to_string(), "az": "z", "model": "m",
-            "pod_group": self.cell, "state": self.state.as_str(), "capacity_hint": 1.0,
-            "boot_ms": self.started_at_ms})
+impl From<&Endpoint> for EndpointWire {
+    fn from(endpoint: &Endpoint) -> Self {
+        EndpointWire {
+            name: endpoint.name.clone(),
+            address: endpoint.address.to_string(),
+            zone: "z",
+            model: "m",
+            cell: endpoint.cell,
+            state: endpoint.state.into(),
+            capacity: 1.0,
+            started_at_ms: endpoint.started_at_ms,
+        }
     }
 }
 
@@ -110,17 +119,21 @@
         self.changed.notify_all();
     }
 
-    /// The whole list, or its changes after a revision. A revision that has not been published is treated as none.
+    /// The whole list, or its changes after a revision. A revision that has not been published is
+    /// treated as none.
     pub(crate) fn list(&self, after: Option<u64>) -> Value {
         let state = self.state.borrow();
         let after = after.filter(|revision| *revision <= state.revision);
-        let targets: Vec<Value> = state
-            .endpoints
-            .values()
-            .filter(|published| after.is_none_or(|after| published.revision > after))
-            .map(|published| published.endpoint.to_json())
-            .collect();
-        json!({"rev": state.revision, "all": after.is_none(), "targets": targets})
+        let is_listed =
+            |published: &&PublishedEndpoint| after.is_none_or(|after| published.revision > after);
+        let endpoints = state.endpoints.values().filter(is_listed);
+        json!(EndpointListWire {
+            revision: state.revision,
+            is_snapshot: after.is_none(),
+            endpoints: endpoints
+                .map(|published| EndpointWire::from(&published.endpoint))
+                .collect(),
+        })
     }
 
     /// Accepts connections until the task is dropped.
@@ -165,8 +178,8 @@
             *response.status_mut() = StatusCode::NOT_FOUND;
             return response;
         }
-        let known_revision = query_number(request.uri(), "index");
-        let watch_ms = query_number(request.uri(), "wait")
+        let known_revision = query_number(request.uri(), REVISION_PARAMETER);
+        let watch_ms = query_number(request.uri(), WATCH_PARAMETER)
             .unwrap_or(0)
             .min(MAX_WATCH_MS);
         self.watch(known_revision, Duration::from_millis(watch_ms))
