--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -41,9 +41,9 @@
         })
     }
 
-    /// Sends a request and waits for its response. If the connection ends before any byte of the response, the request
-    /// is sent once more on a new one: the broker may have closed an idle connection while the request was on its way
-    /// (RFC 9112, section 9.3.1).
+    /// Sends a request and waits for its response. If the connection ends before any byte of the
+    /// response, the request is sent once more on a new one: the broker may have closed an idle
+    /// connection while the request was on its way (RFC 9112, section 9.3.1).
     ///
     /// # Errors
     ///
--- a/crates/load-generator/src/http2.rs
+++ b/crates/load-generator/src/http2.rs
@@ -68,7 +68,8 @@
         })
     }
 
-    /// Concurrent streams that the peer allows: `usize::MAX` until its SETTINGS have been received and applied.
+    /// Concurrent streams that the peer allows: `usize::MAX` until its SETTINGS have been received
+    /// and applied.
     #[must_use]
     pub fn peer_stream_limit(&self) -> usize {
         self.sender.current_max_send_streams()
--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -47,10 +47,11 @@
 /// What load is sent.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Queries a second; `None` sends a query as soon as fewer than [`LoadProfile::max_concurrent`] are in flight.
+    /// Queries a second; `None` sends a query as soon as fewer than [`LoadProfile::max_concurrent`]
+    /// are in flight.
     pub rate: Option<f64>,
-    /// Largest number of queries in flight. A query that is due while so many are in flight waits, and its latency
-    /// includes that wait.
+    /// Largest number of queries in flight. A query that is due while so many are in flight waits,
+    /// and its latency includes that wait.
     pub max_concurrent: usize,
     /// How long queries are sent.
     pub duration: Duration,
--- a/crates/load-generator/src/open_loop/arrivals.rs
+++ b/crates/load-generator/src/open_loop/arrivals.rs
@@ -30,7 +30,8 @@
     }
 }
 
-/// An exponentially distributed time between two arrivals, so that they are independent of each other.
+/// An exponentially distributed time between two arrivals, so that they are independent of each
+/// other.
 fn exponential_gap(rate: f64, random: &mut Pcg64Mcg) -> Duration {
     Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / rate)
 }
--- a/crates/load-generator/src/open_loop/recorder.rs
+++ b/crates/load-generator/src/open_loop/recorder.rs
@@ -38,7 +38,8 @@
         })
     }
 
-    /// Records the outcome of a query that has just ended, unless it belongs to the warm-up or comes too late.
+    /// Records the outcome of a query that has just ended, unless it belongs to the warm-up or
+    /// comes too late.
     pub(super) fn record(&self, due: Instant, outcome: &QueryOutcome) {
         if due < self.counted_from || Instant::now() > self.counted_until {
             return;
--- a/crates/load-generator/src/raw_http2/frame.rs
+++ b/crates/load-generator/src/raw_http2/frame.rs
@@ -21,7 +21,8 @@
 /// Flag of HEADERS and CONTINUATION: the last frame of the field block.
 pub const END_HEADERS: u8 = 4;
 
-/// Length of a frame's header: three bytes of length, the type, the flags, and four bytes of stream id.
+/// Length of a frame's header: three bytes of length, the type, the flags, and four bytes of stream
+/// id.
 const HEADER_BYTES: usize = 9;
 
 /// A received frame.
--- a/crates/test-fleet/src/attempt_log.rs
+++ b/crates/test-fleet/src/attempt_log.rs
@@ -1,4 +1,5 @@
-//! The attempts that the data servers of a fleet received, and the rules that a broker has to keep when it sends them.
+//! The attempts that the data servers of a fleet received, and the rules that a broker has to keep
+//! when it sends them.
 
 mod invariants;
 #[cfg(test)]
@@ -11,11 +12,12 @@
 use invariants::check_attempts;
 use std::time::{Duration, Instant};
 
-/// Largest number of attempts that are logged one by one; a benchmark that runs for long sends millions.
+/// Largest number of attempts that are logged one by one; a benchmark that runs for long sends
+/// millions.
 const MAX_LOGGED_ATTEMPTS: usize = 200_000;
 
-/// Tolerated difference between two moments, in multiples of the lag of the fleet's thread: its own lag, and as much of
-/// the broker's, which runs on the same machine.
+/// Tolerated difference between two moments, in multiples of the lag of the fleet's thread: its own
+/// lag, and as much of the broker's, which runs on the same machine.
 const LAG_TOLERANCE_FACTOR: u32 = 2;
 
 /// How an attempt ended at its data server.
@@ -75,7 +77,8 @@
 pub struct AttemptLog {
     attempts: Vec<Attempt>,
     counts: ReceivedCounts,
-    /// The largest delay with which the fleet's thread ran; the logged moments are late by up to as much.
+    /// The largest delay with which the fleet's thread ran; the logged moments are late by up to as
+    /// much.
     max_lag: Duration,
 }
 
@@ -124,8 +127,8 @@
         &self.attempts
     }
 
-    /// Checks the rules of the protocol over all logged attempts and returns each violation. The tolerance is that of the
-    /// limits, or twice the largest recorded lag if that is longer.
+    /// Checks the rules of the protocol over all logged attempts and returns each violation. The
+    /// tolerance is that of the limits, or twice the largest recorded lag if that is longer.
     #[must_use]
     pub fn check_invariants(&self, limits: AttemptLimits) -> Vec<Violation> {
         let clock_tolerance = limits
--- a/crates/test-fleet/src/attempt_log/invariants.rs
+++ b/crates/test-fleet/src/attempt_log/invariants.rs
@@ -10,11 +10,13 @@
 pub struct AttemptLimits {
     /// Largest number of attempts at one part.
     pub max_attempts: usize,
-    /// Time after the first executed attempt during which data servers drop repeats of the same idempotency key.
+    /// Time after the first executed attempt during which data servers drop repeats of the same
+    /// idempotency key.
     pub deduplication_window: Duration,
     /// Time after the publication of a drain during which new attempts may still arrive.
     pub drain_grace: Duration,
-    /// Tolerated difference between the moments at which the broker and the server see the same event.
+    /// Tolerated difference between the moments at which the broker and the server see the same
+    /// event.
     pub clock_tolerance: Duration,
 }
 
@@ -119,7 +121,8 @@
     let mut violations = Vec::new();
     for pair in attempts.windows(2) {
         let (first, second) = (pair[0], pair[1]);
-        // The cancellation of the first attempt and the call of the second travel on two connections.
+        // The cancellation of the first attempt and the call of the second travel on two
+        // connections.
         let latest_end = second.received_at + limits.clock_tolerance;
         if first.end.is_none_or(|end| end.at > latest_end) {
             violations.push(Violation::ConcurrentAttempts {
--- a/crates/test-fleet/src/attempt_log/violation.rs
+++ b/crates/test-fleet/src/attempt_log/violation.rs
@@ -29,7 +29,8 @@
         /// Its attempts.
         attempts: usize,
     },
-    /// Two attempts at the same part, or at the same shard under the same key, were in flight at the same time.
+    /// Two attempts at the same part, or at the same shard under the same key, were in flight at
+    /// the same time.
     #[error("{subject} had two attempts in flight, on {first_server} and {second_server}")]
     ConcurrentAttempts {
         /// What was attempted twice.
--- a/crates/test-fleet/src/broker_process/log.rs
+++ b/crates/test-fleet/src/broker_process/log.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Waits for a line that holds one of these texts, and returns the address of the listener in it.
+    /// Waits for a line that holds one of these texts, and returns the address of the listener in
+    /// it.
     pub(super) fn wait_for_listener(
         &mut self,
         texts: &[&str],
--- a/crates/test-fleet/src/broker_process/resource_usage.rs
+++ b/crates/test-fleet/src/broker_process/resource_usage.rs
@@ -9,8 +9,8 @@
 /// The processor time that a process has used, in user and system mode.
 pub(super) fn cpu_time(process: u32) -> io::Result<Duration> {
     let stat = std::fs::read_to_string(format!("/proc/{process}/stat"))?;
-    // proc(5) counts from 1: the state, the first field after the name in parentheses, is field 3; utime and
-    // stime are 14 and 15.
+    // proc(5) counts from 1: the state, the first field after the name in parentheses, is field 3;
+    // utime and stime are 14 and 15.
     let after_name = stat.rsplit(')').next().unwrap_or_default();
     let fields: Vec<&str> = after_name.split_whitespace().collect();
     let ticks = |number: usize| -> u32 {
--- a/crates/test-fleet/src/fault.rs
+++ b/crates/test-fleet/src/fault.rs
@@ -44,7 +44,8 @@
     draining_since: Option<Instant>,
 }
 
-/// The time after a restart in which a server's speed grows linearly from [`INITIAL_SPEED_SHARE`] to full speed.
+/// The time after a restart in which a server's speed grows linearly from [`INITIAL_SPEED_SHARE`]
+/// to full speed.
 #[derive(Clone, Copy, Debug)]
 struct WarmUp {
     started_at: Instant,
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -38,7 +38,8 @@
     }
 }
 
-/// A discovery service and some data servers on a thread of their own. They end when the fleet is dropped.
+/// A discovery service and some data servers on a thread of their own. They end when the fleet is
+/// dropped.
 pub struct Fleet {
     /// The address on which discovery listens.
     pub(crate) discovery_address: SocketAddr,
@@ -130,7 +131,8 @@
         self.send(FleetCommand::Drain(server));
     }
 
-    /// Ends a server's process: its connections are reset and new ones refused. The endpoint list does not change.
+    /// Ends a server's process: its connections are reset and new ones refused. The endpoint list
+    /// does not change.
     ///
     /// # Panics
     ///
@@ -169,7 +171,8 @@
         })
     }
 
-    /// Sets the server's fault, or removes it with [`Fault::None`]. Use [`Fleet::kill`] to stop its process.
+    /// Sets the server's fault, or removes it with [`Fault::None`]. Use [`Fleet::kill`] to stop its
+    /// process.
     pub fn set_fault(&self, fault: Fault) {
         self.change(|injection| injection.set_fault(fault));
     }
--- a/crates/test-fleet/src/fleet/runtime.rs
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -143,7 +143,8 @@
         else {
             return;
         };
-        // Only the server's own earlier connections, which are being closed, can still occupy the address.
+        // Only the server's own earlier connections, which are being closed, can still occupy the
+        // address.
         let Ok(listener) = TcpListener::bind(down.address) else {
             return;
         };
--- a/crates/test-fleet/src/server.rs
+++ b/crates/test-fleet/src/server.rs
@@ -89,8 +89,8 @@
 
 /// Ends a connection so that its peer sees a reset.
 fn reset(stream: &Async<TcpStream>) {
-    // The standard library does not offer SO_LINGER. Unread bytes make the end of a connection a reset; without any, a
-    // plain end is good enough.
+    // The standard library does not offer SO_LINGER. Unread bytes make the end of a connection a
+    // reset; without any, a plain end is good enough.
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
 
--- a/crates/test-fleet/src/server/connection.rs
+++ b/crates/test-fleet/src/server/connection.rs
@@ -55,7 +55,8 @@
         }
     }
 
-    /// Serves the connection until either side ends it, and records what was in flight as cancelled.
+    /// Serves the connection until either side ends it, and records what was in flight as
+    /// cancelled.
     pub(super) async fn run(self) {
         let reset_requested = self.server.reset_connections.subscribe();
         let reset_requested = async {
