--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -15,10 +15,11 @@
 
 /// A connection may use up to this multiple of the capacity that remains free.
 ///
-/// This is the dynamic threshold by which switches share a buffer among ports (Choudhury and Hahne, IEEE/ACM
-/// Transactions on Networking 6(2), 1998). With a factor of 2, one connection alone can use up to two thirds of the
-/// capacity and two can use two fifths each, so that some capacity always stays free for connections that use none.
-/// The rule needs no estimate of the number of connections.
+/// This is the dynamic threshold by which switches share a buffer among ports (Choudhury and Hahne,
+/// IEEE/ACM Transactions on Networking 6(2), 1998). With a factor of 2, one connection alone can
+/// use up to two thirds of the capacity and two can use two fifths each, so that some capacity
+/// always stays free for connections that use none. The rule needs no estimate of the number of
+/// connections.
 const MAX_MULTIPLE_OF_FREE: usize = 2;
 
 /// The capacity for queries and parts, and how much of it each connection uses.
@@ -40,11 +41,11 @@
         }
     }
 
-    /// Acquires units for a query and its parts. Returns `false`, and acquires nothing, where the connection would
-    /// exceed its quota.
+    /// Acquires units for a query and its parts. Returns `false`, and acquires nothing, where the
+    /// connection would exceed its quota.
     ///
-    /// A connection that uses nothing always acquires its units, however much is in use: whether the capacity as a
-    /// whole suffices is checked by the policy engine.
+    /// A connection that uses nothing always acquires its units, however much is in use: whether
+    /// the capacity as a whole suffices is checked by the policy engine.
     #[must_use]
     pub fn try_acquire(&mut self, connection: ConnectionId, units: usize) -> bool {
         let own = self.in_use_by(connection);
--- a/crates/admission/src/resource_limits.rs
+++ b/crates/admission/src/resource_limits.rs
@@ -2,16 +2,18 @@
 
 use thiserror::Error;
 
-/// Where there is an HTTP/2 listener, it gets one part in so many of the memory for client connections.
+/// Where there is an HTTP/2 listener, it gets one part in so many of the memory for client
+/// connections.
 const HTTP2_MEMORY_DIVISOR: u64 = 2;
-/// Likewise for descriptors: HTTP/2 needs few, but one of its connections may use as much memory as many of HTTP/1.1.
+/// Likewise for descriptors: HTTP/2 needs few, but one of its connections may use as much memory as
+/// many of HTTP/1.1.
 const HTTP2_DESCRIPTOR_DIVISOR: u64 = 4;
 
-/// Memory in bytes that an HTTP/2 stream uses beside its header list and its share of the connection's window: its
-/// task and its table entries.
+/// Memory in bytes that an HTTP/2 stream uses beside its header list and its share of the
+/// connection's window: its task and its table entries.
 const STREAM_OVERHEAD_BYTES: u64 = 4 * 1024;
-/// Memory in bytes that an HTTP/2 connection uses beside its streams: its tables for header compression, and its read
-/// and write buffers.
+/// Memory in bytes that an HTTP/2 connection uses beside its streams: its tables for header
+/// compression, and its read and write buffers.
 const CONNECTION_OVERHEAD_BYTES: u64 = 64 * 1024;
 
 /// Default for [`Http2Overrides::max_streams`]. RFC 9113, section 6.5.2, asks for at least 100.
@@ -134,8 +136,8 @@
     },
 }
 
-/// Divides the resources among the listeners; `http2` is `None` where there is no HTTP/2 listener. HTTP/1.1 gets what
-/// HTTP/2 leaves over.
+/// Divides the resources among the listeners; `http2` is `None` where there is no HTTP/2 listener.
+/// HTTP/1.1 gets what HTTP/2 leaves over.
 ///
 /// # Errors
 ///
--- a/crates/admission/tests/quota.rs
+++ b/crates/admission/tests/quota.rs
@@ -57,8 +57,9 @@
 }
 
 proptest! {
-    /// Whatever connections do: the total is the sum of what each uses, a connection that uses nothing is always
-    /// admitted, and one beyond its first query uses at most twice what stays free.
+    /// Whatever connections do: the total is the sum of what each uses, a connection that uses
+    /// nothing is always admitted, and one beyond its first query uses at most twice what stays
+    /// free.
     #[test]
     fn total_is_the_sum_of_all_connections_and_quotas_hold(steps in prop::collection::vec(step(), 0..400)) {
         let mut quota = ConnectionQuota::new(100);
--- a/crates/admission/tests/resource_limits.rs
+++ b/crates/admission/tests/resource_limits.rs
@@ -78,7 +78,8 @@
 }
 
 proptest! {
-    /// Whatever the platform gives and the operator sets, both listeners at their limits stay within the resources.
+    /// Whatever the platform gives and the operator sets, both listeners at their limits stay
+    /// within the resources.
     #[test]
     fn both_listeners_at_their_limits_fit_the_resources(
         descriptors in 4u64..5000, memory_bytes in prop::option::of(1u64 << 16..1 << 32), overrides in overrides(),
--- a/crates/batch-window/src/lib.rs
+++ b/crates/batch-window/src/lib.rs
@@ -1,12 +1,14 @@
 //! How long the broker gathers events before it processes them as a batch.
 //!
-//! Parts that are dispatched to one server in one batch share a call, and each call costs the server work of its own.
-//! A busy broker therefore gathers for a while before it runs the policy. An idle broker gains nothing by waiting:
-//! there is no other query to share a call with. The window depends on the number of queries in flight: a single one is
-//! processed at once, and each further one lengthens the window up to its limit.
+//! Parts that are dispatched to one server in one batch share a call, and each call costs the
+//! server work of its own. A busy broker therefore gathers for a while before it runs the policy.
+//! An idle broker gains nothing by waiting: there is no other query to share a call with. The
+//! window depends on the number of queries in flight: a single one is processed at once, and each
+//! further one lengthens the window up to its limit.
 //!
-//! The window does not depend on the arrival rate. A client that sends one query after another raises that rate as
-//! soon as it is served at once, and lowers it again as soon as it waits, so that the window would oscillate.
+//! The window does not depend on the arrival rate. A client that sends one query after another
+//! raises that rate as soon as it is served at once, and lowers it again as soon as it waits, so
+//! that the window would oscillate.
 //!
 //! ```
 //! use batch_window::BatchWindow;
@@ -34,8 +36,8 @@
 }
 
 impl BatchWindow {
-    /// The least time between the starts of two batches, with so many queries in flight. Queries that wait for the next
-    /// batch count too.
+    /// The least time between the starts of two batches, with so many queries in flight. Queries
+    /// that wait for the next batch count too.
     #[must_use]
     pub fn duration(self, queries_in_flight: usize) -> Duration {
         match self {
--- a/crates/batch-window/tests/batch_window.rs
+++ b/crates/batch-window/tests/batch_window.rs
@@ -20,8 +20,8 @@
     assert_eq!(durations, [Duration::from_micros(5000); 3]);
 }
 
-/// A client that sends one query after another never has more than one in flight, however fast it is served: if the
-/// window depended on the arrival rate, its second query would wait.
+/// A client that sends one query after another never has more than one in flight, however fast it
+/// is served: if the window depended on the arrival rate, its second query would wait.
 #[test]
 fn client_that_sends_one_query_after_another_never_waits() {
     let window = BatchWindow::Adaptive(Duration::from_micros(5000));
--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -59,7 +59,8 @@
     pub cell: usize,
     /// Whether the server may be sent parts.
     pub state: ServingState,
-    /// Time at which the server's process started, in Unix milliseconds; `None` where that is long ago.
+    /// Time at which the server's process started, in Unix milliseconds; `None` where that is long
+    /// ago.
     pub started_unix_ms: Option<i64>,
 }
 
@@ -74,8 +75,8 @@
         }
     }
 
-    /// The entries as the policy takes them. `zones` are the configured names of the zones; `from_unix_ms` converts
-    /// Unix time in milliseconds to the program's clock.
+    /// The entries as the policy takes them. `zones` are the configured names of the zones;
+    /// `from_unix_ms` converts Unix time in milliseconds to the program's clock.
     pub fn servers(
         &self,
         zones: &[String],
--- a/crates/broker-types/src/server/wire.rs
+++ b/crates/broker-types/src/server/wire.rs
@@ -1,6 +1,7 @@
 //! The endpoint list on the wire: the only place with the names of its fields.
 //!
-//! The structs have the names of the types that they become, because errors in the operator's log call them so.
+//! The structs have the names of the types that they become, because errors in the operator's log
+//! call them so.
 
 use super::ServingState;
 use serde::Deserialize;
--- a/crates/broker-types/src/time.rs
+++ b/crates/broker-types/src/time.rs
@@ -1,7 +1,8 @@
-//! Points in time on the program's clock, in whole microseconds, and time spans, which are [`Duration`]s.
+//! Points in time on the program's clock, in whole microseconds, and time spans, which are
+//! [`Duration`]s.
 //!
-//! The origin of the clock is chosen by the program. Arithmetic saturates: a time that would lie before the origin is the
-//! origin, and one that would be too late to count is [`Timestamp::MAX`].
+//! The origin of the clock is chosen by the program. Arithmetic saturates: a time that would lie
+//! before the origin is the origin, and one that would be too late to count is [`Timestamp::MAX`].
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -76,7 +77,8 @@
     }
 }
 
-/// A point in time on the program's clock that may lie before its origin, as the start of another process may.
+/// A point in time on the program's clock that may lie before its origin, as the start of another
+/// process may.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SignedTimestamp {
     micros_since_origin: i64,
@@ -104,7 +106,8 @@
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Converts a time span from milliseconds, rounded to whole microseconds. A negative span counts as 0.
+/// Converts a time span from milliseconds, rounded to whole microseconds. A negative span counts as
+/// 0.
 #[must_use]
 pub fn millis(ms: f64) -> Duration {
     Duration::from_micros((ms.max(0.0) * MICROS_PER_MILLISECOND).round() as u64)
--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -1,4 +1,5 @@
-//! The clock of the program, which counts time on the monotonic clock since the program started, and time limits.
+//! The clock of the program, which counts time on the monotonic clock since the program started,
+//! and time limits.
 
 use async_io::Timer;
 use broker_types::time::{SignedTimestamp, Timestamp, whole_micros};
@@ -54,7 +55,8 @@
 ///
 /// # Errors
 ///
-/// The operation's own error, or [`io::ErrorKind::TimedOut`] if the operation does not complete in time.
+/// The operation's own error, or [`io::ErrorKind::TimedOut`] if the operation does not complete in
+/// time.
 pub async fn with_timeout<T>(
     limit: Duration,
     operation: impl Future<Output = io::Result<T>>,
--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -1,7 +1,9 @@
-//! The watch of the endpoint list at the discovery service. It continues the cached list of the configuration.
+//! The watch of the endpoint list at the discovery service. It continues the cached list of the
+//! configuration.
 //!
-//! [`DiscoveryWatch`] owns the one task of the watch and ends it when it is dropped or moves to another address. The task
-//! owns the connection and the revision of the current list; the list itself goes to the event loop with each update.
+//! [`DiscoveryWatch`] owns the one task of the watch and ends it when it is dropped or moves to
+//! another address. The task owns the connection and the revision of the current list; the list
+//! itself goes to the event loop with each update.
 //!
 //! - `watcher`: the task, which polls and continues after errors;
 //! - `client`: one connection, its time limits and the check that a list continues the current one;
@@ -50,8 +52,8 @@
         self.start(address, Some(revision));
     }
 
-    /// Watches at another address. The revisions of the two services need not be comparable, so the full list is
-    /// requested first.
+    /// Watches at another address. The revisions of the two services need not be comparable, so the
+    /// full list is requested first.
     pub fn move_to(&mut self, address: SocketAddr) {
         self.start(address, None);
     }
--- a/crates/broker/src/discovery/backoff.rs
+++ b/crates/broker/src/discovery/backoff.rs
@@ -5,7 +5,8 @@
 
 /// The first delay. It is well below the 200 ms for which a watch may pause.
 pub(super) const MIN_DELAY: Duration = Duration::from_millis(20);
-/// The longest delay. It is short because the broker counts as notified of a change even if it is just waiting.
+/// The longest delay. It is short because the broker counts as notified of a change even if it is
+/// just waiting.
 const MAX_DELAY: Duration = Duration::from_millis(250);
 /// Share of a delay that is random, so that brokers which failed together do not retry together.
 const JITTER: f64 = 0.5;
--- a/crates/broker/src/discovery/client.rs
+++ b/crates/broker/src/discovery/client.rs
@@ -14,8 +14,9 @@
 
 /// Time for which discovery may delay its response until the list changes.
 ///
-/// The broker counts as notified of a change 6 s after it, whether or not its watch has failed. Noticing that a watch has
-/// failed (after [`RESPONSE_GRACE`] more), a backoff, a failed connect and another backoff must fit well within.
+/// The broker counts as notified of a change 6 s after it, whether or not its watch has failed.
+/// Noticing that a watch has failed (after [`RESPONSE_GRACE`] more), a backoff, a failed connect
+/// and another backoff must fit well within.
 pub(super) const POLL_WAIT: Duration = Duration::from_secs(2);
 /// Time limit of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -96,7 +97,8 @@
                 return Ok(message);
             }
             if read_some(&self.stream, &mut self.input).await? == 0 {
-                // The end of the stream is the end of a response without a length. A reset is an error of its own.
+                // The end of the stream is the end of a response without a length. A reset is an
+                // error of its own.
                 let message = self.decoder.finish();
                 return message.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
--- a/crates/broker/src/discovery/error.rs
+++ b/crates/broker/src/discovery/error.rs
@@ -14,7 +14,8 @@
     /// The response is not valid HTTP/1.1.
     #[error(transparent)]
     InvalidResponse(#[from] ParseError),
-    /// The response has a status other than 200. Discovery may not know the revision, as after a loss of its data.
+    /// The response has a status other than 200. Discovery may not know the revision, as after a
+    /// loss of its data.
     #[error("status {0}")]
     UnexpectedStatus(StatusCode),
     /// The response is not an endpoint list.
@@ -29,7 +30,8 @@
 }
 
 impl DiscoveryError {
-    /// Returns whether the full list must be requested next, because discovery does not continue the current list.
+    /// Returns whether the full list must be requested next, because discovery does not continue
+    /// the current list.
     pub(super) fn requires_snapshot(&self) -> bool {
         match self {
             DiscoveryError::UnexpectedStatus(_)
--- a/crates/broker/src/discovery/watcher.rs
+++ b/crates/broker/src/discovery/watcher.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Watches until dropped. After an error the current list stays in effect, and the watch continues on a new
-    /// connection.
+    /// Watches until dropped. After an error the current list stays in effect, and the watch
+    /// continues on a new connection.
     pub(super) async fn run(mut self) {
         loop {
             // Discovery may close a connection between two responses, which is no error.
@@ -60,7 +60,8 @@
             let is_unchanged = self.revision == Some(list.revision);
             self.on_list(list);
             if is_unchanged && started_at.elapsed() < POLL_WAIT / 2 {
-                // The response is premature. Polling again without a pause would use up the whole core.
+                // The response is premature. Polling again without a pause would use up the whole
+                // core.
                 Timer::after(MIN_DELAY).await;
             }
         }
--- a/crates/broker/src/event_loop/configuration.rs
+++ b/crates/broker/src/event_loop/configuration.rs
@@ -15,8 +15,8 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// Time after which a failed reload is repeated: the file may have been read while it was being written, and changes
-/// of the platform's configuration must take effect within seconds.
+/// Time after which a failed reload is repeated: the file may have been read while it was being
+/// written, and changes of the platform's configuration must take effect within seconds.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// The configuration in effect, as far as it can change while the program runs.
@@ -91,9 +91,9 @@
         self.reload_at
     }
 
-    /// Reloads the configuration if that was requested or has to be repeated by now, and applies it to the listeners and
-    /// to discovery. If the platform's configuration or the operator's file is missing or invalid, neither takes effect,
-    /// and the reload is repeated later.
+    /// Reloads the configuration if that was requested or has to be repeated by now, and applies it
+    /// to the listeners and to discovery. If the platform's configuration or the operator's file is
+    /// missing or invalid, neither takes effect, and the reload is repeated later.
     pub(super) fn reload_if_due(
         &mut self,
         now: Timestamp,
--- a/crates/broker/src/event_loop/dispatch_queue.rs
+++ b/crates/broker/src/event_loop/dispatch_queue.rs
@@ -1,7 +1,7 @@
 //! The attempts that wait for the end of an iteration to be sent.
 //!
-//! [`DispatchQueue`] owns an attempt from its dispatch by the policy until it is handed to the server pools or ends
-//! unsent.
+//! [`DispatchQueue`] owns an attempt from its dispatch by the policy until it is handed to the
+//! server pools or ends unsent.
 
 use crate::upstream::EndedAttempt;
 use broker_types::query::AttemptId;
@@ -9,8 +9,9 @@
 use policy_engine::Dispatch;
 use std::collections::BTreeMap;
 
-/// Attempts that the policy has dispatched in this iteration, and those that ended before they were handed to the server
-/// pools. The former are sent, or become the latter; these are reported in the next iteration.
+/// Attempts that the policy has dispatched in this iteration, and those that ended before they were
+/// handed to the server pools. The former are sent, or become the latter; these are reported in the
+/// next iteration.
 #[derive(Default)]
 pub(super) struct DispatchQueue {
     /// Attempts to be sent at the end of the iteration, unless they are cancelled before.
--- a/crates/broker/src/event_loop/iteration.rs
+++ b/crates/broker/src/event_loop/iteration.rs
@@ -1,6 +1,7 @@
 //! The iterations of the event loop: their order, and when the next one starts.
 //!
-//! [`EventLoop`] holds the parts of the broker and passes events from one to another. Each part owns its state.
+//! [`EventLoop`] holds the parts of the broker and passes events from one to another. Each part
+//! owns its state.
 
 use super::configuration::Configuration;
 use super::query_processor::QueryProcessor;
@@ -108,7 +109,8 @@
         self.processor.end_iteration(now);
     }
 
-    /// Handles all queued events, and returns the queries that were received and whose clients are still connected.
+    /// Handles all queued events, and returns the queries that were received and whose clients are
+    /// still connected.
     fn handle_events(&mut self, now: Timestamp) -> Vec<ReceivedQuery> {
         let mut received = Vec::new();
         for event in self.event_queue.drain() {
@@ -149,7 +151,8 @@
         earliest.unwrap_or(Timestamp::MAX)
     }
 
-    /// Waits until an event has occurred or the deadline has passed, and then until the batch window has ended.
+    /// Waits until an event has occurred or the deadline has passed, and then until the batch
+    /// window has ended.
     async fn wait(&self, now: Timestamp, deadline: Timestamp) {
         let earliest = now + self.configuration.tick();
         let deadline = deadline.min(now + MAX_WAIT).max(earliest);
--- a/crates/broker/src/event_loop/policy_report.rs
+++ b/crates/broker/src/event_loop/policy_report.rs
@@ -1,4 +1,5 @@
-//! Regular reports on the policy's state in the log. [`PolicyReporter`] owns the time of the next one.
+//! Regular reports on the policy's state in the log. [`PolicyReporter`] owns the time of the next
+//! one.
 
 use broker_types::time::Timestamp;
 use policy_engine::PolicyEngine;
@@ -21,7 +22,8 @@
         }
     }
 
-    /// Logs the policy's state at regular intervals. No other event explains why queries are rejected on arrival.
+    /// Logs the policy's state at regular intervals. No other event explains why queries are
+    /// rejected on arrival.
     pub(super) fn report_if_due(
         &mut self,
         now: Timestamp,
--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -1,8 +1,8 @@
-//! Takes queries from their admission to their one final response: submits them to the policy, executes its decisions
-//! and reports the ends of attempts to it.
+//! Takes queries from their admission to their one final response: submits them to the policy,
+//! executes its decisions and reports the ends of attempts to it.
 //!
-//! [`QueryProcessor`] owns the policy, the table of clients' queries and the server pools. A query is freed by the table,
-//! an attempt by the pools or, before it is sent, by the dispatch queue.
+//! [`QueryProcessor`] owns the policy, the table of clients' queries and the server pools. A query
+//! is freed by the table, an attempt by the pools or, before it is sent, by the dispatch queue.
 
 use super::dispatch_queue::{Cancellation, DispatchQueue};
 use super::policy_report::PolicyReporter;
@@ -25,7 +25,8 @@
     queries: ClientQueries,
     servers: ServerPools,
     dispatches: DispatchQueue,
-    /// Queries and parts completed in this iteration, of which no unsent attempt is needed any more.
+    /// Queries and parts completed in this iteration, of which no unsent attempt is needed any
+    /// more.
     completed: Vec<Completed>,
 }
 
@@ -54,8 +55,8 @@
         self.queries.in_flight()
     }
 
-    /// Passes a list of endpoints to the policy and the server pools, so that both act on it in the same iteration.
-    /// `servers` are its entries as the policy takes them.
+    /// Passes a list of endpoints to the policy and the server pools, so that both act on it in the
+    /// same iteration. `servers` are its entries as the policy takes them.
     pub(super) fn update_endpoints(
         &mut self,
         now: Timestamp,
@@ -104,8 +105,9 @@
 
     /// Reports the attempts that ended since the last iteration.
     ///
-    /// An iteration begins with these, time-outs included. The policy ends a query at the moment at which its attempts
-    /// time out. If it did so first, it would cancel them and never learn that their servers are silent.
+    /// An iteration begins with these, time-outs included. The policy ends a query at the moment at
+    /// which its attempts time out. If it did so first, it would cancel them and never learn that
+    /// their servers are silent.
     pub(super) fn report_ended_attempts(&mut self, now: Timestamp) {
         let mut ended = self.dispatches.take_unsent();
         ended.extend(self.servers.take_ended_attempts(now));
@@ -150,8 +152,8 @@
         self.execute(now, decisions);
     }
 
-    /// Ends an iteration: cancels what is not needed any more, sends what was dispatched and closes connections that
-    /// have expired.
+    /// Ends an iteration: cancels what is not needed any more, sends what was dispatched and closes
+    /// connections that have expired.
     pub(super) fn end_iteration(&mut self, now: Timestamp) {
         self.cancel_completed(now);
         self.send_dispatches(now);
@@ -240,8 +242,8 @@
             Ok(outgoing) => return Some(outgoing),
             Err(DispatchError::QueryFinished) => {}
             Err(DispatchError::IdempotencyWindowClosed(_)) => {
-                // An earlier query with the same key may have executed this part. The query can neither be served nor
-                // be rejected as if nothing had been executed.
+                // An earlier query with the same key may have executed this part. The query can
+                // neither be served nor be rejected as if nothing had been executed.
                 self.policy.abandon(attempt.query);
                 self.queries
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
--- a/crates/broker/src/event_loop/shutdown.rs
+++ b/crates/broker/src/event_loop/shutdown.rs
@@ -1,13 +1,13 @@
-//! Graceful shutdown: when the listeners are closed and when the program may end. [`GracefulShutdown`] owns the time at
-//! which it started.
+//! Graceful shutdown: when the listeners are closed and when the program may end.
+//! [`GracefulShutdown`] owns the time at which it started.
 
 use crate::listeners::ClientListeners;
 use broker_types::time::Timestamp;
 use std::time::Duration;
 use tracing::info;
 
-/// Time for which connections are still accepted after the start of a shutdown: clients notice late that the broker is
-/// no longer ready.
+/// Time for which connections are still accepted after the start of a shutdown: clients notice late
+/// that the broker is no longer ready.
 const ACCEPT_TIME: Duration = Duration::from_millis(600);
 
 /// Whether the broker may stop.
--- a/crates/broker/src/event_loop/startup.rs
+++ b/crates/broker/src/event_loop/startup.rs
@@ -42,7 +42,8 @@
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Runs a broker until its graceful shutdown is complete. Once it listens, `on_started` is called with its addresses.
+/// Runs a broker until its graceful shutdown is complete. Once it listens, `on_started` is called
+/// with its addresses.
 ///
 /// # Errors
 ///
--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -1,7 +1,8 @@
-//! Queue of events between the tasks that serve sockets and the event loop, which drains it once per iteration.
+//! Queue of events between the tasks that serve sockets and the event loop, which drains it once
+//! per iteration.
 //!
-//! The queue owns an event until it is drained. The task that submits a query holds a [`QueryHandle`], whose drop before
-//! the response reports that the client has disconnected.
+//! The queue owns an event until it is drained. The task that submits a query holds a
+//! [`QueryHandle`], whose drop before the response reports that the client has disconnected.
 
 use crate::notify::Notify;
 use admission::ConnectionId;
@@ -61,12 +62,14 @@
     FrameStarted,
     /// The connection was closed, or could not be opened.
     Closed(io::Error),
-    /// A frame could not be decoded. The connection is closed: the start of the next frame is unknown.
+    /// A frame could not be decoded. The connection is closed: the start of the next frame is
+    /// unknown.
     FrameInvalid(InvalidFrame),
 }
 
-/// The queue of events. Its length is bounded by its producers: each client connection has a limited number of
-/// queries in flight, and a data server connection only answers the attempts that are in flight on it.
+/// The queue of events. Its length is bounded by its producers: each client connection has a
+/// limited number of queries in flight, and a data server connection only answers the attempts that
+/// are in flight on it.
 pub struct EventQueue {
     events: RefCell<Vec<Event>>,
     /// Wakes the event loop.
@@ -94,7 +97,8 @@
         self.wake_up.notify_one();
     }
 
-    /// Submits a query. Its final response arrives at the returned handle, once, unless that is dropped before.
+    /// Submits a query. Its final response arrives at the returned handle, once, unless that is
+    /// dropped before.
     pub fn submit_query(&self, connection: ConnectionId, request: QueryRequest) -> QueryHandle<'_> {
         let id = self.next_query.get();
         self.next_query.set(QueryId(id.0 + 1));
@@ -133,8 +137,8 @@
     }
 }
 
-/// A query that was submitted to the event loop. Dropping the handle before the response has arrived reports that
-/// the client has disconnected.
+/// A query that was submitted to the event loop. Dropping the handle before the response has
+/// arrived reports that the client has disconnected.
 pub struct QueryHandle<'a> {
     queue: &'a EventQueue,
     id: QueryId,
@@ -150,7 +154,8 @@
 
 impl Drop for QueryHandle<'_> {
     fn drop(&mut self) {
-        // The event loop closes the channel when it sends the response: afterwards the query is no longer in flight.
+        // The event loop closes the channel when it sends the response: afterwards the query is no
+        // longer in flight.
         if !self.response.is_closed() {
             self.queue
                 .push(Event::ClientDisconnected { query: self.id });
--- a/crates/broker/src/listeners/accept.rs
+++ b/crates/broker/src/listeners/accept.rs
@@ -1,5 +1,5 @@
-//! Accepting connections, for every version of HTTP. A connection that gets a slot is served by a task of its own; any
-//! other is rejected.
+//! Accepting connections, for every version of HTTP. A connection that gets a slot is served by a
+//! task of its own; any other is rejected.
 
 use super::slots::{ConnectionSlots, Slot};
 use crate::net::{LINGER, linger};
@@ -26,8 +26,8 @@
     fn reject(&self, stream: &Async<TcpStream>);
 }
 
-/// An accepted connection that has no slot yet. Dropped without one, also where the accepting task is cancelled, it
-/// rejects its client.
+/// An accepted connection that has no slot yet. Dropped without one, also where the accepting task
+/// is cancelled, it rejects its client.
 struct AcceptedConnection<'a, H: ConnectionHandler> {
     handler: &'a Rc<H>,
     executor: &'a LocalExecutor<'static>,
@@ -50,7 +50,8 @@
             return;
         };
         self.handler.reject(&stream);
-        // Closing with unread data would reset the connection, and the client would lose the response.
+        // Closing with unread data would reset the connection, and the client would lose the
+        // response.
         if let Some(closing) = self.handler.slots().close_outside_slots() {
             let linger = async move {
                 let _ = linger(&stream, LINGER).await;
--- a/crates/broker/src/listeners/context.rs
+++ b/crates/broker/src/listeners/context.rs
@@ -1,5 +1,5 @@
-//! What the connections of all listeners share: the way to the event loop, the settings by which requests are decoded,
-//! and the steps of a request that are the same in every version of HTTP.
+//! What the connections of all listeners share: the way to the event loop, the settings by which
+//! requests are decoded, and the steps of a request that are the same in every version of HTTP.
 
 use super::date::DateHeader;
 use super::lifecycle::{Lifecycle, Phase};
@@ -90,8 +90,9 @@
         }
     }
 
-    /// Submits a query at once. The returned future waits for its final response. If the client disconnects first, the
-    /// query is cancelled and the output of `client_disconnected` is returned.
+    /// Submits a query at once. The returned future waits for its final response. If the client
+    /// disconnects first, the query is cancelled and the output of `client_disconnected` is
+    /// returned.
     pub(super) fn submit<'a, E: 'a>(
         &'a self,
         connection: ConnectionId,
@@ -110,7 +111,8 @@
         connection_rejected(&self.settings)
     }
 
-    /// Adds the `Date` field, which holds the time at which a response was generated (RFC 9110, section 6.6.1).
+    /// Adds the `Date` field, which holds the time at which a response was generated (RFC 9110,
+    /// section 6.6.1).
     pub(super) fn with_date(&self, mut response: Response) -> Response {
         response.headers_mut().insert(DATE, self.date.now());
         response
--- a/crates/broker/src/listeners/http1/connection.rs
+++ b/crates/broker/src/listeners/http1/connection.rs
@@ -1,4 +1,5 @@
-//! One HTTP/1.1 connection: reads a request, waits for its final response, writes it, and starts again.
+//! One HTTP/1.1 connection: reads a request, waits for its final response, writes it, and starts
+//! again.
 
 use super::input::{ReceivedRequest, RequestInput, write};
 use crate::clock::with_timeout;
@@ -23,8 +24,8 @@
 
 /// Most bytes of pipelined requests that are read while a response is outstanding.
 const MAX_READ_AHEAD_BYTES: usize = MAX_HEAD_BYTES;
-/// Interval at which a connection with [`MAX_READ_AHEAD_BYTES`] buffered is checked for the client's disconnection, which
-/// reading can no longer detect.
+/// Interval at which a connection with [`MAX_READ_AHEAD_BYTES`] buffered is checked for the
+/// client's disconnection, which reading can no longer detect.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// How the wait for a request ended.
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Serves requests until the connection has to be closed. Returns the longest time for which closing it waits for
-    /// the client.
+    /// Serves requests until the connection has to be closed. Returns the longest time for which
+    /// closing it waits for the client.
     pub(super) async fn serve(&mut self) -> io::Result<Duration> {
         loop {
             if self.input.buffered_bytes() == 0
@@ -138,8 +139,8 @@
         Ok(WaitOutcome::of_read(received))
     }
 
-    /// Like [`Self::wait_for_request`] while the broker closes its connections: a request that has arrived is served. A
-    /// client that has just connected has some time to send its first.
+    /// Like [`Self::wait_for_request`] while the broker closes its connections: a request that has
+    /// arrived is served. A client that has just connected has some time to send its first.
     async fn wait_for_last_request(&mut self) -> io::Result<WaitOutcome> {
         let has_served = self.has_served;
         let closed = async {
@@ -193,7 +194,8 @@
             RoutedRequest::Query(query) => query,
             RoutedRequest::Replied(reply) => return Ok(reply),
         };
-        // The client's timeout includes the time that a pipelined request has waited for the one before it.
+        // The client's timeout includes the time that a pipelined request has waited for the one
+        // before it.
         let waited = whole_micros(self.input.last_read_at().elapsed());
         query.client_timeout = query
             .client_timeout
@@ -202,7 +204,8 @@
         self.context.submit(self.id, query, disconnected).await
     }
 
-    /// Sends the reply to a request whose end is unknown, after which the connection has to be closed.
+    /// Sends the reply to a request whose end is unknown, after which the connection has to be
+    /// closed.
     async fn close_with(&self, reply: Reply) -> io::Result<Duration> {
         let response = self.context.with_date(reply.response);
         write(self.stream, &encode_response(&response, CLOSING_RESPONSE)).await?;
@@ -210,8 +213,8 @@
     }
 }
 
-/// Waits until the client has disconnected, and returns the error of that. Pipelined requests are read meanwhile, up to
-/// [`MAX_READ_AHEAD_BYTES`].
+/// Waits until the client has disconnected, and returns the error of that. Pipelined requests are
+/// read meanwhile, up to [`MAX_READ_AHEAD_BYTES`].
 async fn wait_for_disconnect(stream: &Async<TcpStream>, input: &mut RequestInput<'_>) -> io::Error {
     while input.buffered_bytes() < MAX_READ_AHEAD_BYTES {
         match input.read().await {
--- a/crates/broker/src/listeners/http1/input.rs
+++ b/crates/broker/src/listeners/http1/input.rs
@@ -1,4 +1,5 @@
-//! Reading requests from a connection, including those that are pipelined while a response is outstanding.
+//! Reading requests from a connection, including those that are pipelined while a response is
+//! outstanding.
 
 use crate::clock::with_timeout;
 use crate::listeners::timeouts::{MESSAGE_TIMEOUT, SILENCE_TIMEOUT};
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Reads what has arrived, and waits until there is something. Returns 0 if the client has closed its side.
+    /// Reads what has arrived, and waits until there is something. Returns 0 if the client has
+    /// closed its side.
     pub(super) async fn read(&mut self) -> io::Result<usize> {
         let received = read_some(self.stream, &mut self.buffer).await?;
         self.last_read_at = Instant::now();
--- a/crates/broker/src/listeners/http1/mod.rs
+++ b/crates/broker/src/listeners/http1/mod.rs
@@ -1,5 +1,5 @@
-//! The listener for HTTP/1.1. One task serves each connection and closes it; `connection` owns its state, and `input` the
-//! bytes that it has received.
+//! The listener for HTTP/1.1. One task serves each connection and closes it; `connection` owns its
+//! state, and `input` the bytes that it has received.
 
 mod connection;
 mod input;
@@ -28,8 +28,8 @@
         &self.slots
     }
 
-    /// An I/O error closes the connection like an orderly end. If it is the client's disconnection, the query has been
-    /// cancelled by then.
+    /// An I/O error closes the connection like an orderly end. If it is the client's disconnection,
+    /// the query has been cancelled by then.
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>, slot: Slot) {
         let linger_time = self.serve_requests(&stream).await.unwrap_or(LINGER);
         let _closing = slot.close();
@@ -63,7 +63,8 @@
         self.slots.close_idle();
     }
 
-    /// Serves the requests of a connection. Returns the longest time for which closing it waits for the client.
+    /// Serves the requests of a connection. Returns the longest time for which closing it waits for
+    /// the client.
     async fn serve_requests(&self, stream: &Async<TcpStream>) -> io::Result<Duration> {
         stream.get_ref().set_nodelay(true)?;
         Http1Connection::new(&self.context, &self.slots, stream)
--- a/crates/broker/src/listeners/http2/connection.rs
+++ b/crates/broker/src/listeners/http2/connection.rs
@@ -1,7 +1,7 @@
 //! One HTTP/2 connection: drives the `h2` library and the connection's streams.
 //!
-//! [`Http2Connection`] owns the streams and frees them when it is dropped. When it is closed, its [`ConnectionLifetime`]
-//! decides.
+//! [`Http2Connection`] owns the streams and frees them when it is dropped. When it is closed, its
+//! [`ConnectionLifetime`] decides.
 
 use super::guarded_connection::{GuardedConnection, WireEvent};
 use super::lifetime::{ConnectionActivity, ConnectionLifetime, DeadlineAction};
@@ -108,7 +108,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Starts to serve a request, or refuses it if the client has had time to receive the GOAWAY frame.
+    /// Starts to serve a request, or refuses it if the client has had time to receive the GOAWAY
+    /// frame.
     fn on_stream_opened(&mut self, stream: NewStream) {
         let is_closing = self.context.lifecycle().phase() == Phase::Closing;
         if is_closing && !self.lifetime.is_serving() {
--- a/crates/broker/src/listeners/http2/guarded_connection.rs
+++ b/crates/broker/src/listeners/http2/guarded_connection.rs
@@ -1,6 +1,7 @@
 //! The `h2` library's connection together with the flood guard on its input.
 //!
-//! [`GuardedConnection`] owns both, so that what the library decodes is never used after a violation.
+//! [`GuardedConnection`] owns both, so that what the library decodes is never used after a
+//! violation.
 
 use super::guarded_socket::{GuardedSocket, SharedGuard};
 use super::stream::NewStream;
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Drives the connection until something happens. A violation after an abrupt shutdown is ignored.
+    /// Drives the connection until something happens. A violation after an abrupt shutdown is
+    /// ignored.
     pub(super) fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<WireEvent> {
         let accepted = self.h2.poll_accept(cx);
         // Whatever was decoded before a violation is discarded.
@@ -66,8 +68,8 @@
         self.guard.borrow_mut().on_response_sent(body_bytes);
     }
 
-    /// Sends GOAWAY with the highest stream identifier, and after a round trip with that of the last stream that was
-    /// served (RFC 9113, section 6.8).
+    /// Sends GOAWAY with the highest stream identifier, and after a round trip with that of the
+    /// last stream that was served (RFC 9113, section 6.8).
     pub(super) fn shut_down_gracefully(&mut self) {
         self.h2.graceful_shutdown();
     }
--- a/crates/broker/src/listeners/http2/guarded_socket.rs
+++ b/crates/broker/src/listeners/http2/guarded_socket.rs
@@ -1,4 +1,5 @@
-//! The socket of an HTTP/2 connection, adapted to the `h2` library, with the flood guard on its input.
+//! The socket of an HTTP/2 connection, adapted to the `h2` library, with the flood guard on its
+//! input.
 
 use crate::clock::Clock;
 use async_io::Async;
@@ -19,7 +20,8 @@
     violation: Option<Violation>,
 }
 
-/// The guard, shared by the socket, which passes the input to it, and the connection, which reacts to violations.
+/// The guard, shared by the socket, which passes the input to it, and the connection, which reacts
+/// to violations.
 pub(super) type SharedGuard = Rc<RefCell<GuardState>>;
 
 impl GuardState {
@@ -49,8 +51,8 @@
     }
 }
 
-/// A socket whose input is inspected by the flood guard. After a violation nothing more is read, because the connection
-/// will be closed.
+/// A socket whose input is inspected by the flood guard. After a violation nothing more is read,
+/// because the connection will be closed.
 pub(super) struct GuardedSocket {
     stream: Rc<Async<TcpStream>>,
     /// Bytes that were read before the `h2` library took over, and that it has not read yet.
--- a/crates/broker/src/listeners/http2/handshake.rs
+++ b/crates/broker/src/listeners/http2/handshake.rs
@@ -24,14 +24,15 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Part of [`STREAM_WINDOW_BYTES`] beyond the longest body, so that a body that is too long is detected.
+/// Part of [`STREAM_WINDOW_BYTES`] beyond the longest body, so that a body that is too long is
+/// detected.
 const STREAM_WINDOW_MARGIN_BYTES: u32 = 1024;
 /// Flow-control window of a stream, in bytes. The longest body fits without a window update.
 const STREAM_WINDOW_BYTES: u32 = MAX_BODY_BYTES as u32 + STREAM_WINDOW_MARGIN_BYTES;
 /// Most bytes of a response that the `h2` library buffers for each stream.
 const SEND_BUFFER_BYTES: usize = 32 * 1024;
-/// Time for which the `h2` library remembers a stream that was reset, so that frames that the client sent before it
-/// received the reset are no error (RFC 9113, section 5.4.2).
+/// Time for which the `h2` library remembers a stream that was reset, so that frames that the
+/// client sent before it received the reset are no error (RFC 9113, section 5.4.2).
 const RESET_STREAM_MEMORY: Duration = Duration::from_secs(1);
 /// Response to a client that speaks HTTP/1.
 const PRIOR_KNOWLEDGE_REQUIRED: &str =
@@ -48,7 +49,8 @@
     Closed,
 }
 
-/// Reads at least the connection preface, and returns all bytes that were read. The connection may be evicted meanwhile.
+/// Reads at least the connection preface, and returns all bytes that were read. The connection may
+/// be evicted meanwhile.
 pub(super) async fn read_preface(
     stream: &Async<TcpStream>,
     slots: &ConnectionSlots,
@@ -93,8 +95,8 @@
     linger(stream, LINGER).await
 }
 
-/// Exchanges settings with the client. `received` are the bytes that were read before. The connection is boxed, so that
-/// the tasks of connections without one are smaller.
+/// Exchanges settings with the client. `received` are the bytes that were read before. The
+/// connection is boxed, so that the tasks of connections without one are smaller.
 pub(super) async fn handshake(
     limits: Http2Limits,
     clock: Clock,
--- a/crates/broker/src/listeners/http2/lifetime.rs
+++ b/crates/broker/src/listeners/http2/lifetime.rs
@@ -1,14 +1,15 @@
 //! When an HTTP/2 connection is closed: its phase, its idle time and its deadlines.
 //!
-//! [`ConnectionLifetime`] decides; the connection that owns it carries out what [`ConnectionLifetime::due_action`]
-//! returns.
+//! [`ConnectionLifetime`] decides; the connection that owns it carries out what
+//! [`ConnectionLifetime::due_action`] returns.
 
 use crate::listeners::slots::EvictionPriority;
 use crate::listeners::timeouts::SILENCE_TIMEOUT;
 use broker_types::time::Timestamp;
 use std::time::Duration;
 
-/// Idle timeout of a connection that has served a request. Its client keeps it for further requests.
+/// Idle timeout of a connection that has served a request. Its client keeps it for further
+/// requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Longest time after GOAWAY that an idle connection stays open for its client to receive it.
 const GRACEFUL_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
@@ -20,8 +21,8 @@
 enum ConnectionPhase {
     /// Requests are served.
     Serving,
-    /// GOAWAY has been sent. Requests in flight are served, and so are those that the client sent before it received
-    /// the frame.
+    /// GOAWAY has been sent. Requests in flight are served, and so are those that the client sent
+    /// before it received the frame.
     Draining,
     /// The last frames are being written.
     Closing {
@@ -109,7 +110,8 @@
         })
     }
 
-    /// The next deadline, if there is one. [`Self::due_action`] has to be called when it has passed.
+    /// The next deadline, if there is one. [`Self::due_action`] has to be called when it has
+    /// passed.
     pub(super) fn next_deadline(&self, activity: ConnectionActivity) -> Option<Timestamp> {
         if let ConnectionPhase::Closing { deadline } = self.phase {
             return Some(deadline);
--- a/crates/broker/src/listeners/http2/mod.rs
+++ b/crates/broker/src/listeners/http2/mod.rs
@@ -1,8 +1,8 @@
 //! The listener for HTTP/2 (RFC 9113) without TLS, by prior knowledge.
 //!
-//! One task drives each connection with all of its streams, so that they end together. `admission` limits the resources of
-//! connections, `http2_flood_guard` detects floods, and the `h2` library implements framing, flow control and header
-//! compression.
+//! One task drives each connection with all of its streams, so that they end together. `admission`
+//! limits the resources of connections, `http2_flood_guard` detects floods, and the `h2` library
+//! implements framing, flow control and header compression.
 
 mod connection;
 mod guarded_connection;
@@ -45,7 +45,8 @@
         match read_preface(&stream, &self.slots).await {
             Ok(received) => {
                 self.serve_requests(id, stream.clone(), received).await;
-                // Closing with unread data would reset the connection, and the client would lose the last frames.
+                // Closing with unread data would reset the connection, and the client would lose
+                // the last frames.
                 let _ = linger(&stream, LINGER).await;
             }
             Err(PrefaceError::Violation(violation)) => {
@@ -56,7 +57,8 @@
         }
     }
 
-    /// The connection is closed without a response, which HTTP/2 allows only after an exchange of frames.
+    /// The connection is closed without a response, which HTTP/2 allows only after an exchange of
+    /// frames.
     fn reject(&self, _stream: &Async<TcpStream>) {}
 }
 
@@ -80,8 +82,8 @@
         self.limits.set(limits);
     }
 
-    /// Exchanges settings and serves the requests of a connection until it is closed. `received` are the bytes that were
-    /// read before.
+    /// Exchanges settings and serves the requests of a connection until it is closed. `received`
+    /// are the bytes that were read before.
     async fn serve_requests(
         &self,
         id: ConnectionId,
--- a/crates/broker/src/listeners/http2/request_body.rs
+++ b/crates/broker/src/listeners/http2/request_body.rs
@@ -17,8 +17,8 @@
     TooLong,
 }
 
-/// Receives a body. Its flow-control window is released once it is complete, so that all bodies being received together
-/// stay within the connection's window.
+/// Receives a body. Its flow-control window is released once it is complete, so that all bodies
+/// being received together stay within the connection's window.
 ///
 /// Fails with [`io::ErrorKind::TimedOut`] if nothing arrives for [`SILENCE_TIMEOUT`].
 pub(super) async fn receive_body(
--- a/crates/broker/src/listeners/http2/stream.rs
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -23,15 +23,15 @@
 
 /// Shortest time for sending a response, also where the client's timeout has passed.
 const MIN_SEND_TIME: Duration = Duration::from_millis(250);
-/// Most bytes of a body that are passed to the `h2` library at once, so that it does not buffer a second copy of what a
-/// slow client has not read.
+/// Most bytes of a body that are passed to the `h2` library at once, so that it does not buffer a
+/// second copy of what a slow client has not read.
 const SEND_CHUNK_BYTES: usize = 16 * 1024;
 
 /// How a stream ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct StreamOutcome {
-    /// Length of the body that was sent. `None` if the client cancelled the stream, or did not read the response in
-    /// time.
+    /// Length of the body that was sent. `None` if the client cancelled the stream, or did not read
+    /// the response in time.
     pub(super) sent_body_bytes: Option<usize>,
     /// Whether the request was valid, as in [`Reply`].
     pub(super) is_valid_request: bool,
@@ -57,7 +57,8 @@
     deadline: Instant,
 }
 
-/// A stream that the client has opened: a request whose head has been received, and the means to respond.
+/// A stream that the client has opened: a request whose head has been received, and the means to
+/// respond.
 pub(super) struct NewStream {
     request: Request<RecvStream>,
     respond: SendResponse<Bytes>,
@@ -68,7 +69,8 @@
         NewStream { request, respond }
     }
 
-    /// Refuses the request, which the client may retry on another connection (RFC 9113, section 8.7).
+    /// Refuses the request, which the client may retry on another connection (RFC 9113, section
+    /// 8.7).
     pub(super) fn refuse(mut self) {
         self.respond.send_reset(Reason::REFUSED_STREAM);
     }
@@ -121,8 +123,8 @@
     }
 }
 
-/// Decodes a request whose body has been received. It is dropped here, so that it holds no memory while its query is
-/// processed. Fails if the client cancelled the stream.
+/// Decodes a request whose body has been received. It is dropped here, so that it holds no memory
+/// while its query is processed. Fails if the client cancelled the stream.
 fn route(
     context: &ListenerContext,
     head: Parts,
@@ -185,8 +187,9 @@
         }
     }
 
-    /// Sends the response and returns the length of the body that was sent. `request_body` is what remains of the
-    /// request's body. The client has at least [`MIN_SEND_TIME`] to read the response.
+    /// Sends the response and returns the length of the body that was sent. `request_body` is what
+    /// remains of the request's body. The client has at least [`MIN_SEND_TIME`] to read the
+    /// response.
     async fn send(
         self,
         mut respond: SendResponse<Bytes>,
--- a/crates/broker/src/listeners/lifecycle.rs
+++ b/crates/broker/src/listeners/lifecycle.rs
@@ -1,5 +1,5 @@
-//! The phases of the broker's life that affect client connections. The listeners set the phase; connections read it and
-//! wait for its changes.
+//! The phases of the broker's life that affect client connections. The listeners set the phase;
+//! connections read it and wait for its changes.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
--- a/crates/broker/src/listeners/mod.rs
+++ b/crates/broker/src/listeners/mod.rs
@@ -1,8 +1,8 @@
 //! Listeners for client connections over HTTP/1.1 and HTTP/2.
 //!
 //! `query_api` defines what a request means. The listeners read requests, submit queries to the
-//! [`EventQueue`](crate::event_queue::EventQueue), and write the one final response to each. They share a
-//! [`ListenerContext`].
+//! [`EventQueue`](crate::event_queue::EventQueue), and write the one final response to each. They
+//! share a [`ListenerContext`].
 
 mod accept;
 mod context;
@@ -109,20 +109,22 @@
         }
     }
 
-    /// Applies the limits that can change at runtime: those of future HTTP/2 connections, except for their number.
+    /// Applies the limits that can change at runtime: those of future HTTP/2 connections, except
+    /// for their number.
     pub fn set_limits(&self, limits: ListenerLimits) {
         if let (Some(http2), Some(limits)) = (&self.http2, limits.http2) {
             http2.handler.set_limits(limits);
         }
     }
 
-    /// Starts to drain: readiness checks fail and connections are closed after their requests, but requests that still
-    /// arrive are served.
+    /// Starts to drain: readiness checks fail and connections are closed after their requests, but
+    /// requests that still arrive are served.
     pub fn start_draining(&self) {
         self.context.lifecycle().set_phase(Phase::Draining);
     }
 
-    /// Closes the listening sockets, after accepting the connections of their backlogs, and closes idle connections.
+    /// Closes the listening sockets, after accepting the connections of their backlogs, and closes
+    /// idle connections.
     pub async fn close(&mut self) {
         if self.is_closed() {
             return;
--- a/crates/broker/src/listeners/reply.rs
+++ b/crates/broker/src/listeners/reply.rs
@@ -5,7 +5,8 @@
 use http1_codec::ResponseOptions;
 use query_api::{Response, encode_final_response};
 
-/// Options of an HTTP/1.1 response after which its connection is closed, and whose request is unknown.
+/// Options of an HTTP/1.1 response after which its connection is closed, and whose request is
+/// unknown.
 pub(super) const CLOSING_RESPONSE: ResponseOptions = ResponseOptions {
     version: Version::HTTP_11,
     head_only: false,
@@ -15,7 +16,8 @@
 /// The response to a request.
 pub(super) struct Reply {
     pub(super) response: Response,
-    /// Whether the request was valid, so that its client is unlikely to be a faulty or misbehaving one.
+    /// Whether the request was valid, so that its client is unlikely to be a faulty or misbehaving
+    /// one.
     pub(super) is_valid_request: bool,
 }
 
--- a/crates/broker/src/listeners/slots.rs
+++ b/crates/broker/src/listeners/slots.rs
@@ -1,7 +1,8 @@
-//! Connection slots of a listener: their number, and which connections are evicted when they run out.
+//! Connection slots of a listener: their number, and which connections are evicted when they run
+//! out.
 //!
-//! [`ConnectionSlots`] counts the slots. A connection owns its [`Slot`] and frees it by dropping it; while it may be
-//! evicted it holds an [`Evictable`], whose drop ends that.
+//! [`ConnectionSlots`] counts the slots. A connection owns its [`Slot`] and frees it by dropping
+//! it; while it may be evicted it holds an [`Evictable`], whose drop ends that.
 
 use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
@@ -15,18 +16,19 @@
 
 /// Idle timeout of an HTTP/1.1 connection that has served a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same while more than one slot in [`HIGH_USAGE_DIVISOR`] is in use. Clients that send one request and never close their
-/// connection hold file descriptors here and on their side, which other clients need.
+/// The same while more than one slot in [`HIGH_USAGE_DIVISOR`] is in use. Clients that send one
+/// request and never close their connection hold file descriptors here and on their side, which
+/// other clients need.
 const SHORT_IDLE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Divisor of the number of slots above which [`SHORT_IDLE_TIMEOUT`] applies.
 const HIGH_USAGE_DIVISOR: usize = 4;
 /// Longest wait for an evicted connection to free its slot before the next one is evicted.
 const EVICTION_WAIT: Duration = Duration::from_millis(5);
-/// Longest wait for a slot while no connection can be evicted. A client that is rejected after it can use another
-/// broker.
+/// Longest wait for a slot while no connection can be evicted. A client that is rejected after it
+/// can use another broker.
 const MAX_SLOT_WAIT: Duration = Duration::from_millis(250);
-/// Most connections that are being closed outside the slots. The file descriptors reserved for the program itself
-/// suffice for them.
+/// Most connections that are being closed outside the slots. The file descriptors reserved for the
+/// program itself suffice for them.
 const MAX_CLOSING_OUTSIDE_SLOTS: usize = 16;
 
 /// Order in which connections are evicted: the first variant goes first.
@@ -36,8 +38,8 @@
     Unused,
     /// Idle after a valid request: its client can open another connection.
     Idle,
-    /// Receiving its first request. Eviction fails the request of a client that is merely slow, but incomplete
-    /// requests must not hold all slots.
+    /// Receiving its first request. Eviction fails the request of a client that is merely slow, but
+    /// incomplete requests must not hold all slots.
     ReceivingFirstRequest,
 }
 
@@ -158,8 +160,9 @@
         (self.in_use.get() < self.capacity).then(|| self.take())
     }
 
-    /// Waits for a free slot, evicting connections if necessary, and takes it. Returns `None` if none becomes free: after
-    /// one such wait, further connections are rejected at once until a slot is free or a connection can be evicted.
+    /// Waits for a free slot, evicting connections if necessary, and takes it. Returns `None` if
+    /// none becomes free: after one such wait, further connections are rejected at once until a
+    /// slot is free or a connection can be evicted.
     pub(super) async fn wait_for_slot(self: &Rc<Self>) -> Option<Slot> {
         while self.in_use.get() >= self.capacity {
             // This notification, if any, is from before the slots were exhausted.
@@ -171,7 +174,8 @@
             if !evicted && exhausted_since.elapsed() >= MAX_SLOT_WAIT {
                 return None;
             }
-            // The evicted connection stays open if it received a request at the same moment, so the wait is limited.
+            // The evicted connection stays open if it received a request at the same moment, so the
+            // wait is limited.
             let timeout = async { _ = Timer::after(EVICTION_WAIT).await };
             self.slot_freed.notified().or(timeout).await;
         }
--- a/crates/broker/src/listeners/tests.rs
+++ b/crates/broker/src/listeners/tests.rs
@@ -25,8 +25,8 @@
     ListenerContext::new(Rc::default(), site.settings, names, Clock::start())
 }
 
-/// An evicted connection stays open if it received a request at the same moment. The listener used to wait for its end,
-/// and accepted no connections meanwhile.
+/// An evicted connection stays open if it received a request at the same moment. The listener used
+/// to wait for its end, and accepted no connections meanwhile.
 #[test]
 fn accepting_continues_when_evicted_connection_stays_open() {
     let executor = Rc::new(LocalExecutor::new());
@@ -58,7 +58,8 @@
     drop(kept_slot);
 }
 
-/// Shutdown starts while a new connection waits for a slot, which used to be closed without a response.
+/// Shutdown starts while a new connection waits for a slot, which used to be closed without a
+/// response.
 #[test]
 fn connection_waiting_for_slot_is_rejected_when_listener_closes() {
     let executor = Rc::new(LocalExecutor::new());
@@ -79,8 +80,8 @@
     assert_eq!(&response, b"HTTP/1.1 503");
 }
 
-/// The system has accepted a connection when the listener closes, and the request arrives a moment later. The connection
-/// used to be closed without a response.
+/// The system has accepted a connection when the listener closes, and the request arrives a moment
+/// later. The connection used to be closed without a response.
 #[test]
 fn connection_from_backlog_gets_response_after_listener_closed() {
     let executor = Rc::new(LocalExecutor::new());
--- a/crates/broker/src/net.rs
+++ b/crates/broker/src/net.rs
@@ -12,8 +12,8 @@
 use std::task::ready;
 use std::time::Duration;
 
-/// Time for which a connection that the broker closes is still read, so that a reset does not destroy its last
-/// response (RFC 9112, section 9.6).
+/// Time for which a connection that the broker closes is still read, so that a reset does not
+/// destroy its last response (RFC 9112, section 9.6).
 pub const LINGER: Duration = Duration::from_millis(500);
 /// The same for a connection whose last response was read by the client long ago.
 pub const LINGER_IDLE: Duration = Duration::from_millis(100);
@@ -22,11 +22,12 @@
 /// Least number of bytes by which a buffer grows.
 const MIN_GROWTH_BYTES: usize = READ_CHUNK_BYTES / 4;
 
-/// Waits until the socket is readable and appends what it holds to `input`. Returns the number of bytes read; 0 at the
-/// end of the stream. Nothing is taken from the socket before this returns, so the future may be dropped while it waits.
+/// Waits until the socket is readable and appends what it holds to `input`. Returns the number of
+/// bytes read; 0 at the end of the stream. Nothing is taken from the socket before this returns, so
+/// the future may be dropped while it waits.
 ///
-/// The bytes go through a buffer on the stack. The future lives as long as its connection, so a buffer inside it
-/// would cost its memory for each idle connection.
+/// The bytes go through a buffer on the stack. The future lives as long as its connection, so a
+/// buffer inside it would cost its memory for each idle connection.
 ///
 /// # Errors
 ///
@@ -45,8 +46,8 @@
     .await
 }
 
-/// Returns whether the peer has closed its sending side or the connection has failed. Data that the peer sent before
-/// may still be unread.
+/// Returns whether the peer has closed its sending side or the connection has failed. Data that the
+/// peer sent before may still be unread.
 #[must_use]
 pub fn has_hung_up(stream: &Async<TcpStream>) -> bool {
     let mut polled = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
@@ -58,12 +59,14 @@
     poll(&mut polled, Some(&no_wait)).is_ok() && polled[0].revents().intersects(hung_up)
 }
 
-/// Closes the sending side of a connection and discards what the client still sends, until the client has closed its
-/// side or `limit` has passed. Closing a socket with unread bytes would cause a reset.
+/// Closes the sending side of a connection and discards what the client still sends, until the
+/// client has closed its side or `limit` has passed. Closing a socket with unread bytes would cause
+/// a reset.
 ///
 /// # Errors
 ///
-/// The error of the socket, or [`io::ErrorKind::TimedOut`] if the client does not close its side in time.
+/// The error of the socket, or [`io::ErrorKind::TimedOut`] if the client does not close its side in
+/// time.
 pub async fn linger(stream: &Async<TcpStream>, limit: Duration) -> io::Result<()> {
     // Fails where the HTTP/2 library has closed the sending side already.
     let _ = stream.get_ref().shutdown(Shutdown::Write);
--- a/crates/broker/src/notify.rs
+++ b/crates/broker/src/notify.rs
@@ -2,8 +2,8 @@
 
 use async_channel::{Receiver, Sender};
 
-/// Wakes the one task that waits on it. Notifications that arrive while no task waits count as one, which the next
-/// wait consumes.
+/// Wakes the one task that waits on it. Notifications that arrive while no task waits count as one,
+/// which the next wait consumes.
 pub(crate) struct Notify {
     sender: Sender<()>,
     receiver: Receiver<()>,
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -34,8 +34,8 @@
     Invalid(#[from] ConfigFileErrors),
 }
 
-/// Reads the text of an operator's file. Of a file that is too long, only so much is read that its excessive length can
-/// be recognized.
+/// Reads the text of an operator's file. Of a file that is too long, only so much is read that its
+/// excessive length can be recognized.
 ///
 /// # Errors
 ///
@@ -61,7 +61,8 @@
 }
 
 impl OperatorConfig {
-    /// Loads the file at the start of the program. Without a file, all settings have their defaults.
+    /// Loads the file at the start of the program. Without a file, all settings have their
+    /// defaults.
     ///
     /// # Errors
     ///
@@ -74,7 +75,8 @@
         Ok(OperatorConfig { path, settings })
     }
 
-    /// Parses settings that are in no file; reading them again changes nothing. Errors call the text by `name`.
+    /// Parses settings that are in no file; reading them again changes nothing. Errors call the
+    /// text by `name`.
     ///
     /// # Errors
     ///
@@ -107,7 +109,8 @@
         }
     }
 
-    /// Applies the settings that can change while the program runs. Logs these, and those that require a restart.
+    /// Applies the settings that can change while the program runs. Logs these, and those that
+    /// require a restart.
     pub fn apply(&mut self, new: &Settings) {
         let changes = self.settings.changes(new);
         self.settings = self.settings.adopt(new);
@@ -132,7 +135,8 @@
         logging::reconfigure(log_format(log.format), log_level(log.level));
     }
 
-    /// Returns the batch window. `tick` is the least time between iterations in the platform's settings.
+    /// Returns the batch window. `tick` is the least time between iterations in the platform's
+    /// settings.
     #[must_use]
     pub fn batch_window(&self, tick: Duration) -> BatchWindow {
         self.settings
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,11 +1,14 @@
 //! The clients' queries in flight: their admission, their attempts and their final responses.
 //!
-//! [`ClientQueries`] owns each query from its admission until its one final response is sent or its client has
-//! disconnected, which is where a query is freed.
+//! [`ClientQueries`] owns each query from its admission until its one final response is sent or its
+//! client has disconnected, which is where a query is freed.
 //!
-//! - `client_query`: one query with the way back to its client, the values received and the log of its attempts;
-//! - `reservations`: what a query reserves: its request id, a share of its connection's quota and its idempotency key;
-//! - `idempotency_guard`: which attempts of a query with an idempotency key may be sent, and what their ends prove.
+//! - `client_query`: one query with the way back to its client, the values received and the log of
+//!   its attempts;
+//! - `reservations`: what a query reserves: its request id, a share of its connection's quota and
+//!   its idempotency key;
+//! - `idempotency_guard`: which attempts of a query with an idempotency key may be sent, and what
+//!   their ends prove.
 
 mod attempt_log;
 mod client_query;
@@ -31,8 +34,8 @@
     /// The query has finished in the same iteration.
     #[error("the query has finished")]
     QueryFinished,
-    /// The part may have been executed under the same idempotency key, so long ago that the data servers no longer
-    /// recognize a retry.
+    /// The part may have been executed under the same idempotency key, so long ago that the data
+    /// servers no longer recognize a retry.
     #[error(transparent)]
     IdempotencyWindowClosed(#[from] WindowClosed),
 }
@@ -78,7 +81,8 @@
         Some(spec)
     }
 
-    /// Removes a query whose client has disconnected. Its final response may have been sent already.
+    /// Removes a query whose client has disconnected. Its final response may have been sent
+    /// already.
     pub(crate) fn abandon(&mut self, now: Timestamp, id: QueryId) {
         if let Some(query) = self.queries.remove(&id) {
             self.release(now, &query, QueryEnd::Unanswered);
@@ -86,7 +90,8 @@
         }
     }
 
-    /// Removes a query and sends its one final response, which `respond` makes of the values received so far.
+    /// Removes a query and sends its one final response, which `respond` makes of the values
+    /// received so far.
     pub(crate) fn finish(
         &mut self,
         now: Timestamp,
--- a/crates/broker/src/queries/attempt_log.rs
+++ b/crates/broker/src/queries/attempt_log.rs
@@ -5,8 +5,8 @@
 use broker_types::time::Timestamp;
 use std::fmt;
 
-/// The attempts of one query, in the order in which they were sent. Their number is bounded by the number of parts and
-/// of attempts for each part.
+/// The attempts of one query, in the order in which they were sent. Their number is bounded by the
+/// number of parts and of attempts for each part.
 #[derive(Debug, Default)]
 pub(super) struct AttemptLog {
     records: Vec<AttemptRecord>,
@@ -52,8 +52,9 @@
         self.records.len()
     }
 
-    /// Returns the attempts that were not served, as text for the log. The served ones are left out to keep the line
-    /// short. Times are relative to `received_at`, the time at which the query was received.
+    /// Returns the attempts that were not served, as text for the log. The served ones are left out
+    /// to keep the line short. Times are relative to `received_at`, the time at which the query was
+    /// received.
     pub(super) fn unserved(&self, received_at: Timestamp) -> String {
         let unserved = self.records.iter().filter(|record| !record.is_served());
         let texts: Vec<String> = unserved
@@ -76,8 +77,8 @@
 }
 
 /// An attempt with its times relative to the receipt of its query. It is displayed as
-/// `PART.ATTEMPT@SERVER+SENT:OUTCOME/TIME`, with times in milliseconds, or as `PART.ATTEMPT@SERVER+SENT:out` while it is
-/// in flight.
+/// `PART.ATTEMPT@SERVER+SENT:OUTCOME/TIME`, with times in milliseconds, or as
+/// `PART.ATTEMPT@SERVER+SENT:out` while it is in flight.
 struct RelativeRecord<'a> {
     record: &'a AttemptRecord,
     received_at: Timestamp,
--- a/crates/broker/src/queries/client_query.rs
+++ b/crates/broker/src/queries/client_query.rs
@@ -1,4 +1,5 @@
-//! One query in flight: the way back to its client, the values received so far and the log of its attempts.
+//! One query in flight: the way back to its client, the values received so far and the log of its
+//! attempts.
 
 use super::attempt_log::AttemptLog;
 use crate::event_queue::ReceivedQuery;
@@ -11,8 +12,8 @@
 use policy_engine::Dispatch;
 use tracing::{Span, debug, debug_span, info};
 
-/// A query in flight. Dropping it closes the channel to its client, so it must be dropped only with its final response
-/// or after the client has disconnected.
+/// A query in flight. Dropping it closes the channel to its client, so it must be dropped only with
+/// its final response or after the client has disconnected.
 pub(super) struct ClientQuery {
     connection: ConnectionId,
     request: QueryRequest,
--- a/crates/broker/src/queries/idempotency_guard.rs
+++ b/crates/broker/src/queries/idempotency_guard.rs
@@ -1,4 +1,5 @@
-//! Idempotency keys of the queries in flight: which attempts may be sent, and what their ends prove.
+//! Idempotency keys of the queries in flight: which attempts may be sent, and what their ends
+//! prove.
 
 use broker_types::query::{AttemptId, PartSpec};
 use broker_types::server::Outcome;
@@ -22,7 +23,8 @@
     in_flight: BTreeMap<AttemptId, KeyedPart>,
 }
 
-/// An earlier attempt at a part may have been executed, so long ago that the data servers no longer recognize a retry.
+/// An earlier attempt at a part may have been executed, so long ago that the data servers no longer
+/// recognize a retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the window of the idempotency key is closed")]
 pub(crate) struct WindowClosed;
@@ -34,7 +36,8 @@
 }
 
 impl IdempotencyGuard {
-    /// Returns a guard for the classes of the settings. The shortest window of all classes holds for each of them.
+    /// Returns a guard for the classes of the settings. The shortest window of all classes holds
+    /// for each of them.
     pub(super) fn new(settings: &Settings) -> Self {
         let windows = settings
             .classes
@@ -69,8 +72,8 @@
         self.register.admit(now, key, shards, deadline)
     }
 
-    /// Registers an attempt that is about to be sent. Returns the time from which on it must not be sent any more, if an
-    /// earlier attempt may have been executed.
+    /// Registers an attempt that is about to be sent. Returns the time from which on it must not be
+    /// sent any more, if an earlier attempt may have been executed.
     ///
     /// # Errors
     ///
--- a/crates/broker/src/queries/reservations.rs
+++ b/crates/broker/src/queries/reservations.rs
@@ -1,7 +1,8 @@
-//! What each query reserves until it ends: its request id, a share of its connection's quota and its idempotency key.
+//! What each query reserves until it ends: its request id, a share of its connection's quota and
+//! its idempotency key.
 //!
-//! [`QueryReservations`] owns these, and decides by them whether a query is admitted. An admitted query must be released
-//! once, when it ends.
+//! [`QueryReservations`] owns these, and decides by them whether a query is admitted. An admitted
+//! query must be released once, when it ends.
 
 use super::idempotency_guard::{IdempotencyGuard, WindowClosed};
 use crate::event_queue::ReceivedQuery;
@@ -41,7 +42,8 @@
         }
     }
 
-    /// Reserves the query's request id, its share of its connection's quota and its idempotency key.
+    /// Reserves the query's request id, its share of its connection's quota and its idempotency
+    /// key.
     ///
     /// # Errors
     ///
@@ -80,8 +82,8 @@
         }
     }
 
-    /// Registers an attempt at a part of a query that is about to be sent. Returns the time from which on it must not be
-    /// sent any more, if there is one.
+    /// Registers an attempt at a part of a query that is about to be sent. Returns the time from
+    /// which on it must not be sent any more, if there is one.
     ///
     /// # Errors
     ///
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -11,7 +11,8 @@
 /// Longest part of a word from the file that a message quotes, in characters.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// Kind of an error in a file. The message quotes the word; [`ErrorKind::expected`] describes what is expected instead.
+/// Kind of an error in a file. The message quotes the word; [`ErrorKind::expected`] describes what
+/// is expected instead.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ErrorKind {
     /// The file is longer than [`MAX_FILE_BYTES`].
@@ -100,8 +101,8 @@
 
 /// One error in a file, with its place.
 ///
-/// Displayed as one line: file, line, column, the error and what is expected instead. As a [`Diagnostic`] it also
-/// shows the line of the file.
+/// Displayed as one line: file, line, column, the error and what is expected instead. As a
+/// [`Diagnostic`] it also shows the line of the file.
 #[derive(Clone, Debug)]
 pub struct ConfigFileError {
     file: Arc<NamedSource<String>>,
@@ -203,7 +204,8 @@
     }
 }
 
-/// A word from the file in a form that is safe in a line of a log: cut short, and escaped where it is not plain.
+/// A word from the file in a form that is safe in a line of a log: cut short, and escaped where it
+/// is not plain.
 fn quote(word: &str) -> String {
     let short: String = word.chars().take(MAX_QUOTED_CHARS).collect();
     let is_plain = short.chars().all(|c| c.is_ascii_graphic() && c != '"');
--- a/crates/operator-config/src/grammar.rs
+++ b/crates/operator-config/src/grammar.rs
@@ -26,7 +26,8 @@
 
 /// The lines of a text that hold more than blanks and comments.
 ///
-/// Any text is lines of words: an unexpected character is part of a word, and reading that word reports it.
+/// Any text is lines of words: an unexpected character is part of a word, and reading that word
+/// reports it.
 pub(crate) fn parse_lines(text: &str) -> Vec<Line> {
     let mut input = LocatingSlice::new(text);
     let mut lines = Vec::new();
--- a/crates/operator-config/src/keywords.rs
+++ b/crates/operator-config/src/keywords.rs
@@ -9,8 +9,8 @@
 pub(crate) const HTTP2_CONNECTION_WINDOW: &str = "http2-connection-window";
 pub(crate) const HTTP2_HEADER_LIST: &str = "http2-header-list";
 
-/// Longest word for which a similar keyword is looked for, in bytes. The cost of a comparison is the product of the
-/// lengths, and a longer word is not a misspelt keyword.
+/// Longest word for which a similar keyword is looked for, in bytes. The cost of a comparison is
+/// the product of the lengths, and a longer word is not a misspelt keyword.
 const MAX_MISSPELT_BYTES: usize = 64;
 
 /// When a change of a keyword's argument takes effect.
@@ -104,7 +104,8 @@
     KEYWORDS.iter().find(|keyword| keyword.name == name)
 }
 
-/// The keyword that a misspelt one probably means: the nearest by edit distance, if at most a third of it differs.
+/// The keyword that a misspelt one probably means: the nearest by edit distance, if at most a third
+/// of it differs.
 pub(crate) fn find_similar(name: &str) -> Option<&'static str> {
     if name.len() > MAX_MISSPELT_BYTES {
         return None;
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -40,7 +40,8 @@
     pub level: LogLevel,
 }
 
-/// Settings of the HTTP/2 listener. What is absent is derived from the limits of the platform's configuration.
+/// Settings of the HTTP/2 listener. What is absent is derived from the limits of the platform's
+/// configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Http2Settings {
     /// Address where clients connect.
@@ -62,7 +63,8 @@
     pub log: LogSettings,
     /// The HTTP/2 listener, if the file configures one.
     pub http2: Option<Http2Settings>,
-    /// Longest wait for parts that could share a batch; `None` means the tick interval of the platform's settings.
+    /// Longest wait for parts that could share a batch; `None` means the tick interval of the
+    /// platform's settings.
     pub gather_time: Option<Duration>,
     /// The arguments as written in the file, by keyword.
     pub(crate) arguments: BTreeMap<&'static str, String>,
@@ -94,7 +96,8 @@
         changes
     }
 
-    /// The settings in effect once a running program has read a new file: those that need a restart stay.
+    /// The settings in effect once a running program has read a new file: those that need a restart
+    /// stay.
     #[must_use]
     pub fn adopt(&self, new: &Settings) -> Settings {
         Settings {
@@ -116,8 +119,8 @@
         }
     }
 
-    /// The arguments in effect. Those that need a restart stay, so that they are reported as changed each time that
-    /// the file is read until then.
+    /// The arguments in effect. Those that need a restart stay, so that they are reported as
+    /// changed each time that the file is read until then.
     fn adopt_arguments(&self, new: &Settings) -> BTreeMap<&'static str, String> {
         let mut arguments = new.arguments.clone();
         for keyword in KEYWORDS {
--- a/crates/policy-engine/src/admitted.rs
+++ b/crates/policy-engine/src/admitted.rs
@@ -1,8 +1,8 @@
-//! The queries that the engine has admitted and not ended: the capacity that they use, the numbers of their attempts and
-//! their deadlines.
+//! The queries that the engine has admitted and not ended: the capacity that they use, the numbers
+//! of their attempts and their deadlines.
 //!
-//! [`AdmittedQueries`] knows nothing of what the policy or the broker's connections keep for a query. The engine removes
-//! a query at its end, which frees its capacity.
+//! [`AdmittedQueries`] knows nothing of what the policy or the broker's connections keep for a
+//! query. The engine removes a query at its end, which frees its capacity.
 
 use crate::commands::QuerySpec;
 use broker_types::query::{AttemptId, PartIndex, QueryId};
@@ -11,7 +11,8 @@
 
 /// A query that was admitted.
 struct AdmittedQuery {
-    /// Number of attempts started so far for each part. The policy numbers them by their order alone.
+    /// Number of attempts started so far for each part. The policy numbers them by their order
+    /// alone.
     attempts: Vec<u32>,
     /// Time at which the client stops waiting.
     deadline: Timestamp,
@@ -43,7 +44,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OverCapacity;
 
-/// All queries that were admitted and have not ended, bounded by a capacity in queries and parts together.
+/// All queries that were admitted and have not ended, bounded by a capacity in queries and parts
+/// together.
 pub(crate) struct AdmittedQueries {
     capacity: usize,
     in_use: usize,
@@ -103,7 +105,8 @@
         true
     }
 
-    /// Starts the next attempt at a part. Returns `None` where the query has ended or has no such part.
+    /// Starts the next attempt at a part. Returns `None` where the query has ended or has no such
+    /// part.
     pub(crate) fn start_attempt(
         &mut self,
         query: QueryId,
--- a/crates/policy-engine/src/commands.rs
+++ b/crates/policy-engine/src/commands.rs
@@ -83,6 +83,7 @@
     pub dispatches: Vec<Dispatch>,
     /// Number of queries among `finished` that were rejected because the capacity was exhausted.
     pub over_capacity: usize,
-    /// Number of queries among `finished` that failed because the policy had not decided before their deadline.
+    /// Number of queries among `finished` that failed because the policy had not decided before
+    /// their deadline.
     pub expired: usize,
 }
--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -25,8 +25,8 @@
 }
 
 impl PolicyEngine {
-    /// An engine that holds up to `max_in_flight` queries and parts together; `seed` is for the policy's random
-    /// number generator.
+    /// An engine that holds up to `max_in_flight` queries and parts together; `seed` is for the
+    /// policy's random number generator.
     #[must_use]
     pub fn new(settings: Settings, max_in_flight: usize, seed: u64) -> Self {
         PolicyEngine {
@@ -43,8 +43,8 @@
         self.staged.push(endpoints_event(scope, servers));
     }
 
-    /// Ends a query whose client has disconnected: it gets no [`FinishedQuery`]. Does nothing where the query is not
-    /// in flight.
+    /// Ends a query whose client has disconnected: it gets no [`FinishedQuery`]. Does nothing where
+    /// the query is not in flight.
     pub fn abandon(&mut self, query: QueryId) {
         if self.admitted.remove(query) {
             self.staged
@@ -62,7 +62,8 @@
         self.run_policy(now)
     }
 
-    /// Submits new queries. A query that exceeds the capacity is rejected without asking the policy.
+    /// Submits new queries. A query that exceeds the capacity is rejected without asking the
+    /// policy.
     pub fn submit(&mut self, now: Timestamp, queries: Vec<QuerySpec>) -> Decisions {
         if queries.is_empty() {
             return Decisions::default();
@@ -80,7 +81,8 @@
         decisions
     }
 
-    /// Runs the policy where it asked for it or where events are staged, and fails queries that are about to expire.
+    /// Runs the policy where it asked for it or where events are staged, and fails queries that are
+    /// about to expire.
     pub fn poll(&mut self, now: Timestamp) -> Decisions {
         let is_wake_due = self.wake_at.take_if(|at| now >= *at).is_some();
         if is_wake_due {
@@ -95,7 +97,8 @@
         decisions
     }
 
-    /// The latest time at which [`PolicyEngine::poll`] has to be called next; `None` where there is none.
+    /// The latest time at which [`PolicyEngine::poll`] has to be called next; `None` where there is
+    /// none.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let query_expires = self.admitted.earliest_deadline();
--- a/crates/policy-engine/src/events.rs
+++ b/crates/policy-engine/src/events.rs
@@ -1,7 +1,7 @@
 //! Translation of the engine's inputs into the policy's events.
 //!
-//! The policy counts points in time and time spans in milliseconds; [`from_micros`] is the only place where whole
-//! microseconds are given up.
+//! The policy counts points in time and time spans in milliseconds; [`from_micros`] is the only
+//! place where whole microseconds are given up.
 
 use crate::commands::{AttemptReport, QuerySpec};
 use crate::names::{part_name, query_name};
--- a/crates/policy-engine/src/names.rs
+++ b/crates/policy-engine/src/names.rs
@@ -1,7 +1,7 @@
 //! The text ids under which the policy knows queries and parts.
 //!
-//! The policy orders its work by these ids, so that numbers are padded with zeros: queries then come in the order of their
-//! arrival, and parts in the order of their index.
+//! The policy orders its work by these ids, so that numbers are padded with zeros: queries then
+//! come in the order of their arrival, and parts in the order of their index.
 
 use broker_types::query::{PartIndex, QueryId};
 use fanout_policy::api::{PartId, QueryId as PolicyQueryId};
--- a/crates/policy-engine/src/summary.rs
+++ b/crates/policy-engine/src/summary.rs
@@ -8,7 +8,8 @@
 /// A server counts as slow above this multiple of the fleet's latency per unit of outstanding work.
 const SLOW_SERVER_RATIO: f64 = 2.0;
 
-/// One figure for each class, in the order of the settings. It is displayed as `1.0,2.5`, with one decimal.
+/// One figure for each class, in the order of the settings. It is displayed as `1.0,2.5`, with one
+/// decimal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PerClass(pub Vec<f64>);
 
