--- a/crates/broker/src/upstream/attempt.rs
+++ b/crates/broker/src/upstream/attempt.rs
@@ -25,7 +25,8 @@
     pub wire_id: String,
     /// Shard that the part asks for.
     pub shard: usize,
-    /// Time until which the broker waits for the response. The frame states the time left when it is written.
+    /// Time until which the broker waits for the response. The frame states the time left when it
+    /// is written.
     pub deadline: Timestamp,
     /// Time from which on the part must not be sent any more, if there is one.
     pub send_before: Option<Timestamp>,
--- a/crates/broker/src/upstream/attempt_tracker.rs
+++ b/crates/broker/src/upstream/attempt_tracker.rs
@@ -1,7 +1,8 @@
 //! The attempts that are assigned to connections, and the times at which each is looked at again.
 //!
-//! [`AttemptTracker`] owns each attempt from its assignment to a connection until its end has been taken. It knows
-//! neither queries nor connections beyond their ids: when an attempt ends, and how, is decided by its callers.
+//! [`AttemptTracker`] owns each attempt from its assignment to a connection until its end has been
+//! taken. It knows neither queries nor connections beyond their ids: when an attempt ends, and how,
+//! is decided by its callers.
 
 use super::assignment::Assignment;
 use super::attempt::{AttemptResult, EndedAttempt, OutgoingAttempt};
@@ -130,8 +131,8 @@
         attempts
     }
 
-    /// The first attempt for which a time has been reached. One whose deadline is reached must be ended by the
-    /// caller; any other is next looked at when its deadline is reached.
+    /// The first attempt for which a time has been reached. One whose deadline is reached must be
+    /// ended by the caller; any other is next looked at when its deadline is reached.
     pub(super) fn next_expired(&mut self, now: Timestamp) -> Option<Expiry> {
         let check = *self.checks.first()?;
         if check.at > now {
--- a/crates/broker/src/upstream/cancelled_parts.rs
+++ b/crates/broker/src/upstream/cancelled_parts.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-/// Most parts that are remembered. The parts of several calls may wait at a slow server, so this is more than may be
-/// in flight at once.
+/// Most parts that are remembered. The parts of several calls may wait at a slow server, so this is
+/// more than may be in flight at once.
 const MAX_PARTS: usize = 256;
 
 /// Ids on the wire of the parts that were cancelled after they had been written, the latest last.
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -1,7 +1,7 @@
 //! One connection to a data server: the attempts assigned to it, and what its events mean for them.
 //!
-//! [`ServerConnection`] decides on the outcomes of its attempts from what was written and received. Its socket is
-//! served by a task of its own: see [`SocketHandle`].
+//! [`ServerConnection`] decides on the outcomes of its attempts from what was written and received.
+//! Its socket is served by a task of its own: see [`SocketHandle`].
 
 use super::assignment::Assignment;
 use super::attempt::{AttemptEnd, OutgoingAttempt, OutgoingPart};
@@ -40,17 +40,19 @@
     }
 }
 
-/// Outcome of an attempt whose response is no longer awaited, and what it shows about its connection.
+/// Outcome of an attempt whose response is no longer awaited, and what it shows about its
+/// connection.
 pub(super) enum Stopped {
     /// The attempt ends; the connection is kept.
     KeepConnection(Outcome),
-    /// The attempt ends, and afterwards the connection must be closed: nothing can be written to it, so that a
-    /// further attempt at the part could run beside this one, or wait behind the same socket.
+    /// The attempt ends, and afterwards the connection must be closed: nothing can be written to
+    /// it, so that a further attempt at the part could run beside this one, or wait behind the same
+    /// socket.
     CloseConnection(Outcome),
 }
 
-/// How much a connection is in use. The least is that of an idle connection, and of these of the one that has been
-/// idle for longest.
+/// How much a connection is in use. The least is that of an idle connection, and of these of the
+/// one that has been idle for longest.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ConnectionUse {
     in_flight: usize,
@@ -131,7 +133,8 @@
         self.in_flight.values().copied()
     }
 
-    /// Assigns an attempt to this connection. Its part is sent with [`ServerConnection::send_call`].
+    /// Assigns an attempt to this connection. Its part is sent with
+    /// [`ServerConnection::send_call`].
     pub(super) fn assign(&mut self, now: Timestamp, outgoing: &OutgoingAttempt) -> Assignment {
         let wire_id = outgoing.part.wire_id.clone();
         self.last_used = now;
@@ -150,8 +153,8 @@
         self.last_used = now;
     }
 
-    /// Accepts no further attempts from now on. Returns the attempts that are withdrawn because they were not sent;
-    /// the others may finish.
+    /// Accepts no further attempts from now on. Returns the attempts that are withdrawn because
+    /// they were not sent; the others may finish.
     pub(super) fn start_draining(&mut self) -> Vec<AttemptId> {
         self.is_draining = true;
         let withdrawn = self.send_queue().withdraw_all();
@@ -161,13 +164,14 @@
             .collect()
     }
 
-    /// Withdraws the part of an attempt, unless any of its bytes was written. Returns whether it is withdrawn.
+    /// Withdraws the part of an attempt, unless any of its bytes was written. Returns whether it is
+    /// withdrawn.
     pub(super) fn try_withdraw(&self, assignment: &Assignment) -> bool {
         self.send_queue().try_withdraw(assignment.wire_id())
     }
 
-    /// Stops waiting for the response to an attempt: withdraws its part, or cancels it on the server if it was
-    /// written. The caller ends the attempt.
+    /// Stops waiting for the response to an attempt: withdraws its part, or cancels it on the
+    /// server if it was written. The caller ends the attempt.
     pub(super) fn stop_waiting(
         &mut self,
         now: Timestamp,
@@ -195,8 +199,9 @@
         }
     }
 
-    /// Outcome of an attempt whose part was withdrawn, so that it never ran. If it timed out because the connection
-    /// was not established or its socket accepts nothing, the server counts as unreachable.
+    /// Outcome of an attempt whose part was withdrawn, so that it never ran. If it timed out
+    /// because the connection was not established or its socket accepts nothing, the server counts
+    /// as unreachable.
     fn stop_unsent(&self, reason: StopReason) -> Stopped {
         match reason {
             StopReason::Cancelled => Stopped::KeepConnection(Outcome::Cancelled),
@@ -235,8 +240,9 @@
         }
     }
 
-    /// Assigns a response to its attempt. A cancelled part may still be responded to; nothing needs that response.
-    /// Any other one takes the place of a response that is expected and will not arrive.
+    /// Assigns a response to its attempt. A cancelled part may still be responded to; nothing needs
+    /// that response. Any other one takes the place of a response that is expected and will not
+    /// arrive.
     fn on_response(&mut self, response: PartResponse) -> EventEffect {
         if let Some(&attempt) = self.in_flight.get(&response.id) {
             EventEffect::Respond { attempt, response }
@@ -265,8 +271,9 @@
 
     /// The ends of all attempts after the connection was lost.
     ///
-    /// A part whose frame was not written completely never ran; any other may have run. Attempts that waited on a
-    /// connection that had been established do not show whether the server is reachable.
+    /// A part whose frame was not written completely never ran; any other may have run. Attempts
+    /// that waited on a connection that had been established do not show whether the server is
+    /// reachable.
     pub(super) fn ends_after_loss(&self) -> Vec<AttemptEnd> {
         let unwritten = self.unwritten_attempts();
         let outcome_of_unwritten = if self.send_queue().was_connected() {
@@ -285,13 +292,13 @@
         self.attempts().map(end).collect()
     }
 
-    /// The ends of all attempts after the server has violated the protocol. `oldest_first` are all attempts in
-    /// flight, in the order in which they were assigned.
+    /// The ends of all attempts after the server has violated the protocol. `oldest_first` are all
+    /// attempts in flight, in the order in which they were assigned.
     ///
-    /// If nothing is in flight, this was surplus after a complete response and no attempt fails. Otherwise the
-    /// oldest sent attempt ends with an error and may have run. The other sent ones may have run as well, but are
-    /// held neither against their server, which has failed only once, nor against their queries, so they end as
-    /// cancelled.
+    /// If nothing is in flight, this was surplus after a complete response and no attempt fails.
+    /// Otherwise the oldest sent attempt ends with an error and may have run. The other sent ones
+    /// may have run as well, but are held neither against their server, which has failed only once,
+    /// nor against their queries, so they end as cancelled.
     pub(super) fn ends_after_violation(&self, oldest_first: Vec<AttemptId>) -> Vec<AttemptEnd> {
         let unwritten = self.unwritten_attempts();
         let mut outcome_of_sent = Outcome::Error;
--- a/crates/broker/src/upstream/connection_pool.rs
+++ b/crates/broker/src/upstream/connection_pool.rs
@@ -1,7 +1,7 @@
 //! The connections to all data servers: opening, selecting, draining and closing them.
 //!
-//! [`ConnectionPool`] owns each connection from its opening until its socket task is dropped, which closes the
-//! socket. What ends an attempt is reported to the caller.
+//! [`ConnectionPool`] owns each connection from its opening until its socket task is dropped, which
+//! closes the socket. What ends an attempt is reported to the caller.
 
 use super::assignment::Assignment;
 use super::connection::{ServerConnection, StopReason, Stopped};
@@ -41,8 +41,9 @@
         }
     }
 
-    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. If the address
-    /// changes, the connections to the old one are drained. Returns the attempts that are withdrawn from these.
+    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. If the
+    /// address changes, the connections to the old one are drained. Returns the attempts that are
+    /// withdrawn from these.
     pub(super) fn set_endpoint(
         &mut self,
         name: &NodeId,
@@ -78,8 +79,8 @@
         self.connections.get_mut(&id)
     }
 
-    /// A connection with capacity for a call with `parts` parts, which may be opened for it. `None`: the server
-    /// accepts no attempts, or the limit on sockets is reached.
+    /// A connection with capacity for a call with `parts` parts, which may be opened for it.
+    /// `None`: the server accepts no attempts, or the limit on sockets is reached.
     pub(super) fn acquire(
         &mut self,
         now: Timestamp,
@@ -124,14 +125,15 @@
         Some(connection)
     }
 
-    /// Withdraws the part of an attempt, unless any of its bytes was written. Returns whether it is withdrawn.
+    /// Withdraws the part of an attempt, unless any of its bytes was written. Returns whether it is
+    /// withdrawn.
     pub(super) fn try_withdraw(&self, assignment: &Assignment) -> bool {
         let connection = self.connections.get(&assignment.connection());
         connection.is_some_and(|connection| connection.try_withdraw(assignment))
     }
 
-    /// Stops waiting for the response to an attempt: withdraws its part, or cancels it on the server if it was
-    /// written.
+    /// Stops waiting for the response to an attempt: withdraws its part, or cancels it on the
+    /// server if it was written.
     pub(super) fn stop_waiting(
         &mut self,
         now: Timestamp,
--- a/crates/broker/src/upstream/pools.rs
+++ b/crates/broker/src/upstream/pools.rs
@@ -1,7 +1,7 @@
 //! The pools of all data servers, as the event loop uses them.
 //!
-//! [`ServerPools`] composes the [`ConnectionPool`] and the [`AttemptTracker`]: whatever ends an attempt on the one
-//! side is passed on to the other.
+//! [`ServerPools`] composes the [`ConnectionPool`] and the [`AttemptTracker`]: whatever ends an
+//! attempt on the one side is passed on to the other.
 
 use super::attempt::{AttemptEnd, AttemptResult, EndedAttempt, OutgoingAttempt};
 use super::attempt_tracker::{AttemptTracker, Expiry};
@@ -45,8 +45,9 @@
         }
     }
 
-    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. If the address
-    /// changes, the connections to the old one are drained and unsent attempts on them end as not sent.
+    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. If the
+    /// address changes, the connections to the old one are drained and unsent attempts on them end
+    /// as not sent.
     pub fn set_endpoint(&mut self, now: Timestamp, name: &NodeId, endpoint: Option<SocketAddr>) {
         for attempt in self.connections.set_endpoint(name, endpoint) {
             self.end_attempt(now, attempt, Outcome::NotSent);
@@ -65,7 +66,8 @@
         self.connections.len()
     }
 
-    /// Sends the attempts of one iteration of the event loop. Those for one server are combined into calls.
+    /// Sends the attempts of one iteration of the event loop. Those for one server are combined
+    /// into calls.
     pub fn send_attempts(&mut self, now: Timestamp, attempts: Vec<OutgoingAttempt>) {
         let mut by_server: BTreeMap<NodeId, Vec<OutgoingAttempt>> = BTreeMap::new();
         for attempt in attempts {
@@ -104,8 +106,9 @@
         self.stop_waiting(now, attempt, StopReason::Cancelled);
     }
 
-    /// Withdraws the unsent attempts of a query that has ended, or those at one part of it that was served. None
-    /// of them reaches a server, so this is permitted also where sent attempts may not be cancelled.
+    /// Withdraws the unsent attempts of a query that has ended, or those at one part of it that was
+    /// served. None of them reaches a server, so this is permitted also where sent attempts may not
+    /// be cancelled.
     pub fn cancel_unsent(&mut self, now: Timestamp, query: QueryId, part: Option<PartIndex>) {
         for attempt in self.attempts.of_query(query, part) {
             self.withdraw_unsent(now, attempt);
@@ -114,9 +117,9 @@
 
     /// Takes the attempts that have ended, including those whose deadline is reached by now.
     ///
-    /// Each iteration of the event loop begins with this: the policy ends a query at the moment at which its
-    /// attempts time out, and would otherwise cancel them first, so that no time-out was ever reported and silent
-    /// servers remained undetected.
+    /// Each iteration of the event loop begins with this: the policy ends a query at the moment at
+    /// which its attempts time out, and would otherwise cancel them first, so that no time-out was
+    /// ever reported and silent servers remained undetected.
     pub fn take_ended_attempts(&mut self, now: Timestamp) -> Vec<EndedAttempt> {
         while let Some(expiry) = self.attempts.next_expired(now) {
             match expiry {
@@ -153,8 +156,8 @@
         }
     }
 
-    /// Closes connections that are idle for too long, that are draining and idle, or on which an incomplete frame
-    /// has made no progress for too long.
+    /// Closes connections that are idle for too long, that are draining and idle, or on which an
+    /// incomplete frame has made no progress for too long.
     pub fn close_expired_connections(&mut self, now: Timestamp) {
         self.connections.close_expired(now);
         for id in self.connections.stalled(now) {
@@ -177,7 +180,8 @@
         }
     }
 
-    /// Ends an attempt that was cancelled or timed out, and cancels it on the server if it was sent.
+    /// Ends an attempt that was cancelled or timed out, and cancels it on the server if it was
+    /// sent.
     fn stop_waiting(&mut self, now: Timestamp, attempt: AttemptId, reason: StopReason) {
         let Some(assignment) = self.attempts.assignment(attempt) else {
             return;
@@ -211,8 +215,8 @@
         }
     }
 
-    /// Closes a connection on which the server has violated the protocol: whatever follows cannot be relied on. Ends
-    /// all attempts on it.
+    /// Closes a connection on which the server has violated the protocol: whatever follows cannot
+    /// be relied on. Ends all attempts on it.
     fn fail_connection(
         &mut self,
         now: Timestamp,
--- a/crates/broker/src/upstream/selection.rs
+++ b/crates/broker/src/upstream/selection.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most connections to one server, if the limit on sockets allows as many. An invalid response ends all attempts
-/// in flight on its connection, so calls are spread over several ones.
+/// Most connections to one server, if the limit on sockets allows as many. An invalid response ends
+/// all attempts in flight on its connection, so calls are spread over several ones.
 const MAX_CONNECTIONS_PER_SERVER: usize = 4;
 
 /// The connection for a call.
@@ -52,9 +52,10 @@
 
     /// Selects a connection with capacity for a call with `parts` parts.
     ///
-    /// An idle connection is preferred, and of these the one that has been idle for longest: a server may close a
-    /// connection right after its response, and an attempt that crosses the closing ends as a reset. Otherwise a
-    /// new connection is opened, or the one with the fewest attempts in flight is used if no more are allowed.
+    /// An idle connection is preferred, and of these the one that has been idle for longest: a
+    /// server may close a connection right after its response, and an attempt that crosses the
+    /// closing ends as a reset. Otherwise a new connection is opened, or the one with the fewest
+    /// attempts in flight is used if no more are allowed.
     pub(super) fn select(&self, server: &NodeId, parts: usize) -> Selection {
         let Some(address) = self.servers.endpoint(server) else {
             return Selection::NotServing;
@@ -73,7 +74,8 @@
         }
     }
 
-    /// Of the connections to a server that have capacity for `parts` more parts, the least used one.
+    /// Of the connections to a server that have capacity for `parts` more parts, the least used
+    /// one.
     fn least_used(&self, server: &NodeId, parts: usize) -> Option<&ServerConnection> {
         let max_in_flight = self.limits.max_parts_per_connection;
         self.servers
--- a/crates/broker/src/upstream/send_queue.rs
+++ b/crates/broker/src/upstream/send_queue.rs
@@ -63,8 +63,9 @@
     }
 }
 
-/// The frames that wait to be written to one connection. A part can be withdrawn until the socket has accepted the
-/// first byte of its frame. The queue is bounded by the attempts that may be in flight.
+/// The frames that wait to be written to one connection. A part can be withdrawn until the socket
+/// has accepted the first byte of its frame. The queue is bounded by the attempts that may be in
+/// flight.
 pub(super) struct SendQueue {
     frames: RefCell<VecDeque<OutgoingFrame>>,
     /// Ids of parts that expired before they could be written.
@@ -102,7 +103,8 @@
         let _ = self.wake_sender.try_send(());
     }
 
-    /// Removes a part unless any of its bytes was written. Returns whether the part was here and is removed.
+    /// Removes a part unless any of its bytes was written. Returns whether the part was here and is
+    /// removed.
     pub(super) fn try_withdraw(&self, wire_id: &str) -> bool {
         let mut is_withdrawn = self.expired.borrow_mut().remove(wire_id);
         self.frames.borrow_mut().retain_mut(|frame| {
@@ -164,8 +166,8 @@
         self.is_socket_full.set(false);
     }
 
-    /// Whether the socket does not accept the frames that wait for it. The socket task runs between the iterations
-    /// of the event loop, so a frame that is still being written in one is held up.
+    /// Whether the socket does not accept the frames that wait for it. The socket task runs between
+    /// the iterations of the event loop, so a frame that is still being written in one is held up.
     pub(super) fn is_blocked(&self) -> bool {
         self.is_socket_full.get() || self.writing.borrow().is_some()
     }
@@ -177,8 +179,8 @@
         }
     }
 
-    /// Takes the next frame and encodes it as of now. Expired parts are left out, and a call is skipped if all of
-    /// its parts have expired. `None`: there is no frame left.
+    /// Takes the next frame and encodes it as of now. Expired parts are left out, and a call is
+    /// skipped if all of its parts have expired. `None`: there is no frame left.
     pub(super) fn start_frame(&self, now: Timestamp) -> Option<StartedFrame> {
         loop {
             let mut frame = self.frames.borrow_mut().pop_front()?;
--- a/crates/broker/src/upstream/server_table.rs
+++ b/crates/broker/src/upstream/server_table.rs
@@ -20,8 +20,8 @@
 }
 
 impl ServerTable {
-    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. Returns the connections
-    /// that lead to a former address.
+    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed.
+    /// Returns the connections that lead to a former address.
     pub(super) fn set_endpoint(
         &mut self,
         name: &NodeId,
--- a/crates/broker/src/upstream/socket.rs
+++ b/crates/broker/src/upstream/socket.rs
@@ -1,5 +1,5 @@
-//! The sockets of connections. Each is opened, written and read by a task of its own, which reports what happens to
-//! the event queue.
+//! The sockets of connections. Each is opened, written and read by a task of its own, which reports
+//! what happens to the event queue.
 
 use super::send_queue::{SendQueue, StartedFrame};
 use crate::clock::{Clock, with_timeout};
@@ -103,7 +103,8 @@
                     let error = write_frames(&stream, &self.send_queue, self.clock).await;
                     ConnectionEvent::Closed(error)
                 };
-                // Reading is polled first: nothing is written to a connection that the server has closed by then.
+                // Reading is polled first: nothing is written to a connection that the server has
+                // closed by then.
                 self.read_frames(&stream).or(write).await
             }
             Err(error) => ConnectionEvent::Closed(error),
@@ -201,7 +202,8 @@
     Interrupted,
 }
 
-/// Writes as much of a started frame as the socket accepts at once, or puts it back if that is nothing.
+/// Writes as much of a started frame as the socket accepts at once, or puts it back if that is
+/// nothing.
 fn write_first_bytes(
     stream: &Async<TcpStream>,
     send_queue: &SendQueue,
--- a/crates/broker/src/upstream/tests/cancellation.rs
+++ b/crates/broker/src/upstream/tests/cancellation.rs
@@ -15,7 +15,8 @@
     assert!(pools.attempts().ids().all(|id| id.query == QueryId(2)));
 }
 
-/// A connection whose socket accepts nothing looks idle once its queue is empty: it must not be used again.
+/// A connection whose socket accepts nothing looks idle once its queue is empty: it must not be
+/// used again.
 #[test]
 fn connection_that_accepted_nothing_of_an_attempt_is_closed_at_its_deadline() {
     let (broker, _server) = socket_pair();
--- a/crates/broker/src/upstream/tests/connections.rs
+++ b/crates/broker/src/upstream/tests/connections.rs
@@ -19,7 +19,8 @@
     assert_eq!(in_flight, [4; 5]);
 }
 
-/// A server may close a connection right after its response: the one idle for longest is the safest.
+/// A server may close a connection right after its response: the one idle for longest is the
+/// safest.
 #[test]
 fn connection_idle_for_longest_is_selected() {
     let mut pools = TestPools::new(limits());
--- a/crates/broker/src/upstream/tests/failures.rs
+++ b/crates/broker/src/upstream/tests/failures.rs
@@ -60,7 +60,8 @@
     }
 }
 
-/// A further attempt at a part must not be sent while a blocked socket holds back the cancellation of the first.
+/// A further attempt at a part must not be sent while a blocked socket holds back the cancellation
+/// of the first.
 #[test]
 fn connection_blocked_within_a_frame_is_closed_when_an_attempt_is_cancelled() {
     let mut pools = TestPools::new(limits());
@@ -74,8 +75,8 @@
     assert_eq!(pools.open_connections(), 0);
 }
 
-/// The server closes an idle connection, and an attempt is sent before the pools have handled that: it must not end
-/// as one that may have run, which some classes may not repeat.
+/// The server closes an idle connection, and an attempt is sent before the pools have handled that:
+/// it must not end as one that may have run, which some classes may not repeat.
 #[test]
 fn attempt_sent_on_a_connection_that_the_server_has_closed_ends_as_not_sent() {
     let mut pools = TestPools::new(limits());
--- a/crates/broker/src/upstream/tests/mod.rs
+++ b/crates/broker/src/upstream/tests/mod.rs
@@ -1,4 +1,5 @@
-//! Tests of the pools. Events of connections are made by hand except where a test needs real sockets.
+//! Tests of the pools. Events of connections are made by hand except where a test needs real
+//! sockets.
 
 mod cancellation;
 mod connections;
--- a/crates/broker/src/upstream/tests/responses.rs
+++ b/crates/broker/src/upstream/tests/responses.rs
@@ -3,8 +3,9 @@
 use super::*;
 use server_protocol::InvalidFrame;
 
-/// A response to a part that is not in flight takes the place of one that will not arrive, so that one must not be
-/// waited for. It is one failure of the server, whatever else was in flight, and none of a query's own.
+/// A response to a part that is not in flight takes the place of one that will not arrive, so that
+/// one must not be waited for. It is one failure of the server, whatever else was in flight, and
+/// none of a query's own.
 #[test]
 fn invalid_response_fails_one_attempt_and_closes_its_connection() {
     for event in [
@@ -26,7 +27,8 @@
     }
 }
 
-/// A duplicate response or noise after a valid response fails no attempt, but the connection is unreliable.
+/// A duplicate response or noise after a valid response fails no attempt, but the connection is
+/// unreliable.
 #[test]
 fn surplus_data_after_a_valid_response_closes_the_connection_and_fails_no_attempt() {
     for surplus in [
@@ -58,8 +60,8 @@
     assert_eq!(pools.open_connections(), 0);
 }
 
-/// A slow server responds in order to parts that were cancelled several rounds ago: that must not end the attempts
-/// that are in flight now.
+/// A slow server responds in order to parts that were cancelled several rounds ago: that must not
+/// end the attempts that are in flight now.
 #[test]
 fn late_responses_to_more_parts_than_may_be_in_flight_are_ignored() {
     let mut pools = TestPools::new(single_socket());
--- a/crates/broker/src/upstream/tests/send_queue.rs
+++ b/crates/broker/src/upstream/tests/send_queue.rs
@@ -10,7 +10,8 @@
     OutgoingFrame::Call(vec![outgoing_part(wire_id, deadline)])
 }
 
-/// A part counts as sent from its first byte on: until the socket accepts that, the part can be withdrawn.
+/// A part counts as sent from its first byte on: until the socket accepts that, the part can be
+/// withdrawn.
 #[test]
 fn part_can_be_withdrawn_while_the_socket_is_full() {
     let (broker, mut server) = socket_pair();
@@ -26,7 +27,8 @@
     assert_eq!(server.read(&mut received).unwrap(), 0);
 }
 
-/// The time that a part spent in the queue is not available to the server, and a part without time is not sent.
+/// The time that a part spent in the queue is not available to the server, and a part without time
+/// is not sent.
 #[test]
 fn frame_states_the_time_left_when_it_is_written() {
     let send_queue = SendQueue::default();
--- a/crates/endpoint-control/src/ejection_quorum.rs
+++ b/crates/endpoint-control/src/ejection_quorum.rs
@@ -1,10 +1,11 @@
 //! Ejects servers on the reports of several proxies, and limits how many servers are ejected.
 //!
-//! The view of one proxy may be wrong: its own link is cut, its clock stands still, or it reports falsely. A server is
-//! therefore ejected for all proxies only by a quorum of those that have sent it requests recently. A zone whose servers
-//! are all unreachable at once is taken for partitioned rather than failed, and its servers are not ejected for being
-//! unreachable. A cap on the ejected servers of a cell keeps the others from being overloaded. A server that is ejected
-//! again and again stays ejected for longer each time.
+//! The view of one proxy may be wrong: its own link is cut, its clock stands still, or it reports
+//! falsely. A server is therefore ejected for all proxies only by a quorum of those that have sent
+//! it requests recently. A zone whose servers are all unreachable at once is taken for partitioned
+//! rather than failed, and its servers are not ejected for being unreachable. A cap on the ejected
+//! servers of a cell keeps the others from being overloaded. A server that is ejected again and
+//! again stays ejected for longer each time.
 
 mod record;
 mod report;
@@ -30,8 +31,8 @@
     pub zone: Option<usize>,
 }
 
-/// The reports of proxies and the ejections that follow from them. Its size is bounded by the number of proxies times
-/// the number of servers with recent reports.
+/// The reports of proxies and the ejections that follow from them. Its size is bounded by the
+/// number of proxies times the number of servers with recent reports.
 #[derive(Clone, Debug)]
 pub struct EjectionQuorum {
     rule: EjectionRule,
@@ -61,7 +62,8 @@
         }
     }
 
-    /// Takes a proxy's report of a server in place of its last one. A report without requests is ignored.
+    /// Takes a proxy's report of a server in place of its last one. A report without requests is
+    /// ignored.
     pub fn on_report(
         &mut self,
         now: Timestamp,
@@ -75,8 +77,8 @@
         }
     }
 
-    /// Decides about all servers of the list and returns when the ejection of each ejected one ends. The number of
-    /// proxies counts those that are connected to any control instance.
+    /// Decides about all servers of the list and returns when the ejection of each ejected one
+    /// ends. The number of proxies counts those that are connected to any control instance.
     pub fn evaluate(
         &mut self,
         now: Timestamp,
@@ -109,7 +111,8 @@
         self.records.retain(|_, record| !record.is_empty());
     }
 
-    /// Whether a server that is not ejected has the votes of a quorum, for a reason other than a partition.
+    /// Whether a server that is not ejected has the votes of a quorum, for a reason other than a
+    /// partition.
     fn has_votes_to_eject(
         &self,
         location: &ServerLocation,
--- a/crates/endpoint-control/src/ejection_quorum/record.rs
+++ b/crates/endpoint-control/src/ejection_quorum/record.rs
@@ -1,4 +1,5 @@
-//! What is known of one server: the last report of each proxy, the votes among them, and its ejections.
+//! What is known of one server: the last report of each proxy, the votes among them, and its
+//! ejections.
 
 use super::report::ServerReport;
 use super::rule::EjectionRule;
@@ -113,8 +114,8 @@
             .collect();
         let reporting = self.reports.len() as f64;
         let share = (rule.min_vote_share * reporting).ceil().max(1.0) as usize;
-        // One proxy alone proves nothing where others exist, even if none of them sends to this server. Where it is the
-        // only one, there is no other view.
+        // One proxy alone proves nothing where others exist, even if none of them sends to this
+        // server. Where it is the only one, there is no other view.
         let needed = share.max(rule.min_votes.min(connected_proxies));
         if votes.is_empty() || votes.len() < needed {
             return None;
--- a/crates/endpoint-control/src/ejection_quorum/rule.rs
+++ b/crates/endpoint-control/src/ejection_quorum/rule.rs
@@ -5,7 +5,8 @@
 /// The figures of ejection.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EjectionRule {
-    /// Smallest number of votes that eject a server. If fewer proxies are connected, all of them have to vote.
+    /// Smallest number of votes that eject a server. If fewer proxies are connected, all of them
+    /// have to vote.
     pub min_votes: usize,
     /// Smallest share of the reporting proxies whose votes eject a server.
     pub min_vote_share: f64,
--- a/crates/endpoint-control/src/endpoint_assignment.rs
+++ b/crates/endpoint-control/src/endpoint_assignment.rs
@@ -1,10 +1,11 @@
 //! The clusters and endpoints that proxies receive.
 //!
-//! A cell becomes a cluster: its servers hold the same shards, so each of them can answer, and no other server can. A
-//! server's row, which is its position among the servers of its cell by name, is part of its endpoint, so that a proxy
-//! that can route by it keeps the parts of a query to one row. All proxies receive the same clusters of warmed-up
-//! servers. A server that is warming up is not an endpoint of its cell's cluster: it is a cluster of its own, which only
-//! the holders of a lease on it receive, with their units as its limit of requests in flight.
+//! A cell becomes a cluster: its servers hold the same shards, so each of them can answer, and no
+//! other server can. A server's row, which is its position among the servers of its cell by name,
+//! is part of its endpoint, so that a proxy that can route by it keeps the parts of a query to one
+//! row. All proxies receive the same clusters of warmed-up servers. A server that is warming up is
+//! not an endpoint of its cell's cluster: it is a cluster of its own, which only the holders of a
+//! lease on it receive, with their units as its limit of requests in flight.
 
 mod slow_start_assigner;
 
@@ -17,7 +18,8 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Weights of endpoints. Each is about 1.4 times the one before, so that small changes of the latency change none.
+/// Weights of endpoints. Each is about 1.4 times the one before, so that small changes of the
+/// latency change none.
 const WEIGHTS: [u32; 7] = [16, 23, 32, 45, 64, 91, 128];
 /// Index of the weight at the usual latency.
 const USUAL_WEIGHT: usize = 4;
@@ -61,9 +63,10 @@
     pub endpoints: Vec<AssignedEndpoint>,
 }
 
-/// The clusters that all proxies receive at this moment. `ejected_until` holds the servers that a quorum of proxies has
-/// ejected. If all servers of a cell that take requests are ejected, they are assigned as healthy: some of them may
-/// work, and a proxy without any healthy endpoint sends nothing.
+/// The clusters that all proxies receive at this moment. `ejected_until` holds the servers that a
+/// quorum of proxies has ejected. If all servers of a cell that take requests are ejected, they are
+/// assigned as healthy: some of them may work, and a proxy without any healthy endpoint sends
+/// nothing.
 #[must_use]
 pub fn assign_clusters(
     now: Timestamp,
@@ -162,7 +165,8 @@
     }
 }
 
-/// The weight of an endpoint of this latency. A latency that is not a positive number counts as the usual one.
+/// The weight of an endpoint of this latency. A latency that is not a positive number counts as the
+/// usual one.
 fn weight(relative_latency: f64) -> u32 {
     let latency = if relative_latency.is_finite() && relative_latency > 0.0 {
         relative_latency
--- a/crates/endpoint-control/src/endpoint_assignment/slow_start_assigner.rs
+++ b/crates/endpoint-control/src/endpoint_assignment/slow_start_assigner.rs
@@ -21,7 +21,8 @@
     pub max_in_flight: u32,
 }
 
-/// The servers and the proxies of one control instance, between which it assigns the servers that are warming up.
+/// The servers and the proxies of one control instance, between which it assigns the servers that
+/// are warming up.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartAssigner<'a> {
     /// All servers.
@@ -35,9 +36,10 @@
 }
 
 impl SlowStartAssigner<'_> {
-    /// Grants and renews leases on the servers that are warming up, and returns the endpoints that each proxy receives.
-    /// It has to be called again well within the leases' time to live. Holders of a lease keep it; other proxies follow
-    /// in rotation, which begins at another proxy for each server.
+    /// Grants and renews leases on the servers that are warming up, and returns the endpoints that
+    /// each proxy receives. It has to be called again well within the leases' time to live. Holders
+    /// of a lease keep it; other proxies follow in rotation, which begins at another proxy for each
+    /// server.
     pub fn assign_endpoints(
         &self,
         now: Timestamp,
--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -1,19 +1,21 @@
 //! Leases on the requests in flight at a server that is warming up.
 //!
-//! A lease allows one proxy, its holder, a number of requests in flight (units) at one server. The proxy receives it as
-//! a limit on the server's cluster with a time to live, so that a proxy that is cut off stops by itself. The units of a
-//! lease stay reserved until its holder can no longer use them. That is later than the time to live after the lease was
-//! sent, since the proxy counts the time to live from when it *reads* the message, which may wait in its socket while
-//! the proxy is paused:
+//! A lease allows one proxy, its holder, a number of requests in flight (units) at one server. The
+//! proxy receives it as a limit on the server's cluster with a time to live, so that a proxy that
+//! is cut off stops by itself. The units of a lease stay reserved until its holder can no longer
+//! use them. That is later than the time to live after the lease was sent, since the proxy counts
+//! the time to live from when it *reads* the message, which may wait in its socket while the proxy
+//! is paused:
 //!
 //! - a message that is not acknowledged keeps the lease without end;
-//! - once it is acknowledged, the lease lasts for the time to live from then, as the proxy began to count before;
-//! - if the stream ends without an acknowledgement, the lease lasts for the longest pause of a proxy and the time to
-//!   live.
+//! - once it is acknowledged, the lease lasts for the time to live from then, as the proxy began to
+//!   count before;
+//! - if the stream ends without an acknowledgement, the lease lasts for the longest pause of a
+//!   proxy and the time to live.
 //!
-//! In each case the requests that the holder sent last have to end too. The reserved units of a server never exceed its
-//! limit, whatever the order of grants, late or lost messages, and proxies that disappear: `tests/lease_model` checks
-//! all orders of a small case.
+//! In each case the requests that the holder sent last have to end too. The reserved units of a
+//! server never exceed its limit, whatever the order of grants, late or lost messages, and proxies
+//! that disappear: `tests/lease_model` checks all orders of a small case.
 
 use crate::ProxyName;
 use crate::slow_start::SlowStartRule;
@@ -68,7 +70,8 @@
     }
 }
 
-/// All leases whose units are reserved, by server and holder. Its size is bounded by the limits of the servers.
+/// All leases whose units are reserved, by server and holder. Its size is bounded by the limits of
+/// the servers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTable {
     times: LeaseTimes,
@@ -85,9 +88,10 @@
         }
     }
 
-    /// Grants a lease on the wanted units or on those that are free, or renews the holder's lease. Returns the units
-    /// that the holder may use from now on, which may be none. If there are any, a message to the holder has to follow,
-    /// and later [`LeaseTable::on_acknowledged`] or [`LeaseTable::on_stream_ended`].
+    /// Grants a lease on the wanted units or on those that are free, or renews the holder's lease.
+    /// Returns the units that the holder may use from now on, which may be none. If there are any,
+    /// a message to the holder has to follow, and later [`LeaseTable::on_acknowledged`] or
+    /// [`LeaseTable::on_stream_ended`].
     pub fn grant(&mut self, now: Timestamp, request: LeaseRequest<'_>) -> u32 {
         self.expire(now);
         let reserved = self.reserved_units(request.server);
@@ -96,7 +100,8 @@
         match leases.get_mut(request.holder) {
             Some(lease) if lease.is_draining() => 0,
             Some(lease) => {
-                // A renewal never takes units back: a holder that has not read of it would use the earlier number.
+                // A renewal never takes units back: a holder that has not read of it would use the
+                // earlier number.
                 let missing = request.wanted_units.saturating_sub(lease.units);
                 lease.units += free.min(missing);
                 lease.state = LeaseState::Unacknowledged;
@@ -188,7 +193,8 @@
     }
 }
 
-/// The units that each of so many proxies requests at a server of this age: an even share of its limit, at least one.
+/// The units that each of so many proxies requests at a server of this age: an even share of its
+/// limit, at least one.
 pub(crate) fn fair_units(rule: &SlowStartRule, age: Duration, proxies: usize) -> u32 {
     let limit = rule.max_in_flight(age);
     limit.div_ceil(proxies.max(1) as u32).max(1)
--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -1,12 +1,15 @@
 //! Assigns data servers to many proxies as clusters and endpoints, without I/O or a clock.
 //!
-//! The fan-out policy decides whether a server is healthy, ejected, draining or warming up. This package turns those
-//! views into assignments that stay safe although each proxy may be late, cut off, or carry most of the traffic:
+//! The fan-out policy decides whether a server is healthy, ejected, draining or warming up. This
+//! package turns those views into assignments that stay safe although each proxy may be late, cut
+//! off, or carry most of the traffic:
 //!
-//! - [`slow_start`] limits the requests that a server which is warming up may have in flight from all proxies together;
-//! - [`leases`] divides that limit among proxies, and reserves each part until its holder can no longer use it;
-//! - [`ejection_quorum`] ejects a server on the reports of several proxies, never of one, and limits how many servers
-//!   are ejected;
+//! - [`slow_start`] limits the requests that a server which is warming up may have in flight from
+//!   all proxies together;
+//! - [`leases`] divides that limit among proxies, and reserves each part until its holder can no
+//!   longer use it;
+//! - [`ejection_quorum`] ejects a server on the reports of several proxies, never of one, and
+//!   limits how many servers are ejected;
 //! - [`endpoint_assignment`] makes the clusters and endpoints of the proxies.
 //!
 //! ```
@@ -64,7 +67,8 @@
     pub ejected_until: Option<Timestamp>,
     /// When its process started, if it may still be warming up.
     pub started_at: Option<Timestamp>,
-    /// Its latency per unit of outstanding work, relative to the fleet's: 1 is usual, 2 is half as fast.
+    /// Its latency per unit of outstanding work, relative to the fleet's: 1 is usual, 2 is half as
+    /// fast.
     pub relative_latency: f64,
 }
 
--- a/crates/endpoint-control/src/slow_start.rs
+++ b/crates/endpoint-control/src/slow_start.rs
@@ -1,18 +1,20 @@
 //! The limit of requests in flight at a server that is warming up.
 //!
-//! The work that is sent to such a server in any window of time has to stay under a multiple of the work that the
-//! server can do in that window. Weights cannot ensure that: a share of an unknown total is unknown, and the total
-//! changes with the traffic of each proxy. A limit on the requests *in flight* can. A request that reaches the server
-//! within a window was either in flight at its beginning, or took the place of one that ended within it; and the server
-//! completes no more than its capacity. So with at most `K` requests in flight at any moment, each of at most `w` work,
+//! The work that is sent to such a server in any window of time has to stay under a multiple of the
+//! work that the server can do in that window. Weights cannot ensure that: a share of an unknown
+//! total is unknown, and the total changes with the traffic of each proxy. A limit on the requests
+//! *in flight* can. A request that reaches the server within a window was either in flight at its
+//! beginning, or took the place of one that ended within it; and the server completes no more than
+//! its capacity. So with at most `K` requests in flight at any moment, each of at most `w` work,
 //!
 //! ```text
 //! work sent in a window <= K * w + capacity * window
 //! ```
 //!
-//! and `K * w <= (multiple - 1) * capacity * window` keeps the rule, whoever sends and however late the senders learn of
-//! a change. A server that rejects or fails requests at once frees their places without doing work: its queue must be
-//! longer than `K`, and a server that fails is ejected, see [`crate::ejection_quorum`].
+//! and `K * w <= (multiple - 1) * capacity * window` keeps the rule, whoever sends and however late
+//! the senders learn of a change. A server that rejects or fails requests at once frees their
+//! places without doing work: its queue must be longer than `K`, and a server that fails is
+//! ejected, see [`crate::ejection_quorum`].
 
 use broker_types::time::whole_micros;
 use const_fnv1a_hash::fnv1a_hash_str_32;
@@ -36,16 +38,16 @@
     pub overload_multiple: f64,
     /// ... over a window of this length.
     pub overload_window: Duration,
-    /// Capacity of a warmed-up server, in microseconds of work a second: a million for each core of the smallest
-    /// machine type.
+    /// Capacity of a warmed-up server, in microseconds of work a second: a million for each core of
+    /// the smallest machine type.
     pub capacity: f64,
     /// Work of a request with its call, in microseconds: the mean of the class with the most work.
     pub request_work: f64,
 }
 
 impl SlowStartRule {
-    /// The share of its capacity that a server of this age has at least. It never decreases with age, so that a sender
-    /// with outdated figures sends less.
+    /// The share of its capacity that a server of this age has at least. It never decreases with
+    /// age, so that a sender with outdated figures sends less.
     #[must_use]
     pub fn capacity_share(&self, age: Duration) -> f64 {
         let progress = micros(age) / micros(self.warm_up_duration).max(1.0);
@@ -73,7 +75,8 @@
     whole_micros(span) as f64
 }
 
-/// One of the control instances that divide the limits of all servers among themselves without communication.
+/// One of the control instances that divide the limits of all servers among themselves without
+/// communication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlInstance {
     /// Its number, from 0.
@@ -83,8 +86,9 @@
 }
 
 impl ControlInstance {
-    /// This instance's share of a server's limit. The shares of all instances add up to the limit. The instances that
-    /// get the remainder differ between servers, so that no instance always gets less.
+    /// This instance's share of a server's limit. The shares of all instances add up to the limit.
+    /// The instances that get the remainder differ between servers, so that no instance always gets
+    /// less.
     #[must_use]
     pub fn share_of_limit(self, limit: u32, server: &str) -> u32 {
         let count = self.count.max(1);
--- a/crates/endpoint-control/tests/endpoint_control/leases.rs
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -64,7 +64,8 @@
     );
 }
 
-/// A proxy that is cut off uses its lease until the end of the time to live, and its last request lasts longer.
+/// A proxy that is cut off uses its lease until the end of the time to live, and its last request
+/// lasts longer.
 #[test]
 fn lease_stays_reserved_until_its_holder_cannot_use_it() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
@@ -86,7 +87,8 @@
     assert_eq!(grant(&mut leases, seconds(12), Wanted::all(0, 3)), 3);
 }
 
-/// A message that is not acknowledged may be read late: until the longest pause of a proxy after the end of its stream.
+/// A message that is not acknowledged may be read late: until the longest pause of a proxy after
+/// the end of its stream.
 #[test]
 fn unacknowledged_lease_stays_reserved_until_its_stream_has_ended() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
--- a/crates/endpoint-control/tests/endpoint_control/slow_start.rs
+++ b/crates/endpoint-control/tests/endpoint_control/slow_start.rs
@@ -21,8 +21,8 @@
     work: f64,
 }
 
-/// Clients that always have as many requests in flight as the limit allows, which is the worst case, and a server that
-/// does as much as its present capacity allows.
+/// Clients that always have as many requests in flight as the limit allows, which is the worst
+/// case, and a server that does as much as its present capacity allows.
 fn requests_of_saturating_clients() -> Vec<SentRequest> {
     const STEP: Duration = Duration::from_millis(1);
     let rule = SLOW_START_RULE;
@@ -70,8 +70,9 @@
     assert!(requests.len() > 100);
 }
 
-/// A limit of one request goes to the instance whose number and the hash of the server's name add up to the number of
-/// instances. Control instances of different builds divide a limit only if their hashes agree.
+/// A limit of one request goes to the instance whose number and the hash of the server's name add
+/// up to the number of instances. Control instances of different builds divide a limit only if
+/// their hashes agree.
 #[test]
 fn remainder_of_the_limit_goes_by_the_fnv1a_hash_of_the_server_name() {
     const COUNT: u32 = u32::MAX;
--- a/crates/endpoint-control/tests/lease_model/main.rs
+++ b/crates/endpoint-control/tests/lease_model/main.rs
@@ -1,6 +1,6 @@
-//! A model of two proxies and one server that is warming up, checked for all orders of events: messages that are read
-//! late, streams that end, and proxies that connect again. The requests that the proxies together may have in flight
-//! never exceed the limit of the server.
+//! A model of two proxies and one server that is warming up, checked for all orders of events:
+//! messages that are read late, streams that end, and proxies that connect again. The requests that
+//! the proxies together may have in flight never exceed the limit of the server.
 
 mod figures;
 mod model;
@@ -25,7 +25,8 @@
     assert!(states > 10_000, "{states} states");
 }
 
-/// The check finds the fault that it is made for: a time to live that is counted from when the message was sent.
+/// The check finds the fault that it is made for: a time to live that is counted from when the
+/// message was sent.
 #[test]
 fn time_to_live_counted_from_sending_breaks_the_limit() {
     let checker = check(LeaseModel {
--- a/crates/endpoint-control/tests/lease_model/proxy.rs
+++ b/crates/endpoint-control/tests/lease_model/proxy.rs
@@ -24,7 +24,8 @@
     pub(crate) connected: bool,
     /// Limits that were sent to the proxy and not read, in order.
     pub(crate) unread_limits: VecDeque<u32>,
-    /// When its last stream ended. It reads what was sent before within the longest pause, or never.
+    /// When its last stream ended. It reads what was sent before within the longest pause, or
+    /// never.
     stream_ended_at: Option<Timestamp>,
     /// The limit that it uses.
     pub(crate) limit: u32,
@@ -60,7 +61,8 @@
         } else {
             0
         };
-        // One limit holds for all requests in flight: a larger earlier one is not added to the current one.
+        // One limit holds for all requests in flight: a larger earlier one is not added to the
+        // current one.
         self.remaining_requests
             .iter()
             .filter(|remaining| now < remaining.until)
--- a/crates/http1-codec/src/body.rs
+++ b/crates/http1-codec/src/body.rs
@@ -6,15 +6,16 @@
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// Longest trailer section, in bytes.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
-/// Most bytes of chunk lines, as a multiple of the longest body. A body sent one byte a chunk needs six bytes of
-/// chunk lines a byte; extensions without end are thereby bounded.
+/// Most bytes of chunk lines, as a multiple of the longest body. A body sent one byte a chunk needs
+/// six bytes of chunk lines a byte; extensions without end are thereby bounded.
 const MAX_CHUNK_OVERHEAD_RATIO: usize = 8;
 /// Most fields in a trailer section.
 const MAX_TRAILER_FIELDS: usize = 32;
-/// Smallest step, in bytes, by which the memory of a body grows. Memory is reserved as data arrives, because a
-/// declared length alone must not claim any.
+/// Smallest step, in bytes, by which the memory of a body grows. Memory is reserved as data
+/// arrives, because a declared length alone must not claim any.
 const MIN_GROWTH_BYTES: usize = 4 * 1024;
-/// Bytes of a chunk's framing beside its first line's content: the line ends after that line and after its data.
+/// Bytes of a chunk's framing beside its first line's content: the line ends after that line and
+/// after its data.
 const CHUNK_LINE_ENDS_BYTES: usize = 4;
 /// The line end of HTTP/1.1.
 const CRLF: &[u8; 2] = b"\r\n";
@@ -150,8 +151,8 @@
         }
     }
 
-    /// Appends up to `remaining` bytes of data. The state becomes `next` after the last of them, and
-    /// `current(remaining)` before that.
+    /// Appends up to `remaining` bytes of data. The state becomes `next` after the last of them,
+    /// and `current(remaining)` before that.
     fn append_data(
         &mut self,
         rest: &[u8],
@@ -233,7 +234,8 @@
 
 /// The size that a chunk's first line, without its line end, declares. Extensions are ignored.
 fn chunk_size(line: &[u8]) -> Result<u64, ParseError> {
-    // Implementations disagree on a bare line end within an extension, which allows request smuggling.
+    // Implementations disagree on a bare line end within an extension, which allows request
+    // smuggling.
     if line.iter().any(|b| b.is_ascii_control() && *b != b'\t') {
         return Err(ParseError::MalformedChunk);
     }
--- a/crates/http1-codec/src/decode.rs
+++ b/crates/http1-codec/src/decode.rs
@@ -58,8 +58,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`ParseError`] if the request violates RFC 9112 or exceeds a limit. The decoder and the connection
-    /// cannot be used any further then.
+    /// Returns a [`ParseError`] if the request violates RFC 9112 or exceeds a limit. The decoder
+    /// and the connection cannot be used any further then.
     pub fn decode(
         &mut self,
         input: &mut Vec<u8>,
@@ -76,13 +76,15 @@
     }
 }
 
-/// Removes empty lines before a request line, which some clients send after a body (RFC 9112, section 2.2).
+/// Removes empty lines before a request line, which some clients send after a body (RFC 9112,
+/// section 2.2).
 fn skip_empty_lines(input: &mut Vec<u8>) {
     let empty_lines = input.chunks_exact(2).take_while(|c| c == b"\r\n").count();
     input.drain(..2 * empty_lines);
 }
 
-/// Decodes the consecutive responses of one connection, the last of which may end with the connection.
+/// Decodes the consecutive responses of one connection, the last of which may end with the
+/// connection.
 #[derive(Debug)]
 pub struct ResponseDecoder {
     limits: Limits,
@@ -100,13 +102,13 @@
         }
     }
 
-    /// Decodes as much as possible of one response, and removes the used bytes from `input`. Interim responses
-    /// (RFC 9110, section 15.2) are skipped.
+    /// Decodes as much as possible of one response, and removes the used bytes from `input`.
+    /// Interim responses (RFC 9110, section 15.2) are skipped.
     ///
     /// # Errors
     ///
-    /// Returns a [`ParseError`] if the response violates RFC 9112 or exceeds a limit. The decoder and the connection
-    /// cannot be used any further then.
+    /// Returns a [`ParseError`] if the response violates RFC 9112 or exceeds a limit. The decoder
+    /// and the connection cannot be used any further then.
     pub fn decode(
         &mut self,
         input: &mut Vec<u8>,
@@ -123,8 +125,8 @@
         decode_body(&mut self.current, input)
     }
 
-    /// Handles the orderly end of the connection (not a reset): returns the response that this end completes, if any
-    /// (RFC 9112, section 6.3).
+    /// Handles the orderly end of the connection (not a reset): returns the response that this end
+    /// completes, if any (RFC 9112, section 6.3).
     pub fn finish(&mut self) -> Option<Message<Response<Vec<u8>>>> {
         let response = self
             .current
--- a/crates/http1-codec/src/encode.rs
+++ b/crates/http1-codec/src/encode.rs
@@ -3,14 +3,15 @@
 use http::{Response, Version};
 use std::io::Write;
 
-/// Initial capacity for the head of a response, in bytes: enough for the fields that this project sends.
+/// Initial capacity for the head of a response, in bytes: enough for the fields that this project
+/// sends.
 const HEAD_CAPACITY_BYTES: usize = 256;
 
 /// Properties of the request and its connection that affect the framing of the response.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseOptions {
-    /// Version of the request. A client with HTTP/1.0 has to be notified that the connection stays open
-    /// (RFC 9112, section 9.3).
+    /// Version of the request. A client with HTTP/1.0 has to be notified that the connection stays
+    /// open (RFC 9112, section 9.3).
     pub version: Version,
     /// Whether the method was HEAD, so that the body is left out (RFC 9110, section 9.3.2).
     pub head_only: bool,
@@ -20,7 +21,8 @@
 
 /// Encodes a response with a complete body.
 ///
-/// `Content-Length` and `Connection` are added here and must not be among the response's own fields.
+/// `Content-Length` and `Connection` are added here and must not be among the response's own
+/// fields.
 #[must_use]
 pub fn encode_response(response: &Response<Vec<u8>>, options: ResponseOptions) -> Vec<u8> {
     let status = response.status();
@@ -55,8 +57,8 @@
     encoded
 }
 
-/// Appends a field name in its usual spelling, such as `Retry-After`. Names are case-insensitive (RFC 9110,
-/// section 5.1).
+/// Appends a field name in its usual spelling, such as `Retry-After`. Names are case-insensitive
+/// (RFC 9110, section 5.1).
 fn append_title_case(name: &str, encoded: &mut Vec<u8>) {
     let mut starts_word = true;
     for byte in name.bytes() {
--- a/crates/http1-codec/src/error.rs
+++ b/crates/http1-codec/src/error.rs
@@ -4,8 +4,8 @@
 
 /// Why a message cannot be decoded.
 ///
-/// The end of the message is unknown after any of these, so the connection has to be closed (RFC 9112, section 6.3).
-/// The text of each error is meant for the peer that sent the message.
+/// The end of the message is unknown after any of these, so the connection has to be closed (RFC
+/// 9112, section 6.3). The text of each error is meant for the peer that sent the message.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ParseError {
     /// The start line or a field line violates the grammar (RFC 9112, sections 2.2, 3 and 5).
@@ -17,7 +17,8 @@
     /// The request line is too long (section 3).
     #[error("the request line is too long")]
     RequestLineTooLong,
-    /// The request target has none of the four forms, or one that the method does not allow (section 3.2).
+    /// The request target has none of the four forms, or one that the method does not allow
+    /// (section 3.2).
     #[error("the request target is malformed")]
     InvalidTarget,
     /// `Host` is missing, repeated or malformed (section 3.2).
@@ -29,10 +30,12 @@
     /// The head is too long, or has too many fields (section 5).
     #[error("the head is too long")]
     HeadTooLong,
-    /// `Content-Length` is malformed, repeated, or accompanies a transfer coding (sections 6.2 and 6.3).
+    /// `Content-Length` is malformed, repeated, or accompanies a transfer coding (sections 6.2 and
+    /// 6.3).
     #[error("the length is malformed, given twice or beside a transfer coding")]
     InvalidContentLength,
-    /// The transfer codings do not end in exactly one `chunked`, or the message is HTTP/1.0 (section 6.1).
+    /// The transfer codings do not end in exactly one `chunked`, or the message is HTTP/1.0
+    /// (section 6.1).
     #[error("the transfer codings do not end in chunked")]
     InvalidTransferCoding,
     /// A transfer coding before `chunked` is not implemented (section 6.1).
--- a/crates/http1-codec/src/fields.rs
+++ b/crates/http1-codec/src/fields.rs
@@ -1,5 +1,5 @@
-//! Rules for the request target and the fields of a head: `Host`, body framing and persistence (RFC 9112, sections 3,
-//! 5, 6 and 9).
+//! Rules for the request target and the fields of a head: `Host`, body framing and persistence (RFC
+//! 9112, sections 3, 5, 6 and 9).
 
 use crate::body::BodyFraming;
 use crate::error::ParseError;
@@ -42,7 +42,8 @@
     let has_transfer_coding = fields.contains_key(TRANSFER_ENCODING);
     let mut content_lengths = fields.get_all(CONTENT_LENGTH).iter();
     let content_length = content_lengths.next();
-    // Two lengths, or a length with a transfer coding, allow request smuggling (RFC 9112, section 11.2).
+    // Two lengths, or a length with a transfer coding, allow request smuggling (RFC 9112, section
+    // 11.2).
     if content_lengths.next().is_some() || (has_transfer_coding && content_length.is_some()) {
         return Err(ParseError::InvalidContentLength);
     }
@@ -94,7 +95,8 @@
     if *method == Method::CONNECT {
         return Err(ParseError::ConnectNotSupported);
     }
-    // Characters that a URI cannot contain (RFC 3986, section 2), and the fragment, which is not part of a target.
+    // Characters that a URI cannot contain (RFC 3986, section 2), and the fragment, which is not
+    // part of a target.
     let is_forbidden = |b: u8| !b.is_ascii_graphic() || b"\"#<>\\^`{|}".contains(&b);
     if text.bytes().any(is_forbidden) {
         return Err(ParseError::InvalidTarget);
@@ -127,14 +129,15 @@
     }
 }
 
-/// Whether `text` is the authority of an HTTP URI: the same as a `Host` field, but with a host that is not empty.
+/// Whether `text` is the authority of an HTTP URI: the same as a `Host` field, but with a host that
+/// is not empty.
 fn is_valid_authority(text: &str) -> bool {
     let is_host_empty = text.is_empty() || text.starts_with(':');
     !is_host_empty && is_valid_host_field(text)
 }
 
-/// Whether `text` is `uri-host [ ":" port ]` (RFC 9110, section 7.2; RFC 3986, section 3.2.2), whose host may be empty.
-/// User information before the host is invalid (RFC 9110, section 4.2.4).
+/// Whether `text` is `uri-host [ ":" port ]` (RFC 9110, section 7.2; RFC 3986, section 3.2.2),
+/// whose host may be empty. User information before the host is invalid (RFC 9110, section 4.2.4).
 fn is_valid_host_field(text: &str) -> bool {
     if let Some((address, rest)) = text.strip_prefix('[').and_then(|t| t.split_once(']')) {
         let port = rest.strip_prefix(':').or(rest.is_empty().then_some(""));
--- a/crates/http1-codec/src/head.rs
+++ b/crates/http1-codec/src/head.rs
@@ -41,7 +41,8 @@
     Ok(Some(ParsedHead { message, length }))
 }
 
-/// Converts a parsed request head into a message, applying the rules that concern more than the grammar.
+/// Converts a parsed request head into a message, applying the rules that concern more than the
+/// grammar.
 fn request_message(
     head: &httparse::Request,
     limits: Limits,
@@ -83,8 +84,8 @@
     }
 }
 
-/// Whether the client sends the body only after `100 Continue`. The expectation is ignored in HTTP/1.0 and where
-/// there is no body (RFC 9110, section 10.1.1).
+/// Whether the client sends the body only after `100 Continue`. The expectation is ignored in
+/// HTTP/1.0 and where there is no body (RFC 9110, section 10.1.1).
 fn expects_continue(header_fields: &HeaderMap, version: Version, framing: BodyFraming) -> bool {
     let has_expectation = header_fields
         .get(EXPECT)
@@ -92,7 +93,8 @@
     has_expectation && version == Version::HTTP_11 && framing != BodyFraming::ContentLength(0)
 }
 
-/// Parses a request with a later minor version as HTTP/1.1 (RFC 9110, section 2.5), and rejects another major version.
+/// Parses a request with a later minor version as HTTP/1.1 (RFC 9110, section 2.5), and rejects
+/// another major version.
 fn parse_later_minor_version(
     input: &[u8],
     limits: Limits,
--- a/crates/http1-codec/src/partial_message.rs
+++ b/crates/http1-codec/src/partial_message.rs
@@ -55,7 +55,8 @@
         &self.head.value
     }
 
-    /// Whether the client waits for `100 Continue` before it sends the body, of which `input` would be the start.
+    /// Whether the client waits for `100 Continue` before it sends the body, of which `input` would
+    /// be the start.
     pub(crate) fn awaits_continue(&self, input: &[u8]) -> bool {
         let body_started = !input.is_empty() || self.body.has_data();
         self.head.expects_continue && !body_started
--- a/crates/http1-codec/tests/any_bytes.rs
+++ b/crates/http1-codec/tests/any_bytes.rs
@@ -15,7 +15,8 @@
     error: Option<ParseError>,
 }
 
-/// Decodes a stream that arrives in reads of these lengths, cyclically. The buffered input must stay bounded.
+/// Decodes a stream that arrives in reads of these lengths, cyclically. The buffered input must
+/// stay bounded.
 fn decode(bytes: &[u8], read_lengths: &[usize]) -> Decoded {
     let mut decoder = RequestDecoder::new(LIMITS);
     let mut requests = Vec::new();
@@ -88,7 +89,8 @@
 }
 
 proptest! {
-    /// Every decoder of one stream must find the same requests, whatever reads the network leads to.
+    /// Every decoder of one stream must find the same requests, whatever reads the network leads
+    /// to.
     #[test]
     fn result_is_independent_of_read_boundaries(bytes in request_fragments(), read_lengths in prop::collection::vec(1usize..50, 1..8)) {
         prop_assert_eq!(decode(&bytes, &[bytes.len()]), decode(&bytes, &read_lengths));
--- a/crates/http1-codec/tests/rfc9112/size_limits.rs
+++ b/crates/http1-codec/tests/rfc9112/size_limits.rs
@@ -34,7 +34,8 @@
     );
 }
 
-/// A body of one byte a chunk takes six bytes a byte, which extensions could increase without limit.
+/// A body of one byte a chunk takes six bytes a byte, which extensions could increase without
+/// limit.
 #[test]
 fn chunk_overhead_is_limited() {
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/crates/http2-flood-guard/src/frame.rs
+++ b/crates/http2-flood-guard/src/frame.rs
@@ -32,8 +32,8 @@
     WindowUpdate,
     /// CONTINUATION (section 6.10).
     Continuation,
-    /// An unknown type, which a receiver ignores (section 5.5), or `PUSH_PROMISE`, which a client must not send
-    /// (section 8.4).
+    /// An unknown type, which a receiver ignores (section 5.5), or `PUSH_PROMISE`, which a client
+    /// must not send (section 8.4).
     Other,
 }
 
@@ -55,7 +55,8 @@
     }
 }
 
-/// The name as log events and errors print it. DATA is printed as empty, because no other DATA frame is limited.
+/// The name as log events and errors print it. DATA is printed as empty, because no other DATA
+/// frame is limited.
 impl fmt::Display for FrameKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
--- a/crates/http2-flood-guard/src/frame_scanner.rs
+++ b/crates/http2-flood-guard/src/frame_scanner.rs
@@ -5,7 +5,8 @@
 
 /// The connection preface of a client (RFC 9113, section 3.4).
 pub const PREFACE: &[u8; 24] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Most bytes that are searched for the end of an HTTP/1 method. No registered method is nearly as long.
+/// Most bytes that are searched for the end of an HTTP/1 method. No registered method is nearly as
+/// long.
 const MAX_METHOD_BYTES: usize = 64;
 
 /// Position within the bytes of a connection.
@@ -112,7 +113,8 @@
     }
 }
 
-/// Classifies bytes that deviate from the preface: a method in capitals and a space start a request of HTTP/1.
+/// Classifies bytes that deviate from the preface: a method in capitals and a space start a request
+/// of HTTP/1.
 fn preface_violation(received: usize, input: &[u8]) -> Violation {
     let start = PREFACE[..received]
         .iter()
--- a/crates/http2-flood-guard/src/guard.rs
+++ b/crates/http2-flood-guard/src/guard.rs
@@ -6,11 +6,13 @@
 use crate::violation::Violation;
 use broker_types::time::Timestamp;
 
-/// Tokens of [`FloodLimits::new`] beyond two for each stream, for the control frames of an ordinary client.
+/// Tokens of [`FloodLimits::new`] beyond two for each stream, for the control frames of an ordinary
+/// client.
 const BASE_BURST_TOKENS: u32 = 200;
 /// Refill of [`FloodLimits::new`], in tokens a second.
 const TOKENS_PER_SECOND: u32 = 100;
-/// Tokens that [`FloodLimits::new`] grants for each response, for frames such as resets, window updates and PING.
+/// Tokens that [`FloodLimits::new`] grants for each response, for frames such as resets, window
+/// updates and PING.
 const TOKENS_PER_RESPONSE: u32 = 4;
 /// Body bytes of a response for which a client may send one more window update without cost.
 const BODY_BYTES_PER_WINDOW_UPDATE: usize = 1024;
@@ -29,8 +31,9 @@
 }
 
 impl FloodLimits {
-    /// Limits for connections with at most `max_streams` concurrent streams and header lists of at most
-    /// `max_header_list_bytes`. A client may reset all its streams at once, twice, before it counts as a flood.
+    /// Limits for connections with at most `max_streams` concurrent streams and header lists of at
+    /// most `max_header_list_bytes`. A client may reset all its streams at once, twice, before it
+    /// counts as a flood.
     #[must_use]
     pub fn new(max_streams: u32, max_header_list_bytes: u32) -> Self {
         FloodLimits {
@@ -49,7 +52,8 @@
     tokens: TokenBucket,
     scanner: FrameScanner,
     incomplete_since: Option<Timestamp>,
-    /// Whether the client has sent its first SETTINGS frame, which completes the start of a connection.
+    /// Whether the client has sent its first SETTINGS frame, which completes the start of a
+    /// connection.
     has_received_settings: bool,
     /// Length of the current header block so far, in bytes; 0 between header blocks.
     header_block_bytes: u32,
@@ -73,7 +77,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Violation`] if the connection has to be closed. The guard cannot be used any further then.
+    /// Returns a [`Violation`] if the connection has to be closed. The guard cannot be used any
+    /// further then.
     pub fn on_received(&mut self, now: Timestamp, mut bytes: &[u8]) -> Result<(), Violation> {
         while !bytes.is_empty() {
             let scanned = self.scanner.scan(bytes)?;
@@ -93,7 +98,8 @@
         Ok(())
     }
 
-    /// Adds the tokens that a response earns. Its reader needs window updates in proportion to its body.
+    /// Adds the tokens that a response earns. Its reader needs window updates in proportion to its
+    /// body.
     pub fn on_response_sent(&mut self, body_bytes: usize) {
         let window_updates =
             u32::try_from(body_bytes / BODY_BYTES_PER_WINDOW_UPDATE).unwrap_or(u32::MAX);
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -1,13 +1,14 @@
 //! Flood detection for HTTP/2 connections, without I/O or clock.
 //!
-//! An HTTP/2 library enforces the limits of the protocol itself: streams, windows, header lists. Frames that cause work
-//! without carrying any part of a request are legal in any number (RFC 9113, section 10.5): PING, SETTINGS, PRIORITY,
-//! empty DATA, small window updates, resets of new streams, CONTINUATION without end. The [`FloodGuard`] reads the
-//! frame headers as bytes arrive, and charges such frames to a token bucket that refills with time and with every
-//! response. A client that sends requests and reads the responses never empties it.
+//! An HTTP/2 library enforces the limits of the protocol itself: streams, windows, header lists.
+//! Frames that cause work without carrying any part of a request are legal in any number (RFC 9113,
+//! section 10.5): PING, SETTINGS, PRIORITY, empty DATA, small window updates, resets of new
+//! streams, CONTINUATION without end. The [`FloodGuard`] reads the frame headers as bytes arrive,
+//! and charges such frames to a token bucket that refills with time and with every response. A
+//! client that sends requests and reads the responses never empties it.
 //!
-//! The guard also reports since when a frame or a header block has been incomplete, and whether the connection speaks
-//! HTTP/2 at all.
+//! The guard also reports since when a frame or a header block has been incomplete, and whether the
+//! connection speaks HTTP/2 at all.
 //!
 //! ```
 //! use broker_types::time::Timestamp;
--- a/crates/http2-flood-guard/src/token_bucket.rs
+++ b/crates/http2-flood-guard/src/token_bucket.rs
@@ -17,7 +17,8 @@
 }
 
 impl TokenBucket {
-    /// Creates a full bucket of `capacity` tokens, which refills by `refill_per_second` tokens a second.
+    /// Creates a full bucket of `capacity` tokens, which refills by `refill_per_second` tokens a
+    /// second.
     pub(crate) fn new(now: Timestamp, capacity: u32, refill_per_second: u32) -> Self {
         let capacity = u64::from(capacity) * MILLIONTHS_PER_TOKEN;
         TokenBucket {
@@ -28,7 +29,8 @@
         }
     }
 
-    /// Takes tokens if there are enough, and returns whether that was the case. Otherwise none is taken.
+    /// Takes tokens if there are enough, and returns whether that was the case. Otherwise none is
+    /// taken.
     pub(crate) fn try_take(&mut self, now: Timestamp, tokens: u32) -> bool {
         self.refill(now);
         let cost = u64::from(tokens) * MILLIONTHS_PER_TOKEN;
--- a/crates/http2-flood-guard/src/violation.rs
+++ b/crates/http2-flood-guard/src/violation.rs
@@ -9,7 +9,8 @@
     /// The connection starts with an HTTP/1 request.
     #[error("it speaks HTTP/1")]
     Http1Request,
-    /// The connection starts neither with the preface (RFC 9113, section 3.4) nor with an HTTP/1 request.
+    /// The connection starts neither with the preface (RFC 9113, section 3.4) nor with an HTTP/1
+    /// request.
     #[error("it does not begin with the preface")]
     InvalidPreface,
     /// The first frame after the preface is not SETTINGS (RFC 9113, section 3.4).
--- a/crates/http2-flood-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -134,7 +134,8 @@
     }
 }
 
-/// Rapid reset: requests that are cancelled at once. A client that also gets responses may cancel as many requests.
+/// Rapid reset: requests that are cancelled at once. A client that also gets responses may cancel
+/// as many requests.
 #[test]
 fn resets_are_limited_by_responses() {
     let request_and_reset = [
--- a/crates/idempotency/src/key_admission.rs
+++ b/crates/idempotency/src/key_admission.rs
@@ -7,9 +7,10 @@
 pub enum KeyAdmission {
     /// The query may be served.
     Admitted,
-    /// Another query of the key is in flight, one of its attempts may still be executed, or the register is full. The
-    /// client may retry at this time.
+    /// Another query of the key is in flight, one of its attempts may still be executed, or the
+    /// register is full. The client may retry at this time.
     RetryAt(Timestamp),
-    /// A part of an earlier query may have been executed, and servers no longer drop its repetitions.
+    /// A part of an earlier query may have been executed, and servers no longer drop its
+    /// repetitions.
     WindowExpired,
 }
--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -123,7 +123,8 @@
         part.on_attempt_sent(now, deadline);
     }
 
-    /// Records the end of an attempt. A part of which nothing may have been executed is forgotten at once.
+    /// Records the end of an attempt. A part of which nothing may have been executed is forgotten
+    /// at once.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -154,7 +155,8 @@
         forget_at
     }
 
-    /// The latest time at which an attempt was sent first or may be executed; `now` where there are no parts.
+    /// The latest time at which an attempt was sent first or may be executed; `now` where there are
+    /// no parts.
     pub(crate) fn latest_activity(&self, now: Timestamp) -> Timestamp {
         let activity = |part: &PartState| part.first_sent_at.unwrap_or(now).max(part.busy_until);
         self.parts.values().map(activity).max().unwrap_or(now)
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -41,9 +41,10 @@
         }
     }
 
-    /// Asks whether a query of this key with parts for these shards may be served; its client waits until `deadline`.
-    /// Where it is [`KeyAdmission::Admitted`], [`IdempotencyRegister::on_query_ended`] has to be called at its end.
-    /// Otherwise nothing of it is remembered.
+    /// Asks whether a query of this key with parts for these shards may be served; its client waits
+    /// until `deadline`. Where it is [`KeyAdmission::Admitted`],
+    /// [`IdempotencyRegister::on_query_ended`] has to be called at its end. Otherwise nothing of it
+    /// is remembered.
     #[must_use]
     pub fn admit(
         &mut self,
@@ -68,15 +69,16 @@
         admission
     }
 
-    /// Whether the part may be sent now: not while an attempt is in flight, nor after the window of an attempt that
-    /// may have been executed.
+    /// Whether the part may be sent now: not while an attempt is in flight, nor after the window of
+    /// an attempt that may have been executed.
     #[must_use]
     pub fn may_send(&self, now: Timestamp, key: &str, shard: usize) -> bool {
         self.part(key, shard)
             .is_none_or(|part| part.may_send(now, self.limits.window))
     }
 
-    /// Time from which on the part may not be sent; `None` where no attempt at it may have been executed.
+    /// Time from which on the part may not be sent; `None` where no attempt at it may have been
+    /// executed.
     #[must_use]
     pub fn window_ends_at(&self, key: &str, shard: usize) -> Option<Timestamp> {
         self.part(key, shard)?.window_ends_at(self.limits.window)
@@ -138,8 +140,9 @@
         self.keys.get(key)?.part(shard)
     }
 
-    /// Admits a key that is not remembered, where there is space for it or a key whose query was answered can be
-    /// forgotten. A full register must not let a retry through by forgetting the key that it repeats.
+    /// Admits a key that is not remembered, where there is space for it or a key whose query was
+    /// answered can be forgotten. A full register must not let a retry through by forgetting the
+    /// key that it repeats.
     fn admit_new_key(&mut self, deadline: Timestamp) -> KeyAdmission {
         if self.keys.len() < self.limits.max_keys {
             return KeyAdmission::Admitted;
@@ -159,8 +162,8 @@
         }
     }
 
-    /// Forgets a key, unless it has an attempt in flight: such an attempt is past its deadline and its end should have
-    /// been reported, but the key must not be forgotten all the same.
+    /// Forgets a key, unless it has an attempt in flight: such an attempt is past its deadline and
+    /// its end should have been reported, but the key must not be forgotten all the same.
     fn forget_or_postpone(&mut self, now: Timestamp, expired: RetainedKey, end: QueryEnd) {
         let Some(state) = self.keys.get_mut(&expired.key) else {
             return;
--- a/crates/idempotency/tests/random_retries.rs
+++ b/crates/idempotency/tests/random_retries.rs
@@ -170,8 +170,9 @@
 }
 
 proptest! {
-    /// Clients repeat keys at will, and attempts end in any way and order. No part is sent while another attempt at it
-    /// is in flight, and none that may have been executed after its window, for as long as clients may retry.
+    /// Clients repeat keys at will, and attempts end in any way and order. No part is sent while
+    /// another attempt at it is in flight, and none that may have been executed after its window,
+    /// for as long as clients may retry.
     #[test]
     fn no_part_is_sent_twice_at_once_or_after_its_window(steps in steps()) {
         let mut model = Model::new();
--- a/crates/idempotency/tests/register.rs
+++ b/crates/idempotency/tests/register.rs
@@ -77,7 +77,8 @@
     );
 }
 
-/// Ends an attempt at shard 0 with the evidence, and the query without an answer; returns what a retry gets.
+/// Ends an attempt at shard 0 with the evidence, and the query without an answer; returns what a
+/// retry gets.
 fn retry_after_attempt(evidence: ExecutionEvidence, retry_at: Timestamp) -> KeyAdmission {
     let mut register = register(100);
     must_admit(&mut register, at(0), 1);
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,9 +1,10 @@
 //! Writes `tracing` events as lines on standard error, in logfmt or JSON.
 //!
-//! An event is known by its name (`tracing::warn!(name: "connection_slots_exhausted", open)`), which operators search
-//! for. Each event is limited to one line a second, so that a fault that repeats cannot flood the log; the next line of
-//! the event says how many were left out. Text from outside cannot forge a field or a line. Only events of the
-//! project's own packages are logged; those of libraries are left out at every level.
+//! An event is known by its name (`tracing::warn!(name: "connection_slots_exhausted", open)`),
+//! which operators search for. Each event is limited to one line a second, so that a fault that
+//! repeats cannot flood the log; the next line of the event says how many were left out. Text from
+//! outside cannot forge a field or a line. Only events of the project's own packages are logged;
+//! those of libraries are left out at every level.
 
 mod layer;
 mod limiter;
@@ -25,7 +26,8 @@
     Json,
 }
 
-/// Logs to standard error from now on, for the whole process. Later calls change only the format and the level.
+/// Logs to standard error from now on, for the whole process. Later calls change only the format
+/// and the level.
 pub fn init(format: Format, level: Level) {
     static INSTALLED: OnceLock<()> = OnceLock::new();
     reconfigure(format, level);
--- a/crates/logging/src/limiter.rs
+++ b/crates/logging/src/limiter.rs
@@ -10,7 +10,8 @@
 /// Shortest time between two lines of an event.
 pub(crate) const MIN_LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The state of the limit for each event name. Its size is bounded by the number of events in the program's source.
+/// The state of the limit for each event name. Its size is bounded by the number of events in the
+/// program's source.
 #[derive(Default)]
 pub(crate) struct Limiter {
     events: Mutex<BTreeMap<&'static str, EventLines>>,
@@ -24,8 +25,8 @@
 }
 
 impl Limiter {
-    /// Returns how many lines of this event were left out since its last line, or `None` if this line has to be left
-    /// out too.
+    /// Returns how many lines of this event were left out since its last line, or `None` if this
+    /// line has to be left out too.
     pub(crate) fn admit(&self, event: &'static str, now: Instant) -> Option<u64> {
         let mut events = self.events.lock().ok()?;
         let Some(lines) = events.get_mut(event) else {
--- a/crates/logging/src/line.rs
+++ b/crates/logging/src/line.rs
@@ -110,7 +110,8 @@
     }
 }
 
-/// Whether a text can stand in logfmt without quotes. Quotes keep text from outside from forging a field or a line.
+/// Whether a text can stand in logfmt without quotes. Quotes keep text from outside from forging a
+/// field or a line.
 fn is_safe_unquoted(text: &str) -> bool {
     let is_safe = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'"' | b'=' | b'\\');
     !text.is_empty() && text.bytes().all(is_safe)
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -1,4 +1,5 @@
-//! The lines as they leave the process: the tests run this program again with the log on, and read what it writes.
+//! The lines as they leave the process: the tests run this program again with the log on, and read
+//! what it writes.
 
 use logging::{Format, init, reconfigure};
 use std::process::{Command, Stdio};
--- a/crates/query-api/src/deadline.rs
+++ b/crates/query-api/src/deadline.rs
@@ -6,8 +6,8 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Parses a time span such as `480m`, in milliseconds, or `1500u`, in microseconds. Returns `None` where it has no such
-/// form or exceeds [`MAX_CLIENT_TIMEOUT`].
+/// Parses a time span such as `480m`, in milliseconds, or `1500u`, in microseconds. Returns `None`
+/// where it has no such form or exceeds [`MAX_CLIENT_TIMEOUT`].
 pub(crate) fn parse_deadline(text: &str) -> Option<Duration> {
     let unit_position = text.len().checked_sub(1)?;
     let (number, unit) = text.split_at_checked(unit_position)?;
--- a/crates/query-api/src/decode.rs
+++ b/crates/query-api/src/decode.rs
@@ -11,7 +11,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest request id and longest idempotency key, in bytes: both are part of each frame to a server.
+/// Longest request id and longest idempotency key, in bytes: both are part of each frame to a
+/// server.
 const MAX_TOKEN_BYTES: usize = 256;
 
 const CLASS_HEADER: &str = "x-class";
@@ -100,7 +101,8 @@
         .ok_or(InvalidRequest::UnknownTenant)
 }
 
-/// The idempotency key. It is required where the class uses them, and ignored where retries are harmless anyway.
+/// The idempotency key. It is required where the class uses them, and ignored where retries are
+/// harmless anyway.
 fn idempotency_key(
     headers: &HeaderMap,
     retry_safety: RetrySafety,
@@ -125,7 +127,8 @@
     Ok(requested.min(max_timeout))
 }
 
-/// A header whose value becomes part of frames: a space, a comma or a line break in it would forge another field there.
+/// A header whose value becomes part of frames: a space, a comma or a line break in it would forge
+/// another field there.
 fn token(headers: &HeaderMap, header: &'static str) -> Result<Option<Rc<str>>, InvalidRequest> {
     let mut values = headers.get_all(header).iter();
     let Some(value) = values.next() else {
--- a/crates/query-api/src/parts.rs
+++ b/crates/query-api/src/parts.rs
@@ -8,10 +8,12 @@
 
 /// Largest estimate of the work in a part.
 const MAX_WORK_HINT: Duration = MAX_CLIENT_TIMEOUT;
-/// Largest difference between 1 and the sum of a query's weights: clients round them, and there may be a hundred.
+/// Largest difference between 1 and the sum of a query's weights: clients round them, and there may
+/// be a hundred.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// The body of a query. The JSON library's messages, which reach clients, contain the names of this type and the next.
+/// The body of a query. The JSON library's messages, which reach clients, contain the names of this
+/// type and the next.
 #[derive(Deserialize)]
 pub(crate) struct Body {
     #[serde(rename = "ranges")]
@@ -65,8 +67,8 @@
         take_shard(&mut is_taken, part.shard)?;
         checked.push(part.check()?);
     }
-    // Whether an answer is complete is judged by the weights: a query whose weights do not add up to a whole has no
-    // right answer.
+    // Whether an answer is complete is judged by the weights: a query whose weights do not add up
+    // to a whole has no right answer.
     let sum: f64 = checked.iter().map(|part| part.weight).sum();
     if (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
         return Err(InvalidRequest::WeightsDoNotAddUp);
@@ -74,7 +76,8 @@
     Ok(checked)
 }
 
-/// Marks a shard as taken. The id of a part contains its shard, so that no two parts may be for the same one.
+/// Marks a shard as taken. The id of a part contains its shard, so that no two parts may be for the
+/// same one.
 fn take_shard(is_taken: &mut [bool], shard: usize) -> Result<(), InvalidRequest> {
     match is_taken.get_mut(shard) {
         Some(is_taken) if *is_taken => Err(InvalidRequest::DuplicateShard),
--- a/crates/query-api/src/response.rs
+++ b/crates/query-api/src/response.rs
@@ -8,8 +8,8 @@
 use serde::Serialize;
 use std::time::{Duration, SystemTime};
 
-/// Retry-after advice for a client whose connection is rejected: by then the idle connections and the incomplete
-/// requests of others have been ended.
+/// Retry-after advice for a client whose connection is rejected: by then the idle connections and
+/// the incomplete requests of others have been ended.
 const CONNECTION_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Microseconds in a second.
@@ -90,7 +90,8 @@
     response(status.as_u16(), Vec::new())
 }
 
-/// A response with a reason as its body, and with the methods that are allowed instead; both may be empty.
+/// A response with a reason as its body, and with the methods that are allowed instead; both may be
+/// empty.
 pub(crate) fn error_response(status: u16, allowed_methods: &'static str, reason: &str) -> Response {
     let body = if reason.is_empty() {
         Vec::new()
@@ -125,7 +126,8 @@
     response
 }
 
-/// Inserts the `Retry-After` header. It is in seconds with three decimals: clients of this protocol take fractions.
+/// Inserts the `Retry-After` header. It is in seconds with three decimals: clients of this protocol
+/// take fractions.
 fn insert_retry_after(headers: &mut HeaderMap, retry_after: Duration) {
     let seconds = format!("{:.3}", retry_after.as_micros() as f64 / MICROS_PER_SECOND);
     if let Ok(value) = HeaderValue::try_from(seconds) {
--- a/crates/query-broker/src/bench/flood.rs
+++ b/crates/query-broker/src/bench/flood.rs
@@ -106,7 +106,8 @@
     pub(super) attack: AttackFigures,
 }
 
-/// Measures the load of regular clients beside an attacker that reconnects as soon as its connection is closed.
+/// Measures the load of regular clients beside an attacker that reconnects as soon as its
+/// connection is closed.
 pub(super) fn measure(
     build: &BrokerBuild,
     kind: FloodKind,
--- a/crates/query-broker/src/bench/load.rs
+++ b/crates/query-broker/src/bench/load.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 use test_fleet::{BrokerProcess, Fleet, FleetPlan, ReceivedCounts};
 
-/// Shortest processor time from which a figure is derived, since the system counts it in hundredths of a second.
+/// Shortest processor time from which a figure is derived, since the system counts it in hundredths
+/// of a second.
 const MIN_CPU_TIME: Duration = Duration::from_millis(200);
 
 /// Seed of the arrivals in the warm-up.
@@ -24,8 +25,8 @@
     pub(super) measurement: LoadMeasurement,
     /// Queries that were served a second.
     pub(super) served_per_second: f64,
-    /// The broker's processor time for each query, in microseconds; `None` if it is too short to be measured with the system's
-    /// clock ticks.
+    /// The broker's processor time for each query, in microseconds; `None` if it is too short to be
+    /// measured with the system's clock ticks.
     pub(super) cpu_us_per_query: Option<f64>,
     /// Latency in microseconds.
     pub(super) latency: Histogram<u64>,
--- a/crates/query-broker/src/bench/measurements.rs
+++ b/crates/query-broker/src/bench/measurements.rs
@@ -84,8 +84,8 @@
     pub(super) requests: usize,
 }
 
-/// All measurements of load that a build with these listeners can take part in. One without HTTP/2 has no batch window
-/// either.
+/// All measurements of load that a build with these listeners can take part in. One without HTTP/2
+/// has no batch window either.
 pub(super) fn load_measurements(listeners: Listeners) -> Vec<LoadMeasurement> {
     match listeners {
         Listeners::Http1AndHttp2 => [Pacing::Ticks, Pacing::BatchWindow]
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -1,4 +1,5 @@
-//! What an idle request costs in memory, over both listeners: its head has arrived, its body has not.
+//! What an idle request costs in memory, over both listeners: its head has arrived, its body has
+//! not.
 
 use super::broker_build::BrokerBuild;
 use super::error::BenchError;
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -1,4 +1,5 @@
-//! `query-broker bench`: what both listeners cost, side by side in one run, against a fleet on loopback.
+//! `query-broker bench`: what both listeners cost, side by side in one run, against a fleet on
+//! loopback.
 
 mod broker_build;
 mod error;
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -53,7 +53,8 @@
     result.exit_code()
 }
 
-/// Prints to standard output. An error is ignored, because a closed pipe does not change the result of the check.
+/// Prints to standard output. An error is ignored, because a closed pipe does not change the result
+/// of the check.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
--- a/crates/query-broker/src/cli.rs
+++ b/crates/query-broker/src/cli.rs
@@ -32,7 +32,8 @@
 pub(crate) enum Command {
     /// Serve, with an operator's file in addition to the platform's configuration
     Serve(ServeArguments),
-    /// Check an operator's file: exits with 0 if it is valid, otherwise prints all its errors and exits with 1
+    /// Check an operator's file: exits with 0 if it is valid, otherwise prints all its errors and
+    /// exits with 1
     Check(CheckArguments),
     /// Run a broker with test doubles of data servers on this machine until Ctrl-C
     Demo(DemoArguments),
--- a/crates/query-broker/src/configuration.rs
+++ b/crates/query-broker/src/configuration.rs
@@ -25,7 +25,8 @@
 }
 
 impl Configuration {
-    /// Reads the operator's file, if there is one, and the platform's configuration from the path in the environment.
+    /// Reads the operator's file, if there is one, and the platform's configuration from the path
+    /// in the environment.
     pub(crate) fn load(operator_file: Option<PathBuf>) -> Result<Self, ConfigurationError> {
         let operator = OperatorConfig::load(operator_file)?;
         operator.apply_log_settings();
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -11,8 +11,8 @@
     run_with(|| Configuration::load(operator_file), |_| ())
 }
 
-/// Serves by a configuration that is loaded once signals are caught: a SIGHUP before that would end the program.
-/// `started` is called with the addresses for clients once the broker listens.
+/// Serves by a configuration that is loaded once signals are caught: a SIGHUP before that would end
+/// the program. `started` is called with the addresses for clients once the broker listens.
 pub(crate) fn run_with(
     load: impl FnOnce() -> Result<Configuration, ConfigurationError>,
     started: impl FnOnce(ListenAddresses),
--- a/crates/query-broker/tests/http2/arbitrary_frames.rs
+++ b/crates/query-broker/tests/http2/arbitrary_frames.rs
@@ -1,5 +1,5 @@
-//! Arbitrary frames, in any order and cut anywhere: the program survives, other clients are served, and no memory is
-//! lost.
+//! Arbitrary frames, in any order and cut anywhere: the program survives, other clients are served,
+//! and no memory is lost.
 
 use crate::fixture::Fixture;
 use load_generator::raw_http2::{
--- a/crates/query-broker/tests/http2/fault_injection.rs
+++ b/crates/query-broker/tests/http2/fault_injection.rs
@@ -1,5 +1,5 @@
-//! Three connections with a hundred streams each, seeded random resets, failing data servers, and a drain in the
-//! middle: every query ends exactly once, for its client and for the data servers.
+//! Three connections with a hundred streams each, seeded random resets, failing data servers, and a
+//! drain in the middle: every query ends exactly once, for its client and for the data servers.
 
 use crate::fixture::Fixture;
 use async_io::Timer;
@@ -75,7 +75,8 @@
     let id = &query.id;
     let response = match stream.response().await {
         Ok(response) => response,
-        // The broker may count a stream that was just reset for a moment longer than the client does.
+        // The broker may count a stream that was just reset for a moment longer than the client
+        // does.
         Err(error) if error.reason() == Some(Reason::REFUSED_STREAM) => return QueryEnd::Rejected,
         Err(error) => panic!("{id}: {error}"),
     };
@@ -198,8 +199,8 @@
         assert!(fixture.broker.wait_for_exit().unwrap().success());
         check_ends(&mut fixture, &ends.take());
         fixture.check_invariants();
-        // Each accepted query ended in the broker too: a query in flight would have delayed the exit, or the log would
-        // show its expiry.
+        // Each accepted query ended in the broker too: a query in flight would have delayed the
+        // exit, or the log would show its expiry.
         let log = fixture.broker.log_lines();
         let has_expired = log
             .iter()
--- a/crates/query-broker/tests/http2/fixture.rs
+++ b/crates/query-broker/tests/http2/fixture.rs
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Waits until the broker's SETTINGS apply to the connection. They are the first frame that a server sends (RFC
-    /// 9113, section 3.4), so that they are known with the first response.
+    /// Waits until the broker's SETTINGS apply to the connection. They are the first frame that a
+    /// server sends (RFC 9113, section 3.4), so that they are known with the first response.
     pub(crate) async fn wait_for_settings(&self, http2: &Http2Client) {
         let ready = http::Request::get("http://broker.svc/-/ready");
         let response = http2.send(&ready.body(Vec::new()).unwrap()).await.unwrap();
@@ -184,7 +184,8 @@
     LoadQuery::new(id, "lookup", shards)
 }
 
-/// The head of a query, with some fields replaced, left out (an empty value) or added. Its body is still to come.
+/// The head of a query, with some fields replaced, left out (an empty value) or added. Its body is
+/// still to come.
 pub(crate) fn query_headers(stream: u32, id: &str, changes: &[(&str, &str)]) -> Vec<u8> {
     encode_frame(HEADERS, END_HEADERS, stream, &query_fields(id, changes))
 }
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -13,8 +13,9 @@
 /// Bound on the end of a flooded or silent connection.
 const CLOSE_BOUND: Duration = Duration::from_secs(20);
 
-/// Sends the same frames again and again until the connection ends. A slow machine needs longer than the three seconds
-/// in which the broker has to end it, so that the bound is far longer; `query-broker bench` shows the real duration.
+/// Sends the same frames again and again until the connection ends. A slow machine needs longer
+/// than the three seconds in which the broker has to end it, so that the bound is far longer;
+/// `query-broker bench` shows the real duration.
 fn flood(fixture: &Fixture, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
     let mut raw = fixture.connect_raw();
     let start = Instant::now();
@@ -114,13 +115,15 @@
     });
 }
 
-/// A few bytes that decode to a long list: a field in the dynamic table, and hundreds of references to it.
+/// A few bytes that decode to a long list: a field in the dynamic table, and hundreds of references
+/// to it.
 #[test]
 fn header_bomb_is_not_served() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let mut raw = fixture.connect_raw();
     let mut block = query_fields("bomb", &[]);
-    // A literal with incremental indexing (RFC 7541, section 6.2.1): the entry that 0xbe then names.
+    // A literal with incremental indexing (RFC 7541, section 6.2.1): the entry that 0xbe then
+    // names.
     block.extend([0x40, 4]);
     block.extend(b"long");
     block.push(120);
@@ -179,7 +182,8 @@
         .unwrap();
 }
 
-/// More connections than there are slots: those that send queries are served in place of those that send nothing.
+/// More connections than there are slots: those that send queries are served in place of those that
+/// send nothing.
 #[test]
 fn silent_connections_are_evicted_when_slots_are_exhausted() {
     let fixture = Fixture::start(
--- a/crates/query-broker/tests/http2/graceful_shutdown.rs
+++ b/crates/query-broker/tests/http2/graceful_shutdown.rs
@@ -23,7 +23,8 @@
 }
 
 impl ShuttingDown {
-    /// Sends SIGTERM once the query's attempt has reached a data server, which takes this long for it.
+    /// Sends SIGTERM once the query's attempt has reached a data server, which takes this long for
+    /// it.
     fn with_part_duration(part_duration: Duration) -> Self {
         let fixture = Fixture::with_part_duration(part_duration);
         let mut raw = fixture.connect_raw();
@@ -65,7 +66,8 @@
     fixture.check_invariants();
 }
 
-/// A client that never acknowledges the PING has its later streams refused, and does not delay the exit.
+/// A client that never acknowledges the PING has its later streams refused, and does not delay the
+/// exit.
 #[test]
 fn late_streams_are_refused_and_the_process_ends_without_ping_ack() {
     // Long enough that the first query is still being served when the second comes.
@@ -74,7 +76,8 @@
         mut raw,
     } = ShuttingDown::with_part_duration(Duration::from_millis(1500));
     assert_eq!(raw.expect_frame(GOAWAY).last_stream_id(), HIGHEST_STREAM_ID);
-    // New connections are accepted for 600 ms; when they no longer are, new streams of old ones are refused too.
+    // New connections are accepted for 600 ms; when they no longer are, new streams of old ones are
+    // refused too.
     fixture.wait_until_not_listening();
     raw.send(&query_frames(3, "b"));
     let reset = raw.expect_frame(RST_STREAM);
--- a/crates/query-broker/tests/http2/idempotency_keys.rs
+++ b/crates/query-broker/tests/http2/idempotency_keys.rs
@@ -18,7 +18,8 @@
     stream.reset();
 }
 
-/// Sends queries under this key, each after the time that the rejection before it advised, until one is not rejected.
+/// Sends queries under this key, each after the time that the rejection before it advised, until
+/// one is not rejected.
 async fn retry_until_served(http2: &Http2Client, key: &str) -> QueryOutcome {
     let mut number = 0;
     loop {
@@ -32,8 +33,8 @@
     }
 }
 
-/// The part was sent when the client reset its stream. The same key is rejected while that attempt may run, and served
-/// afterwards.
+/// The part was sent when the client reset its stream. The same key is rejected while that attempt
+/// may run, and served afterwards.
 #[test]
 fn repeated_key_is_rejected_while_the_first_attempt_may_run() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
--- a/crates/query-broker/tests/http2/malformed_requests.rs
+++ b/crates/query-broker/tests/http2/malformed_requests.rs
@@ -16,8 +16,8 @@
     fault: &'static str,
     /// Fields that are replaced, left out (an empty value) or added.
     changes: &'static [(&'static str, &'static str)],
-    /// Whether the library may end the connection, since it cannot decode the field's name. RFC 9113 allows this
-    /// (section 5.4.2).
+    /// Whether the library may end the connection, since it cannot decode the field's name. RFC
+    /// 9113 allows this (section 5.4.2).
     may_end_connection: bool,
 }
 
@@ -100,8 +100,8 @@
     OfConnection,
 }
 
-/// Waits until the request on this stream is rejected and the one on the next stream is answered, in any order, or until
-/// the connection is ended where the request allows it.
+/// Waits until the request on this stream is rejected and the one on the next stream is answered,
+/// in any order, or until the connection is ended where the request allows it.
 fn expect_rejection_and_answer(
     raw: &mut RawHttp2Client,
     stream: u32,
@@ -129,7 +129,8 @@
     Rejection::OfStream
 }
 
-/// Whether a frame on a malformed request's stream rejects it. Panics if it does so in another way than it should.
+/// Whether a frame on a malformed request's stream rejects it. Panics if it does so in another way
+/// than it should.
 fn is_rejection(frame: &Frame, fault: &str) -> bool {
     match frame.frame_type {
         RST_STREAM => assert_eq!(frame.error_code(), PROTOCOL_ERROR, "{fault}"),
--- a/crates/query-broker/tests/http2/requests.rs
+++ b/crates/query-broker/tests/http2/requests.rs
@@ -56,7 +56,8 @@
             let over_http1 = http1.send(&request).await;
             assert_eq!(over_http2.status().as_u16(), expected, "{method} {path}");
             assert!(over_http2.headers().contains_key("date"), "{method} {path}");
-            // A response to HEAD has no body, whatever its length says: this client would wait for one.
+            // A response to HEAD has no body, whatever its length says: this client would wait for
+            // one.
             if method != "HEAD" {
                 assert_eq!(
                     over_http1.unwrap().status(),
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -22,8 +22,8 @@
 
 #[test]
 fn hundreds_of_streams_share_a_connection() {
-    // Objective and timeouts are beyond what a busy machine needs: this test is not about admission, which rejects
-    // queries whose forecast misses their objective.
+    // Objective and timeouts are beyond what a busy machine needs: this test is not about
+    // admission, which rejects queries whose forecast misses their objective.
     let deployment = Deployment {
         latency_objective_ms: 20_000.0,
         client_timeout_ms: 30_000.0,
@@ -108,7 +108,8 @@
                 let query = lookup(&format!("r{round}q{n}"), &[0, 1]);
                 streams.push(http2.open(&query.request()).await.unwrap());
             }
-            // Without the capacity of earlier rounds these would be rejected, and their attempts never sent.
+            // Without the capacity of earlier rounds these would be rejected, and their attempts
+            // never sent.
             fixture.wait_for_attempts(before + 8).await;
             streams
                 .into_iter()
--- a/crates/query-broker/tests/scenarios/broker_process.rs
+++ b/crates/query-broker/tests/scenarios/broker_process.rs
@@ -26,8 +26,8 @@
 }
 
 impl BrokerProcess {
-    /// Starts the program with this configuration and the discovery that its environment names, and waits until it
-    /// listens.
+    /// Starts the program with this configuration and the discovery that its environment names, and
+    /// waits until it listens.
     pub(crate) fn start(config: Value, discovery: SocketAddr) -> Self {
         let file = std::env::temp_dir().join(format!(
             "query-broker-{}-{discovery}.json",
@@ -122,7 +122,8 @@
         self.replace_config_text(&self.config.to_string());
     }
 
-    /// Replaces the configuration's text, as deployments do it: the new file is moved over the old one.
+    /// Replaces the configuration's text, as deployments do it: the new file is moved over the old
+    /// one.
     pub(crate) fn replace_config_text(&self, text: &str) {
         let new = self.file.with_extension("new");
         std::fs::write(&new, text).unwrap();
--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -1,4 +1,5 @@
-//! The data servers of a scenario: what they send, what they are sent, and connections to them that come up late.
+//! The data servers of a scenario: what they send, what they are sent, and connections to them that
+//! come up late.
 
 use crate::BOUND;
 use crate::connection::{Connection, Frame};
--- a/crates/query-broker/tests/scenarios/main.rs
+++ b/crates/query-broker/tests/scenarios/main.rs
@@ -1,9 +1,10 @@
 //! Runs the scripts in `tests/scenarios/scripts` against the real program on loopback.
 //!
-//! A script is a text with one setting or step a line, settings first; `#` begins a comment. It is parsed whole before
-//! the program is started. Names of connections: `cN` is a client (connected by its first use), `sN` a data server,
-//! `any` whichever data server is connected to next, `d` the discovery that the environment names, and `e` another
-//! one. The name stands for the first connection to that peer, `s0.2` for the second.
+//! A script is a text with one setting or step a line, settings first; `#` begins a comment. It is
+//! parsed whole before the program is started. Names of connections: `cN` is a client (connected by
+//! its first use), `sN` a data server, `any` whichever data server is connected to next, `d` the
+//! discovery that the environment names, and `e` another one. The name stands for the first
+//! connection to that peer, `s0.2` for the second.
 //!
 //! ```text
 //! servers N                         N data servers, each holding all four shards; 1 if not given
--- a/crates/query-broker/tests/scenarios/world.rs
+++ b/crates/query-broker/tests/scenarios/world.rs
@@ -128,8 +128,8 @@
         .collect()
 }
 
-/// The program's configuration. The discovery that it names does not exist: the environment names the right one, which
-/// goes first at the start.
+/// The program's configuration. The discovery that it names does not exist: the environment names
+/// the right one, which goes first at the start.
 fn configuration(settings: &Settings, addresses: &[SocketAddr]) -> Value {
     let endpoints: Vec<Value> = addresses
         .iter()
--- a/crates/server-protocol/src/broker.rs
+++ b/crates/server-protocol/src/broker.rs
@@ -8,9 +8,11 @@
 use fanout_policy::api::Outcome;
 use std::fmt::{self, Write};
 
-/// Longest body accepted from a data server, in bytes: a value as long as the longest HTTP body, and its line.
+/// Longest body accepted from a data server, in bytes: a value as long as the longest HTTP body,
+/// and its line.
 const MAX_BODY_LEN: usize = 66 * 1024;
-/// Longest line of a response, in bytes: it carries an id no longer than a client may choose, and short fields.
+/// Longest line of a response, in bytes: it carries an id no longer than a client may choose, and
+/// short fields.
 pub const MAX_RESPONSE_LINE_LEN: usize = 1024;
 
 /// One part of a call, to be encoded.
@@ -85,7 +87,8 @@
 
 /// Decodes the frame that `input` begins with. `Ok(None)`: it has not arrived completely.
 ///
-/// A frame is reported as invalid as soon as the bytes received show it, because the rest may never arrive.
+/// A frame is reported as invalid as soon as the bytes received show it, because the rest may never
+/// arrive.
 ///
 /// # Errors
 ///
@@ -123,7 +126,8 @@
     }
 }
 
-/// Whether the beginning of a response contains more than the longest line, and no line feed within it.
+/// Whether the beginning of a response contains more than the longest line, and no line feed within
+/// it.
 fn exceeds_line_limit(received: &[u8]) -> bool {
     received.len() > MAX_RESPONSE_LINE_LEN && !received[..MAX_RESPONSE_LINE_LEN].contains(&b'\n')
 }
@@ -149,8 +153,8 @@
     })
 }
 
-/// Number of requests in flight according to a load report. An unreadable report does not invalidate its frame:
-/// the number is unknown.
+/// Number of requests in flight according to a load report. An unreadable report does not
+/// invalidate its frame: the number is unknown.
 fn parse_requests_in_flight(load_report: &[u8]) -> Option<f64> {
     let load_report = utf8(load_report).ok()?;
     let names = [REQUESTS_IN_FLIGHT, REQUESTS_IN_FLIGHT_IN_SETTINGS];
--- a/crates/server-protocol/src/error.rs
+++ b/crates/server-protocol/src/error.rs
@@ -2,8 +2,8 @@
 
 use thiserror::Error;
 
-/// Reason why a frame cannot be decoded. Where the next frame begins is unknown, so the connection is of no
-/// further use.
+/// Reason why a frame cannot be decoded. Where the next frame begins is unknown, so the connection
+/// is of no further use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum InvalidFrame {
     /// The length is zero, or more than the receiver accepts.
--- a/crates/server-protocol/src/lib.rs
+++ b/crates/server-protocol/src/lib.rs
@@ -1,9 +1,11 @@
-//! Codec for the frames exchanged by brokers and data servers. It works on byte slices and does no I/O.
+//! Codec for the frames exchanged by brokers and data servers. It works on byte slices and does no
+//! I/O.
 //!
-//! A frame is a length of four bytes (big endian, counting what follows), one byte for the kind, and a payload
-//! whose form depends on the kind. [`broker`] encodes and decodes for a broker, [`server`] for a data server. Both
-//! sides decode the first message of the bytes that have arrived, as a [`Decoded`] once it is complete, or give an
-//! [`InvalidFrame`], after which the connection is of no further use.
+//! A frame is a length of four bytes (big endian, counting what follows), one byte for the kind,
+//! and a payload whose form depends on the kind. [`broker`] encodes and decodes for a broker,
+//! [`server`] for a data server. Both sides decode the first message of the bytes that have
+//! arrived, as a [`Decoded`] once it is complete, or give an [`InvalidFrame`], after which the
+//! connection is of no further use.
 //!
 //! ```
 //! use server_protocol::broker::{self, PartRequest, ServerMessage};
--- a/crates/server-protocol/src/server.rs
+++ b/crates/server-protocol/src/server.rs
@@ -1,10 +1,12 @@
-//! The data server's side, for test doubles of data servers: decodes what brokers send, encodes responses.
+//! The data server's side, for test doubles of data servers: decodes what brokers send, encodes
+//! responses.
 
 use crate::fields::{IDEMPOTENCY_KEY_OPTION, REQUESTS_IN_FLIGHT, WAIT_OPTION};
 use crate::frame::{self, FrameKind, PartialFrame, split_line, utf8};
 use crate::{Decoded, InvalidFrame, PartStatus};
 
-/// Longest body accepted from a broker, in bytes: a call with the most parts, each with the longest text.
+/// Longest body accepted from a broker, in bytes: a call with the most parts, each with the longest
+/// text.
 const MAX_BODY_LEN: usize = 4 << 20;
 /// Score of each response; brokers make no use of it.
 const SCORE: u32 = 1;
--- a/crates/server-protocol/tests/broker_side.rs
+++ b/crates/server-protocol/tests/broker_side.rs
@@ -65,7 +65,8 @@
     assert_eq!(decode(&bytes), Ok(Some(decoded)));
 }
 
-/// The rest of an invalid frame may never arrive: what its first bytes show must be reported at once.
+/// The rest of an invalid frame may never arrive: what its first bytes show must be reported at
+/// once.
 #[test]
 fn invalid_frame_is_detected_from_its_first_bytes() {
     let long_line = [&[0, 1, 0, 0, b'q'][..], &[b'x'; MAX_RESPONSE_LINE_LEN + 1]].concat();
