--- a/crates/query-broker/src/bench/broker_build.rs
+++ b/crates/query-broker/src/bench/broker_build.rs
@@ -1,7 +1,6 @@
 //! The build that is measured, and how it is started.
 
 use super::error::BenchError;
-use super::measurements::Pacing;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use test_fleet::{BrokerProcess, Deployment, Fleet, FleetPlan};
@@ -21,6 +20,25 @@
     Http1AndHttp2,
 }
 
+/// How the broker's iterations are paced in a measurement.
+#[derive(Clone, Copy, Debug)]
+pub(super) enum Pacing {
+    /// A tick apart, as without an operator's file.
+    Ticks,
+    /// By the batch window, with `gather-time`.
+    BatchWindow,
+}
+
+impl Pacing {
+    /// The name in the figures.
+    pub(super) fn name(self) -> &'static str {
+        match self {
+            Pacing::Ticks => "ticks",
+            Pacing::BatchWindow => "gather",
+        }
+    }
+}
+
 /// The build that is measured.
 pub(super) struct BrokerBuild {
     /// Its executable.
--- a/crates/query-broker/src/bench/flood.rs
+++ b/crates/query-broker/src/bench/flood.rs
@@ -1,9 +1,8 @@
 //! Effect of a flood on one connection on the clients of others.
 
 use super::WARM_UP_SHARE;
-use super::broker_build::{BrokerBuild, http2_address};
+use super::broker_build::{BrokerBuild, Pacing, http2_address};
 use super::error::BenchError;
-use super::measurements::Pacing;
 use hdrhistogram::Histogram;
 use load_generator::raw_http2::{
     PING, RST_STREAM, RawHttp2Client, SETTINGS, encode_frame, query_frames,
--- a/crates/query-broker/src/bench/measurements.rs
+++ b/crates/query-broker/src/bench/measurements.rs
@@ -1,6 +1,6 @@
 //! What is measured: routes, rates and sizes.
 
-use super::broker_build::Listeners;
+use super::broker_build::{Listeners, Pacing};
 use super::flood::FloodKind;
 
 /// Queries a second of a single client, far below the capacity.
@@ -12,25 +12,6 @@
 /// Largest number of queries in flight under a steady load.
 const STEADY_CONCURRENCY: usize = 256;
 
-/// How the broker's iterations are paced in a measurement.
-#[derive(Clone, Copy, Debug)]
-pub(super) enum Pacing {
-    /// A tick apart, as without an operator's file.
-    Ticks,
-    /// By the batch window, with `gather-time`.
-    BatchWindow,
-}
-
-impl Pacing {
-    /// The name in the figures.
-    pub(super) fn name(self) -> &'static str {
-        match self {
-            Pacing::Ticks => "ticks",
-            Pacing::BatchWindow => "gather",
-        }
-    }
-}
-
 /// How queries reach the data servers, and over how many client connections.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Route {
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -1,9 +1,9 @@
 //! What an idle request costs in memory, over both listeners: its head has arrived, its body has
 //! not.
 
-use super::broker_build::BrokerBuild;
+use super::broker_build::{BrokerBuild, Pacing};
 use super::error::BenchError;
-use super::measurements::{HttpVersion, MemoryMeasurement, Pacing};
+use super::measurements::{HttpVersion, MemoryMeasurement};
 use async_executor::LocalExecutor;
 use load_generator::{Http1Client, Http2Client, Http2Stream, LoadQuery};
 use std::io;
