--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -116,13 +116,12 @@
         let id = format!("{id_prefix:08x}{number:08x}");
         let query = LoadQuery::new(id, &profile.class, &profile.shards);
         let (transport, recorder, slots) = (transport.clone(), recorder.clone(), slots.clone());
-        executor
-            .spawn(async move {
-                let outcome = transport.send_query(&query).await;
-                recorder.record(due, &outcome);
-                slots.release();
-            })
-            .detach();
+        let send = async move {
+            let outcome = transport.send_query(&query).await;
+            recorder.record(due, &outcome);
+            slots.release();
+        };
+        executor.spawn(send).detach();
     }
     slots.wait_until_free(profile.max_concurrent).await;
     Ok(recorder.report())
--- a/crates/load-generator/src/open_loop/recorder.rs
+++ b/crates/load-generator/src/open_loop/recorder.rs
@@ -7,7 +7,7 @@
 use std::io;
 use std::time::Instant;
 
-/// The shortest latency that the histogram tells from zero, in microseconds.
+/// The shortest latency that the histogram distinguishes from zero, in microseconds.
 const MIN_LATENCY_US: u64 = 1;
 /// The longest latency that the histogram holds, in microseconds; longer ones count as this one.
 const MAX_LATENCY_US: u64 = 60_000_000;
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -9,7 +9,11 @@
 //! faulty key:
 //!
 //! ```
-//! let file = serde_json::json!({"name": "n3", "seed": "8c1f30d27a5be964", "settings": {"FamilyInfo": {"Shards": -1}}});
+//! let file = serde_json::json!({
+//!     "name": "n3",
+//!     "seed": "8c1f30d27a5be964",
+//!     "settings": {"FamilyInfo": {"Shards": -1}},
+//! });
 //! let error = platform_config::from_json(&file, |_| None).unwrap_err();
 //! assert_eq!(error.to_string(), "FamilyInfo: field Shards is not a whole number");
 //! ```
--- a/crates/simulator-adapter/tests/adapter/script.rs
+++ b/crates/simulator-adapter/tests/adapter/script.rs
@@ -5,14 +5,22 @@
 use std::process::{Command, Output, Stdio};
 
 /// The settings of all instances.
-const SETTINGS: &str = r#"{"Allowed":{"Cancel":true,"SendCap":3,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfter":500.0,
-"Unheard":[1]},"Clients":{"MarksRetry":true},"FamilyInfo":{"Batch":8,"Call":20.0,"ClassNeed":[1.0],"FetchParts":[0],
-"MinShare":[1.0],"PartialEarns":[0.9],"Positions":2,"Shards":2,"Width":2},"MembershipMode":"on_request","PeersTotal":2,
-"Rules":{"AskWithin":10000.0,"Cold":9000.0,"ColdFrom":0.2,"Fall":2000.0,"FallMultiple":2.0},"Tick":5.0,
-"Services":[{"Aim":1000.0,"GiveUp":4000.0,"Gain":1.0,"LateWorth":0.3,"MemorySpan":5000.0,"Semantics":"repeatable"}]}"#;
+const SETTINGS: &str = r#"{
+"Allowed":{"Cancel":true,"SendCap":3,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfter":500.0,
+"Unheard":[1]},
+"Clients":{"MarksRetry":true},
+"FamilyInfo":{"Batch":8,"Call":20.0,"ClassNeed":[1.0],"FetchParts":[0],"MinShare":[1.0],
+"PartialEarns":[0.9],"Positions":2,"Shards":2,"Width":2},
+"MembershipMode":"on_request",
+"PeersTotal":2,
+"Rules":{"AskWithin":10000.0,"Cold":9000.0,"ColdFrom":0.2,"Fall":2000.0,"FallMultiple":2.0},
+"Tick":5.0,
+"Services":[{"Aim":1000.0,"GiveUp":4000.0,"Gain":1.0,"LateWorth":0.3,"MemorySpan":5000.0,
+"Semantics":"repeatable"}]}"#;
 
 /// The declaration of an endpoint list with two servers.
-const ENDPOINT_LIST: &str = r#"{"t":"Ledger","Slot":3,"MembersList":[{"Node":"10.0.0.1:80","Position":0,"Mode":"in_service"},
+const ENDPOINT_LIST: &str = r#"{"t":"Ledger","Slot":3,"MembersList":[
+{"Node":"10.0.0.1:80","Position":0,"Mode":"in_service"},
 {"Node":"10.0.0.2:80","Position":1,"Mode":"in_service","StartTime":0}]}"#;
 
 /// Lines of input.
--- a/crates/test-fleet/src/server.rs
+++ b/crates/test-fleet/src/server.rs
@@ -87,10 +87,10 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Ends a connection so that its peer sees a reset.
+/// Ends a connection; its peer sees a reset if bytes that it sent are unread.
 fn reset(stream: &Async<TcpStream>) {
-    // The standard library does not offer SO_LINGER. Unread bytes make the end of a connection a
-    // reset; without any, a plain end is good enough.
+    // The standard library does not offer SO_LINGER. The system resets a connection that is closed
+    // while received bytes are unread; without any, the peer sees an ordinary close.
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
 
--- a/crates/test-fleet/src/server/connection.rs
+++ b/crates/test-fleet/src/server/connection.rs
@@ -11,7 +11,7 @@
     BrokerMessage, PartRequest, decode, encode_frame_rejection, encode_part_response,
     encode_probe_response,
 };
-use server_protocol::{Decoded, PartStatus};
+use server_protocol::{Decoded, InvalidFrame, PartStatus};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::io;
@@ -35,7 +35,29 @@
     /// Parts that are being worked on, by when they are finished.
     scheduled: RefCell<Schedule>,
     /// Signalled after each message, as the schedule may have changed.
-    schedule_changed: (Sender<()>, Receiver<()>),
+    schedule_changed: Signal,
+}
+
+/// Wakes the one task that waits for it. A signal without a waiting task is kept until the next
+/// wait.
+struct Signal {
+    sender: Sender<()>,
+    receiver: Receiver<()>,
+}
+
+impl Signal {
+    fn new() -> Self {
+        let (sender, receiver) = async_channel::bounded(1);
+        Signal { sender, receiver }
+    }
+
+    fn signal(&self) {
+        let _ = self.sender.try_send(());
+    }
+
+    async fn wait(&self) {
+        let _ = self.receiver.recv().await;
+    }
 }
 
 /// What the server does when a part is finished.
@@ -51,7 +73,7 @@
             stream,
             in_flight: RefCell::default(),
             scheduled: RefCell::default(),
-            schedule_changed: async_channel::bounded(1),
+            schedule_changed: Signal::new(),
         }
     }
 
@@ -81,22 +103,10 @@
         let mut input = Vec::new();
         let mut chunk = vec![0; READ_CHUNK_BYTES];
         loop {
-            let mut decoded_len = 0;
-            loop {
-                match decode(&input[decoded_len..]) {
-                    Ok(None) => break,
-                    Ok(Some(Decoded { message, frame_len })) => {
-                        decoded_len += frame_len;
-                        self.on_message(message).await?;
-                        let _ = self.schedule_changed.0.try_send(());
-                    }
-                    Err(invalid) => {
-                        let rejection = encode_frame_rejection(&invalid.to_string());
-                        return stream.write_all(&rejection).await;
-                    }
-                }
+            if let Some(invalid) = self.handle_messages(&mut input).await? {
+                let rejection = encode_frame_rejection(&invalid.to_string());
+                return stream.write_all(&rejection).await;
             }
-            input.drain(..decoded_len);
             match stream.read(&mut chunk).await? {
                 0 => return Ok(()),
                 length => input.extend_from_slice(&chunk[..length]),
@@ -104,6 +114,25 @@
         }
     }
 
+    /// Handles the messages that have arrived completely and removes them from the input. Returns
+    /// the reason if the frame after them is invalid.
+    async fn handle_messages(&self, input: &mut Vec<u8>) -> io::Result<Option<InvalidFrame>> {
+        let mut handled_len = 0;
+        loop {
+            match decode(&input[handled_len..]) {
+                Ok(Some(Decoded { message, frame_len })) => {
+                    handled_len += frame_len;
+                    self.on_message(message).await?;
+                    self.schedule_changed.signal();
+                }
+                Ok(None) => break,
+                Err(invalid) => return Ok(Some(invalid)),
+            }
+        }
+        input.drain(..handled_len);
+        Ok(None)
+    }
+
     async fn on_message(&self, message: BrokerMessage) -> io::Result<()> {
         match message {
             BrokerMessage::Call(parts) => self.on_call(parts),
@@ -193,7 +222,7 @@
     async fn wait_for_finished_part(&self) {
         loop {
             let next_finish = self.scheduled.borrow().keys().next().map(|(at, _)| *at);
-            let changed = async { _ = self.schedule_changed.1.recv().await };
+            let changed = self.schedule_changed.wait();
             match next_finish {
                 Some(at) if at <= Instant::now() => return,
                 Some(at) => changed.or(async { _ = Timer::at(at).await }).await,
