--- a/crates/fanout-policy/tests/policy/outlier_detection.rs
+++ b/crates/fanout-policy/tests/policy/outlier_detection.rs
@@ -78,18 +78,17 @@
             ..ring()
         };
         let mut policy = Harness::new(settings, 0);
-        let endpoints = (0..12).flat_map(|cell| {
-            let here = Endpoint {
-                zone: zone_here,
-                ..endpoint(&format!("here{cell}"), cell)
-            };
-            let there = Endpoint {
-                zone: zone_there,
-                ..endpoint(&format!("there{cell}"), cell)
-            };
-            [here, there]
-        });
-        policy.update_list(ListUpdate::Snapshot, endpoints.collect());
+        let in_zone = |zone: Option<usize>, name: &str, cell| Endpoint {
+            zone,
+            ..endpoint(&format!("{name}{cell}"), cell)
+        };
+        let pair = |cell| {
+            [
+                in_zone(zone_here, "here", cell),
+                in_zone(zone_there, "there", cell),
+            ]
+        };
+        policy.update_list(ListUpdate::Snapshot, (0..12).flat_map(pair).collect());
         let mut count = 0;
         for k in 0..12 {
             let sent = policy.attempts_for(&format!("q{k}"), &[k]);
--- a/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
@@ -4,56 +4,25 @@
 use crate::script::{attempt_served, declare_endpoint_list, part, query, update_endpoint_list};
 use serde_json::{Value, json};
 
+const NOT_WHOLE: &str = "is not a whole number";
+const NOT_A_NUMBER: &str = "is not a number";
+const NOT_A_FLAG: &str = "is not true or false";
+
 #[test]
 fn optional_field_may_be_missing_or_null_but_not_of_a_wrong_type() {
+    let (query, part, list) = (query("t/x", 9), part("t/y", 9), declare_endpoint_list());
     for (message, object, field, wrong, problem) in [
-        (
-            query("t/x", 9),
-            "Order",
-            "Team",
-            json!(-1),
-            "is not a whole number",
-        ),
-        (
-            query("t/x", 9),
-            "Order",
-            "AgainByClient",
-            json!(1),
-            "is not true or false",
-        ),
-        (
-            part("t/y", 9),
-            "Order",
-            "Effort",
-            json!("x"),
-            "is not a number",
-        ),
-        (
-            declare_endpoint_list(),
-            "MembersList",
-            "Position",
-            json!(0.5),
-            "is not a whole number",
-        ),
-        (
-            declare_endpoint_list(),
-            "MembersList",
-            "Dc",
-            json!("x"),
-            "is not a whole number",
-        ),
-        (
-            declare_endpoint_list(),
-            "MembersList",
-            "StartTime",
-            json!([]),
-            "is not a number",
-        ),
+        (&query, "Order", "Team", json!(-1), NOT_WHOLE),
+        (&query, "Order", "AgainByClient", json!(1), NOT_A_FLAG),
+        (&part, "Order", "Effort", json!("x"), NOT_A_NUMBER),
+        (&list, "MembersList", "Position", json!(0.5), NOT_WHOLE),
+        (&list, "MembersList", "Dc", json!("x"), NOT_WHOLE),
+        (&list, "MembersList", "StartTime", json!([]), NOT_A_NUMBER),
     ] {
-        accept(&with_field(&message, field, None));
-        accept(&with_field(&message, field, Some(&Value::Null)));
+        accept(&with_field(message, field, None));
+        accept(&with_field(message, field, Some(&Value::Null)));
         let expected = format!("{object}: field {field} {problem}");
-        refuse(&with_field(&message, field, Some(&wrong)), &expected);
+        refuse(&with_field(message, field, Some(&wrong)), &expected);
     }
 }
 
--- a/crates/simulator-adapter/tests/adapter/message_fields/required_fields.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/required_fields.rs
@@ -5,16 +5,11 @@
     Script, attempt_served, declare_endpoint_list, launch, of_type, part, query,
     update_endpoint_list,
 };
+use Kind::{List, Number, Object, Text, WholeNumber};
 use serde_json::{Value, json};
 
-/// A message with a required field, the object that errors name, and the kind of the field.
-struct Required {
-    message: String,
-    field: &'static str,
-    object: &'static str,
-    kind: Kind,
-}
-
+/// The kind of a field's value.
+#[derive(Clone, Copy)]
 enum Kind {
     Number,
     WholeNumber,
@@ -26,107 +21,99 @@
 impl Kind {
     fn problem(&self) -> &'static str {
         match self {
-            Kind::Number => "is not a number",
-            Kind::WholeNumber => "is not a whole number",
-            Kind::Text => "is not a string",
-            Kind::List => "is not a list",
-            Kind::Object => "is not an object",
+            Number => "is not a number",
+            WholeNumber => "is not a whole number",
+            Text => "is not a string",
+            List => "is not a list",
+            Object => "is not an object",
         }
     }
 
     fn wrong_values(&self) -> Vec<Value> {
         match self {
-            Kind::Number => vec![json!("1"), json!(true), json!([1])],
-            Kind::WholeNumber => vec![json!("1"), json!(1.5), json!(-1), json!(1e300), json!(1e19)],
-            Kind::Text => vec![json!(1), json!(true), json!(["x"])],
-            Kind::List => vec![json!({}), json!("x"), json!(1)],
-            Kind::Object => vec![json!([]), json!("x"), json!(1)],
+            Number => vec![json!("1"), json!(true), json!([1])],
+            WholeNumber => vec![json!("1"), json!(1.5), json!(-1), json!(1e300), json!(1e19)],
+            Text => vec![json!(1), json!(true), json!(["x"])],
+            List => vec![json!({}), json!("x"), json!(1)],
+            Object => vec![json!([]), json!("x"), json!(1)],
         }
     }
 }
 
+/// A field with its kind.
+type Field = (&'static str, Kind);
+
+const INSTANCE: Field = ("I", WholeNumber);
+const ID: Field = ("OpId", Text);
+
+const LAUNCH: &[Field] = &[INSTANCE, ("Env", Object), ("RngSeed", WholeNumber)];
+const QUERY: &[Field] = &[
+    INSTANCE,
+    ID,
+    ("Service", WholeNumber),
+    ("Slice", Number),
+    ("GroupNo", WholeNumber),
+    ("GiveUpAt", Number),
+];
+const PART: &[Field] = &[
+    INSTANCE,
+    ID,
+    ("Service", WholeNumber),
+    ("Slice", Number),
+    ("GroupNo", WholeNumber),
+    ("Measure", Number),
+];
+const ATTEMPT_ENDED: &[Field] = &[
+    INSTANCE,
+    ID,
+    ("Hop", WholeNumber),
+    ("Rc", Text),
+    ("Rtt", Number),
+];
+const LIST_UPDATE: &[Field] = &[INSTANCE, ("Mode", Text), ("Slot", WholeNumber)];
+const LIST_DECLARATION: &[Field] = &[("Slot", WholeNumber), ("MembersList", List)];
+const LIST_ENTRY: &[Field] = &[("Node", Text), ("Mode", Text)];
+const GOSSIP: &[Field] = &[INSTANCE, ("Who", WholeNumber), ("Contents", Text)];
+const CLIENT_DISCONNECTED: &[Field] = &[INSTANCE, ID];
+const TIMER_FIRED: &[Field] = &[INSTANCE, ("Ref", WholeNumber)];
+
+/// A message with a required field, and the object that errors name.
+struct Required {
+    message: String,
+    object: &'static str,
+    field: &'static str,
+    kind: Kind,
+}
+
+/// Each required field of each message.
 fn required_fields() -> Vec<Required> {
-    let required = |message: String, object, fields: Vec<(&'static str, Kind)>| {
-        let with_message = move |(field, kind)| Required {
+    let begun = r#"{"t":"Begun","I":4}"#.to_owned();
+    let destroy = r#"{"t":"Destroy","I":4}"#.to_owned();
+    let served = attempt_served("10.0.0.1:80", "");
+    let messages = [
+        ("Launch", launch(4), LAUNCH),
+        ("Order", query("t/x", 9), QUERY),
+        ("Order", part("t/y", 9), PART),
+        ("ReportBack", served, ATTEMPT_ENDED),
+        ("PeersKnown", update_endpoint_list(4), LIST_UPDATE),
+        ("Ledger", declare_endpoint_list(), LIST_DECLARATION),
+        ("MembersList", declare_endpoint_list(), LIST_ENTRY),
+        ("Memo", gossip(), GOSSIP),
+        ("Dropped", disconnect(), CLIENT_DISCONNECTED),
+        ("DeadlineHit", timer(), TIMER_FIRED),
+        ("Begun", begun, &[INSTANCE]),
+        ("Destroy", destroy, &[INSTANCE]),
+    ];
+    let mut required = Vec::new();
+    for (object, message, fields) in messages {
+        required.extend(fields.iter().map(|(field, kind)| Required {
             message: message.clone(),
-            field,
             object,
-            kind,
-        };
-        fields.into_iter().map(with_message).collect::<Vec<_>>()
-    };
-    let instance = || ("I", Kind::WholeNumber);
-    let id = || ("OpId", Kind::Text);
-    let launch_fields = vec![
-        instance(),
-        ("Env", Kind::Object),
-        ("RngSeed", Kind::WholeNumber),
-    ];
-    let order_fields = || {
-        vec![
-            instance(),
-            id(),
-            ("Service", Kind::WholeNumber),
-            ("Slice", Kind::Number),
-            ("GroupNo", Kind::WholeNumber),
-        ]
-    };
-    let mut query_fields = order_fields();
-    query_fields.push(("GiveUpAt", Kind::Number));
-    let mut part_fields = order_fields();
-    part_fields.push(("Measure", Kind::Number));
-    let attempt_fields = vec![
-        instance(),
-        id(),
-        ("Hop", Kind::WholeNumber),
-        ("Rc", Kind::Text),
-        ("Rtt", Kind::Number),
-    ];
-    let update_fields = vec![
-        instance(),
-        ("Mode", Kind::Text),
-        ("Slot", Kind::WholeNumber),
-    ];
-    let list_fields = vec![("Slot", Kind::WholeNumber), ("MembersList", Kind::List)];
-    let entry_fields = vec![("Node", Kind::Text), ("Mode", Kind::Text)];
-    let gossip_fields = vec![
-        instance(),
-        ("Who", Kind::WholeNumber),
-        ("Contents", Kind::Text),
-    ];
-    [
-        required(launch(4), "Launch", launch_fields),
-        required(query("t/x", 9), "Order", query_fields),
-        required(part("t/y", 9), "Order", part_fields),
-        required(
-            attempt_served("10.0.0.1:80", ""),
-            "ReportBack",
-            attempt_fields,
-        ),
-        required(update_endpoint_list(4), "PeersKnown", update_fields),
-        required(declare_endpoint_list(), "Ledger", list_fields),
-        required(declare_endpoint_list(), "MembersList", entry_fields),
-        required(gossip(), "Memo", gossip_fields),
-        required(disconnect(), "Dropped", vec![instance(), id()]),
-        required(
-            timer(),
-            "DeadlineHit",
-            vec![instance(), ("Ref", Kind::WholeNumber)],
-        ),
-        required(
-            r#"{"t":"Begun","I":4}"#.to_owned(),
-            "Begun",
-            vec![instance()],
-        ),
-        required(
-            r#"{"t":"Destroy","I":4}"#.to_owned(),
-            "Destroy",
-            vec![instance()],
-        ),
-    ]
-    .into_iter()
-    .flatten()
-    .collect()
+            field,
+            kind: *kind,
+        }));
+    }
+    required
 }
 
 fn disconnect() -> String {
@@ -175,7 +162,7 @@
     } in required_fields()
     {
         let written: Value = serde_json::from_str(&message.replace('\n', "")).unwrap();
-        if matches!(kind, Kind::WholeNumber) {
+        if matches!(kind, WholeNumber) {
             let number = written[field].as_f64().unwrap();
             accept(&with_field(&message, field, Some(&json!(number))));
         }
