--- a/crates/test-fleet/src/part_value.rs
+++ b/crates/test-fleet/src/part_value.rs
@@ -15,3 +15,6 @@
     }
     format!("{hash:016x}")
 }
+
+#[cfg(test)]
+mod tests;
