--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -47,10 +47,11 @@
 /// What load is sent.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Queries a second; `None` sends a query as soon as fewer than [`LoadProfile::max_concurrent`] are in flight.
+    /// Queries a second; `None` sends a query as soon as fewer than [`LoadProfile::max_concurrent`]
+    /// are in flight.
     pub rate: Option<f64>,
-    /// Largest number of queries in flight. A query that is due while so many are in flight waits, and its latency
-    /// includes that wait.
+    /// Largest number of queries in flight. A query that is due while so many are in flight waits,
+    /// and its latency includes that wait.
     pub max_concurrent: usize,
     /// How long queries are sent.
     pub duration: Duration,
@@ -115,13 +116,12 @@
         let id = format!("{id_prefix:08x}{number:08x}");
         let query = LoadQuery::new(id, &profile.class, &profile.shards);
         let (transport, recorder, slots) = (transport.clone(), recorder.clone(), slots.clone());
-        executor
-            .spawn(async move {
-                let outcome = transport.send_query(&query).await;
-                recorder.record(due, &outcome);
-                slots.release();
-            })
-            .detach();
+        let send = async move {
+            let outcome = transport.send_query(&query).await;
+            recorder.record(due, &outcome);
+            slots.release();
+        };
+        executor.spawn(send).detach();
     }
     slots.wait_until_free(profile.max_concurrent).await;
     Ok(recorder.report())
