--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -1,13 +1,15 @@
-//! The watch of the endpoint list at the discovery service. It continues the cached list of the
-//! configuration.
+//! The watch of the endpoint list at the discovery service. At the start of the program it requests
+//! the changes since the revision of the cached list in the platform's configuration.
 //!
-//! [`DiscoveryWatch`] owns the one task of the watch and ends it when it is dropped or moves to
-//! another address. The task owns the connection and the revision of the current list; the list
-//! itself goes to the event loop with each update.
+//! [`DiscoveryWatch`] owns the one task of the watch. It ends the task when it is dropped or when
+//! it is moved to another address. The task owns the connection to discovery and the revision of
+//! the current list. It does not store the list: each update is queued for the event loop.
 //!
-//! - `watcher`: the task, which polls and continues after errors;
-//! - `client`: one connection, its time limits and the check that a list continues the current one;
-//! - `backoff`: the delays between attempts that fail.
+//! - `watcher`: the task, which polls discovery and reconnects after an error;
+//! - `client`: one connection, its time limits, and the check that a received list can be applied
+//!   to the current one;
+//! - `backoff`: the delays after errors;
+//! - `error`: the errors of the watch.
 
 mod backoff;
 mod client;
@@ -22,7 +24,7 @@
 use std::rc::Rc;
 use watcher::Watcher;
 
-/// The one watch of the endpoint list. It queues an event for each update.
+/// The watch of the endpoint list at one address. It queues an event for each update of the list.
 pub struct DiscoveryWatch {
     executor: Rc<LocalExecutor<'static>>,
     event_queue: Rc<EventQueue>,
@@ -32,7 +34,7 @@
 }
 
 impl DiscoveryWatch {
-    /// Returns a watch that has not started. `seed` determines the jitter of the backoff.
+    /// Creates a watch that has not been started. `seed` determines the jitter of the backoff.
     #[must_use]
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
@@ -47,18 +49,20 @@
         }
     }
 
-    /// Starts to watch at this address, for changes since a revision.
+    /// Starts to watch the list at `address` by requesting the changes since `revision`. A task
+    /// that watches already is replaced.
     pub fn continue_from(&mut self, address: SocketAddr, revision: u64) {
         self.start(address, Some(revision));
     }
 
-    /// Watches at another address. The revisions of the two services need not be comparable, so the
-    /// full list is requested first.
+    /// Watches the list at another address instead. The full list is requested first, because a
+    /// revision of the previous discovery service may have no meaning at the new one.
     pub fn move_to(&mut self, address: SocketAddr) {
         self.start(address, None);
     }
 
-    /// Replaces the task by one that requests the changes since `revision`, or the full list.
+    /// Replaces the task by one that first requests the changes since `revision`, or the full list
+    /// if `revision` is `None`.
     fn start(&mut self, address: SocketAddr, revision: Option<u64>) {
         let backoff = Backoff::new(self.rng.fork());
         let watcher = Watcher::new(address, revision, self.event_queue.clone(), backoff);
--- a/crates/broker/src/discovery/backoff.rs
+++ b/crates/broker/src/discovery/backoff.rs
@@ -1,24 +1,25 @@
-//! Exponential backoff with jitter.
+//! Exponential backoff with jitter, for the delays after failed polls of discovery.
 
 use fastrand::Rng;
 use std::time::Duration;
 
-/// The first delay. It is well below the 200 ms for which a watch may pause.
+/// The first delay. It must be well below 200 ms, the maximum time for which a watch may pause.
 pub(super) const MIN_DELAY: Duration = Duration::from_millis(20);
-/// The longest delay. It is short because the broker counts as notified of a change even if it is
-/// just waiting.
+/// The maximum delay. It is short because the broker counts as notified of a change of the list
+/// after a fixed time, even if it is waiting for this delay to end and has not received the change.
 const MAX_DELAY: Duration = Duration::from_millis(250);
-/// Share of a delay that is random, so that brokers which failed together do not retry together.
+/// Maximum share of a delay that is subtracted at random. It prevents brokers whose watches failed
+/// at the same time from also reconnecting at the same time.
 const JITTER: f64 = 0.5;
 
-/// Delays between attempts that fail in succession.
+/// The delays between consecutive failures of the watch.
 pub(super) struct Backoff {
     delay: Duration,
     rng: Rng,
 }
 
 impl Backoff {
-    /// Returns a backoff that starts with the first delay.
+    /// Creates a backoff that starts with [`MIN_DELAY`].
     pub(super) fn new(rng: Rng) -> Self {
         Backoff {
             delay: MIN_DELAY,
@@ -26,14 +27,15 @@
         }
     }
 
-    /// Returns the delay before the next attempt, and doubles the one after it up to the longest.
+    /// Returns the delay before the next attempt, and doubles the delay that follows it up to
+    /// [`MAX_DELAY`].
     pub(super) fn next_delay(&mut self) -> Duration {
         let delay = self.delay.mul_f64(1.0 - self.rng.f64() * JITTER);
         self.delay = (self.delay * 2).min(MAX_DELAY);
         delay
     }
 
-    /// Starts again with the first delay, after a success.
+    /// Resets the next delay to [`MIN_DELAY`]. This is called after a success.
     pub(super) fn reset(&mut self) {
         self.delay = MIN_DELAY;
     }
--- a/crates/broker/src/discovery/client.rs
+++ b/crates/broker/src/discovery/client.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 connection to discovery.
+//! One HTTP/1.1 connection to discovery, on which the endpoint list is requested.
 
 use super::error::DiscoveryError;
 use crate::clock::with_timeout;
@@ -12,19 +12,22 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// Time for which discovery may delay its response until the list changes.
+/// Time for which discovery may delay its response while the list does not change. The broker
+/// requests this time with each poll.
 ///
-/// The broker counts as notified of a change 6 s after it, whether or not its watch has failed.
-/// Noticing that a watch has failed (after [`RESPONSE_GRACE`] more), a backoff, a failed connect
-/// and another backoff must fit well within.
+/// The broker counts as notified of a change of the list 6 s after the change, even if its watch
+/// has failed. The sum of the following times must be well below these 6 s: this time and
+/// [`RESPONSE_GRACE`], after which the broker detects that a watch has failed, a backoff delay, a
+/// failed connect and another backoff delay.
 pub(super) const POLL_WAIT: Duration = Duration::from_secs(2);
-/// Time limit of a connect.
+/// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time by which the response to a poll may be later than [`POLL_WAIT`].
+/// Additional time after [`POLL_WAIT`] within which the response to a poll must have arrived.
 const RESPONSE_GRACE: Duration = Duration::from_secs(1);
-/// Time limit of the response with the full list, which is not delayed but may be long.
+/// Time limit for the response to a request for the full list. Discovery does not delay this
+/// response, but it may be large.
 const FULL_LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The longest response: a list of many thousand servers.
+/// Maximum size of a response, which suffices for a list of many thousand servers.
 const RESPONSE_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 4 << 20,
@@ -37,12 +40,13 @@
     decoder: ResponseDecoder,
     /// Bytes received and not yet decoded.
     input: Vec<u8>,
-    /// Whether the last response allows another request.
+    /// Whether the connection stays open after the last response, so that another request can be
+    /// sent.
     is_reusable: bool,
 }
 
 impl DiscoveryClient {
-    /// Opens a connection.
+    /// Opens a connection to discovery.
     pub(super) async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = with_timeout(CONNECT_TIMEOUT, Async::<TcpStream>::connect(address)).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -55,7 +59,8 @@
         })
     }
 
-    /// Requests the changes since a revision, or the full list.
+    /// Requests the changes of the endpoint list since `revision`, or the full list if `revision`
+    /// is `None`, and waits for the response.
     pub(super) async fn fetch(
         &mut self,
         revision: Option<u64>,
@@ -72,12 +77,12 @@
             return Err(DiscoveryError::UnexpectedStatus(response.status()));
         }
         let list: EndpointList = serde_json::from_slice(response.body())?;
-        check_continuity(&list, revision)?;
+        check_list_applies(&list, revision)?;
         self.is_reusable = message.keep_alive;
         Ok(list)
     }
 
-    /// Whether the connection can be used for another request.
+    /// Returns whether the connection can be used for another request.
     pub(super) fn is_reusable(&self) -> bool {
         self.is_reusable
     }
@@ -97,8 +102,8 @@
                 return Ok(message);
             }
             if read_some(&self.stream, &mut self.input).await? == 0 {
-                // The end of the stream is the end of a response without a length. A reset is an
-                // error of its own.
+                // A response without a length ends with the stream. A connection that is reset does
+                // not reach this line, because the read then returns an error.
                 let message = self.decoder.finish();
                 return message.ok_or_else(|| io::Error::from(io::ErrorKind::UnexpectedEof).into());
             }
@@ -106,10 +111,17 @@
     }
 }
 
-/// Checks that a list continues the one with this revision, or that it is full if there is none.
-fn check_continuity(list: &EndpointList, revision: Option<u64>) -> Result<(), DiscoveryError> {
-    match revision {
-        Some(revision) if list.revision < revision => Err(DiscoveryError::OutdatedRevision),
+/// Checks that a received list can be applied: it must not be older than `current_revision`, the
+/// revision of the current list. If there is no current list, the received list must be a full one.
+fn check_list_applies(
+    list: &EndpointList,
+    current_revision: Option<u64>,
+) -> Result<(), DiscoveryError> {
+    match current_revision {
+        Some(current) if list.revision < current => Err(DiscoveryError::OutdatedRevision {
+            received: list.revision,
+            current,
+        }),
         None if !list.is_snapshot => Err(DiscoveryError::DeltaInsteadOfSnapshot),
         _ => Ok(()),
     }
--- a/crates/broker/src/discovery/client/tests.rs
+++ b/crates/broker/src/discovery/client/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the check that a list continues the current one.
+//! Tests of the check that a received endpoint list can be applied to the current one.
 
 use super::*;
 
@@ -13,21 +13,27 @@
 #[test]
 fn list_with_current_or_newer_revision_is_accepted() {
     for (revision, is_snapshot) in [(5, false), (5, true), (6, false), (6, true)] {
-        assert!(check_continuity(&list(revision, is_snapshot), Some(5)).is_ok());
+        assert!(check_list_applies(&list(revision, is_snapshot), Some(5)).is_ok());
     }
 }
 
 #[test]
 fn list_with_older_revision_is_rejected_and_requires_snapshot() {
-    let error = check_continuity(&list(4, true), Some(5)).unwrap_err();
-    assert!(matches!(error, DiscoveryError::OutdatedRevision));
+    let error = check_list_applies(&list(4, true), Some(5)).unwrap_err();
+    assert!(matches!(
+        error,
+        DiscoveryError::OutdatedRevision {
+            received: 4,
+            current: 5
+        }
+    ));
     assert!(error.requires_snapshot());
 }
 
 #[test]
 fn delta_in_response_to_request_for_full_list_is_rejected_and_requires_snapshot() {
-    assert!(check_continuity(&list(1, true), None).is_ok());
-    let error = check_continuity(&list(1, false), None).unwrap_err();
+    assert!(check_list_applies(&list(1, true), None).is_ok());
+    let error = check_list_applies(&list(1, false), None).unwrap_err();
     assert!(matches!(error, DiscoveryError::DeltaInsteadOfSnapshot));
     assert!(error.requires_snapshot());
 }
--- a/crates/broker/src/discovery/watcher.rs
+++ b/crates/broker/src/discovery/watcher.rs
@@ -1,4 +1,4 @@
-//! The task that watches the endpoint list.
+//! The task that watches the endpoint list at one address.
 
 use super::backoff::{Backoff, MIN_DELAY};
 use super::client::{DiscoveryClient, POLL_WAIT};
@@ -11,7 +11,7 @@
 use std::time::Instant;
 use tracing::warn;
 
-/// Watches the list at one address.
+/// The state of the task that watches the endpoint list at one address.
 pub(super) struct Watcher {
     address: SocketAddr,
     /// Revision of the current list; `None` if the full list must be requested.
@@ -21,7 +21,8 @@
 }
 
 impl Watcher {
-    /// Returns a watcher that requests changes since `revision`, or the full list.
+    /// Creates a watcher that first requests the changes since `revision`, or the full list if
+    /// `revision` is `None`.
     pub(super) fn new(
         address: SocketAddr,
         revision: Option<u64>,
@@ -36,11 +37,12 @@
         }
     }
 
-    /// Watches until dropped. After an error the current list stays in effect, and the watch
-    /// continues on a new connection.
+    /// Watches the list until the future is dropped. After an error, the current list stays in
+    /// effect, and the watch continues on a new connection after a backoff delay.
     pub(super) async fn run(mut self) {
         loop {
-            // Discovery may close a connection between two responses, which is no error.
+            // Discovery may close a connection after a complete response. This is no error, and
+            // the next connection is opened without a delay.
             if let Err(error) = self.watch_connection().await {
                 warn!(name: "discovery_watch_failed", error = %error);
                 if error.requires_snapshot() {
@@ -60,15 +62,17 @@
             let is_unchanged = self.revision == Some(list.revision);
             self.on_list(list);
             if is_unchanged && started_at.elapsed() < POLL_WAIT / 2 {
-                // The response is premature. Polling again without a pause would use up the whole
-                // core.
+                // Discovery has responded before the requested wait has passed, although the list
+                // has not changed. If it always does so, polling without a pause would use all the
+                // time of the core.
                 Timer::after(MIN_DELAY).await;
             }
         }
         Ok(())
     }
 
-    /// Continues from the list's revision, and queues an event for the list unless it is empty.
+    /// Stores the revision of a received list, resets the backoff, and queues an event for the list
+    /// unless it holds no changes.
     fn on_list(&mut self, list: EndpointList) {
         self.revision = Some(list.revision);
         self.backoff.reset();
