--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -1,17 +1,19 @@
-//! The event loop: one thread that drains the event queue, asks the policy for decisions and
-//! executes them.
+//! The event loop, which drains the event queue, calls the policy and executes the policy's
+//! decisions. It runs on the one thread of the broker.
 //!
 //! An iteration handles all queued events, then reports ended attempts, submits new queries and
 //! polls the policy, in this order. The decisions of each of these steps are executed before the
-//! next one; only the sending of attempts waits for the end of the iteration, so that attempts to
-//! the same server share a call.
+//! next step. Only the dispatched attempts are sent at the end of the iteration, so that attempts
+//! to the same server share a call.
 //!
-//! - `iteration`: the order of an iteration, and when the next one starts;
+//! - `iteration`: the steps of an iteration, and the time at which the next iteration starts;
 //! - `query_processor`: the policy, the clients' queries and the server pools, with
-//!   `dispatch_queue` for attempts that wait to be sent and `policy_report` for the log;
+//!   `dispatch_queue` for the attempts that wait to be sent and `policy_report` for the regular log
+//!   event about the policy's state;
 //! - `configuration`: the settings in effect and their reload;
 //! - `shutdown`: the graceful shutdown;
-//! - `startup` and `runtime`: what a start opens and creates, and what all tasks share.
+//! - `startup`: opens the listeners and runs the event loop;
+//! - `runtime`: the executor, the event queue and the clock, which all tasks share.
 
 mod configuration;
 mod dispatch_queue;
--- a/crates/broker/src/event_loop/configuration.rs
+++ b/crates/broker/src/event_loop/configuration.rs
@@ -1,6 +1,6 @@
 //! The configuration in effect, and its reload on SIGHUP.
 //!
-//! [`Configuration`] owns the operator's settings and the time of the next reload.
+//! [`Configuration`] owns the operator's settings in effect and the time of the next reload.
 
 use crate::discovery::DiscoveryWatch;
 use crate::listeners::ClientListeners;
@@ -15,39 +15,44 @@
 use thiserror::Error;
 use tracing::{info, warn};
 
-/// Time after which a failed reload is repeated: the file may have been read while it was being
-/// written, and changes of the platform's configuration must take effect within seconds.
+/// Time after which a failed reload is repeated. A reload can fail because the file was read while
+/// it was being written, and changes of the platform's configuration must take effect within
+/// seconds.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// The configuration in effect, as far as it can change while the program runs.
+/// The configuration in effect: the settings that a reload can change, and the platform's settings
+/// that a reload needs.
 pub(super) struct Configuration {
     operator: OperatorConfig,
     /// Resources that the platform grants to client connections.
     client_resources: ClientResources,
-    /// Least time from an iteration to the next one that only a deadline causes.
+    /// Minimum time from an iteration to the next one if no event occurs in between.
     tick: Duration,
-    /// Time for which events are gathered before an iteration.
+    /// Rule for the minimum time between the starts of two iterations, in which events are
+    /// gathered.
     batch_window: BatchWindow,
-    /// Time of the next attempt to reload.
+    /// Time of the next reload; `None` if no reload is requested or has to be repeated.
     reload_at: Option<Timestamp>,
 }
 
-/// Both configurations, as they were read again.
-struct Reloaded {
+/// The values that a reload has read from the platform's configuration and the operator's file, and
+/// has not applied yet.
+struct ReloadedSettings {
+    /// All settings of the operator's file.
     operator_settings: Settings,
     /// Address of the discovery service.
     discovery: SocketAddr,
-    /// Limits of future client connections.
+    /// Limits of client connections that are opened after the reload.
     listener_limits: ListenerLimits,
 }
 
-/// Why a configuration could not be reloaded.
+/// The reason why a reload failed.
 #[derive(Debug, Error)]
 enum ReloadError {
-    /// The platform's configuration is invalid.
+    /// The platform's configuration is missing or invalid.
     #[error(transparent)]
     Platform(#[from] ConfigError),
-    /// The operator's file is invalid.
+    /// The operator's file cannot be read or is invalid.
     #[error(transparent)]
     Operator(#[from] OperatorConfigError),
     /// The operator's settings need more resources than the platform grants.
@@ -56,7 +61,7 @@
 }
 
 impl Configuration {
-    /// Returns the configuration at the start of the program.
+    /// Creates the configuration with which the program starts. No reload is requested.
     pub(super) fn new(
         operator: OperatorConfig,
         client_resources: ClientResources,
@@ -71,29 +76,32 @@
         }
     }
 
-    /// Returns the least time from an iteration to the next one that only a deadline causes.
+    /// Returns the minimum time from an iteration to the next one if no event occurs in between.
     pub(super) fn tick(&self) -> Duration {
         self.tick
     }
 
-    /// Returns the time for which events are gathered before an iteration.
+    /// Returns the rule for the minimum time between the starts of two iterations, in which events
+    /// are gathered.
     pub(super) fn batch_window(&self) -> BatchWindow {
         self.batch_window
     }
 
-    /// Requests a reload in this iteration.
+    /// Requests a reload, which [`Configuration::reload_if_due`] performs later in the same
+    /// iteration.
     pub(super) fn request_reload(&mut self, now: Timestamp) {
         self.reload_at = Some(now);
     }
 
-    /// Returns the time of the next reload, if there is to be one.
+    /// Returns the time of the next reload, or `None` if no reload is pending.
     pub(super) fn next_reload(&self) -> Option<Timestamp> {
         self.reload_at
     }
 
-    /// Reloads the configuration if that was requested or has to be repeated by now, and applies it
-    /// to the listeners and to discovery. If the platform's configuration or the operator's file is
-    /// missing or invalid, neither takes effect, and the reload is repeated later.
+    /// Reloads the configuration if a reload was requested, or if the time to repeat a failed
+    /// reload has come, and applies it to the listeners and to discovery. If the platform's
+    /// configuration or the operator's file is missing or invalid, the change of neither takes
+    /// effect, and the reload is repeated after [`RETRY_DELAY`].
     pub(super) fn reload_if_due(
         &mut self,
         now: Timestamp,
@@ -103,7 +111,7 @@
         if self.reload_at.take_if(|at| now >= *at).is_none() {
             return;
         }
-        match self.read() {
+        match self.read_configurations() {
             Ok(reloaded) => {
                 self.operator.apply(&reloaded.operator_settings);
                 self.batch_window = self.operator.batch_window(self.tick);
@@ -118,14 +126,16 @@
         }
     }
 
-    fn read(&self) -> Result<Reloaded, ReloadError> {
+    /// Reads the platform's configuration and the operator's file, and computes the limits of
+    /// client connections from the operator's limits and the resources that the platform grants.
+    fn read_configurations(&self) -> Result<ReloadedSettings, ReloadError> {
         let platform = platform_config::reload(platform_config::environment)?;
-        let operator_settings = self.operator.read_again()?;
+        let operator_settings = self.operator.reread()?;
         let http2 = self
             .operator
             .with_settings(&operator_settings)
             .http2_overrides();
-        Ok(Reloaded {
+        Ok(ReloadedSettings {
             discovery: platform.discovery,
             listener_limits: allocate(self.client_resources, http2)?,
             operator_settings,
--- a/crates/broker/src/event_loop/dispatch_queue/tests.rs
+++ b/crates/broker/src/event_loop/dispatch_queue/tests.rs
@@ -1,4 +1,5 @@
-//! Each attempt is either sent or reported as not sent, once.
+//! Tests that each dispatched attempt is returned exactly once, either to be sent or to be reported
+//! as not sent.
 
 use super::*;
 use broker_types::query::{PartIndex, QueryId};
--- a/crates/broker/src/event_loop/iteration.rs
+++ b/crates/broker/src/event_loop/iteration.rs
@@ -1,6 +1,7 @@
-//! The iterations of the event loop: their order, and when the next one starts.
+//! The iterations of the event loop: the order of their steps, and the time at which the next one
+//! starts.
 //!
-//! [`EventLoop`] holds the parts of the broker and passes events from one to another. Each part
+//! [`EventLoop`] holds the components of the broker and passes events between them. Each component
 //! owns its state.
 
 use super::configuration::Configuration;
@@ -24,14 +25,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time between two iterations.
+/// Maximum time between two iterations.
 const MAX_WAIT: Duration = Duration::from_secs(1000);
 
-/// The parts of the broker, which run on one thread.
+/// The components of the broker, which all run on one thread.
 pub(super) struct EventLoop {
     clock: Clock,
     event_queue: Rc<EventQueue>,
-    /// Names of the zones, in the order by which the policy numbers them.
+    /// Names of the zones. The index of a name is the number by which the policy identifies the
+    /// zone.
     zones: Vec<String>,
     configuration: Configuration,
     processor: QueryProcessor,
@@ -41,7 +43,8 @@
 }
 
 impl EventLoop {
-    /// Returns an event loop that starts with the cached endpoint list.
+    /// Creates the components of the broker and starts the listeners and the watch of the endpoint
+    /// list. Until discovery sends an update, the endpoint list is the cached one of `config`.
     pub(super) fn new(
         config: Config,
         operator: OperatorConfig,
@@ -98,7 +101,7 @@
         }
     }
 
-    /// Runs one iteration.
+    /// Runs the steps of one iteration, all of them with `now` as the current time.
     fn iterate(&mut self, now: Timestamp) {
         let received = self.handle_events(now);
         self.configuration
@@ -109,8 +112,8 @@
         self.processor.end_iteration(now);
     }
 
-    /// Handles all queued events, and returns the queries that were received and whose clients are
-    /// still connected.
+    /// Handles all queued events. Returns the received queries, without those whose clients have
+    /// disconnected meanwhile.
     fn handle_events(&mut self, now: Timestamp) -> Vec<ReceivedQuery> {
         let mut received = Vec::new();
         for event in self.event_queue.drain() {
@@ -134,12 +137,13 @@
         received
     }
 
+    /// Passes an endpoint list, or the changes to it, to the query processor.
     fn update_endpoints(&mut self, now: Timestamp, scope: ListScope, list: &EndpointList) {
         let servers = list.servers(&self.zones, |unix_ms| self.clock.at_unix_ms(unix_ms));
         self.processor.update_endpoints(now, scope, list, servers);
     }
 
-    /// Returns when the next iteration is due even if no event occurs.
+    /// Returns the time at which the next iteration must start even if no event occurs.
     fn next_deadline(&self, now: Timestamp) -> Timestamp {
         let tick = self.configuration.tick();
         let deadlines = [
@@ -151,8 +155,9 @@
         earliest.unwrap_or(Timestamp::MAX)
     }
 
-    /// Waits until an event has occurred or the deadline has passed, and then until the batch
-    /// window has ended.
+    /// Waits until an event has occurred or `deadline` has passed, and then until the batch window
+    /// has ended. `now` is the start of the last iteration. Without an event, the wait takes at
+    /// least one tick.
     async fn wait(&self, now: Timestamp, deadline: Timestamp) {
         let earliest = now + self.configuration.tick();
         let deadline = deadline.min(now + MAX_WAIT).max(earliest);
@@ -165,7 +170,8 @@
         if self.clock.now() < next_start {
             Timer::at(self.clock.instant(next_start)).await;
         } else {
-            // Lets the other tasks queue what their sockets have received by now.
+            // The batch window has ended already. Other tasks run once before the next iteration,
+            // so that they can queue events for the data that their sockets have received.
             yield_now().await;
         }
     }
--- a/crates/broker/src/event_loop/policy_report.rs
+++ b/crates/broker/src/event_loop/policy_report.rs
@@ -1,29 +1,30 @@
-//! Regular reports on the policy's state in the log. [`PolicyReporter`] owns the time of the next
-//! one.
+//! A log event about the policy's state at regular intervals. [`PolicyReporter`] owns the time of
+//! the next report.
 
 use broker_types::time::Timestamp;
 use policy_engine::PolicyEngine;
 use std::time::Duration;
 use tracing::info;
 
-/// Time between two reports. It keeps the log of several weeks small.
+/// Time between two reports. It is long enough to keep the log of several weeks small.
 const REPORT_INTERVAL: Duration = Duration::from_secs(5);
 
-/// When the policy's state is reported next.
+/// Logs the policy's state at regular intervals.
 pub(super) struct PolicyReporter {
+    /// Earliest time of the next report.
     next_report: Timestamp,
 }
 
 impl PolicyReporter {
-    /// Returns a reporter whose first report is due at once.
+    /// Creates a reporter whose first report is due immediately.
     pub(super) fn new() -> Self {
         PolicyReporter {
             next_report: Timestamp::ORIGIN,
         }
     }
 
-    /// Logs the policy's state at regular intervals. No other event explains why queries are
-    /// rejected on arrival.
+    /// Logs the policy's state if the interval since the last report has passed. An operator needs
+    /// this event, because no other event explains why queries are rejected on arrival.
     pub(super) fn report_if_due(
         &mut self,
         now: Timestamp,
--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -1,8 +1,9 @@
-//! Takes queries from their admission to their one final response: submits them to the policy,
-//! executes its decisions and reports the ends of attempts to it.
+//! Processes queries from their admission to their one final response: submits them to the policy,
+//! executes the policy's decisions and reports ended attempts to the policy.
 //!
-//! [`QueryProcessor`] owns the policy, the table of clients' queries and the server pools. A query
-//! is freed by the table, an attempt by the pools or, before it is sent, by the dispatch queue.
+//! [`QueryProcessor`] owns the policy, the table of clients' queries, the dispatch queue and the
+//! server pools. The table removes a query when it ends. The state of an attempt is removed by the
+//! server pools or, if the attempt was not passed to them, by the dispatch queue.
 
 use super::dispatch_queue::{Cancellation, DispatchQueue};
 use super::policy_report::PolicyReporter;
@@ -18,27 +19,27 @@
 use std::collections::BTreeSet;
 use tracing::warn;
 
-/// The policy with what its decisions are executed on.
+/// The policy and the components that execute its decisions.
 pub(super) struct QueryProcessor {
     policy: PolicyEngine,
     policy_reporter: PolicyReporter,
     queries: ClientQueries,
     servers: ServerPools,
     dispatches: DispatchQueue,
-    /// Queries and parts completed in this iteration, of which no unsent attempt is needed any
-    /// more.
-    completed: Vec<Completed>,
+    /// Queries that ended and parts that were served in this iteration. Their attempts that have
+    /// not been sent are cancelled at the end of the iteration.
+    completed: Vec<CompletedQueryOrPart>,
 }
 
-/// A query or one of its parts that is complete.
-struct Completed {
+/// A query that has ended, or a part that was served. None of its unsent attempts is needed.
+struct CompletedQueryOrPart {
     query: QueryId,
-    /// The part; `None` for the whole query.
+    /// The part that was served; `None` if the whole query has ended.
     part: Option<PartIndex>,
 }
 
 impl QueryProcessor {
-    /// Returns a processor without queries.
+    /// Creates a processor without queries.
     pub(super) fn new(policy: PolicyEngine, queries: ClientQueries, servers: ServerPools) -> Self {
         QueryProcessor {
             policy,
@@ -55,8 +56,9 @@
         self.queries.in_flight()
     }
 
-    /// Passes a list of endpoints to the policy and the server pools, so that both act on it in the
-    /// same iteration. `servers` are its entries as the policy takes them.
+    /// Passes an endpoint list, or the changes to it, to the policy and to the server pools, so
+    /// that both use it from the same iteration on. `servers` holds the entries of `list`, in the
+    /// same order, in the form that the policy takes.
     pub(super) fn update_endpoints(
         &mut self,
         now: Timestamp,
@@ -76,7 +78,7 @@
         self.policy.update_endpoints(scope, servers);
     }
 
-    /// Stops sending to the servers that a full list no longer holds.
+    /// Stops sending to the servers that are missing from a full endpoint list.
     fn remove_unlisted_servers(&mut self, now: Timestamp, listed: &[ServerInfo]) {
         let listed: BTreeSet<&NodeId> = listed.iter().map(|server| &server.name).collect();
         for name in self.servers.serving() {
@@ -96,18 +98,22 @@
         self.servers.on_connection_event(now, connection, event);
     }
 
-    /// Ends a query whose client has disconnected.
+    /// Ends a query whose client has disconnected. Does nothing if the query has ended before.
     pub(super) fn on_client_disconnected(&mut self, now: Timestamp, query: QueryId) {
         self.policy.abandon(query);
         self.queries.abandon(now, query);
-        self.completed.push(Completed { query, part: None });
+        self.completed
+            .push(CompletedQueryOrPart { query, part: None });
     }
 
-    /// Reports the attempts that ended since the last iteration.
+    /// Reports to the policy the attempts that have ended since the last iteration, including those
+    /// that have timed out.
     ///
-    /// An iteration begins with these, time-outs included. The policy ends a query at the moment at
-    /// which its attempts time out. If it did so first, it would cancel them and never learn that
-    /// their servers are silent.
+    /// In an iteration this is the first call of the policy that returns decisions. The policy ends
+    /// a query at the same time at which the query's attempts time out. If the policy ran before
+    /// the time-outs are reported, it would end the query and cancel the attempts. They would be
+    /// reported as cancelled instead of timed out, and the policy would not detect that their
+    /// servers do not respond.
     pub(super) fn report_ended_attempts(&mut self, now: Timestamp) {
         let mut ended = self.dispatches.take_unsent();
         ended.extend(self.servers.take_ended_attempts(now));
@@ -119,11 +125,12 @@
         self.execute(now, decisions);
     }
 
-    /// Moves an attempt's value to its query and returns the report for the policy.
+    /// Records the end of an attempt, moves its value to its query, and returns the report for the
+    /// policy.
     fn on_attempt_ended(&mut self, now: Timestamp, mut ended: EndedAttempt) -> AttemptReport {
         self.queries.on_attempt_ended(now, &mut ended);
         if ended.outcome == Outcome::Served {
-            self.completed.push(Completed {
+            self.completed.push(CompletedQueryOrPart {
                 query: ended.attempt.query,
                 part: Some(ended.attempt.part),
             });
@@ -136,7 +143,7 @@
         }
     }
 
-    /// Submits the received queries that are admitted.
+    /// Submits the received queries to the policy, without those that are not admitted.
     pub(super) fn submit_queries(&mut self, now: Timestamp, received: Vec<ReceivedQuery>) {
         let admitted = received
             .into_iter()
@@ -146,14 +153,15 @@
         self.execute(now, decisions);
     }
 
-    /// Lets the policy act on the time that has passed.
+    /// Runs the policy if it is due at this time or has events to process, and executes its
+    /// decisions.
     pub(super) fn poll_policy(&mut self, now: Timestamp) {
         let decisions = self.policy.poll(now);
         self.execute(now, decisions);
     }
 
-    /// Ends an iteration: cancels what is not needed any more, sends what was dispatched and closes
-    /// connections that have expired.
+    /// Ends an iteration: cancels the unsent attempts that are not needed any more, sends the
+    /// dispatched attempts, closes expired connections and logs the policy's state if that is due.
     pub(super) fn end_iteration(&mut self, now: Timestamp) {
         self.cancel_completed(now);
         self.send_dispatches(now);
@@ -163,7 +171,8 @@
             .report_if_due(now, &self.policy, server_connections);
     }
 
-    /// Returns when the next iteration is due even if no event occurs.
+    /// Returns the time at which the next iteration must start even if no event occurs, or `None`
+    /// if there is no such time.
     pub(super) fn next_deadline(&self, now: Timestamp) -> Option<Timestamp> {
         let has_reports = self.servers.has_ended_attempts() || self.dispatches.has_unsent();
         let deadlines = [
@@ -174,7 +183,8 @@
         deadlines.into_iter().flatten().min()
     }
 
-    /// Executes decisions. Attempts to be sent are collected until the end of the iteration.
+    /// Executes decisions of the policy. Dispatched attempts are queued until the end of the
+    /// iteration.
     fn execute(&mut self, now: Timestamp, decisions: Decisions) {
         self.log_capacity(&decisions);
         for attempt in decisions.cancellations {
@@ -186,6 +196,8 @@
         self.dispatches.extend(decisions.dispatches);
     }
 
+    /// Logs the number of queries that were rejected for lack of capacity and the number of those
+    /// that failed because the policy had not decided before their deadline.
     fn log_capacity(&self, decisions: &Decisions) {
         if decisions.over_capacity > 0 {
             warn!(
@@ -199,6 +211,7 @@
         }
     }
 
+    /// Cancels an attempt, either in the dispatch queue or in the server pools.
     fn cancel_attempt(&mut self, now: Timestamp, attempt: AttemptId) {
         match self.dispatches.cancel(attempt) {
             Cancellation::Unsent => {}
@@ -206,9 +219,11 @@
         }
     }
 
+    /// Sends the final response of a query whose outcome the policy has decided.
     fn finish_query(&mut self, now: Timestamp, finished: FinishedQuery) {
         let FinishedQuery { query, outcome } = finished;
-        self.completed.push(Completed { query, part: None });
+        self.completed
+            .push(CompletedQueryOrPart { query, part: None });
         self.queries.finish(now, query, |values| match outcome {
             QueryOutcome::Rejected { retry_after } => FinalResponse::Rejected { retry_after },
             QueryOutcome::Failed => FinalResponse::Failed,
@@ -219,9 +234,9 @@
         });
     }
 
-    /// Cancels the unsent attempts of what was completed in this iteration.
+    /// Cancels the unsent attempts of the queries and parts that were completed in this iteration.
     fn cancel_completed(&mut self, now: Timestamp) {
-        for Completed { query, part } in std::mem::take(&mut self.completed) {
+        for CompletedQueryOrPart { query, part } in std::mem::take(&mut self.completed) {
             self.servers.cancel_unsent(now, query, part);
         }
     }
@@ -235,21 +250,23 @@
         self.servers.send_attempts(now, attempts);
     }
 
-    /// Completes a dispatch with what its frame needs. Returns `None` if it must not be sent.
+    /// Adds the data of the query that the attempt's frame contains to a dispatch. If the attempt
+    /// must not be sent, records that it ended without being sent and returns `None`.
     fn prepare_attempt(&mut self, now: Timestamp, dispatch: Dispatch) -> Option<OutgoingAttempt> {
         let attempt = dispatch.attempt;
         match self.queries.prepare_attempt(now, dispatch) {
             Ok(outgoing) => return Some(outgoing),
             Err(DispatchError::QueryFinished) => {}
-            Err(DispatchError::IdempotencyWindowClosed(_)) => {
-                // An earlier query with the same key may have executed this part. The query can
-                // neither be served nor be rejected as if nothing had been executed.
+            Err(DispatchError::RepetitionForbidden(_)) => {
+                // The part may have been executed for an earlier query with the same key. It must
+                // not be executed again, so the query cannot be served. Nor can the query be
+                // rejected, because a rejection tells the client that nothing was executed.
                 self.policy.abandon(attempt.query);
                 self.queries
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
             }
         }
-        self.dispatches.end_unsent(attempt);
+        self.dispatches.record_unsent(attempt);
         None
     }
 }
--- a/crates/broker/src/event_loop/runtime.rs
+++ b/crates/broker/src/event_loop/runtime.rs
@@ -1,4 +1,5 @@
-//! What all tasks of the broker share: the executor that runs them, the event queue and the clock.
+//! The objects that all tasks of the broker share: the executor that runs them, the event queue and
+//! the clock.
 
 use crate::clock::Clock;
 use crate::event_queue::{Event, EventQueue};
@@ -7,7 +8,7 @@
 use futures_lite::StreamExt;
 use std::rc::Rc;
 
-/// What all tasks of the broker share.
+/// The executor, the event queue and the clock of the broker.
 pub(super) struct Runtime {
     executor: Rc<LocalExecutor<'static>>,
     event_queue: Rc<EventQueue>,
@@ -15,7 +16,7 @@
 }
 
 impl Runtime {
-    /// Returns a runtime without tasks, whose clock starts now.
+    /// Creates a runtime without tasks and starts its clock.
     pub(super) fn start() -> Self {
         Runtime {
             executor: Rc::new(LocalExecutor::new()),
@@ -24,12 +25,12 @@
         }
     }
 
-    /// Returns the executor of the one thread.
+    /// Returns the executor, which runs all tasks on one thread.
     pub(super) fn executor(&self) -> Rc<LocalExecutor<'static>> {
         self.executor.clone()
     }
 
-    /// Returns the queue of the event loop.
+    /// Returns the event queue, which the event loop drains.
     pub(super) fn event_queue(&self) -> Rc<EventQueue> {
         self.event_queue.clone()
     }
@@ -39,7 +40,8 @@
         self.clock
     }
 
-    /// Starts a task that queues an event for each signal.
+    /// Starts a task that queues an event for each signal: a reload for SIGHUP, and the shutdown
+    /// for any other signal and if receiving a signal fails.
     pub(super) fn spawn_signal_handler(&self, mut signals: Signals) {
         let event_queue = self.event_queue();
         let handle_signals = async move {
@@ -53,7 +55,7 @@
         self.executor.spawn(handle_signals).detach();
     }
 
-    /// Runs all tasks until a future is complete.
+    /// Runs `future` and all tasks of the executor until `future` is complete.
     pub(super) fn block_on(&self, future: impl Future<Output = ()>) {
         async_io::block_on(self.executor.run(future));
     }
--- a/crates/broker/src/event_loop/shutdown.rs
+++ b/crates/broker/src/event_loop/shutdown.rs
@@ -1,32 +1,35 @@
-//! Graceful shutdown: when the listeners are closed and when the program may end.
-//! [`GracefulShutdown`] owns the time at which it started.
+//! The graceful shutdown: the times at which the listeners are closed and at which the program may
+//! end. [`GracefulShutdown`] owns the time at which the shutdown started.
 
 use crate::listeners::ClientListeners;
 use broker_types::time::Timestamp;
 use std::time::Duration;
 use tracing::info;
 
-/// Time for which connections are still accepted after the start of a shutdown: clients notice late
-/// that the broker is no longer ready.
+/// Time for which connections are still accepted after the start of a shutdown. Clients notice only
+/// after a delay that the broker is no longer ready, and connect to it until then.
 const ACCEPT_TIME: Duration = Duration::from_millis(600);
 
-/// Whether the broker may stop.
+/// Whether the shutdown is complete, so that the program may end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ShutdownProgress {
-    /// The broker serves queries, or has connections or queries left.
+    /// The shutdown has not started, the listeners still accept connections, a connection is open
+    /// or a query is in flight.
     Running,
-    /// No connection is open and no query is in flight.
+    /// The listeners are closed, no connection is open and no query is in flight.
     Complete,
 }
 
-/// The graceful shutdown of the broker.
+/// The graceful shutdown of the broker, which starts at most once.
 #[derive(Debug, Default)]
 pub(super) struct GracefulShutdown {
+    /// Time at which the shutdown started; `None` before.
     started_at: Option<Timestamp>,
 }
 
 impl GracefulShutdown {
-    /// Starts the shutdown, unless it has started before.
+    /// Starts the shutdown: the listeners begin to drain. Does nothing if the shutdown has already
+    /// started.
     pub(super) fn start(
         &mut self,
         now: Timestamp,
@@ -40,7 +43,8 @@
         }
     }
 
-    /// Closes the listeners once the time for new connections is over.
+    /// Closes the listeners if [`ACCEPT_TIME`] has passed since the start of the shutdown. Returns
+    /// whether the shutdown is complete.
     pub(super) async fn advance(
         &mut self,
         now: Timestamp,
@@ -58,7 +62,9 @@
         }
     }
 
-    /// Returns when the next step is due. Once the listeners are closed, that is after each `tick`.
+    /// Returns the time at which [`GracefulShutdown::advance`] must be called next: when the
+    /// listeners must be closed or, once they are closed, one `tick` after `now`. Returns `None`
+    /// before the start of the shutdown.
     pub(super) fn next_deadline(
         &self,
         now: Timestamp,
@@ -71,7 +77,8 @@
         self.accepts_until().filter(|end| now < *end)
     }
 
-    /// Returns when the listeners are to be closed, once the shutdown has started.
+    /// Returns the time at which the listeners must be closed, or `None` before the start of the
+    /// shutdown.
     fn accepts_until(&self) -> Option<Timestamp> {
         self.started_at.map(|start| start + ACCEPT_TIME)
     }
--- a/crates/broker/src/event_loop/startup.rs
+++ b/crates/broker/src/event_loop/startup.rs
@@ -1,4 +1,5 @@
-//! Start of the broker: sockets, signals, and the parts of the event loop.
+//! The start of the broker: installs the signal handlers, opens the listeners and runs the event
+//! loop.
 
 use super::iteration::EventLoop;
 use super::runtime::Runtime;
@@ -13,7 +14,7 @@
 use thiserror::Error;
 use tracing::info;
 
-/// Addresses that the broker listens at.
+/// The addresses on which the broker listens for clients.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenAddresses {
     /// Address for HTTP/1.1.
@@ -22,10 +23,10 @@
     pub http2: Option<SocketAddr>,
 }
 
-/// Why a broker could not start.
+/// The reason why a broker could not start.
 #[derive(Debug, Error)]
 pub enum StartupError {
-    /// A listener could not be opened.
+    /// A listener could not be opened on its configured address.
     #[error(transparent)]
     Listener(#[from] io::Error),
     /// The operator's settings need more resources than the platform grants.
@@ -33,21 +34,22 @@
     Resources(#[from] AllocationError),
 }
 
-/// Handles SIGTERM, SIGINT and SIGHUP from now on.
+/// Installs handlers for SIGTERM, SIGINT and SIGHUP. From then on these signals no longer have
+/// their default effect, and [`run`] receives them through the returned value.
 ///
 /// # Errors
 ///
-/// A signal handler could not be installed.
+/// Returns an error if a signal handler cannot be installed.
 pub fn catch_signals() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Runs a broker until its graceful shutdown is complete. Once it listens, `on_started` is called
-/// with its addresses.
+/// Runs a broker until its graceful shutdown is complete. Calls `on_started` with the broker's
+/// addresses once its listeners are open.
 ///
 /// # Errors
 ///
-/// The broker could not start.
+/// Returns an error if the broker cannot start.
 pub fn run(
     config: Config,
     operator: OperatorConfig,
@@ -72,6 +74,7 @@
     Ok(())
 }
 
+/// Opens the listeners on their configured addresses.
 fn bind_listeners(
     http1: SocketAddr,
     http2: Option<SocketAddr>,
@@ -84,7 +87,8 @@
     })
 }
 
-/// Returns the addresses with the ports that the system has chosen for port 0.
+/// Returns the addresses of the open listeners. If port 0 is configured, the address contains the
+/// port that the operating system has chosen.
 fn listen_addresses(listeners: &ListenerConfig) -> io::Result<ListenAddresses> {
     let local_address = |listener: &Async<TcpListener>| listener.get_ref().local_addr();
     Ok(ListenAddresses {
@@ -93,6 +97,7 @@
     })
 }
 
+/// Logs the address and the limits of the HTTP/2 listener, if there is one.
 fn log_http2_listener(addresses: ListenAddresses, limits: ListenerLimits) {
     if let (Some(address), Some(limits)) = (addresses.http2, limits.http2) {
         info!(
--- a/crates/broker/src/operator.rs
+++ b/crates/broker/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's configuration as the running program holds it.
+//! The operator's configuration in the running program: loading its file, reloading it and applying
+//! the settings that may change without a restart.
 
 use admission::resource_limits::Http2Overrides;
 use batch_window::BatchWindow;
@@ -11,14 +12,14 @@
 use thiserror::Error;
 use tracing::{Level, info, warn};
 
-/// The operator's settings, and the file that they come from, if there is one.
+/// The operator's settings in effect, and the path of their file if they were read from one.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
     path: Option<PathBuf>,
     settings: Settings,
 }
 
-/// Why an operator's file cannot be used.
+/// The reason why an operator's file cannot be used.
 #[derive(Debug, Error)]
 pub enum OperatorConfigError {
     /// The file cannot be read.
@@ -26,20 +27,20 @@
     Unreadable {
         /// Path of the file.
         path: PathBuf,
-        /// Why it cannot be read.
+        /// Error of opening or reading the file.
         source: io::Error,
     },
-    /// The file holds errors.
+    /// The file was read, but its content has errors.
     #[error(transparent)]
     Invalid(#[from] ConfigFileErrors),
 }
 
-/// Reads the text of an operator's file. Of a file that is too long, only so much is read that its
-/// excessive length can be recognized.
+/// Reads the text of an operator's file. At most [`MAX_FILE_BYTES`] + 1 bytes are read: the one
+/// byte above the limit suffices for the parser to reject a file that is too long.
 ///
 /// # Errors
 ///
-/// The file cannot be read or is not UTF-8.
+/// Returns [`OperatorConfigError::Unreadable`] if the file cannot be read or is not UTF-8.
 pub fn read_text(path: &Path) -> Result<String, OperatorConfigError> {
     let mut text = String::new();
     match File::open(path).and_then(|file| {
@@ -61,12 +62,12 @@
 }
 
 impl OperatorConfig {
-    /// Loads the file at the start of the program. Without a file, all settings have their
-    /// defaults.
+    /// Loads the operator's file at the start of the program. If `path` is `None`, all settings
+    /// have their defaults.
     ///
     /// # Errors
     ///
-    /// The file cannot be read or holds errors.
+    /// Returns an error if the file cannot be read or its content has errors.
     pub fn load(path: Option<PathBuf>) -> Result<Self, OperatorConfigError> {
         let settings = match &path {
             Some(path) => read_settings(path)?,
@@ -75,12 +76,12 @@
         Ok(OperatorConfig { path, settings })
     }
 
-    /// Parses settings that are in no file; reading them again changes nothing. Errors call the
-    /// text by `name`.
+    /// Parses settings from `text` instead of a file. [`OperatorConfig::reread`] returns them
+    /// unchanged. Error messages contain `name` in the place of a file's path.
     ///
     /// # Errors
     ///
-    /// The text holds errors.
+    /// Returns an error if the text has errors.
     pub fn from_text(name: &str, text: &str) -> Result<Self, OperatorConfigError> {
         Ok(OperatorConfig {
             path: None,
@@ -88,19 +89,20 @@
         })
     }
 
-    /// Reads the file again. The settings in effect do not change.
+    /// Reads the file again and returns its settings, without applying them. Returns the settings
+    /// in effect if they were not read from a file.
     ///
     /// # Errors
     ///
-    /// The file cannot be read or holds errors.
-    pub fn read_again(&self) -> Result<Settings, OperatorConfigError> {
+    /// Returns an error if the file cannot be read or its content has errors.
+    pub fn reread(&self) -> Result<Settings, OperatorConfigError> {
         match &self.path {
             Some(path) => read_settings(path),
             None => Ok(self.settings.clone()),
         }
     }
 
-    /// Returns the configuration that [`OperatorConfig::apply`] would lead to.
+    /// Returns the configuration that [`OperatorConfig::apply`] with `new` would put in effect.
     #[must_use]
     pub fn with_settings(&self, new: &Settings) -> Self {
         OperatorConfig {
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Applies the settings that can change while the program runs. Logs these, and those that
-    /// require a restart.
+    /// Applies those settings of `new` that can change while the program runs. Logs the changed
+    /// keywords: those that take effect now, and those that require a restart.
     pub fn apply(&mut self, new: &Settings) {
         let changes = self.settings.changes(new);
         self.settings = self.settings.adopt(new);
@@ -129,14 +131,14 @@
         &self.settings
     }
 
-    /// Applies the log's format and level.
+    /// Sets the format and the level of the log to those of the settings in effect.
     pub fn apply_log_settings(&self) {
         let log = self.settings.log;
         logging::reconfigure(log_format(log.format), log_level(log.level));
     }
 
-    /// Returns the batch window. `tick` is the least time between iterations in the platform's
-    /// settings.
+    /// Returns the batch window: an adaptive one if the operator has configured `gather-time`,
+    /// otherwise the fixed `tick`, the minimum time between iterations in the platform's settings.
     #[must_use]
     pub fn batch_window(&self, tick: Duration) -> BatchWindow {
         self.settings
@@ -144,7 +146,7 @@
             .map_or(BatchWindow::Fixed(tick), BatchWindow::Adaptive)
     }
 
-    /// Returns the operator's limits for HTTP/2, if there is to be a listener for it.
+    /// Returns the operator's limits for HTTP/2, or `None` if no HTTP/2 listener is configured.
     #[must_use]
     pub fn http2_overrides(&self) -> Option<Http2Overrides> {
         let http2 = self.settings.http2?;
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -1,14 +1,15 @@
 //! The clients' queries in flight: their admission, their attempts and their final responses.
 //!
 //! [`ClientQueries`] owns each query from its admission until its one final response is sent or its
-//! client has disconnected, which is where a query is freed.
+//! client has disconnected. It then removes the query and releases the query's reservations.
 //!
-//! - `client_query`: one query with the way back to its client, the values received and the log of
-//!   its attempts;
-//! - `reservations`: what a query reserves: its request id, a share of its connection's quota and
-//!   its idempotency key;
-//! - `idempotency_guard`: which attempts of a query with an idempotency key may be sent, and what
-//!   their ends prove.
+//! - `client_query`: one query with the channel for its response, the values received so far and
+//!   the log of its attempts;
+//! - `attempt_log`: the attempts of one query, formatted for the log;
+//! - `reservations`: the reservations of a query: its request id, units of its connection's quota
+//!   and its idempotency key;
+//! - `idempotency_guard`: for queries with an idempotency key, whether an attempt may be sent and
+//!   whether an ended attempt may have been executed.
 
 mod attempt_log;
 mod client_query;
@@ -22,22 +23,22 @@
 use client_query::ClientQuery;
 use fanout_policy::api::Settings;
 use idempotency::QueryEnd;
-use idempotency_guard::WindowClosed;
+use idempotency_guard::RepetitionForbidden;
 use policy_engine::{Dispatch, QuerySpec};
 use reservations::QueryReservations;
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// Why a dispatched attempt must not be sent.
+/// The reason why a dispatched attempt must not be sent.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub(crate) enum DispatchError {
-    /// The query has finished in the same iteration.
-    #[error("the query has finished")]
+    /// The query finished in the same iteration, after the attempt had been dispatched.
+    #[error("the query of the attempt is no longer in flight")]
     QueryFinished,
-    /// The part may have been executed under the same idempotency key, so long ago that the data
-    /// servers no longer recognize a retry.
+    /// An earlier attempt under the same idempotency key may have executed the part, and data
+    /// servers could execute it again.
     #[error(transparent)]
-    IdempotencyWindowClosed(#[from] WindowClosed),
+    RepetitionForbidden(#[from] RepetitionForbidden),
 }
 
 /// The clients' queries in flight.
@@ -47,7 +48,8 @@
 }
 
 impl ClientQueries {
-    /// Returns an empty table. `capacity` is the largest number of queries and parts in flight.
+    /// Creates an empty table. `capacity` is the maximum number of queries and parts in flight,
+    /// both counted together.
     pub(crate) fn new(settings: &Settings, capacity: usize) -> Self {
         ClientQueries {
             queries: BTreeMap::new(),
@@ -60,11 +62,12 @@
         self.queries.len()
     }
 
-    /// Admits a query, or sends its final response and returns `None`.
+    /// Admits a query and returns it in the form that the policy takes. If the query cannot be
+    /// admitted, sends its final response and returns `None`.
     pub(crate) fn admit(&mut self, now: Timestamp, query: ReceivedQuery) -> Option<QuerySpec> {
         let deadline = now + query.request.client_timeout;
         if let Err(response) = self.reservations.reserve(now, &query, deadline) {
-            // The client may have disconnected.
+            // Sending fails if the client has disconnected.
             let _ = query.reply.try_send(response);
             return None;
         }
@@ -81,8 +84,8 @@
         Some(spec)
     }
 
-    /// Removes a query whose client has disconnected. Its final response may have been sent
-    /// already.
+    /// Removes a query whose client has disconnected. Does nothing if the query's final response
+    /// has already been sent.
     pub(crate) fn abandon(&mut self, now: Timestamp, id: QueryId) {
         if let Some(query) = self.queries.remove(&id) {
             self.release(now, &query, QueryEnd::Unanswered);
@@ -90,8 +93,8 @@
         }
     }
 
-    /// Removes a query and sends its one final response, which `respond` makes of the values
-    /// received so far.
+    /// Removes a query and sends its one final response, which `respond` creates from the values
+    /// received so far. Does nothing if the query is not in flight.
     pub(crate) fn finish(
         &mut self,
         now: Timestamp,
@@ -113,17 +116,18 @@
         query.respond(response);
     }
 
-    /// Releases what a removed query had reserved.
+    /// Releases the reservations of a query that was removed from the table.
     fn release(&mut self, now: Timestamp, query: &ClientQuery, end: QueryEnd) {
         self.reservations
             .release(now, query.connection(), query.request(), end);
     }
 
-    /// Completes a dispatch with all that its frame needs, and records the attempt.
+    /// Adds the data of the query that the attempt's frame contains to a dispatch, and records that
+    /// the attempt is sent.
     ///
     /// # Errors
     ///
-    /// The attempt must not be sent.
+    /// Returns the reason if the attempt must not be sent.
     pub(crate) fn prepare_attempt(
         &mut self,
         now: Timestamp,
@@ -143,7 +147,8 @@
         Ok(query.start_attempt(now, dispatch, shard, send_before))
     }
 
-    /// Records the end of an attempt and moves its value to its query.
+    /// Records the end of an attempt. If the attempt was served and its query is in flight, moves
+    /// the received value from `ended` to the query.
     pub(crate) fn on_attempt_ended(&mut self, now: Timestamp, ended: &mut EndedAttempt) {
         self.reservations
             .on_attempt_ended(now, ended.attempt, ended.outcome);
@@ -153,7 +158,8 @@
     }
 }
 
-/// How a query with this final response ended.
+/// Returns whether a query with this final response was answered. The register of idempotency keys
+/// needs this: when it is full, it forgets the keys of answered queries first.
 fn query_end(response: &FinalResponse) -> QueryEnd {
     match response {
         FinalResponse::Answered { .. } => QueryEnd::Answered,
--- a/crates/broker/src/queries/attempt_log.rs
+++ b/crates/broker/src/queries/attempt_log.rs
@@ -1,18 +1,18 @@
-//! The attempts of one query, as the log shows them.
+//! The record of one query's attempts, which is formatted for the log if the query is not answered.
 
 use broker_types::query::AttemptId;
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Timestamp;
 use std::fmt;
 
-/// The attempts of one query, in the order in which they were sent. Their number is bounded by the
-/// number of parts and of attempts for each part.
+/// The attempts of one query, in the order in which they were sent. Its length is bounded, because
+/// the number of parts and the number of attempts for each part are bounded.
 #[derive(Debug, Default)]
 pub(super) struct AttemptLog {
     records: Vec<AttemptRecord>,
 }
 
-/// One attempt.
+/// One attempt that was sent. `end` is `None` while the attempt is in flight.
 #[derive(Debug)]
 struct AttemptRecord {
     attempt: AttemptId,
@@ -21,7 +21,7 @@
     end: Option<AttemptEnd>,
 }
 
-/// The end of an attempt.
+/// The outcome of an attempt and the time at which it ended.
 #[derive(Debug)]
 struct AttemptEnd {
     outcome: Outcome,
@@ -29,7 +29,7 @@
 }
 
 impl AttemptLog {
-    /// Records that an attempt is sent.
+    /// Records that an attempt is sent to `server`.
     pub(super) fn record_sent(&mut self, now: Timestamp, attempt: AttemptId, server: NodeId) {
         self.records.push(AttemptRecord {
             attempt,
@@ -39,7 +39,7 @@
         });
     }
 
-    /// Records the end of an attempt.
+    /// Records the end of an attempt. Does nothing if the attempt was not recorded as sent.
     pub(super) fn record_ended(&mut self, now: Timestamp, attempt: AttemptId, outcome: Outcome) {
         let record = self.records.iter_mut().rfind(|r| r.attempt == attempt);
         if let Some(record) = record {
@@ -47,15 +47,15 @@
         }
     }
 
-    /// Returns the number of attempts.
+    /// Returns the number of attempts that were sent.
     pub(super) fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Returns the attempts that were not served, as text for the log. The served ones are left out
-    /// to keep the line short. Times are relative to `received_at`, the time at which the query was
-    /// received.
-    pub(super) fn unserved(&self, received_at: Timestamp) -> String {
+    /// Formats the attempts that were not served, separated by spaces, for the log. Served attempts
+    /// are omitted to keep the line short. Times are relative to `received_at`, the time at which
+    /// the query was received.
+    pub(super) fn format_unserved(&self, received_at: Timestamp) -> String {
         let unserved = self.records.iter().filter(|record| !record.is_served());
         let texts: Vec<String> = unserved
             .map(|record| RelativeRecord {
@@ -76,9 +76,10 @@
     }
 }
 
-/// An attempt with its times relative to the receipt of its query. It is displayed as
-/// `PART.ATTEMPT@SERVER+SENT:OUTCOME/TIME`, with times in milliseconds, or as
-/// `PART.ATTEMPT@SERVER+SENT:out` while it is in flight.
+/// An attempt whose times are displayed relative to the receipt of its query. An ended attempt is
+/// displayed as `PART.ATTEMPT@SERVER+SENT:OUTCOME/ENDED`, one in flight as
+/// `PART.ATTEMPT@SERVER+SENT:out`. `SENT` and `ENDED` are the times in milliseconds at which the
+/// attempt was sent and ended.
 struct RelativeRecord<'a> {
     record: &'a AttemptRecord,
     received_at: Timestamp,
--- a/crates/broker/src/queries/attempt_log/tests.rs
+++ b/crates/broker/src/queries/attempt_log/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the attempts' text in the log.
+//! Tests of the format of a query's unserved attempts in the log.
 
 use super::*;
 use broker_types::query::{PartIndex, QueryId};
@@ -11,7 +11,7 @@
     }
 }
 
-/// A time in microseconds.
+/// Creates a time from microseconds.
 fn at(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn unserved_attempts_are_shown_with_times_since_receipt_and_served_ones_left_out() {
+fn unserved_attempts_are_formatted_with_times_since_receipt_and_served_ones_omitted() {
     let mut log = AttemptLog::default();
     log.record_sent(at(5000), attempt(0, 0), server("s1"));
     log.record_sent(at(5000), attempt(1, 0), server("s2"));
@@ -32,7 +32,7 @@
     log.record_ended(at(25_000), attempt(0, 1), Outcome::TimedOut);
     assert_eq!(log.len(), 4);
     assert_eq!(
-        log.unserved(at(4000)),
+        log.format_unserved(at(4000)),
         "0.0@s1+1:Error/5 2.0@s1+1:out 0.1@s2+6:TimedOut/21"
     );
 }
--- a/crates/broker/src/queries/client_query.rs
+++ b/crates/broker/src/queries/client_query.rs
@@ -1,4 +1,4 @@
-//! One query in flight: the way back to its client, the values received so far and the log of its
+//! One query in flight: the channel for its response, the values received so far and the log of its
 //! attempts.
 
 use super::attempt_log::AttemptLog;
@@ -12,13 +12,14 @@
 use policy_engine::Dispatch;
 use tracing::{Span, debug, debug_span, info};
 
-/// A query in flight. Dropping it closes the channel to its client, so it must be dropped only with
-/// its final response or after the client has disconnected.
+/// A query in flight. Dropping it closes the channel for its response, and a client that still
+/// waits then receives [`FinalResponse::Failed`]. It must therefore be dropped only after its final
+/// response was sent or its client has disconnected.
 pub(super) struct ClientQuery {
     connection: ConnectionId,
     request: QueryRequest,
     reply: Sender<FinalResponse>,
-    /// The values received, by part.
+    /// The values received so far, by index of the part; `None` for a part without a value.
     values: Vec<Option<String>>,
     received_at: Timestamp,
     attempts: AttemptLog,
@@ -26,7 +27,7 @@
 }
 
 impl ClientQuery {
-    /// Returns a query that has just been admitted.
+    /// Creates a query in flight from a received query that has just been admitted.
     pub(super) fn new(now: Timestamp, received: ReceivedQuery) -> Self {
         let ReceivedQuery {
             id,
@@ -49,22 +50,23 @@
         }
     }
 
-    /// Returns the client's connection.
+    /// Returns the id of the client's connection.
     pub(super) fn connection(&self) -> ConnectionId {
         self.connection
     }
 
-    /// Returns what the client asks for.
+    /// Returns the client's request.
     pub(super) fn request(&self) -> &QueryRequest {
         &self.request
     }
 
-    /// Returns the shard of a part.
+    /// Returns the shard of a part, or `None` if the query has no such part.
     pub(super) fn shard(&self, part: PartIndex) -> Option<usize> {
         self.request.parts.get(part.0).map(|part| part.shard)
     }
 
-    /// Records an attempt and returns it with all that its frame needs.
+    /// Records that an attempt is sent and returns it with the data for its frame. From
+    /// `send_before` on, the attempt must not be sent any more.
     pub(super) fn start_attempt(
         &mut self,
         now: Timestamp,
@@ -95,7 +97,8 @@
         }
     }
 
-    /// Records the end of an attempt and takes its value.
+    /// Records the end of an attempt. If the attempt was served, moves the received value from
+    /// `ended` to this query.
     pub(super) fn on_attempt_ended(&mut self, now: Timestamp, ended: &mut EndedAttempt) {
         let EndedAttempt {
             attempt, outcome, ..
@@ -124,7 +127,7 @@
             .collect()
     }
 
-    /// Sends the final response. It is lost if the client has just disconnected.
+    /// Sends the final response. Sending fails without effect if the client has disconnected.
     pub(super) fn respond(self, response: FinalResponse) {
         let _ = self.reply.try_send(response);
     }
@@ -135,14 +138,15 @@
             .in_scope(|| debug!(name: "query_abandoned", query = id.0));
     }
 
-    /// Logs the kind of the final response.
+    /// Logs which variant of [`FinalResponse`] the query is finished with.
     pub(super) fn log_finished(&self, response: &FinalResponse) {
         self.span.in_scope(
             || debug!(name: "query_finished", response = ?std::mem::discriminant(response)),
         );
     }
 
-    /// Logs a query that was rejected or has failed, with its attempts that were not served.
+    /// Logs a query that was rejected or has failed, together with those of its attempts that were
+    /// not served.
     pub(super) fn log_unserved(
         &self,
         now: Timestamp,
@@ -161,7 +165,7 @@
             parts = request.parts.len(),
             answered_parts,
             attempts = self.attempts.len(),
-            unserved_attempts = self.attempts.unserved(self.received_at)
+            unserved_attempts = self.attempts.format_unserved(self.received_at)
         );
     }
 }
--- a/crates/broker/src/queries/idempotency_guard.rs
+++ b/crates/broker/src/queries/idempotency_guard.rs
@@ -1,5 +1,5 @@
-//! Idempotency keys of the queries in flight: which attempts may be sent, and what their ends
-//! prove.
+//! The idempotency keys of queries: whether an attempt may be sent under its key, and whether an
+//! ended attempt may have been executed.
 
 use broker_types::query::{AttemptId, PartSpec};
 use broker_types::server::Outcome;
@@ -12,32 +12,37 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Largest number of idempotency keys in the register. Each takes 200 to 300 bytes.
+/// Maximum number of idempotency keys in the register. Each key takes 200 to 300 bytes.
 const MAX_KEYS: usize = 8192;
-/// Window of the register if no class has idempotency keys. No key is registered then.
+/// Replay window of the register if no class has idempotency keys. The value has no effect, because
+/// no key is registered then.
 const UNUSED_WINDOW: Duration = Duration::from_secs(5);
 
-/// The register of idempotency keys, and the attempts in flight that belong to a key.
+/// The register of idempotency keys, and the attempts in flight that were sent under a key.
 pub(super) struct IdempotencyGuard {
     register: IdempotencyRegister,
     in_flight: BTreeMap<AttemptId, KeyedPart>,
 }
 
-/// An earlier attempt at a part may have been executed, so long ago that the data servers no longer
-/// recognize a retry.
+/// The error for an attempt that must not be sent under its idempotency key, because data servers
+/// could execute the part a second time: an earlier attempt at the part is in flight, or it may
+/// have been executed and its replay window has ended, so that data servers no longer recognize the
+/// new attempt as a repetition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the window of the idempotency key is closed")]
-pub(crate) struct WindowClosed;
+#[error(
+    "the part may have been executed under the same idempotency key and must not be sent again"
+)]
+pub(crate) struct RepetitionForbidden;
 
-/// A part of a query with an idempotency key.
+/// The key and the shard of an attempt in flight, by which the register identifies its part.
 struct KeyedPart {
     key: Rc<str>,
     shard: usize,
 }
 
 impl IdempotencyGuard {
-    /// Returns a guard for the classes of the settings. The shortest window of all classes holds
-    /// for each of them.
+    /// Creates a guard for the classes of the settings. The register has a single replay window:
+    /// the shortest one of all classes with idempotency keys applies to each of them.
     pub(super) fn new(settings: &Settings) -> Self {
         let windows = settings
             .classes
@@ -60,7 +65,9 @@
         }
     }
 
-    /// Reserves a key for a query with these parts, until the query ends.
+    /// Reserves a key for a query with the given parts. If the key is admitted, it stays reserved
+    /// until [`IdempotencyGuard::on_query_ended`] is called. `deadline` is the time at which the
+    /// query's client stops waiting.
     pub(super) fn admit(
         &mut self,
         now: Timestamp,
@@ -72,21 +79,23 @@
         self.register.admit(now, key, shards, deadline)
     }
 
-    /// Registers an attempt that is about to be sent. Returns the time from which on it must not be
-    /// sent any more, if an earlier attempt may have been executed.
+    /// Registers an attempt that is about to be sent. If an earlier attempt at the same part may
+    /// have been executed, returns the end of the replay window: from then on the new attempt must
+    /// not be sent any more.
     ///
     /// # Errors
     ///
-    /// That time has come already.
+    /// Returns [`RepetitionForbidden`] if the attempt must not be sent now, because the replay
+    /// window has ended or an earlier attempt at the part is in flight.
     pub(super) fn reserve_attempt(
         &mut self,
         now: Timestamp,
         key: &Rc<str>,
         shard: usize,
         dispatch: &Dispatch,
-    ) -> Result<Option<Timestamp>, WindowClosed> {
+    ) -> Result<Option<Timestamp>, RepetitionForbidden> {
         if !self.register.may_send(now, key, shard) {
-            return Err(WindowClosed);
+            return Err(RepetitionForbidden);
         }
         let send_before = self.register.window_ends_at(key, shard);
         self.register
@@ -97,7 +106,8 @@
         Ok(send_before)
     }
 
-    /// Records the end of an attempt, also after its query has ended.
+    /// Records the end of an attempt. This must be called even if the attempt's query has ended
+    /// before. Does nothing for an attempt without an idempotency key.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -110,13 +120,14 @@
         }
     }
 
-    /// Releases the key of a query that has ended.
+    /// Releases the key of a query that has ended, so that a retry of the query can be admitted.
     pub(super) fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, end: QueryEnd) {
         self.register.on_query_ended(now, key, end);
     }
 }
 
-/// Returns what the outcome of an attempt proves about its execution at the data server.
+/// Returns whether an attempt with this outcome was executed by the data server, as far as the
+/// outcome proves it.
 fn execution_evidence(outcome: Outcome) -> ExecutionEvidence {
     match outcome {
         Outcome::Served | Outcome::Error => ExecutionEvidence::Executed,
--- a/crates/broker/src/queries/reservations.rs
+++ b/crates/broker/src/queries/reservations.rs
@@ -1,10 +1,10 @@
-//! What each query reserves until it ends: its request id, a share of its connection's quota and
+//! The reservations of each query in flight: its request id, units of its connection's quota and
 //! its idempotency key.
 //!
-//! [`QueryReservations`] owns these, and decides by them whether a query is admitted. An admitted
-//! query must be released once, when it ends.
+//! [`QueryReservations`] owns the reservations. A query is admitted only if it obtains all of them.
+//! They must be released exactly once, when the query ends.
 
-use super::idempotency_guard::{IdempotencyGuard, WindowClosed};
+use super::idempotency_guard::{IdempotencyGuard, RepetitionForbidden};
 use crate::event_queue::ReceivedQuery;
 use admission::{ConnectionId, ConnectionQuota};
 use broker_types::query::{AttemptId, FinalResponse, QueryRequest};
@@ -18,21 +18,23 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Status of the response to an invalid request.
+/// HTTP status of the response to an invalid request.
 const BAD_REQUEST: u16 = 400;
 
-/// What the queries in flight have reserved.
+/// The reservations of all queries in flight.
 pub(super) struct QueryReservations {
-    /// Request ids of the queries in flight. They are part of the parts' ids on the wire.
+    /// Request ids of the queries in flight. The id of a part in a frame to a data server consists
+    /// of the request id and the shard, so two queries in flight must not have the same request id.
     request_ids: BTreeSet<Rc<str>>,
     quota: ConnectionQuota,
     idempotency: IdempotencyGuard,
-    /// Longest time after which clients are asked to retry.
+    /// Maximum retry-after time that a client is given; `None` if responses contain no such time.
     max_retry_after: Option<Duration>,
 }
 
 impl QueryReservations {
-    /// Returns no reservations. `capacity` is the largest number of queries and parts in flight.
+    /// Creates the reservations of a broker without queries. `capacity` is the maximum number of
+    /// queries and parts in flight, both counted together.
     pub(super) fn new(settings: &Settings, capacity: usize) -> Self {
         QueryReservations {
             request_ids: BTreeSet::new(),
@@ -42,12 +44,13 @@
         }
     }
 
-    /// Reserves the query's request id, its share of its connection's quota and its idempotency
-    /// key.
+    /// Reserves the query's request id, the units that it needs of its connection's quota, and its
+    /// idempotency key.
     ///
     /// # Errors
     ///
-    /// The final response if one of these is not available. Nothing is reserved then.
+    /// Returns the final response for the client if one of these cannot be reserved. Nothing is
+    /// reserved in this case.
     pub(super) fn reserve(
         &mut self,
         now: Timestamp,
@@ -67,7 +70,7 @@
         Ok(())
     }
 
-    /// Releases what a query that has ended had reserved.
+    /// Releases the reservations of a query that has ended.
     pub(super) fn release(
         &mut self,
         now: Timestamp,
@@ -82,26 +85,28 @@
         }
     }
 
-    /// Registers an attempt at a part of a query that is about to be sent. Returns the time from
-    /// which on it must not be sent any more, if there is one.
+    /// Registers an attempt that is about to be sent for the query's part at `shard`. Returns the
+    /// time from which on the attempt must not be sent any more, if there is one.
     ///
     /// # Errors
     ///
-    /// That time has come already.
+    /// Returns [`RepetitionForbidden`] if the query has an idempotency key under which the attempt
+    /// must not be sent now.
     pub(super) fn reserve_attempt(
         &mut self,
         now: Timestamp,
         request: &QueryRequest,
         shard: usize,
         dispatch: &Dispatch,
-    ) -> Result<Option<Timestamp>, WindowClosed> {
+    ) -> Result<Option<Timestamp>, RepetitionForbidden> {
         match &request.idempotency_key {
             Some(key) => self.idempotency.reserve_attempt(now, key, shard, dispatch),
             None => Ok(None),
         }
     }
 
-    /// Records the end of an attempt, also after its query has ended.
+    /// Records the end of an attempt. This must be called even if the attempt's query has ended
+    /// before.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -111,6 +116,7 @@
         self.idempotency.on_attempt_ended(now, attempt, outcome);
     }
 
+    /// Acquires the units that the query needs of its connection's quota.
     fn reserve_quota(&mut self, query: &ReceivedQuery) -> Result<(), FinalResponse> {
         let units = quota_units(&query.request);
         if self.quota.try_acquire(query.connection, units) {
@@ -157,7 +163,8 @@
     }
 }
 
-/// Two requests with the same id cannot be told apart by the parts' ids on the wire.
+/// Returns the response to a request whose id is that of a query in flight. The request is invalid
+/// because the parts of both queries would have the same ids in the frames to data servers.
 fn duplicate_request_id() -> FinalResponse {
     FinalResponse::Invalid {
         status: BAD_REQUEST,
@@ -165,7 +172,8 @@
     }
 }
 
-/// What a query takes of its connection's quota: one unit for itself and one for each part.
+/// Returns the number of units that a query takes of its connection's quota: one for the query
+/// itself and one for each of its parts.
 fn quota_units(request: &QueryRequest) -> usize {
     1 + request.parts.len()
 }
