--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the program, which counts time on the monotonic clock since the program started,
-//! and time limits.
+//! The clock of the program, which measures the time since its start with the system's monotonic
+//! clock, and a time limit for asynchronous operations.
 
 use async_io::Timer;
 use broker_types::time::{SignedTimestamp, Timestamp, whole_micros};
@@ -19,7 +19,7 @@
 }
 
 impl Clock {
-    /// Returns a clock whose origin is now.
+    /// Creates a clock whose origin is the current time.
     #[must_use]
     pub fn start() -> Self {
         let unix = SystemTime::now()
@@ -31,19 +31,20 @@
         }
     }
 
-    /// Returns the current time.
+    /// Returns the current time, relative to the clock's origin.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         Timestamp::from_micros(whole_micros(self.origin.elapsed()))
     }
 
-    /// Converts a time on this clock to an instant, as timers need it.
+    /// Converts a time on this clock to an [`Instant`], the type that timers take.
     #[must_use]
     pub fn instant(&self, at: Timestamp) -> Instant {
         self.origin + at.saturating_since(Timestamp::ORIGIN)
     }
 
-    /// Converts a Unix time in milliseconds to a time on this clock.
+    /// Converts a Unix time in milliseconds to a time on this clock. The result is negative if the
+    /// Unix time lies before the clock's origin.
     #[must_use]
     pub fn at_unix_ms(&self, unix_ms: i64) -> SignedTimestamp {
         let ms_since_origin = unix_ms.saturating_sub(self.unix_origin_ms);
@@ -51,12 +52,13 @@
     }
 }
 
-/// Runs an operation with a time limit. Once the limit has passed, the operation is dropped.
+/// Runs an operation with a time limit. An operation that has not completed within `limit` is
+/// dropped.
 ///
 /// # Errors
 ///
-/// The operation's own error, or [`io::ErrorKind::TimedOut`] if the operation does not complete in
-/// time.
+/// Returns the operation's own error, or [`io::ErrorKind::TimedOut`] if the operation does not
+/// complete within `limit`.
 pub async fn with_timeout<T>(
     limit: Duration,
     operation: impl Future<Output = io::Result<T>>,
--- a/crates/broker/src/clock/tests.rs
+++ b/crates/broker/src/clock/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the clock with a fixed Unix time at its origin.
+//! Tests of the conversion of Unix times, with a clock whose Unix time at the origin is fixed.
 
 use super::*;
 
--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -1,8 +1,9 @@
-//! Queue of events between the tasks that serve sockets and the event loop, which drains it once
-//! per iteration.
+//! The queue of events for the event loop. The tasks that serve sockets and signals append events,
+//! and the event loop drains the queue once per iteration.
 //!
 //! The queue owns an event until it is drained. The task that submits a query holds a
-//! [`QueryHandle`], whose drop before the response reports that the client has disconnected.
+//! [`QueryHandle`]. If it drops the handle before the final response has been sent, the queue
+//! receives an event that the client has disconnected.
 
 use crate::notify::Notify;
 use admission::ConnectionId;
@@ -14,62 +15,62 @@
 use std::cell::{Cell, RefCell};
 use std::io;
 
-/// Something that happened since the last iteration of the event loop.
+/// An event for the next iteration of the event loop.
 pub enum Event {
     /// A client sent a query.
     QueryReceived(ReceivedQuery),
     /// The client of a query closed its connection or cancelled the query.
     ClientDisconnected {
-        /// Number of the query.
+        /// Id of the query.
         query: QueryId,
     },
-    /// Something happened on a connection to a data server.
+    /// A connection to a data server received a frame, or was closed.
     ServerConnection {
-        /// Number of the connection.
+        /// Id of the connection.
         connection: ServerConnectionId,
-        /// What happened.
+        /// The event on this connection.
         event: ConnectionEvent,
     },
-    /// Discovery sent a list of endpoints, or changes to it.
+    /// Discovery sent the full endpoint list, or changes to it.
     EndpointsUpdated(EndpointList),
-    /// The configuration is to be read again.
+    /// SIGHUP was received: the configuration must be reloaded.
     ReloadRequested,
-    /// The program is to shut down.
+    /// SIGTERM or SIGINT was received, or receiving a signal failed: the program must shut down.
     ShutdownRequested,
 }
 
-/// A query from a client, not yet admitted.
+/// A query that was received from a client and has not been admitted yet.
 pub struct ReceivedQuery {
-    /// Number of the query.
+    /// Id of the query.
     pub id: QueryId,
-    /// The client's connection.
+    /// Id of the client's connection.
     pub connection: ConnectionId,
-    /// What the client asks for.
+    /// The client's request.
     pub request: QueryRequest,
-    /// Where the one final response goes.
+    /// Channel for the final response. Exactly one response may be sent.
     pub reply: Sender<FinalResponse>,
 }
 
-/// Number of a connection to a data server. It is never used twice.
+/// Id of a connection to a data server. An id is never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ServerConnectionId(pub u64);
 
-/// Something that happened on a connection to a data server.
+/// An event on a connection to a data server.
 pub enum ConnectionEvent {
-    /// A whole frame was received.
+    /// A complete frame was received.
     FrameReceived(ServerMessage),
-    /// A part of a frame was received; the rest is outstanding.
+    /// The input buffer ends with an incomplete frame, the rest of which is still to be received.
     FrameStarted,
     /// The connection was closed, or could not be opened.
     Closed(io::Error),
-    /// A frame could not be decoded. The connection is closed: the start of the next frame is
-    /// unknown.
+    /// A frame could not be decoded. The connection is closed, because the broker cannot determine
+    /// where the next frame starts.
     FrameInvalid(InvalidFrame),
 }
 
-/// The queue of events. Its length is bounded by its producers: each client connection has a
-/// limited number of queries in flight, and a data server connection only answers the attempts that
-/// are in flight on it.
+/// The queue of events. It has no limit of its own, because its producers bound its length: each
+/// client connection has a limited number of queries in flight, and a data server connection only
+/// delivers responses to the attempts that are in flight on it.
 pub struct EventQueue {
     events: RefCell<Vec<Event>>,
     /// Wakes the event loop.
@@ -97,8 +98,8 @@
         self.wake_up.notify_one();
     }
 
-    /// Submits a query. Its final response arrives at the returned handle, once, unless that is
-    /// dropped before.
+    /// Submits a query. The returned handle receives the one final response. Dropping the handle
+    /// before the response has been sent abandons the query.
     pub fn submit_query(&self, connection: ConnectionId, request: QueryRequest) -> QueryHandle<'_> {
         let id = self.next_query.get();
         self.next_query.set(QueryId(id.0 + 1));
@@ -124,7 +125,7 @@
         std::mem::take(&mut *self.events.borrow_mut())
     }
 
-    /// Number of queries that are queued.
+    /// Returns the number of queries in the queue, which the event loop has not received yet.
     pub fn pending_queries(&self) -> usize {
         self.pending_queries.get()
     }
@@ -137,8 +138,8 @@
     }
 }
 
-/// A query that was submitted to the event loop. Dropping the handle before the response has
-/// arrived reports that the client has disconnected.
+/// A handle of a query that was submitted to the event loop. Dropping the handle before the final
+/// response has been sent reports that the client has disconnected.
 pub struct QueryHandle<'a> {
     queue: &'a EventQueue,
     id: QueryId,
@@ -146,7 +147,8 @@
 }
 
 impl QueryHandle<'_> {
-    /// Waits for the final response.
+    /// Waits for the final response. Returns [`FinalResponse::Failed`] if the event loop drops the
+    /// query without a response.
     pub async fn response(&self) -> FinalResponse {
         self.response.recv().await.unwrap_or(FinalResponse::Failed)
     }
@@ -154,8 +156,8 @@
 
 impl Drop for QueryHandle<'_> {
     fn drop(&mut self) {
-        // The event loop closes the channel when it sends the response: afterwards the query is no
-        // longer in flight.
+        // The event loop drops its sender, which closes the channel, when it sends the response. A
+        // closed channel therefore means that the query is no longer in flight.
         if !self.response.is_closed() {
             self.queue
                 .push(Event::ClientDisconnected { query: self.id });
--- a/crates/broker/src/event_queue/tests.rs
+++ b/crates/broker/src/event_queue/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of the queue of events.
+//! Tests of the event queue: the event that dropping a query's handle causes, and the response that
+//! the handle receives.
 
 use super::*;
 use broker_types::query::{ClassIndex, TenantIndex};
@@ -16,14 +17,14 @@
     }
 }
 
-/// Submits a query and returns its handle with the query that the event loop receives.
+/// Submits a query, and returns its handle and the query as the event loop receives it.
 fn submit(queue: &EventQueue) -> (QueryHandle<'_>, ReceivedQuery) {
     let handle = queue.submit_query(ConnectionId(3), request());
     assert_eq!(queue.pending_queries(), 1);
     let event = queue.drain().pop();
     assert_eq!(queue.pending_queries(), 0);
     let Some(Event::QueryReceived(query)) = event else {
-        panic!("the event is not a received query");
+        panic!("expected the queue to hold the submitted query as its last event");
     };
     (handle, query)
 }
@@ -36,7 +37,7 @@
     let events = queue.drain();
     assert!(
         matches!(events[..], [Event::ClientDisconnected { query: id }] if id == query.id),
-        "one event for the query"
+        "expected exactly one event, which reports the disconnect of the submitted query"
     );
 }
 
--- a/crates/broker/src/lib.rs
+++ b/crates/broker/src/lib.rs
@@ -1,10 +1,10 @@
-//! The broker on sockets: it serves clients' queries by sending calls to data servers. Which
-//! attempts are sent, and when a query is answered or rejected, is decided by `fanout_policy`
-//! behind `policy_engine`.
+//! The network side of the broker: it receives clients' queries and sends their parts to data
+//! servers. The crate `fanout_policy` decides which attempts are sent and when a query is answered
+//! or rejected; the broker calls it through `policy_engine`.
 //!
-//! [`event_loop`] executes these decisions. [`listeners`] serve the clients' connections,
-//! [`upstream`] the connections to data servers, and [`discovery`] watches the endpoint list. They
-//! report events through the [`event_queue`].
+//! [`event_loop`] executes the decisions of the policy. [`listeners`] serves the clients'
+//! connections, [`upstream`] serves the connections to data servers, and [`discovery`] watches the
+//! endpoint list. These three report events to the event loop through the [`event_queue`].
 
 pub mod clock;
 pub mod discovery;
--- a/crates/broker/src/net.rs
+++ b/crates/broker/src/net.rs
@@ -1,4 +1,5 @@
-//! Socket operations shared by clients' connections, data servers' connections and discovery.
+//! Socket operations that are used for clients' connections, for connections to data servers and
+//! for the connection to discovery.
 
 use crate::clock::with_timeout;
 use async_io::Async;
@@ -12,31 +13,36 @@
 use std::task::ready;
 use std::time::Duration;
 
-/// Time for which a connection that the broker closes is still read, so that a reset does not
-/// destroy its last response (RFC 9112, section 9.6).
+/// Time for which the broker continues to read from a connection after it has closed its sending
+/// side. Closing a socket that holds unread data resets the connection, and a reset can destroy the
+/// last response before the client has read it (RFC 9112, section 9.6).
 pub const LINGER: Duration = Duration::from_millis(500);
-/// The same for a connection whose last response was read by the client long ago.
+/// The same time as [`LINGER`], for a connection whose last response the client read long ago, so
+/// that a reset can no longer destroy it.
 pub const LINGER_IDLE: Duration = Duration::from_millis(100);
-/// Most bytes that one read takes.
+/// Maximum number of bytes that one read takes from a socket.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Least number of bytes by which a buffer grows.
+/// Minimum number of bytes by which an input buffer grows.
 const MIN_GROWTH_BYTES: usize = READ_CHUNK_BYTES / 4;
 
-/// Waits until the socket is readable and appends what it holds to `input`. Returns the number of
-/// bytes read; 0 at the end of the stream. Nothing is taken from the socket before this returns, so
-/// the future may be dropped while it waits.
+/// Waits until the socket is readable and appends up to 16 KiB of the received bytes to `input`.
+/// Returns the number of bytes read, which is 0 at the end of the stream. The future may be dropped
+/// while it waits without losing data, because it takes bytes from the socket only when it
+/// completes.
 ///
-/// The bytes go through a buffer on the stack. The future lives as long as its connection, so a
-/// buffer inside it would cost its memory for each idle connection.
+/// The bytes are read into a buffer on the stack and copied from there. A connection holds this
+/// future for as long as it waits for data, so a buffer inside the future would occupy memory for
+/// each idle connection.
 ///
 /// # Errors
 ///
-/// The error of the socket.
+/// Returns the error of the read.
 pub async fn read_some(mut stream: &Async<TcpStream>, input: &mut Vec<u8>) -> io::Result<usize> {
     poll_fn(|cx| {
         let mut chunk = [0; READ_CHUNK_BYTES];
         let length = ready!(Pin::new(&mut stream).poll_read(cx, &mut chunk))?;
-        // Doubling could use twice the memory that is planned for the buffers of all connections.
+        // The default growth of a vector doubles its capacity, which could use twice the memory
+        // that is planned for the buffers of all connections.
         if input.capacity() - input.len() < length {
             input.reserve_exact(length.max(MIN_GROWTH_BYTES));
         }
@@ -46,8 +52,8 @@
     .await
 }
 
-/// Returns whether the peer has closed its sending side or the connection has failed. Data that the
-/// peer sent before may still be unread.
+/// Returns whether the peer has closed its sending side or the connection has failed. The socket
+/// may still hold unread data that the peer sent before.
 #[must_use]
 pub fn has_hung_up(stream: &Async<TcpStream>) -> bool {
     let mut polled = [PollFd::new(stream.get_ref(), PollFlags::RDHUP)];
@@ -59,16 +65,16 @@
     poll(&mut polled, Some(&no_wait)).is_ok() && polled[0].revents().intersects(hung_up)
 }
 
-/// Closes the sending side of a connection and discards what the client still sends, until the
-/// client has closed its side or `limit` has passed. Closing a socket with unread bytes would cause
-/// a reset.
+/// Closes the sending side of a connection, and discards the data that the client still sends until
+/// the client has closed its side or `limit` has passed. The data has to be read because closing a
+/// socket that holds unread bytes resets the connection.
 ///
 /// # Errors
 ///
-/// The error of the socket, or [`io::ErrorKind::TimedOut`] if the client does not close its side in
-/// time.
+/// Returns the error of the read, or [`io::ErrorKind::TimedOut`] if the client does not close its
+/// side within `limit`.
 pub async fn linger(stream: &Async<TcpStream>, limit: Duration) -> io::Result<()> {
-    // Fails where the HTTP/2 library has closed the sending side already.
+    // This fails if the HTTP/2 library has already closed the sending side, which is no error here.
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let mut discarded = Vec::new();
     let drain = async {
