--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -1,7 +1,8 @@
-//! Admission of queries, and the time at which their clients first sent them.
+//! Admission control: whether a query that has arrived is admitted or rejected.
 //!
-//! [`AdmissionController`] owns the estimates of client timeouts, the tenants' quotas and the
-//! highest weight per work of any query.
+//! [`AdmissionController`] owns the estimates of client timeouts, from which it derives when a
+//! client first sent a query, the use of the tenants' quotas, and the maximum weight per work of
+//! all queries so far.
 
 use super::batch_context::BatchContext;
 use super::client_timeout::ClientTimeoutEstimate;
@@ -12,39 +13,44 @@
 use crate::api::{Class, Ms, Query, Settings};
 use crate::queries::InFlightQuery;
 
-/// Lowest admission limit, for the smallest weight: forecast latency as a share of the time left.
+/// Admission limit of a query whose weight per work is negligible against the maximum: its
+/// forecast latency may take this share of the time left.
 const MIN_LIMIT_SHARE: f64 = 0.5;
-/// Highest admission limit, for the largest weight.
+/// Admission limit of a query with the maximum weight per work: its forecast latency may take
+/// this share of the time left.
 const MAX_LIMIT_SHARE: f64 = 0.75;
-/// Weight of the slowest part's forecast against the mean where the answer does not need all parts.
+/// Weight of the slowest part's forecast, against the mean of all parts, in the expected latency
+/// of a query whose answer does not need all parts.
 const SLOWEST_PART_WEIGHT: f64 = 0.5;
-/// Least work of a query when its weight per work is taken.
+/// Lower bound of a query's work as the divisor of its weight per work.
 const MIN_WORK_MS: Ms = 1.0;
 
-/// Whether a query is admitted.
+/// Decision whether to admit a query.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum AdmissionDecision {
-    /// It is, with this forecast latency.
+    /// The query is admitted.
     Admit {
-        /// Forecast latency.
+        /// Expected latency of the query.
         forecast: Ms,
     },
-    /// It is not: an answer in time is unlikely.
+    /// The query is rejected, since an answer in time is unlikely.
     Reject,
 }
 
-/// Forecast for the parts of a query, each at its best holder.
+/// Forecast for the parts of a query, where each part is sent to the holder with the lowest
+/// forecast latency.
 #[derive(Default)]
 struct QueryForecast {
-    /// Mean latency.
+    /// Mean latency of all parts.
     mean: Ms,
     /// Latency of the slowest part.
     slowest: Ms,
-    /// Total work.
+    /// Sum of the estimated costs of all parts.
     work: Ms,
 }
 
 impl QueryForecast {
+    /// Computes the forecast. A part whose shard has no holder adds only its work.
     fn new(query: &InFlightQuery, forecaster: &Forecaster) -> Self {
         let mut forecast = QueryForecast::default();
         for part in query.parts() {
@@ -58,37 +64,41 @@
     }
 }
 
-/// Decides which queries are admitted.
+/// Decides which queries are admitted, and estimates when their clients first sent them.
 pub(crate) struct AdmissionController {
-    /// Usual timeout of clients, by class.
+    /// Estimates of the timeout that clients usually set, by class.
     client_timeouts: Vec<ClientTimeoutEstimate>,
     quotas: TenantQuotas,
-    /// Highest weight per work of any query so far.
-    highest_density: f64,
+    /// Maximum weight per work of all queries so far.
+    max_weight_per_work: f64,
 }
 
 impl AdmissionController {
-    /// A controller that has seen no queries.
+    /// Creates a controller to which no queries have arrived yet.
     pub(crate) fn new(settings: &Settings) -> Self {
         AdmissionController {
             client_timeouts: vec![ClientTimeoutEstimate::default(); settings.classes.len()],
             quotas: TenantQuotas::new(settings),
-            highest_density: 0.0,
+            max_weight_per_work: 0.0,
         }
     }
 
-    /// Counts a query that has arrived, and returns when its client first sent it. All its
-    /// attempts share one timeout, so one with less time than usual is a retry that ends
-    /// with it: without this, a retry storm fills the fleet with late answers. Where
-    /// clients do not mark retries, this relies on an estimate of the usual timeout.
+    /// Records the arrival of a query and returns when its client first sent it.
+    ///
+    /// All attempts of a client at one query share one timeout, so a query that arrives with
+    /// less time left than clients usually give it is a retry, and its first attempt was sent
+    /// one client timeout before its deadline. If the latency objective of a retry counted from
+    /// the arrival of the retry, a retry storm would fill the fleet with answers that are late
+    /// for the client. Where clients do not mark their retries, retries are recognized only
+    /// once the estimate of the usual timeout is certain.
     pub(crate) fn on_arrival(&mut self, batch: &BatchContext, class: usize, query: &Query) -> Ms {
         self.quotas.record_arrival(batch.now, query.tenant.0);
         let time_left = query.client_deadline - batch.now;
         let estimate = &mut self.client_timeouts[class];
-        estimate.vote(time_left);
+        estimate.record_time_left(time_left);
         let is_estimate_usable = !batch.settings.marks_retries && estimate.is_certain();
         let may_be_retry = query.is_retry || is_estimate_usable;
-        if may_be_retry && estimate.is_shortened(time_left) {
+        if may_be_retry && estimate.is_shorter_than_usual(time_left) {
             let client_timeout = batch.settings.classes[class].client_timeout;
             (query.client_deadline - client_timeout).min(batch.now)
         } else {
@@ -96,8 +106,9 @@
         }
     }
 
-    /// Whether a query can be answered in time. Under load the lowest weights per work are
-    /// rejected first.
+    /// Decides whether to admit a query, by whether its forecast latency fits into the time
+    /// left. As load grows, queries with the lowest weight per work are the first to be
+    /// rejected.
     pub(crate) fn decide(
         &mut self,
         batch: &BatchContext,
@@ -110,29 +121,32 @@
         let limit = self.limit_share(batch, query, forecast.work, quota_use);
         let class = batch.class_of(query);
         let latency = expected_latency(batch, class, &forecast);
-        // A possible partial answer justifies more risk, a possible late one a larger
-        // forecast error. Neither counts where the client leaves before the objective:
-        // its retries would fill the fleet.
-        let client_stays = query.client_deadline() > batch.objective_end(query);
-        let (partial, late) = if client_stays {
-            (partial_answer_weight(class), class.late_weight)
+        // If a partial answer has some weight, the forecast latency may take more of the time
+        // left. If a partial or a late answer has some weight, less of the expected forecast
+        // error is added to the forecast. Neither applies if the client gives up before the
+        // objective ends, since the retries of such clients would fill the fleet.
+        let client_waits_for_objective = query.client_deadline() > batch.objective_end(query);
+        let (partial_weight, late_weight) = if client_waits_for_objective {
+            (min_partial_answer_weight(class), class.late_weight)
         } else {
             (0.0, 0.0)
         };
-        let fallback = partial.max(late);
+        let fallback_weight = partial_weight.max(late_weight);
         let end = batch.objective_end(query).min(query.client_deadline());
         let time_left = end - batch.now - limits.second_step_reserve(query);
-        let limit = limit + (1.0 - limit) * partial;
-        let error = forecaster.expected_error(query) * (1.0 - fallback);
-        if latency + error <= limit * time_left {
+        let limit = limit + (1.0 - limit) * partial_weight;
+        let forecast_error = forecaster.expected_error(query) * (1.0 - fallback_weight);
+        if latency + forecast_error <= limit * time_left {
             AdmissionDecision::Admit { forecast: latency }
         } else {
             AdmissionDecision::Reject
         }
     }
 
-    /// Share of the time left that the forecast may take, by the query's weight per work
-    /// against the highest.
+    /// Returns the share of the time left that the forecast latency of a query may take. It
+    /// grows from [`MIN_LIMIT_SHARE`] to [`MAX_LIMIT_SHARE`] in proportion to the query's weight
+    /// per work, relative to the maximum of all queries so far. A query over its tenant's quota
+    /// enters the maximum with its full weight, but its own limit follows from a reduced one.
     fn limit_share(
         &mut self,
         batch: &BatchContext,
@@ -146,18 +160,19 @@
         } else {
             work.max(MIN_WORK_MS)
         };
-        let mut density = batch.class_of(query).priority_weight / divisor;
-        self.highest_density = self.highest_density.max(density);
+        let mut weight_per_work = batch.class_of(query).priority_weight / divisor;
+        self.max_weight_per_work = self.max_weight_per_work.max(weight_per_work);
         if quota_use == QuotaUse::OverQuota {
-            density *= settings.over_quota_weight;
+            weight_per_work *= settings.over_quota_weight;
         }
         let range = MAX_LIMIT_SHARE - MIN_LIMIT_SHARE;
-        MIN_LIMIT_SHARE + range * density / self.highest_density.max(f64::MIN_POSITIVE)
+        MIN_LIMIT_SHARE + range * weight_per_work / self.max_weight_per_work.max(f64::MIN_POSITIVE)
     }
 }
 
-/// Latency to expect of a query. The slowest part counts in full where the answer needs it and
-/// this aggregator observes little of the load.
+/// Returns the latency to expect of a query: a value between the mean and the maximum of its
+/// parts' forecasts. If the answer needs all parts, the less this aggregator observes of the
+/// servers' load, the closer the value is to the slowest part's forecast.
 fn expected_latency(batch: &BatchContext, class: &Class, forecast: &QueryForecast) -> Ms {
     let needs_all = class.required_share >= 1.0;
     let visibility = if needs_all {
@@ -169,8 +184,9 @@
     forecast.mean + slowest_weight * (forecast.slowest - forecast.mean)
 }
 
-/// Fraction of its weight that the smallest partial answer earns; 0 if the class allows none.
-fn partial_answer_weight(class: &Class) -> f64 {
+/// Returns the weight of the smallest partial answer that may be given, as a fraction of the
+/// weight of a complete answer; 0 if the class allows no partial answers.
+fn min_partial_answer_weight(class: &Class) -> f64 {
     if class.minimum_share < class.required_share {
         class.partial_weight * class.minimum_share / class.required_share.max(SHARE_TOLERANCE)
     } else {
--- a/crates/fanout-policy/src/policy/batch_context.rs
+++ b/crates/fanout-policy/src/policy/batch_context.rs
@@ -1,14 +1,16 @@
-//! What every decision of one batch may depend on: the time and the settings.
+//! The current time and the settings, which every decision of a batch may depend on.
 
 use crate::api::{Class, Ms, Settings};
 use crate::queries::InFlightQuery;
 
-/// Aggregators up to which each observes most of a server's load in its own answers.
+/// Maximum number of aggregators at which each one is assumed to observe the whole load of a
+/// server through the answers that it receives from that server itself.
 const FULL_VISIBILITY_AGGREGATORS: f64 = 4.0;
-/// Upper bound of the shortest latency objective, so that it is finite without classes, in ms.
+/// Upper bound of the shortest latency objective, which keeps it finite where the settings have
+/// no classes, in ms.
 const MAX_SHORTEST_OBJECTIVE_MS: Ms = 1e9;
 
-/// Time and settings of the current batch.
+/// The time of the current batch and the settings of the aggregator.
 #[derive(Clone, Copy)]
 pub(crate) struct BatchContext<'a> {
     /// Time of the batch.
@@ -18,27 +20,29 @@
 }
 
 impl<'a> BatchContext<'a> {
-    /// The batch at this time.
+    /// Creates the context of the batch that is processed at the time `now`.
     pub(crate) fn new(now: Ms, settings: &'a Settings) -> Self {
         BatchContext { now, settings }
     }
 
-    /// Class of a query in flight.
+    /// Returns the class of a query in flight.
     pub(crate) fn class_of(&self, query: &InFlightQuery) -> &'a Class {
         &self.settings.classes[query.class()]
     }
 
-    /// Latency objective of the class of a query.
+    /// Returns the latency objective of a query's class.
     pub(crate) fn objective(&self, query: &InFlightQuery) -> Ms {
         self.class_of(query).latency_objective
     }
 
-    /// When the latency objective of a query ends.
+    /// Returns the time at which the latency objective of a query ends, counted from when its
+    /// client first sent it.
     pub(crate) fn objective_end(&self, query: &InFlightQuery) -> Ms {
         query.first_sent_at() + self.objective(query)
     }
 
-    /// Shortest latency objective of all classes; a large finite time if there are none.
+    /// Returns the shortest latency objective of all classes, or [`MAX_SHORTEST_OBJECTIVE_MS`]
+    /// if the settings have no classes.
     pub(crate) fn shortest_objective(&self) -> Ms {
         let objectives = self
             .settings
@@ -50,8 +54,9 @@
             .min(MAX_SHORTEST_OBJECTIVE_MS)
     }
 
-    /// Share of a server's load that this aggregator observes in its own answers: among
-    /// many aggregators, very little.
+    /// Returns the share of a server's load, from 0 to 1, that this aggregator is assumed to
+    /// observe through the answers to its own attempts. The more aggregators share the fleet,
+    /// the smaller the share.
     pub(crate) fn load_visibility(&self) -> f64 {
         (FULL_VISIBILITY_AGGREGATORS / self.settings.aggregators.max(1) as f64).min(1.0)
     }
--- a/crates/fanout-policy/src/policy/client_timeout.rs
+++ b/crates/fanout-policy/src/policy/client_timeout.rs
@@ -1,33 +1,38 @@
-//! Estimate of the timeout that the clients of a class usually set.
+//! Estimates the timeout that the clients of a query class usually set.
 //!
-//! [`ClientTimeoutEstimate`] owns the estimate of one class and the votes for it.
+//! [`ClientTimeoutEstimate`] owns the estimate of one class and the number of votes for it.
 
 use crate::api::Ms;
 
-/// Ratio of two client timeouts within which they count as equal.
+/// Ratio of a client timeout to the estimate down to which the two count as equal.
 const EQUAL_TIMEOUT_RATIO: f64 = 0.99;
-/// Votes that a query with another timeout takes from the estimate: in a retry storm few are
-/// first attempts.
+/// Number of votes by which a query with another timeout reduces the votes for the estimate. It is
+/// much less than the vote for the estimate, since few queries are first attempts in a retry storm,
+/// and retries arrive with less than the usual timeout.
 const DISSENT_VOTES: f64 = 0.15;
-/// Largest number of votes for the estimate.
+/// Maximum number of votes for the estimate.
 const MAX_VOTES: f64 = 16.0;
-/// Votes from which the estimate is used.
+/// Minimum number of votes at which the estimate is used.
 const SUFFICIENT_VOTES: f64 = 8.0;
 
-/// Estimate of the timeout that the clients of a class usually set, kept by votes.
+/// Estimate of the timeout that the clients of a query class usually set: the timeout that wins a
+/// weighted majority vote of the queries that arrive.
 #[derive(Clone, Default)]
 pub(crate) struct ClientTimeoutEstimate {
+    /// The estimated timeout.
     timeout: Ms,
+    /// Number of votes for the estimated timeout.
     votes: f64,
 }
 
 impl ClientTimeoutEstimate {
-    /// Counts a query with this time left as a vote for the estimate if the two are equal
-    /// within the tolerance, and against it if not. An outvoted estimate is replaced.
-    pub(crate) fn vote(&mut self, time_left: Ms) {
+    /// Records the arrival of a query whose client waits for `time_left` from now. The query
+    /// votes for the estimate if `time_left` equals it within the tolerance, and against it
+    /// otherwise. When the votes for the estimate fall below 0, `time_left` replaces it.
+    pub(crate) fn record_time_left(&mut self, time_left: Ms) {
         let tolerance = (1.0 - EQUAL_TIMEOUT_RATIO) * self.timeout;
-        let is_same = (time_left - self.timeout).abs() <= tolerance;
-        let vote = if is_same { 1.0 } else { -DISSENT_VOTES };
+        let is_equal = (time_left - self.timeout).abs() <= tolerance;
+        let vote = if is_equal { 1.0 } else { -DISSENT_VOTES };
         self.votes = (self.votes + vote).min(MAX_VOTES);
         if self.votes < 0.0 {
             *self = ClientTimeoutEstimate {
@@ -37,13 +42,14 @@
         }
     }
 
-    /// Whether the estimate is certain enough to be used.
+    /// Returns whether the estimate has enough votes to be used.
     pub(crate) fn is_certain(&self) -> bool {
         self.votes >= SUFFICIENT_VOTES
     }
 
-    /// Whether a query with this time left has less than usual.
-    pub(crate) fn is_shortened(&self, time_left: Ms) -> bool {
+    /// Returns whether `time_left` is shorter than the estimated timeout by more than the
+    /// tolerance.
+    pub(crate) fn is_shorter_than_usual(&self, time_left: Ms) -> bool {
         time_left < self.timeout * EQUAL_TIMEOUT_RATIO
     }
 }
--- a/crates/fanout-policy/src/policy/completion.rs
+++ b/crates/fanout-policy/src/policy/completion.rs
@@ -1,35 +1,36 @@
-//! Completion of a query: when to answer it, and when to give it up.
+//! Decides when a query is answered and when it is given up.
 //!
-//! [`Completion`] decides from the progress of the query's parts; it has no state of its own.
+//! [`Completion`] decides from the progress of the query's parts. It has no state of its own.
 
 use super::batch_context::BatchContext;
 use super::retry_policy::RetryPolicy;
 use super::time_limits::TimeLimits;
 use crate::queries::{AnswerKind, InFlightQuery, PartState};
 
-/// Tolerance of sums of part weights, which are rounded in transit.
+/// Tolerance in comparisons of sums of part weights. The weights are rounded in transit, so that
+/// their sums are inexact.
 pub(crate) const SHARE_TOLERANCE: f64 = 5e-5;
 
-/// What to do with a query.
+/// Decision whether a query ends in the current batch, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CompletionDecision {
-    /// Wait for more parts.
+    /// Keep the query in flight and wait for more parts.
     Wait,
-    /// Answer from the parts that were served.
+    /// Answer the query from the parts that were served.
     Answer(AnswerKind),
-    /// End it without an answer.
+    /// End the query without an answer.
     GiveUp,
 }
 
-/// Weights of the parts of a query's current step.
+/// Progress of a query's current step, as sums of part weights.
 struct StepProgress {
-    /// Weight of the parts that were served.
+    /// Total weight of the parts that were served.
     served: f64,
-    /// Weight of the parts that were served or still can be.
+    /// Total weight of the parts that were served or may still be served.
     possible: f64,
 }
 
-/// Decides on the end of queries in one batch.
+/// Decides which queries end in one batch, and how.
 #[derive(Clone, Copy)]
 pub(crate) struct Completion<'a> {
     batch: &'a BatchContext<'a>,
@@ -38,7 +39,7 @@
 }
 
 impl<'a> Completion<'a> {
-    /// A decision with this knowledge.
+    /// Creates the completion rules for the current batch.
     pub(crate) fn new(
         batch: &'a BatchContext<'a>,
         limits: TimeLimits<'a>,
@@ -51,11 +52,12 @@
         }
     }
 
-    /// What to do with a query now.
+    /// Decides whether a query ends now, and how.
     pub(crate) fn decide(&self, query: &InFlightQuery) -> CompletionDecision {
         let progress = self.step_progress(query);
         if self.is_complete(query, &progress) {
-            // A query whose first answer was partial stays so after its second step.
+            // If the first answer of a query was partial, its second answer is partial too, even
+            // with all parts of the second step.
             CompletionDecision::Answer(query.first_answer().unwrap_or(AnswerKind::Complete))
         } else if self.should_answer_partially(query, &progress) {
             CompletionDecision::Answer(AnswerKind::Partial)
@@ -66,6 +68,7 @@
         }
     }
 
+    /// Computes the progress of the current step.
     fn step_progress(&self, query: &InFlightQuery) -> StepProgress {
         let can_be_served = |part: &PartState| self.retries.can_still_complete(query, part);
         StepProgress {
@@ -74,6 +77,8 @@
         }
     }
 
+    /// Returns whether the current step has the parts that a complete answer needs: the required
+    /// share in the first step, all parts in the second. `false` while the step has no parts.
     fn is_complete(&self, query: &InFlightQuery, progress: &StepProgress) -> bool {
         let step = query.step_parts();
         let has_required = if query.in_second_step() {
@@ -84,16 +89,20 @@
         !step.is_empty() && has_required
     }
 
-    /// Whether to answer from the parts served so far. Before the latency objective each
-    /// further part adds to the answer; after it, waiting pays only if the answer can
-    /// become complete and earns more then.
+    /// Returns whether to answer now with the parts served so far, which must reach the minimum
+    /// share of the class.
+    ///
+    /// Before the latency objective ends, the query waits for further parts, since each of them
+    /// adds to the answer. After that it waits only if the answer can still become complete and
+    /// a late complete answer has more weight than the partial answer has now. It never waits
+    /// past the client's deadline, or if no further part can be served.
     fn should_answer_partially(&self, query: &InFlightQuery, progress: &StepProgress) -> bool {
         let class = self.batch.class_of(query);
         let served = progress.served;
         if served <= 0.0 || served + SHARE_TOLERANCE < class.minimum_share {
             return false;
         }
-        // The answer must leave time for a second step that is still to come.
+        // If a second step follows, the first answer must leave enough time for it.
         let reserve = self.limits.second_step_reserve(query);
         let end = self.batch.now + reserve + self.limits.reply_margin();
         end >= query.client_deadline()
@@ -101,37 +110,42 @@
             || end >= self.batch.objective_end(query) && !self.is_worth_waiting(query, progress)
     }
 
-    /// Whether a late complete answer can still be given and earns more than a partial answer now.
+    /// Returns whether the current step can still become complete and a late complete answer
+    /// would have more weight than the partial answer that can be given now.
     fn is_worth_waiting(&self, query: &InFlightQuery, progress: &StepProgress) -> bool {
         let class = self.batch.class_of(query);
-        let required = if query.in_second_step() {
+        let required_for_step = if query.in_second_step() {
             1.0
         } else {
             class.required_share
         };
-        // After a partial first answer, a query earns the weight of a partial answer
-        // whether its second step is complete or not, so only the share of that step is
-        // compared.
+        // After a partial first answer, the second answer counts as partial whether its own step
+        // is complete or not. The partial weight is then the same for an answer now and for one
+        // later, so only the served share of the second step is compared with the late weight.
         let weight = match query.first_answer() {
             Some(AnswerKind::Partial) => 1.0,
             Some(AnswerKind::Complete) | None => class.partial_weight,
         };
-        let earned = weight * progress.served / class.required_share.max(SHARE_TOLERANCE);
-        progress.possible + SHARE_TOLERANCE >= required && earned < class.late_weight
+        let required_share = class.required_share.max(SHARE_TOLERANCE);
+        let partial_answer_weight = weight * progress.served / required_share;
+        let can_complete = progress.possible + SHARE_TOLERANCE >= required_for_step;
+        can_complete && partial_answer_weight < class.late_weight
     }
 
-    /// Whether the query can no longer earn anything, or may crash the servers that run it.
+    /// Returns whether to end the query without an answer: no useful answer can be given
+    /// any more, or the query seems to crash the servers that run it.
     fn should_give_up(&self, query: &InFlightQuery, progress: &StepProgress) -> bool {
         let now = self.batch.now;
         let class = self.batch.class_of(query);
         let smallest_answer = class.minimum_share.min(class.required_share);
-        // Between the first answer and the arrival of the second step's parts there is
-        // nothing to wait for.
+        // Until the parts of the second step have arrived, their weight is 0, which does not mean
+        // that the step cannot be answered.
         let awaits_parts = query.in_second_step() && query.step_parts().is_empty();
-        let is_hopeless = !awaits_parts && progress.possible + SHARE_TOLERANCE < smallest_answer;
-        let is_expired = now >= query.client_deadline() - self.limits.reply_margin();
-        let is_useless = now >= self.limits.useful_until(query);
-        let is_harmful = progress.served == 0.0 && self.retries.is_poison_query(query);
-        is_expired || is_hopeless || is_harmful || is_useless
+        let cannot_reach_minimum =
+            !awaits_parts && progress.possible + SHARE_TOLERANCE < smallest_answer;
+        let is_past_client_deadline = now >= query.client_deadline() - self.limits.reply_margin();
+        let is_answer_too_late = now >= self.limits.useful_until(query);
+        let is_poison = progress.served == 0.0 && self.retries.is_poison_query(query);
+        is_past_client_deadline || cannot_reach_minimum || is_poison || is_answer_too_late
     }
 }
--- a/crates/fanout-policy/src/policy/ended_attempt.rs
+++ b/crates/fanout-policy/src/policy/ended_attempt.rs
@@ -1,7 +1,8 @@
-//! What the end of an attempt says before any statistics: whether it was overdue, and what
-//! it says about the health of its server.
+//! Interprets the end of one attempt: whether the attempt was overdue, and what its outcome says
+//! about the health of its server.
 //!
-//! [`EndedAttempt`] lives while the components learn from it.
+//! [`EndedAttempt`] is created before any statistics are updated with the outcome, and is passed
+//! to the components that update theirs. It is not stored.
 
 use super::batch_context::BatchContext;
 use super::batch_timer::BatchTiming;
@@ -10,44 +11,47 @@
 use crate::api::{Ms, Outcome};
 use crate::queries::InFlightAttempt;
 
-/// An attempt is overdue after this multiple of its forecast: earlier hedges double work that
-/// only waits.
+/// An attempt is overdue once its age exceeds this multiple of its forecast latency. With a smaller
+/// multiple, attempts that only wait in a queue would count as overdue: a second attempt would
+/// double their work, and the wait would count against the health of the server.
 pub(crate) const OVERDUE_FORECAST_FACTOR: f64 = 3.0;
-/// Least age of an overdue attempt, in latency objectives.
+/// Minimum age of an overdue attempt, in latency objectives.
 pub(crate) const MIN_OVERDUE_OBJECTIVES: f64 = 0.25;
 
-/// What the end of an attempt says about the health of its server.
+/// What the end of an attempt indicates about the health of its server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HealthSignal {
-    /// Nothing.
+    /// The end of the attempt indicates nothing.
     None,
     /// The server answered.
     Answer,
     /// The server rejected the part for lack of capacity.
     Overload,
-    /// No answer came in time, nor to any attempt sent later.
+    /// No answer came in time, and the server has answered no attempt that was sent later.
     Timeout,
-    /// No answer came in time, but an attempt sent later was answered: the backlog of a
-    /// stall times out long after the stall.
+    /// No answer came in time, but the server has answered an attempt that was sent later. This
+    /// happens after a server has stalled: the attempts sent before or during the stall still
+    /// time out when the server answers again.
     OutdatedTimeout,
-    /// The attempt failed. Quick errors say nothing about the load of the server.
+    /// The attempt failed in another way. This indicates nothing about the load of the server,
+    /// since a server may also return errors quickly.
     Failure,
 }
 
-/// An attempt that has ended.
+/// An attempt that has ended, with what its end indicates.
 pub(crate) struct EndedAttempt<'a> {
     attempt: &'a InFlightAttempt,
     outcome: Outcome,
     elapsed: Ms,
     timing: BatchTiming,
     is_overdue: bool,
-    /// Whether the server answered no attempt that was sent later.
-    is_newest: bool,
+    /// Whether the server has answered no attempt that was sent later than this one.
+    has_no_later_answer: bool,
 }
 
 impl<'a> EndedAttempt<'a> {
-    /// An attempt that has ended so. The server answered no attempt sent after
-    /// `last_served_sent_at`.
+    /// Interprets how an attempt ended. `last_served_sent_at` is the send time of the newest
+    /// attempt that its server has served.
     pub(crate) fn new(
         batch: &BatchContext,
         attempt: &'a InFlightAttempt,
@@ -63,40 +67,41 @@
             elapsed,
             timing: end.timing,
             is_overdue: end.timing == BatchTiming::OnTime && elapsed > overdue_age,
-            is_newest: attempt.sent_at > last_served_sent_at,
+            has_no_later_answer: attempt.sent_at > last_served_sent_at,
         }
     }
 
-    /// The attempt.
+    /// Returns the attempt.
     pub(crate) fn attempt(&self) -> &'a InFlightAttempt {
         self.attempt
     }
 
-    /// How it ended.
+    /// Returns the outcome of the attempt.
     pub(crate) fn outcome(&self) -> Outcome {
         self.outcome
     }
 
-    /// Time since it was sent.
+    /// Returns the time from the sending of the attempt to its end.
     pub(crate) fn elapsed(&self) -> Ms {
         self.elapsed
     }
 
-    /// Whether it took much longer than forecast. The forecast grows with load, so that
-    /// load alone does not make an attempt overdue.
+    /// Returns whether the attempt took much longer than forecast. The forecast includes the
+    /// work that is outstanding at the server, so load alone does not make an attempt overdue.
+    /// `false` if a pause of this aggregator makes the elapsed time unreliable.
     pub(crate) fn is_overdue(&self) -> bool {
         self.is_overdue
     }
 
-    /// What it says about the health of its server.
+    /// Returns what the end of the attempt indicates about the health of its server.
     pub(crate) fn health_signal(&self) -> HealthSignal {
         match self.outcome {
             Outcome::NotSent => HealthSignal::None,
             Outcome::TimedOut if self.timing == BatchTiming::AfterPause => HealthSignal::None,
-            Outcome::Cancelled if !self.is_silent() => HealthSignal::None,
+            Outcome::Cancelled if !self.is_overdue_without_later_answer() => HealthSignal::None,
             Outcome::Served => HealthSignal::Answer,
             Outcome::Overloaded => HealthSignal::Overload,
-            Outcome::TimedOut if self.is_newest => HealthSignal::Timeout,
+            Outcome::TimedOut if self.has_no_later_answer => HealthSignal::Timeout,
             Outcome::TimedOut => HealthSignal::OutdatedTimeout,
             Outcome::Error
             | Outcome::Cancelled
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Whether the server responded; `None` if the attempt does not show it.
+    /// Returns whether the server responded, or `None` if the end of the attempt does not show it.
     pub(crate) fn response(&self) -> Option<Response> {
         if self.timing == BatchTiming::AfterPause {
             return None;
@@ -114,13 +119,14 @@
             Outcome::TimedOut | Outcome::Unreachable | Outcome::ConnectionLost => {
                 Some(Response::Missing)
             }
-            Outcome::Cancelled if self.is_silent() => Some(Response::Missing),
+            Outcome::Cancelled if self.is_overdue_without_later_answer() => Some(Response::Missing),
             Outcome::Served => Some(Response::Received),
             _ => None,
         }
     }
 
-    /// Time that the answer took, without a pause of this aggregator.
+    /// Returns the time that the answer took. After a pause of this aggregator the elapsed time
+    /// may include the pause, so it is limited to the forecast latency.
     pub(crate) fn answer_time(&self) -> Ms {
         match self.timing {
             BatchTiming::OnTime => self.elapsed,
@@ -128,7 +134,8 @@
         }
     }
 
-    /// Weight of the answer in the average of latencies.
+    /// Returns the weight of the answer time as a sample in the moving average of the server's
+    /// latency. An answer that took much longer than forecast has a larger weight.
     pub(crate) fn answer_weight(&self) -> f64 {
         if self.answer_time() > OVERDUE_FORECAST_FACTOR * self.attempt.expected_latency {
             STRONG_SAMPLE_WEIGHT
@@ -137,14 +144,15 @@
         }
     }
 
-    /// Whether it was overdue and nothing sent later was answered. That is a failure, even
-    /// if a hedged request was faster and this attempt was cancelled.
-    fn is_silent(&self) -> bool {
-        self.is_overdue && self.is_newest
+    /// Returns whether the attempt was overdue and the server has answered no later attempt. A
+    /// cancelled attempt of this kind counts as a failure of the server, even though it was
+    /// cancelled because a hedged request was answered first.
+    fn is_overdue_without_later_answer(&self) -> bool {
+        self.is_overdue && self.has_no_later_answer
     }
 }
 
-/// How an attempt ended, as the caller reports it.
+/// The end of an attempt, as the caller reports it.
 #[derive(Clone, Copy)]
 pub(crate) struct AttemptEnd {
     outcome: Outcome,
@@ -153,7 +161,8 @@
 }
 
 impl AttemptEnd {
-    /// An end with this outcome after this time, in which the aggregator was paused or not.
+    /// Creates the report that an attempt ended with `outcome` after the time `elapsed`.
+    /// `timing` states whether this aggregator was paused before the current batch.
     pub(crate) fn new(outcome: Outcome, elapsed: Ms, timing: BatchTiming) -> Self {
         AttemptEnd {
             outcome,
@@ -162,7 +171,8 @@
         }
     }
 
-    /// The reported time if it is a number, or else the time since the attempt was sent.
+    /// Returns the reported elapsed time, and at least 0. If the reported time is not finite,
+    /// returns the time since the attempt was sent.
     fn valid_elapsed(&self, now: Ms, sent_at: Ms) -> Ms {
         if self.elapsed.is_finite() {
             self.elapsed.max(0.0)
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -1,7 +1,7 @@
-//! Latency forecasts.
+//! Latency forecasts for attempts and parts.
 //!
-//! [`Forecaster`] derives them from the servers and the estimates of the classes; it has no
-//! state of its own.
+//! [`Forecaster`] computes them from the state of the servers and the estimates of the query
+//! classes. It has no state of its own.
 
 use super::batch_context::BatchContext;
 use super::class_estimates::ClassEstimates;
@@ -9,11 +9,12 @@
 use crate::fleet::{Fleet, ServerIndex};
 use crate::queries::{InFlightAttempt, InFlightQuery, PartState};
 
-/// Added to the forecast per unit of error rate for the attempt that an error costs, in
-/// shortest latency objectives.
+/// Penalty added to the forecast latency at a server with an error rate of 1, and in proportion
+/// at lower error rates, in shortest latency objectives. It stands for the time that a failed
+/// attempt costs.
 const ERROR_PENALTY_OBJECTIVES: f64 = 0.5;
 
-/// Forecasts latencies for one batch.
+/// Forecasts latencies in one batch.
 #[derive(Clone, Copy)]
 pub(crate) struct Forecaster<'a> {
     batch: &'a BatchContext<'a>,
@@ -22,7 +23,7 @@
 }
 
 impl<'a> Forecaster<'a> {
-    /// A forecaster with this knowledge.
+    /// Creates a forecaster for the current batch.
     pub(crate) fn new(
         batch: &'a BatchContext<'a>,
         fleet: &'a Fleet,
@@ -35,8 +36,10 @@
         }
     }
 
-    /// Forecast time until the answer to `work` more work at a server: the server's latency
-    /// for all outstanding work, its known delay, and a penalty for its error rate.
+    /// Forecasts how long a server takes to answer an attempt of a class that adds `work`. The
+    /// forecast is the sum of three terms: the server's latency per work times all work that is
+    /// then outstanding there, the delay that is already known, and the penalty for its error
+    /// rate.
     pub(crate) fn latency(&self, server: ServerIndex, class: usize, work: Ms) -> Ms {
         let server = self.fleet.server(server);
         let error_rate = self.fleet.error_rate(self.batch, server, class);
@@ -46,13 +49,15 @@
         server.latency().per_work() * total_work + server.known_delay(now) + errors
     }
 
-    /// Estimated cost of a part.
+    /// Returns the estimated cost of a part in ms of server time, adjusted by the part's cost
+    /// hint if it has one.
     pub(crate) fn part_cost(&self, query: &InFlightQuery, part: &PartState) -> Ms {
         self.classes[query.class()].hinted_part_cost(part.cost_hint())
     }
 
-    /// Cost of the call that another part would open at a server; parts sent in one batch
-    /// share calls.
+    /// Returns the cost of the call in which the next part would be sent to a server. It is 0
+    /// if that part fits into a call of the current batch, since parts that are sent to one
+    /// server in one batch share calls.
     pub(crate) fn call_cost(&self, server: ServerIndex) -> Ms {
         let settings = self.batch.settings;
         let outstanding = self.fleet.server(server).outstanding();
@@ -63,12 +68,13 @@
         }
     }
 
-    /// Work that an attempt for a part adds at a server.
+    /// Returns the work that an attempt adds at a server: the part's cost and, if it opens a
+    /// call, the call's cost.
     fn attempt_work(&self, query: &InFlightQuery, part: &PartState, server: ServerIndex) -> Ms {
         self.part_cost(query, part) + self.call_cost(server)
     }
 
-    /// An attempt for a part that is sent now.
+    /// Creates the record of an attempt for a part that is sent to a server now.
     pub(crate) fn attempt(
         &self,
         query: &InFlightQuery,
@@ -88,7 +94,7 @@
         }
     }
 
-    /// Forecast time until the answer to an attempt for a part that is sent now.
+    /// Forecasts how long a server takes to answer an attempt for a part that is sent now.
     pub(crate) fn attempt_latency(
         &self,
         query: &InFlightQuery,
@@ -99,7 +105,8 @@
         self.latency(server, query.class(), work)
     }
 
-    /// Forecast time until the answer to a part from its best holder, if it has any.
+    /// Returns the lowest forecast latency of a part among the holders of its shard, without
+    /// the cost of a call. `None` if no holder has a finite forecast.
     pub(crate) fn best_latency(&self, query: &InFlightQuery, part: &PartState) -> Option<Ms> {
         let work = self.part_cost(query, part);
         let holders = self.fleet.holders(part.shard()).iter();
@@ -108,7 +115,7 @@
         best.is_finite().then_some(best)
     }
 
-    /// By how much queries of the same class take longer than forecast.
+    /// Returns by how much queries of this query's class take longer than forecast on average.
     pub(crate) fn expected_error(&self, query: &InFlightQuery) -> Ms {
         self.classes[query.class()].forecast_error()
     }
--- a/crates/fanout-policy/src/policy/mod.rs
+++ b/crates/fanout-policy/src/policy/mod.rs
@@ -1,36 +1,39 @@
-//! The components that decide, one to each module, each with the constants it is tuned by.
+//! The components that make the policy's decisions.
 //!
-//! State that decisions depend on has one owner.
+//! Each component has its own module, which also defines the constants that tune it. Every piece
+//! of state that a decision depends on is owned by exactly one module.
 //!
-//! By query class:
-//! - [`fanout_width`] owns the number of replica rows to contact;
-//! - [`class_estimates`] owns the cost of parts, forecast errors, the duration of second steps;
-//! - [`client_timeout`] owns the usual timeout of clients.
+//! State of each query class:
+//! - [`fanout_width`] owns the number of replica rows that a query contacts;
+//! - [`class_estimates`] owns the estimated cost of a part, the average forecast error and the
+//!   average duration of the second step;
+//! - [`client_timeout`] owns the estimate of the timeout that clients usually set.
 //!
-//! By server:
-//! - [`server_health`] owns error rates and consecutive failures;
-//! - [`outlier_detection`] owns ejections;
+//! State of each server:
+//! - [`server_health`] owns the error rates and the number of consecutive failures;
+//! - [`outlier_detection`] owns the ejections;
 //! - [`slow_start`] owns the warm-up after a start;
-//! - [`latency`] owns the latency per work;
-//! - [`outstanding_work`] owns what waits or runs there.
+//! - [`latency`] owns the latency per ms of outstanding work;
+//! - [`outstanding_work`] owns the work that waits or runs at the server.
 //!
-//! For all servers:
-//! - [`zone_silence`] owns the share of unanswered attempts by zone;
-//! - [`latency`] owns the median latency of the fleet;
-//! - [`slow_start`] owns the rate at which a warm server serves.
+//! State of the whole fleet:
+//! - [`zone_silence`] owns the share of unanswered attempts in each zone;
+//! - [`latency`] owns the median latency of the servers;
+//! - [`slow_start`] owns the rate at which a warm server serves the work of this aggregator.
 //!
-//! For the aggregator:
-//! - [`admission`] owns the highest weight per work of any query;
-//! - [`tenant_quotas`] owns arrivals by tenant;
-//! - [`retry_budget`] owns accepted requests, retries and hedged requests;
-//! - [`load_gossip`] owns what is unpublished;
-//! - [`endpoint_list_poller`] owns the next poll and its backoff;
-//! - [`batch_timer`] owns when the next batch and the next control interval are due.
+//! State of the aggregator itself:
+//! - [`admission`] owns the maximum weight per work of all queries so far;
+//! - [`tenant_quotas`] owns the arrival times of each tenant's queries;
+//! - [`retry_budget`] owns the counts of accepted requests and of retries and hedged requests;
+//! - [`load_gossip`] owns the set of servers whose load is still to be published;
+//! - [`endpoint_list_poller`] owns the time of the next poll and its backoff;
+//! - [`batch_timer`] owns the times at which the next batch and the next control interval are due.
 //!
-//! The other modules have no state of their own and decide from the state that they are given:
-//! [`forecast`], [`time_limits`], [`row_planner`], [`server_selection`], [`retry_policy`],
-//! [`completion`], [`retry_after`], [`ended_attempt`] and [`report_sampling`]. Time and settings
-//! come in a [`batch_context`], random numbers as an argument.
+//! The other modules have no state of their own. They decide from the state that the caller
+//! passes: [`forecast`], [`time_limits`], [`row_planner`], [`server_selection`],
+//! [`retry_policy`], [`completion`], [`retry_after`], [`ended_attempt`] and [`report_sampling`].
+//! The current time and the settings are passed in a [`batch_context`], random numbers as an
+//! argument.
 
 pub(crate) mod admission;
 pub(crate) mod batch_context;
--- a/crates/fanout-policy/src/policy/retry_after.rs
+++ b/crates/fanout-policy/src/policy/retry_after.rs
@@ -1,43 +1,47 @@
-//! Retry-after values, and whether a client may retry safely.
+//! Decides how a query ends without an answer: whether its client may safely retry, and after
+//! what time.
 //!
-//! [`RetryAfter`] derives both from the state of a query that ends without an answer; it owns
-//! nothing.
+//! [`RetryAfter`] derives both from the state of the query. It has no state of its own.
 
 use super::batch_context::BatchContext;
 use super::retry_policy::RetryPolicy;
 use crate::api::{Ms, RetrySafety, Settings};
 use crate::queries::{Attempt, InFlightQuery};
 
-/// Retry-after as a share of the time left: long enough for queues to shrink, short enough to
-/// be in time.
+/// Retry-after value as a share of the time left in the latency objective. It must be long enough
+/// for the queues of servers to shrink, and short enough for the retry to be answered in time.
 const TIME_LEFT_SHARE: f64 = 0.3;
-/// Least time left for a retry to be in time, in latency objectives.
+/// Minimum time left for a retry to be answered within the objective, in latency objectives.
 const MIN_TIME_LEFT_OBJECTIVES: f64 = 0.1;
-/// A retry is assumed to arrive within this multiple of the retry-after.
+/// A client is assumed to send its retry within this multiple of the retry-after value, since
+/// clients may retry later than advised.
 const RETRY_DELAY_FACTOR: f64 = 2.0;
 
-/// Retry-after for a query that is rejected before the policy sees it, for lack of capacity.
+/// Returns the retry-after value for a query that the caller rejects for lack of capacity without
+/// passing it to the policy. `class` is the index of the query's class in the settings. Returns
+/// `None` where retry-after values do not reach clients.
 #[must_use]
 pub fn over_capacity_retry_after(settings: &Settings, class: usize) -> Option<Ms> {
     let class = settings.classes.get(class);
     let objective = class.map_or(f64::INFINITY, |class| class.latency_objective);
-    let useful = TIME_LEFT_SHARE * objective;
-    settings.max_retry_after.map(|max| max.min(useful))
+    let retry_after = TIME_LEFT_SHARE * objective;
+    settings.max_retry_after.map(|max| max.min(retry_after))
 }
 
-/// How a query ends without an answer.
+/// Response to a query that ends without an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum EndWithoutAnswer {
-    /// Rejected: the client may retry.
+    /// The query is rejected, and its client may retry.
     Reject {
-        /// When the client should retry.
+        /// Time after which the client should retry; `None` where it does not reach clients.
         retry_after: Option<Ms>,
     },
-    /// Failed: parts may have run, and a retry could run them again to some effect.
+    /// The query fails, and its client should not retry: a part may have run already, and
+    /// running it again might not be safe.
     Fail,
 }
 
-/// Decides what to tell the client of a query that ends without an answer.
+/// Decides how queries without an answer end in one batch.
 #[derive(Clone, Copy)]
 pub(crate) struct RetryAfter<'a> {
     batch: &'a BatchContext<'a>,
@@ -45,12 +49,12 @@
 }
 
 impl<'a> RetryAfter<'a> {
-    /// A decision with this knowledge.
+    /// Creates the rules for the current batch.
     pub(crate) fn new(batch: &'a BatchContext<'a>, retries: RetryPolicy<'a>) -> Self {
         RetryAfter { batch, retries }
     }
 
-    /// Rejects a query where a retry is safe, and fails it otherwise.
+    /// Decides to reject a query if a retry of it is safe, and to fail it otherwise.
     pub(crate) fn decide(&self, query: &InFlightQuery) -> EndWithoutAnswer {
         let retry_after = self.retry_after(query);
         if self.is_retry_safe(query, retry_after) {
@@ -60,34 +64,36 @@
         }
     }
 
-    /// Retry-after for a query that ends now; the longest that clients respect if no retry
-    /// would be in time.
+    /// Returns the retry-after value for a query that ends now. It is the maximum that clients
+    /// respect if a retry could not be answered within the latency objective any more, or if the
+    /// query is a poison query. `None` where retry-after values do not reach clients.
     fn retry_after(&self, query: &InFlightQuery) -> Option<Ms> {
         let min_time_left = MIN_TIME_LEFT_OBJECTIVES * self.batch.objective(query);
         let time_left = self.batch.objective_end(query) - self.batch.now;
-        let is_in_time = time_left > min_time_left && !self.retries.is_poison_query(query);
-        let useful = if is_in_time {
+        let may_retry_soon = time_left > min_time_left && !self.retries.is_poison_query(query);
+        let retry_after = if may_retry_soon {
             TIME_LEFT_SHARE * time_left
         } else {
             f64::INFINITY
         };
         let max_retry_after = self.batch.settings.max_retry_after;
-        max_retry_after.map(|max| max.min(useful))
+        max_retry_after.map(|max| max.min(retry_after))
     }
 
-    /// Whether the client may repeat the query. With an idempotency key this holds until
-    /// the window of any attempt that may have run ends; clients may retry later than
-    /// advised.
+    /// Returns whether the client may safely repeat the query. This is so if no attempt may
+    /// have run or the class is idempotent. With idempotency keys, the client's retry must
+    /// also be expected to arrive before the window ends in which servers deduplicate repeats
+    /// of any attempt that may have run.
     fn is_retry_safe(&self, query: &InFlightQuery, retry_after: Option<Ms>) -> bool {
         let delay = RETRY_DELAY_FACTOR * retry_after.unwrap_or(f64::INFINITY);
         let retried_by = self.batch.now + delay;
         let retry_safety = self.batch.class_of(query).retry_safety;
-        let is_harmless = |attempt: &Attempt| match retry_safety {
+        let is_repeat_safe = |attempt: &Attempt| match retry_safety {
             RetrySafety::Idempotent => true,
             RetrySafety::IdempotencyKey { window } => retried_by < attempt.sent_at() + window,
             RetrySafety::NotIdempotent => false,
         };
         let mut possible_runs = query.attempts().filter(|attempt| attempt.may_have_run());
-        possible_runs.all(is_harmless)
+        possible_runs.all(is_repeat_safe)
     }
 }
--- a/crates/fanout-policy/src/policy/retry_policy.rs
+++ b/crates/fanout-policy/src/policy/retry_policy.rs
@@ -1,6 +1,7 @@
-//! When a part gets its first attempt, a retry or a hedged request.
+//! Decides when a part is sent its first attempt, a retry or a hedged request.
 //!
-//! [`RetryPolicy`] decides from the state of the query and its servers; it has no state of its own.
+//! [`RetryPolicy`] decides from the state of the query and of the servers. It has no state of its
+//! own.
 
 use super::batch_context::BatchContext;
 use super::ended_attempt::{MIN_OVERDUE_OBJECTIVES, OVERDUE_FORECAST_FACTOR};
@@ -10,37 +11,42 @@
 use crate::fleet::{Fleet, ServerIndex};
 use crate::queries::{Attempt, InFlightQuery, PartState};
 
-/// A hedged request is sent once an attempt is late by this multiple of the hedge's own forecast.
+/// A hedged request is sent once the attempt in flight is late by more than this multiple of the
+/// hedged request's own forecast latency.
 const HEDGE_LATENESS_FACTOR: f64 = 2.0;
-/// Without hedging: highest forecast at which an overdue attempt is cancelled for a retry, in
-/// latency objectives.
+/// Maximum forecast latency of a retry for which an overdue attempt is cancelled where hedging is
+/// not allowed, in latency objectives. Forecasts exceed it while the fleet is busy, when the work
+/// that cancelled attempts leave behind at their servers would increase the overload.
 const MAX_CANCEL_FORECAST_OBJECTIVES: f64 = 0.15;
-/// Age from which an attempt is cancelled even before it is overdue, in latency objectives.
+/// Age after which an attempt may be cancelled even if it is younger than
+/// [`OVERDUE_FORECAST_FACTOR`] times its forecast latency, in latency objectives. A retry that is
+/// sent much later would hardly be answered in time.
 const CANCEL_AGE_OBJECTIVES: f64 = 0.4;
-/// Lost connections from which a query counts as a poison query: one may be chance.
+/// Minimum number of attempts with a lost connection for which a query counts as a poison query.
+/// A single lost connection may be a coincidence.
 const POISON_LOST_CONNECTIONS: usize = 2;
 
-/// What a part may need next.
+/// The step that a part may need next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum PartStep {
-    /// Nothing.
+    /// The part needs nothing now.
     Wait,
-    /// Its first attempt.
+    /// The part needs its first attempt.
     FirstAttempt,
-    /// A retry, since no attempt is in flight.
+    /// The part needs a retry: its earlier attempts have all ended without an answer.
     Retry,
-    /// A hedged request, if the attempt in flight is overdue.
+    /// The part needs a hedged request if its attempt in flight is overdue.
     Hedge,
 }
 
-/// What to do about an overdue attempt.
+/// Decision about an attempt in flight that is overdue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum HedgeDecision {
-    /// Wait for it.
+    /// Keep waiting for the answer to the attempt.
     Wait,
-    /// Send a hedged request beside it.
+    /// Send a hedged request while the attempt stays in flight.
     Send,
-    /// Cancel it. The retry is sent once the cancellation is reported.
+    /// Cancel the attempt. The retry is sent in a later batch, once the cancellation is reported.
     CancelFirst,
 }
 
@@ -53,7 +59,7 @@
 }
 
 impl<'a> RetryPolicy<'a> {
-    /// A policy with this knowledge.
+    /// Creates a retry policy for the current batch.
     pub(crate) fn new(
         batch: &'a BatchContext<'a>,
         fleet: &'a Fleet,
@@ -66,7 +72,7 @@
         }
     }
 
-    /// What a part may need next.
+    /// Returns the step that a part may need next.
     pub(crate) fn next_step(&self, query: &InFlightQuery, part: &PartState) -> PartStep {
         if part.is_served() || !part.has_attempts_left(self.batch.settings.max_attempts) {
             return PartStep::Wait;
@@ -84,7 +90,8 @@
         }
     }
 
-    /// Whether a part that was not served may still be.
+    /// Returns whether a part that was not served may still be: an attempt is in flight, or
+    /// another attempt may be sent to a holder of its shard.
     pub(crate) fn can_still_complete(&self, query: &InFlightQuery, part: &PartState) -> bool {
         if part.has_attempt_in_flight() {
             return true;
@@ -95,27 +102,37 @@
         can_send && !self.fleet.holders(part.shard()).is_empty()
     }
 
-    /// Whether the query itself may crash each server that runs it: attempts of several
-    /// parts lost their connections, more than were served. It is not retried further. A
-    /// server that has answered since is up.
+    /// Returns whether the query is a poison query: one that seems to crash each server that
+    /// runs it, so that it must not be retried.
+    ///
+    /// Counts the query's attempts that lost their connection to a server that has been
+    /// unresponsive since. A server that has served an attempt since the loss is up, so the
+    /// query did not crash it. The query is a poison query if the count reaches
+    /// [`POISON_LOST_CONNECTIONS`] and exceeds the number of parts that were served.
     pub(crate) fn is_poison_query(&self, query: &InFlightQuery) -> bool {
-        let is_down = |attempt: &Attempt| {
+        let is_server_down = |attempt: &Attempt| {
             let server = self.fleet.server(attempt.server());
             server.health().is_unresponsive()
         };
-        let lost_server = |attempt: &&Attempt| attempt.lost_connection() && is_down(attempt);
-        let crashes = query.attempts().filter(lost_server).count();
+        let may_be_crash =
+            |attempt: &&Attempt| attempt.lost_connection() && is_server_down(attempt);
+        let crashes = query.attempts().filter(may_be_crash).count();
         crashes >= POISON_LOST_CONNECTIONS && crashes > query.served_parts()
     }
 
-    /// Whether the last attempt of a part is later than forecast, by the least age at least.
+    /// Returns whether the last attempt of a part is overdue: older than its forecast latency
+    /// and older than [`MIN_OVERDUE_OBJECTIVES`] times the objective of the current step.
     pub(crate) fn is_overdue(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let min_age = MIN_OVERDUE_OBJECTIVES * self.limits.step_objective(query);
         part.last_attempt_age(self.batch.now) > part.last_expected_latency().max(min_age)
     }
 
-    /// Whether a retry must wait since all holders are overloaded: at once, it would be
-    /// rejected as well.
+    /// Returns whether the retry of a part must wait before it is sent to `server`, which the
+    /// server selection has chosen.
+    ///
+    /// An overloaded server is chosen only if no holder that the retry could go to is eligible.
+    /// It would reject an immediate retry too, so the retry waits, and longer with each attempt
+    /// that the part has had.
     pub(crate) fn must_wait_for_capacity(&self, part: &PartState, server: ServerIndex) -> bool {
         let now = self.batch.now;
         let wait = capacity_wait(self.batch.shortest_objective(), part.attempts().len());
@@ -123,7 +140,8 @@
         part.last_attempt_age(now) < wait && is_overloaded
     }
 
-    /// What to do about an overdue attempt of a part where a hedge would take this time.
+    /// Decides about the overdue attempt of a part. `forecast` is the forecast latency of a
+    /// hedged request that is sent now.
     pub(crate) fn hedge_decision(
         &self,
         query: &InFlightQuery,
@@ -142,7 +160,8 @@
         }
     }
 
-    /// A deferred part is sent once another part needs a retry.
+    /// Returns the step of a part that was never sent. A deferred part waits until another part
+    /// of the query needs a retry.
     fn first_step(&self, query: &InFlightQuery, part: &PartState) -> PartStep {
         let needs_retry = |part: &PartState| self.needs_retry(query, part);
         if part.is_deferred() && !query.parts().iter().any(needs_retry) {
@@ -152,13 +171,21 @@
         }
     }
 
-    /// Whether a part was sent and its last attempt has failed or is overdue.
+    /// Returns whether a part was sent but not served, and its last attempt is overdue or has
+    /// ended.
     fn needs_retry(&self, query: &InFlightQuery, part: &PartState) -> bool {
         !part.is_served() && (self.is_overdue(query, part) || part.has_last_attempt_ended())
     }
 
-    /// Whether another attempt could not execute the part a second time to any effect, and
-    /// not too many are in flight. Attempts that never ran do not count.
+    /// Returns whether another attempt of a part may be sent. This is so if both conditions
+    /// hold:
+    ///
+    /// - No attempt of the part is in flight, or only one where hedging or cancellation is
+    ///   allowed.
+    /// - It is safe to execute the part again. In an idempotent class it always is. In other
+    ///   classes it is safe if no earlier attempt may have run. With idempotency keys it is
+    ///   also safe until the window ends in which servers deduplicate repeats of the first
+    ///   attempt that may have run.
     fn may_repeat(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let settings = self.batch.settings;
         let max_in_flight = usize::from(settings.hedging || settings.cancellation);
@@ -175,16 +202,20 @@
         }
     }
 
-    /// Whether the last attempt is late by more than a hedge takes: late against its own
-    /// forecast or that of the hedge, whichever is less, since an attempt at a slow server
-    /// is not waited for.
+    /// Returns whether the last attempt of a part is late by more than
+    /// [`HEDGE_LATENESS_FACTOR`] times `forecast`, the forecast latency of a hedged request. The
+    /// lateness counts from the shorter of the two forecasts, so that a long forecast for an
+    /// attempt at a slow server does not delay the hedged request.
     fn is_hedge_faster(&self, part: &PartState, forecast: Ms) -> bool {
         let expected = part.last_expected_latency().min(forecast);
         part.last_attempt_age(self.batch.now) > expected + HEDGE_LATENESS_FACTOR * forecast
     }
 
-    /// Whether to cancel an overdue attempt where two may not be in flight. An attempt that
-    /// is only slow has most of its work done already, which would be lost.
+    /// Returns whether to cancel the overdue attempt of a part, where two attempts of a part may
+    /// not be in flight at once and a retry waits for the end of the first attempt. A
+    /// cancellation discards the work that the server has done so far, and for an attempt that
+    /// is only slow this is most of the work. So the attempt must be old, and `forecast`, the
+    /// forecast latency of the retry, must be short.
     fn may_cancel_overdue(&self, query: &InFlightQuery, part: &PartState, forecast: Ms) -> bool {
         let objective = self.batch.objective(query);
         let overdue_age = OVERDUE_FORECAST_FACTOR * part.last_expected_latency();
--- a/crates/fanout-policy/src/policy/row_planner.rs
+++ b/crates/fanout-policy/src/policy/row_planner.rs
@@ -1,4 +1,5 @@
-//! Assignment of a query's parts to replica rows, and the parts that an answer can do without.
+//! Assignment of a query's parts to replica rows, and deferral of the parts that the answer does
+//! not need.
 //!
 //! [`RowPlanner`] has no state of its own.
 
@@ -11,14 +12,14 @@
 use crate::queries::InFlightQuery;
 use crate::random::RandomSource;
 
-/// Forecast latency of a part at the server of its row.
+/// Forecast latency of a part at the server of the row that it is assigned to.
 struct PartForecast {
-    /// Index of the part.
+    /// Index of the part among the parts of the current step.
     part: usize,
     latency: Ms,
 }
 
-/// Plans queries in one batch.
+/// Assigns and defers the parts of queries in one batch.
 #[derive(Clone, Copy)]
 pub(crate) struct RowPlanner<'a> {
     batch: &'a BatchContext<'a>,
@@ -27,7 +28,7 @@
 }
 
 impl<'a> RowPlanner<'a> {
-    /// A planner with this knowledge.
+    /// Creates a planner for the current batch.
     pub(crate) fn new(
         batch: &'a BatchContext<'a>,
         fleet: &'a Fleet,
@@ -40,8 +41,8 @@
         }
     }
 
-    /// Assigns the parts of the current step to rows, and defers those that the answer can
-    /// do without.
+    /// Assigns the parts of a query's current step to replica rows, and defers the parts that
+    /// the answer does not need.
     pub(crate) fn plan(
         &self,
         query: &mut InFlightQuery,
@@ -52,60 +53,67 @@
         self.defer_spare_parts(query);
     }
 
-    /// Assigns the parts of the current step to adjacent rows, starting at a random one, in
-    /// round-robin order. Parts with the same holders go to the same row, and rows are used
-    /// from last to first: where shards overlap, the parts of neighbouring shards then go
-    /// to the same server and share a call.
+    /// Assigns the parts of the current step to adjacent rows. The first of these rows is
+    /// random, and their number is drawn from `width`.
+    ///
+    /// Parts of shards with the same home cell have the same holders and go to the same row.
+    /// The home cells take the rows in round-robin order, in descending order of the rows and
+    /// starting at a random one of them.
+    /// Where the holders of neighbouring shards overlap, a server that is in row `r` of one
+    /// shard is in row `r - 1` of the next shard. Taking the rows in descending order therefore
+    /// sends the parts of neighbouring shards to the same server, where they share a call.
     fn assign_rows(
         &self,
         query: &mut InFlightQuery,
         width: &FanoutWidthController,
         random: &mut RandomSource,
     ) {
-        let rows = self.rows_for(query);
+        let rows = self.available_rows(query);
         let width = width.draw(rows, random);
         let first_row = random.below(rows);
         let offset = random.below(width);
-        let mut homes: Vec<usize> = Vec::new();
+        let mut home_cells: Vec<usize> = Vec::new();
         for part in query.step_parts_mut() {
-            let home = part.shard() % self.batch.settings.cells.max(1);
-            let known = homes.iter().position(|known| *known == home);
-            let rank = known.unwrap_or(homes.len());
-            if rank == homes.len() {
-                homes.push(home);
+            let home_cell = part.shard() % self.batch.settings.cells.max(1);
+            let known_index = home_cells.iter().position(|cell| *cell == home_cell);
+            let cell_index = known_index.unwrap_or(home_cells.len());
+            if cell_index == home_cells.len() {
+                home_cells.push(home_cell);
             }
-            let row = (first_row + width - 1 - (offset + rank) % width) % rows;
+            let row = (first_row + width - 1 - (offset + cell_index) % width) % rows;
             let holders = self.fleet.holders(part.shard());
             part.assign((!holders.is_empty()).then(|| holders[row % holders.len()]));
         }
     }
 
-    /// Largest number of holders of any shard of the current step, at least 1.
-    fn rows_for(&self, query: &InFlightQuery) -> usize {
+    /// Returns the number of rows that the parts of the current step can be assigned to: the
+    /// maximum number of holders of any of their shards, or 1 if no shard has a holder.
+    fn available_rows(&self, query: &InFlightQuery) -> usize {
         let parts = query.step_parts().iter();
         let holders = parts.map(|part| self.fleet.holders(part.shard()).len());
         holders.max().unwrap_or(0).max(1)
     }
 
-    /// Defers parts that a class with a required share below 1 can do without, those with
-    /// the slowest forecasts first. They are sent once another part is overdue or has
-    /// failed.
+    /// Defers parts of the first step that the answer does not need, where the class requires
+    /// a share below 1. The parts with the longest forecast latency are deferred first. A
+    /// deferred part is sent once another part of the query is overdue, or the last attempt of
+    /// another part has ended without an answer.
     fn defer_spare_parts(&self, query: &mut InFlightQuery) {
-        let mut spare = 1.0 - self.batch.class_of(query).required_share;
-        if query.in_second_step() || spare <= SHARE_TOLERANCE {
+        let mut spare_share = 1.0 - self.batch.class_of(query).required_share;
+        if query.in_second_step() || spare_share <= SHARE_TOLERANCE {
             return;
         }
         for PartForecast { part, .. } in self.slowest_first(query) {
             let part = &mut query.step_parts_mut()[part];
-            if part.weight() <= spare + SHARE_TOLERANCE {
-                spare -= part.weight();
+            if part.weight() <= spare_share + SHARE_TOLERANCE {
+                spare_share -= part.weight();
                 part.defer();
             }
         }
     }
 
-    /// The parts of the first step by their forecasts at the servers of their rows, those
-    /// without a server first.
+    /// Returns the parts of the current step in descending order of their forecast latency at
+    /// the server of their row. Parts without a server come first.
     fn slowest_first(&self, query: &InFlightQuery) -> Vec<PartForecast> {
         let forecasts = query.step_parts().iter().enumerate().map(|(index, part)| {
             let work = self.forecaster.part_cost(query, part);
--- a/crates/fanout-policy/src/policy/server_selection.rs
+++ b/crates/fanout-policy/src/policy/server_selection.rs
@@ -1,6 +1,7 @@
-//! Selection of the server for an attempt.
+//! Selection of the server that an attempt is sent to.
 //!
-//! [`ServerSelector`] compares the holders of a shard; it has no state of its own.
+//! [`ServerSelector`] compares the forecast latencies of a shard's holders. It has no state of
+//! its own.
 
 use super::batch_context::BatchContext;
 use super::forecast::Forecaster;
@@ -9,19 +10,19 @@
 use crate::fleet::{Fleet, ServerIndex};
 use crate::queries::{InFlightQuery, PartState};
 
-/// Margin by which another server's forecast must be better for a part to leave its row, in
-/// latency objectives.
+/// Maximum difference between the score of the server of a part's row and the best score at which
+/// the part still stays in its row, in latency objectives.
 const FALLBACK_MARGIN_OBJECTIVES: f64 = 0.06;
-/// Added to the forecast of a server in another zone for the cost of the crossing, in latency
-/// objectives.
+/// Penalty added to the forecast latency of a server in another zone for the cost of traffic
+/// between zones, in latency objectives.
 const CROSS_ZONE_PENALTY_OBJECTIVES: f64 = 0.05;
 
-/// A server that an attempt for a part may go to.
+/// A holder of a part's shard that the next attempt may be sent to.
 struct Candidate {
     server: ServerIndex,
-    /// Forecast latency with the penalty for crossing zones.
+    /// Forecast latency plus the penalty for a server in another zone. The lowest score is best.
     score: Ms,
-    /// Whether it may be selected without need.
+    /// Whether the server is eligible. Other servers are selected only if none is eligible.
     is_eligible: bool,
 }
 
@@ -35,7 +36,7 @@
 }
 
 impl<'a> ServerSelector<'a> {
-    /// A selector with this knowledge.
+    /// Creates a selector for the current batch.
     pub(crate) fn new(
         batch: &'a BatchContext<'a>,
         fleet: &'a Fleet,
@@ -50,18 +51,25 @@
         }
     }
 
-    /// The server of the part's row, unless it is ineligible or clearly slower than the
-    /// best eligible holder. With no eligible holder, the best of the others, so that the
-    /// last one is never ejected. Holders not tried yet go first. `None` if all are
-    /// removed, or warming up without allowance.
+    /// Selects the server for the next attempt of a part.
+    ///
+    /// Only holders of the shard that no attempt of the part was sent to are compared, or all
+    /// holders if each was tried. The server of the part's row is selected, unless it is
+    /// ineligible or its score exceeds that of the best eligible server by more than the
+    /// margin [`FALLBACK_MARGIN_OBJECTIVES`]; then the best eligible server is selected. If no
+    /// server is eligible, the best of those that slow start allows is selected even while it
+    /// is ejected, so that ejections alone never leave a shard without a server.
+    ///
+    /// Returns `None` if the shard has no holder, or if slow start allows none of the servers
+    /// compared any more work.
     pub(crate) fn select(&self, query: &InFlightQuery, part: &PartState) -> Option<ServerIndex> {
         let work = self.forecaster.part_cost(query, part);
         let candidates = self.candidates(query, part, work);
         let eligible = candidates.iter().filter(|candidate| candidate.is_eligible);
         let Some(best) = lowest_score(eligible) else {
-            let may_warm_up =
-                |candidate: &&Candidate| self.allows_slow_start(candidate.server, work);
-            let best = lowest_score(candidates.iter().filter(may_warm_up));
+            let is_allowed =
+                |candidate: &&Candidate| self.slow_start_allows(candidate.server, work);
+            let best = lowest_score(candidates.iter().filter(is_allowed));
             return best.map(|candidate| candidate.server);
         };
         let max_score = best.score + FALLBACK_MARGIN_OBJECTIVES * self.batch.objective(query);
@@ -73,14 +81,16 @@
         Some(candidates.iter().find(keeps_row).unwrap_or(best).server)
     }
 
-    /// Whether a server is not ejected and may be sent work. After failures it gets one
-    /// attempt at a time.
+    /// Returns whether a server is not ejected and slow start allows it `work` more work. After
+    /// consecutive failures a server is eligible only while this aggregator has no attempt in
+    /// flight to it, so that it receives one attempt at a time.
     pub(crate) fn is_eligible(&self, server: ServerIndex, work: Ms) -> bool {
         let record = self.fleet.server(server);
-        record.may_receive_attempt(self.batch.now) && self.allows_slow_start(server, work)
+        record.may_receive_attempt(self.batch.now) && self.slow_start_allows(server, work)
     }
 
-    /// The holders of the part's shard, without those tried before if any was not.
+    /// Returns the holders of the part's shard as candidates. Holders that an attempt of the
+    /// part was sent to are left out, unless all of them were tried.
     fn candidates(&self, query: &InFlightQuery, part: &PartState, work: Ms) -> Vec<Candidate> {
         let holders = self.fleet.holders(part.shard());
         let untried_only = holders.iter().any(|server| !part.was_sent_to(*server));
@@ -89,6 +99,7 @@
         holders.iter().filter(is_allowed).map(candidate).collect()
     }
 
+    /// Computes the score and the eligibility of a server for an attempt with `work` more work.
     fn candidate(&self, query: &InFlightQuery, server: ServerIndex, work: Ms) -> Candidate {
         let penalty = if self.is_cross_zone(server) {
             CROSS_ZONE_PENALTY_OBJECTIVES * self.batch.objective(query)
@@ -106,15 +117,19 @@
         }
     }
 
-    fn allows_slow_start(&self, server: ServerIndex, work: Ms) -> bool {
+    /// Returns whether a server is warm, or can be sent `work` more work while it warms up. The
+    /// work published by other aggregators is used only while their gossip is current.
+    fn slow_start_allows(&self, server: ServerIndex, work: Ms) -> bool {
         let server = self.fleet.server(server);
-        let is_current = self.gossip.is_current(self.batch.now);
-        let peer_work = is_current.then(|| server.outstanding().published());
+        let is_gossip_current = self.gossip.is_current(self.batch.now);
+        let peer_work = is_gossip_current.then(|| server.outstanding().published());
         let served_rate = self.fleet.served_rate();
         let slow_start = server.slow_start();
         slow_start.allows(self.batch, work, served_rate, peer_work)
     }
 
+    /// Returns whether a server is in another zone than this aggregator. `false` if either zone
+    /// is unknown.
     fn is_cross_zone(&self, server: ServerIndex) -> bool {
         let zone = self.fleet.server(server).zone();
         let own_zone = self.batch.settings.zone;
--- a/crates/fanout-policy/src/policy/tenant_quotas.rs
+++ b/crates/fanout-policy/src/policy/tenant_quotas.rs
@@ -1,47 +1,52 @@
-//! Quotas of tenants.
+//! Determines whether tenants keep to their query quotas.
 //!
-//! [`TenantQuotas`] owns the times at which queries of each tenant arrived.
+//! [`TenantQuotas`] owns the times at which the queries of each tenant arrived.
 
 use super::batch_context::BatchContext;
 use crate::api::{Ms, Settings};
 use crate::statistics::SlidingWindow;
 
-/// A tenant is over its quota from this multiple of an even share, since queries arrive unevenly.
+/// A tenant is over its quota at an aggregator if it sends more than this multiple of its quota
+/// divided by the number of aggregators. The factor is above 1 since a tenant's queries are not
+/// spread evenly over time and over the aggregators.
 const QUOTA_SLACK_FACTOR: f64 = 1.3;
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Whether a tenant keeps to its quota.
+/// Use that a tenant makes of its quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaUse {
-    /// It does.
+    /// The tenant keeps to its quota.
     WithinQuota,
-    /// It sends more.
+    /// The tenant sends more queries than its quota allows.
     OverQuota,
 }
 
-/// Queries of each tenant in a sliding window as long as a warm-up.
+/// Counts the queries of each tenant in a sliding window. The window is as long as the warm-up of a
+/// server.
 pub(crate) struct TenantQuotas {
+    /// Arrival times of the queries, by the index of the tenant in the settings.
     arrivals: Vec<SlidingWindow>,
 }
 
 impl TenantQuotas {
-    /// No arrivals.
+    /// Creates the counts for the tenants of the settings, without any arrivals.
     pub(crate) fn new(settings: &Settings) -> Self {
         TenantQuotas {
             arrivals: vec![SlidingWindow::default(); settings.tenants.len()],
         }
     }
 
-    /// Counts a query of a tenant, if the settings know the tenant.
+    /// Records the arrival of a query. Does nothing if the settings do not list the tenant.
     pub(crate) fn record_arrival(&mut self, now: Ms, tenant: usize) {
         if let Some(arrivals) = self.arrivals.get_mut(tenant) {
             arrivals.record(now);
         }
     }
 
-    /// Discards what lies before the window, and returns how a tenant uses its quota. A
-    /// tenant that the settings do not know has none.
+    /// Discards a tenant's arrivals before the window, and returns whether the remaining ones
+    /// are within this aggregator's share of the tenant's quota. A tenant that the settings do
+    /// not list has no quota and is always within it.
     pub(crate) fn quota_use(&mut self, batch: &BatchContext, tenant: usize) -> QuotaUse {
         let Some(arrivals) = self.arrivals.get_mut(tenant) else {
             return QuotaUse::WithinQuota;
--- a/crates/fanout-policy/src/policy/time_limits.rs
+++ b/crates/fanout-policy/src/policy/time_limits.rs
@@ -1,6 +1,7 @@
-//! Until when answers are useful, and how much time is left for a step of a query.
+//! Time limits of a query: until when an answer to it is useful, and how much time is left for
+//! its current step.
 //!
-//! [`TimeLimits`] derives these times from the settings and the estimates of the classes; it
+//! [`TimeLimits`] derives the limits from the settings and the estimates of the query classes. It
 //! has no state of its own.
 
 use super::batch_context::BatchContext;
@@ -8,10 +9,13 @@
 use crate::api::Ms;
 use crate::queries::InFlightQuery;
 
-/// Least fraction of its weight that a late answer must earn to be waited for, where this
-/// aggregator is one of many.
+/// Late weight of a class up to which its queries are given up at the end of their latency
+/// objective, where this aggregator observes nothing of the servers' load. The more of the load it
+/// observes, the lower the limit. Without this limit, overloaded servers would spend much of their
+/// time on late answers of little weight.
 const MIN_LATE_WEIGHT: f64 = 0.2;
-/// Time reserved before a client's deadline for the reply, in ticks.
+/// Time reserved before a client's deadline, in ticks. It covers the way of the reply to the client
+/// and the batch in which the end of an attempt is processed.
 const REPLY_MARGIN_TICKS: f64 = 2.0;
 
 /// Time limits of queries in one batch.
@@ -22,17 +26,19 @@
 }
 
 impl<'a> TimeLimits<'a> {
-    /// Limits with this knowledge.
+    /// Creates the time limits for the current batch from the estimates of all classes.
     pub(crate) fn new(batch: &'a BatchContext<'a>, classes: &'a [ClassEstimates]) -> Self {
         TimeLimits { batch, classes }
     }
 
-    /// Time reserved for the reply to reach the client.
+    /// Returns the time reserved for the reply to reach the client.
     pub(crate) fn reply_margin(&self) -> Ms {
         REPLY_MARGIN_TICKS * self.batch.settings.tick
     }
 
-    /// Until when an answer still earns something.
+    /// Returns the time until which an answer to a query is useful. This is the client's
+    /// deadline, or the end of the latency objective if late answers of the class have too
+    /// little weight to be waited for, in both cases less the margin for the reply.
     pub(crate) fn useful_until(&self, query: &InFlightQuery) -> Ms {
         let class = self.batch.class_of(query);
         let mut end = query.client_deadline();
@@ -42,7 +48,8 @@
         end - self.reply_margin()
     }
 
-    /// Time to reserve for a second step that is still to come.
+    /// Returns the time to reserve for the second step of a query; 0 if none follows the current
+    /// step.
     pub(crate) fn second_step_reserve(&self, query: &InFlightQuery) -> Ms {
         let class = self.batch.class_of(query);
         if class.has_second_step && !query.in_second_step() {
@@ -52,15 +59,18 @@
         }
     }
 
-    /// Time within the latency objective that is left for the current step.
+    /// Returns the part of the latency objective that the current step may take: the objective
+    /// less the duration of the first step if that is over, or less the reserve for the second
+    /// step if one follows. At least one tick.
     pub(crate) fn step_objective(&self, query: &InFlightQuery) -> Ms {
         let time_left = self.batch.objective(query) - query.first_step_duration();
         let tick = self.batch.settings.tick;
         (time_left - self.second_step_reserve(query)).max(tick)
     }
 
-    /// Longest wait for the answer to an attempt that is sent now; `None` to wait until the
-    /// client's deadline.
+    /// Returns the timeout of an attempt that is sent now, which ends when answers stop being
+    /// useful and is at least one tick. `None` if that is not before the client's deadline,
+    /// which then ends the attempt.
     pub(crate) fn attempt_timeout(&self, query: &InFlightQuery) -> Option<Ms> {
         let end = self.useful_until(query).min(query.client_deadline());
         let wait = (end - self.batch.now).max(self.batch.settings.tick);
