--- a/crates/fanout-policy/src/policy/batch_context.rs
+++ b/crates/fanout-policy/src/policy/batch_context.rs
@@ -3,8 +3,8 @@
 use crate::api::{Class, Ms, Settings};
 use crate::queries::InFlightQuery;
 
-/// Maximum number of aggregators at which each one is assumed to observe the whole load of a
-/// server through the answers that it receives from that server itself.
+/// Maximum number of aggregators at which each one observes most of a server's load through the
+/// answers to its own attempts, so that its share of the load counts as 1.
 const FULL_VISIBILITY_AGGREGATORS: f64 = 4.0;
 /// Upper bound of the shortest latency objective, which keeps it finite where the settings have
 /// no classes, in ms.
--- a/crates/fanout-policy/src/policy/retry_after.rs
+++ b/crates/fanout-policy/src/policy/retry_after.rs
@@ -80,10 +80,10 @@
         max_retry_after.map(|max| max.min(retry_after))
     }
 
-    /// Returns whether the client may safely repeat the query. This is so if no attempt may
-    /// have run or the class is idempotent. With idempotency keys, the client's retry must
-    /// also be expected to arrive before the window ends in which servers deduplicate repeats
-    /// of any attempt that may have run.
+    /// Returns whether the client may safely repeat the query. In an idempotent class it always
+    /// may. In other classes it may if no attempt of the query may have run. With idempotency
+    /// keys it also may if its retry is expected so early that servers still deduplicate repeats
+    /// of every attempt that may have run.
     fn is_retry_safe(&self, query: &InFlightQuery, retry_after: Option<Ms>) -> bool {
         let delay = RETRY_DELAY_FACTOR * retry_after.unwrap_or(f64::INFINITY);
         let retried_by = self.batch.now + delay;
