--- a/crates/fanout-policy/src/statistics.rs
+++ b/crates/fanout-policy/src/statistics.rs
@@ -1,4 +1,4 @@
-//! Moving averages and counts within sliding windows.
+//! Moving averages, and counts of events within sliding windows.
 
 mod average;
 mod sliding_window;
