--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -10,7 +10,7 @@
 use crate::policy::class_estimates::ClassEstimates;
 use crate::policy::ended_attempt::AttemptEnd;
 use crate::policy::fanout_width::FanoutWidthController;
-use crate::policy::report_sampling::samples;
+use crate::policy::report_sampling::sampled_outcomes;
 use crate::queries::InFlightAttempt;
 use crate::view::{ClassView, LoadReport, ServerView};
 
@@ -98,7 +98,7 @@
         let batch = BatchContext::new(now, &self.settings);
         let elapsed = report.mean_latency.unwrap_or(attempt.expected_latency);
         let timing = self.batch_timer.timing();
-        for outcome in samples(report) {
+        for outcome in sampled_outcomes(report) {
             let end = AttemptEnd::new(outcome, elapsed, timing);
             self.state.record_attempt_end(&batch, attempt, end);
         }
--- a/crates/fanout-policy/src/fleet.rs
+++ b/crates/fanout-policy/src/fleet.rs
@@ -115,7 +115,7 @@
             .latency()
             .is_unobserved_since(batch.now - batch.shortest_objective());
         let zone_silence = if is_unobserved {
-            self.zone_silence.of_zone(server.zone())
+            self.zone_silence.no_response_share(server.zone())
         } else {
             0.0
         };
--- a/crates/fanout-policy/src/fleet/server.rs
+++ b/crates/fanout-policy/src/fleet/server.rs
@@ -9,7 +9,7 @@
 use crate::policy::latency::{FleetLatency, LatencyEstimator};
 use crate::policy::outlier_detection::{EjectionContext, OutlierDetector};
 use crate::policy::outstanding_work::{OutstandingWork, PeerReport};
-use crate::policy::server_health::{Continuity, ServerHealth};
+use crate::policy::server_health::{RestartVerdict, ServerHealth};
 use crate::policy::slow_start::SlowStart;
 use crate::queries::InFlightAttempt;
 
@@ -94,14 +94,14 @@
 
     /// Outstanding work of other aggregators.
     pub(crate) fn peer_work(&self, now: Ms) -> Ms {
-        self.outstanding.peers(now, self.latency.per_work())
+        self.outstanding.peer_work(now, self.latency.per_work())
     }
 
     /// Time by which the oldest unanswered attempt is late, and the rest of an overload or
     /// unreachability.
     pub(crate) fn known_delay(&self, now: Ms) -> Ms {
         let answered_until = self.health.last_served_sent_at();
-        self.outstanding.lateness(now, answered_until) + self.outliers.known_delay(now)
+        self.outstanding.lateness(now, answered_until) + self.outliers.remaining_unavailability(now)
     }
 
     /// Whether attempts there have failed without an answer and it is ejected.
@@ -166,7 +166,8 @@
     /// Learns from an attempt that was served.
     pub(super) fn on_answer(&mut self, batch: &BatchContext, ended: &EndedAttempt) {
         let objective = batch.shortest_objective();
-        if self.health.record_answer(ended.attempt(), objective) == Continuity::PossiblyRestarted {
+        let verdict = self.health.record_answer(ended.attempt(), objective);
+        if verdict == RestartVerdict::PossiblyRestarted {
             self.slow_start.on_assumed_restart(batch.now);
         }
         let elapsed = ended.answer_time();
--- a/crates/fanout-policy/src/policy/batch_timer.rs
+++ b/crates/fanout-policy/src/policy/batch_timer.rs
@@ -1,42 +1,43 @@
-//! When the next batch is due, and whether the current one came late.
+//! Timers of batches and control intervals, and detection of a pause of this aggregator.
 //!
-//! [`BatchTimer`] owns the time for which the timer is set, [`ControlTimer`] that of the next
-//! control interval.
+//! [`BatchTimer`] owns the time for which the batch timer is set, [`ControlTimer`] the start of the
+//! next control interval.
 
 use super::batch_context::BatchContext;
 use crate::api::Ms;
 
-/// Time between two runs of the control loops.
+/// Control interval: time between two runs of the control loops, in ms.
 pub(crate) const CONTROL_INTERVAL_MS: Ms = 1000.0;
-/// Delay of a batch from which this aggregator counts as paused, in shortest latency objectives.
+/// Time after the set time of the timer from which a batch counts as delayed by a pause of this
+/// aggregator, in multiples of the shortest latency objective.
 const PAUSE_OBJECTIVES: f64 = 0.05;
-/// Ticks between batches while no query is in flight.
+/// Number of ticks for which the timer is set while no query is in flight.
 const IDLE_INTERVAL_TICKS: f64 = 50.0;
-/// Ticks between batches while queries are in flight.
+/// Number of ticks for which the timer is set while queries are in flight.
 const BUSY_INTERVAL_TICKS: f64 = 1.0;
-/// Least length of a tick.
+/// Minimum length of a tick, in ms.
 const MIN_TICK_MS: Ms = 1.0;
 
-/// Whether this aggregator ran without a pause until the current batch.
+/// Whether this aggregator was paused before the current batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchTiming {
-    /// The batch came when it was due or before.
+    /// The batch started at the set time of the timer, at most slightly later, or earlier.
     OnTime,
-    /// The batch came so late that this aggregator itself must have been paused, so that
-    /// the time which attempts took says little about their servers.
+    /// The batch started so late that this aggregator itself must have been paused. The times
+    /// measured for attempts then include the pause and do not show how fast the servers are.
     AfterPause,
 }
 
-/// The timer of the next batch.
+/// Timer of the next batch.
 pub(crate) struct BatchTimer {
-    /// When the timer fires; infinite while none is set.
+    /// Time at which the timer fires; infinite while it is not set.
     fires_at: Ms,
-    /// Whether the last batch came on time.
+    /// Whether this aggregator was paused before the current batch.
     timing: BatchTiming,
 }
 
 impl BatchTimer {
-    /// A timer that is not set.
+    /// Creates a timer that is not set.
     pub(crate) fn new() -> Self {
         BatchTimer {
             fires_at: f64::INFINITY,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Starts a batch.
+    /// Starts a batch, and detects whether this aggregator was paused before it.
     pub(crate) fn on_batch(&mut self, batch: &BatchContext) {
         let is_late = batch.now > self.fires_at + PAUSE_OBJECTIVES * batch.shortest_objective();
         self.timing = if is_late {
@@ -54,17 +55,18 @@
         };
     }
 
-    /// Handles the firing of the timer.
+    /// Handles the event that the timer has fired: it is not set any more.
     pub(crate) fn on_fired(&mut self) {
         self.fires_at = f64::INFINITY;
     }
 
-    /// Whether the last batch came on time.
+    /// Returns whether this aggregator was paused before the current batch.
     pub(crate) fn timing(&self) -> BatchTiming {
         self.timing
     }
 
-    /// Sets the timer if it is not set, and returns the time after which it is to fire.
+    /// Sets the timer if it is not set. Returns the time from now after which it has to fire, in
+    /// ms, or `None` if it was already set.
     pub(crate) fn set_if_unset(&mut self, batch: &BatchContext, load: QueryLoad) -> Option<Ms> {
         if self.fires_at != f64::INFINITY {
             return None;
@@ -88,30 +90,30 @@
     Busy,
 }
 
-/// Whether a control interval starts with the current batch.
+/// Whether a new control interval starts with the current batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum IntervalStart {
-    /// It does.
+    /// A new control interval starts.
     Started,
-    /// The current interval continues.
+    /// The current control interval continues.
     NotDue,
 }
 
-/// The timer of the control loops.
+/// Timer of the control intervals.
 pub(crate) struct ControlTimer {
     /// Start of the next control interval.
     next_interval_at: Ms,
 }
 
 impl ControlTimer {
-    /// A timer whose first interval starts with the first batch.
+    /// Creates a timer whose first control interval starts with the first batch.
     pub(crate) fn new() -> Self {
         ControlTimer {
             next_interval_at: f64::NEG_INFINITY,
         }
     }
 
-    /// Starts a control interval if it is time for it.
+    /// Starts a new control interval if the current one has ended.
     pub(crate) fn start_interval_if_due(&mut self, now: Ms) -> IntervalStart {
         if now < self.next_interval_at {
             return IntervalStart::NotDue;
--- a/crates/fanout-policy/src/policy/gossip_codec.rs
+++ b/crates/fanout-policy/src/policy/gossip_codec.rs
@@ -1,55 +1,56 @@
-//! Codec of gossip messages: three bytes for each server, its short name and its status.
+//! Codec of gossip messages. An entry for one server takes three bytes: two for its short name and
+//! one for its status.
 
 use crate::api::{MAX_GOSSIP_BYTES, NodeId};
 use const_fnv1a_hash::fnv1a_hash_16_xor;
 
-/// Size of an encoded entry.
+/// Size of an encoded entry in bytes.
 const ENTRY_BYTES: usize = 3;
-/// Status byte of a server at which attempts have just failed.
-const FAILING: u8 = 255;
-/// Largest status byte that states work.
+/// Status byte of a server that the sender has ejected as unresponsive.
+const FAILING_STATUS: u8 = 255;
+/// Maximum status byte that states work. Work of more steps is published as this number of steps.
 const MAX_WORK_STEPS: f64 = 254.0;
 
-/// What a gossip entry says about a server.
+/// Status of a server in a gossip entry.
 pub(crate) enum GossipStatus {
-    /// The sender's attempts have just failed there.
+    /// Attempts of the sender failed without an answer, and it has ejected the server.
     Failing,
-    /// The sender's outstanding work there, in steps.
+    /// The sender has not ejected the server as unresponsive.
     Work {
-        /// Number of steps.
+        /// Outstanding work of the sender at the server, in units of published work.
         steps: f64,
     },
 }
 
-/// A short name for a server. Two servers may share one, which only makes the information less
-/// precise.
+/// Short name of a server: a hash of its full name. Two servers may have the same short name, which
+/// only makes the published information about them less precise.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ShortName([u8; 2]);
 
 impl ShortName {
-    /// The short name of a server: a hash of its name.
+    /// Returns the short name of a server.
     pub(crate) fn of(node: &NodeId) -> Self {
         let hash = fnv1a_hash_16_xor(node.0.as_bytes(), None);
         ShortName(hash.to_be_bytes())
     }
 }
 
-/// One entry of a gossip message.
+/// Entry of a gossip message for one server.
 pub(crate) struct GossipEntry {
-    /// The server.
+    /// Short name of the server.
     pub(crate) server: ShortName,
-    /// What the sender says about it.
+    /// Status of the server at the sender.
     pub(crate) status: GossipStatus,
 }
 
 impl GossipEntry {
-    /// The entries as messages of at most [`MAX_GOSSIP_BYTES`].
+    /// Encodes entries into messages of at most [`MAX_GOSSIP_BYTES`] bytes each.
     pub(crate) fn encode(entries: &[GossipEntry]) -> Vec<Vec<u8>> {
         let mut bytes = Vec::new();
         for entry in entries {
             bytes.extend(entry.server.0);
             bytes.push(match entry.status {
-                GossipStatus::Failing => FAILING,
+                GossipStatus::Failing => FAILING_STATUS,
                 GossipStatus::Work { steps } => steps.round().min(MAX_WORK_STEPS) as u8,
             });
         }
@@ -57,7 +58,8 @@
         bytes.chunks(message_bytes).map(<[u8]>::to_vec).collect()
     }
 
-    /// The entries of a message; `None` if it is malformed.
+    /// Decodes the entries of a message. Returns `None` if the message is empty or its length is
+    /// not a multiple of the entry size.
     pub(crate) fn decode(bytes: &[u8]) -> Option<Vec<GossipEntry>> {
         if bytes.is_empty() || !bytes.len().is_multiple_of(ENTRY_BYTES) {
             return None;
@@ -65,7 +67,7 @@
         let entry = |entry: &[u8]| GossipEntry {
             server: ShortName([entry[0], entry[1]]),
             status: match entry[2] {
-                FAILING => GossipStatus::Failing,
+                FAILING_STATUS => GossipStatus::Failing,
                 steps => GossipStatus::Work {
                     steps: f64::from(steps),
                 },
--- a/crates/fanout-policy/src/policy/latency.rs
+++ b/crates/fanout-policy/src/policy/latency.rs
@@ -1,6 +1,9 @@
-//! Latency of servers for each ms of work that waits or runs there.
+//! Latency per work: how long a server takes to answer, per ms of work outstanding at it.
 //!
-//! [`LatencyEstimator`] owns the estimate of one server, [`FleetLatency`] that of the whole fleet.
+//! The forecast latency of an attempt is based on it: the work that waits or runs at the server,
+//! with that of the attempt, times the latency per work.
+//!
+//! [`LatencyEstimator`] owns the estimate of one server, [`FleetLatency`] the median of all.
 
 use super::batch_timer::CONTROL_INTERVAL_MS;
 use super::smoothing::{DECAY_SHARE, SAMPLE_WEIGHT};
@@ -8,30 +11,30 @@
 use crate::queries::InFlightAttempt;
 use crate::statistics::smooth;
 
-/// Lower bound of a latency per work used as a divisor, in ms per ms of work.
+/// Minimum latency per work that is used as a divisor, in ms per ms of work.
 pub(crate) const MIN_LATENCY_PER_WORK: f64 = 0.2;
-/// Lower bound of the share of its capacity that a server is assumed to have when it is back.
+/// Minimum share of its full capacity that a server is assumed to have after its recovery.
 const MIN_INITIAL_CAPACITY_SHARE: f64 = 0.2;
-/// Latency before any observation, in ms per ms of outstanding work.
+/// Latency per work before any observation, in ms per ms of outstanding work.
 const INITIAL_LATENCY_PER_WORK: f64 = 0.8;
-/// Limit of the latency taken from a timeout, in multiples of the fleet's: the part may have
-/// been lost.
+/// Maximum latency per work that a timeout counts as, in multiples of the fleet's median. The
+/// attempt may have timed out because its part was lost, and not because the server is slow.
 const MAX_TIMEOUT_LATENCY_FACTOR: f64 = 4.0;
-/// Age of the observations from which the fleet's latency is taken.
+/// Maximum age of a server's last observation, in ms, for the server to count in the median.
 const FLEET_LATENCY_WINDOW_MS: Ms = 4.0 * CONTROL_INTERVAL_MS;
-/// Least work ahead of an attempt when its latency per work is taken.
+/// Minimum work, in ms, by which the latency of an attempt is divided.
 const MIN_WORK_AHEAD_MS: Ms = 1.0;
 
-/// Moving average of the latency of one server.
+/// Moving average of the latency per work of one server.
 pub(crate) struct LatencyEstimator {
     /// Latency per ms of outstanding work.
     per_work: f64,
-    /// When it was last observed.
+    /// Time of the last answer or timeout that updated the average.
     last_observed_at: Ms,
 }
 
 impl LatencyEstimator {
-    /// An estimator that assumes this latency per work until it is observed.
+    /// Creates an estimator that assumes the given latency per work until the first observation.
     pub(crate) fn new(per_work: f64) -> Self {
         LatencyEstimator {
             per_work,
@@ -39,17 +42,18 @@
         }
     }
 
-    /// Latency per ms of outstanding work.
+    /// Returns the latency per ms of outstanding work.
     pub(crate) fn per_work(&self) -> f64 {
         self.per_work
     }
 
-    /// Whether the latency was last observed before this time.
+    /// Returns whether no answer or timeout has been recorded at or after `time`.
     pub(crate) fn is_unobserved_since(&self, time: Ms) -> bool {
         self.last_observed_at < time
     }
 
-    /// Learns from an attempt that was served after this time, with this weight.
+    /// Adds the latency of a served attempt to the average. `elapsed` is the time from sending
+    /// the attempt to its answer, `weight` the weight of the sample.
     pub(crate) fn record_answer(
         &mut self,
         now: Ms,
@@ -62,8 +66,10 @@
         self.last_observed_at = now;
     }
 
-    /// Learns from an attempt that timed out after this time. Its answer would have taken
-    /// longer still: without this, an overloaded server looks fast.
+    /// Adds an attempt that timed out after `elapsed` to the average. Its answer would have
+    /// taken longer than that, so the sample can raise the average but not lower it. If
+    /// timeouts did not count, only the answers in time of an overloaded server would, and the
+    /// server would look fast.
     pub(crate) fn record_timeout(
         &mut self,
         now: Ms,
@@ -77,15 +83,16 @@
         self.last_observed_at = now;
     }
 
-    /// Assumes that a server which all aggregators return to at once is as slow as one that
-    /// has just started.
+    /// Raises the latency after the recovery of the server to that of a server that has just
+    /// started with a share `initial_capacity` of its full capacity. All aggregators send to
+    /// the recovered server again at the same time, so it is slow at first.
     pub(crate) fn on_recovery(&mut self, initial_capacity: f64, fleet: &FleetLatency) {
         let capacity = initial_capacity.max(MIN_INITIAL_CAPACITY_SHARE);
         self.per_work = self.per_work.max(fleet.per_work() / capacity);
     }
 
-    /// Lets an estimate without new samples return to the fleet's, so that slow servers are
-    /// tried again.
+    /// Moves an estimate without samples in the last control interval towards the fleet's
+    /// median, so that a server that was slow is tried again.
     pub(crate) fn decay(&mut self, now: Ms, fleet: &FleetLatency) {
         if self.is_unobserved_since(now - CONTROL_INTERVAL_MS) {
             smooth(&mut self.per_work, DECAY_SHARE, fleet.per_work());
@@ -93,27 +100,28 @@
     }
 }
 
-/// Median latency of the servers.
+/// Median latency per work of the servers.
 pub(crate) struct FleetLatency {
     per_work: f64,
 }
 
 impl FleetLatency {
-    /// The latency that is assumed before any observation.
+    /// Creates the median with the latency per work that is assumed before any observation.
     pub(crate) fn new() -> Self {
         FleetLatency {
             per_work: INITIAL_LATENCY_PER_WORK,
         }
     }
 
-    /// Latency per ms of outstanding work.
+    /// Returns the median latency per ms of outstanding work.
     pub(crate) fn per_work(&self) -> f64 {
         self.per_work
     }
 
-    /// Sets the latency to the median of the servers observed of late. Without any it
-    /// returns to the default: else it would never change where all queries are
-    /// rejected after a bad period.
+    /// Sets the median from the servers that have been observed recently. If there are none,
+    /// moves it towards the initial value. Otherwise a median that has become too high could
+    /// stay so for ever: while all queries are rejected because of it, no attempt is sent
+    /// whose answer would lower it.
     pub(crate) fn update<'a>(
         &mut self,
         now: Ms,
--- a/crates/fanout-policy/src/policy/load_gossip.rs
+++ b/crates/fanout-policy/src/policy/load_gossip.rs
@@ -1,7 +1,8 @@
-//! Gossip between aggregators: what is published about servers and when, and what a message
-//! changes.
+//! Gossip between aggregators: when this aggregator publishes its outstanding work at servers, and
+//! how it applies the messages of the others.
 //!
-//! [`LoadGossip`] owns the set of servers to publish and the times of messages.
+//! [`LoadGossip`] owns the set of servers to publish, the time of the next message, and the time of
+//! the last message received.
 
 use super::batch_context::BatchContext;
 use super::batch_timer::CONTROL_INTERVAL_MS;
@@ -13,23 +14,24 @@
 use crate::random::RandomSource;
 use std::collections::BTreeSet;
 
-/// Time between gossip messages without a send, in shortest latency objectives.
+/// Minimum time between two gossip messages, in multiples of the shortest latency objective. A
+/// batch that sends an attempt publishes regardless of it.
 const INTERVAL_OBJECTIVES: f64 = 0.06;
-/// Unit of published work, in shortest latency objectives.
+/// Unit in which work is published, in multiples of the shortest latency objective.
 const WORK_STEP_OBJECTIVES: f64 = 1.0 / 128.0;
 
-/// State of the gossip of this aggregator.
+/// Decides when this aggregator publishes gossip, and applies the gossip of the others.
 pub(crate) struct LoadGossip {
     /// Servers whose outstanding work has changed since it was last published.
     unpublished: BTreeSet<ServerIndex>,
     /// Earliest time of the next message.
     next_publish_at: Ms,
-    /// When a message of another aggregator last arrived.
+    /// Time at which the last valid message of another aggregator arrived.
     received_at: Ms,
 }
 
 impl LoadGossip {
-    /// Nothing to publish and nothing received.
+    /// Creates the state of an aggregator that has nothing to publish and has received nothing.
     pub(crate) fn new() -> Self {
         LoadGossip {
             unpublished: BTreeSet::new(),
@@ -38,29 +40,32 @@
         }
     }
 
-    /// Whether other aggregators have published within the last control interval.
+    /// Returns whether a message of another aggregator has arrived within the last control
+    /// interval.
     pub(crate) fn is_current(&self, now: Ms) -> bool {
         self.received_at > now - CONTROL_INTERVAL_MS
     }
 
-    /// Marks a server to which an attempt is sent. It is published at once.
+    /// Marks a server to which an attempt is sent. It is published at the end of the current
+    /// batch.
     pub(crate) fn on_send(&mut self, now: Ms, server: ServerIndex) {
         self.unpublished.insert(server);
         self.next_publish_at = now;
     }
 
-    /// Marks a server whose outstanding work has changed. It is published together with others.
+    /// Marks a server whose outstanding work has changed. It is published with the next message.
     pub(crate) fn mark_changed(&mut self, server: ServerIndex) {
         self.unpublished.insert(server);
     }
 
-    /// Removes the marks of servers that have been forgotten.
+    /// Removes the marks of servers that the fleet no longer holds.
     pub(crate) fn discard_unknown(&mut self, fleet: &Fleet) {
         self.unpublished.retain(|server| fleet.is_known(*server));
     }
 
-    /// The messages to publish now, if any are due. Entries state totals, so that the next
-    /// message makes up for a lost one.
+    /// Returns the messages to publish now; none if no message is due. Each entry states the total
+    /// outstanding work at a server and not its change, so that after a lost message the next
+    /// entry for the server is correct again.
     pub(crate) fn publish_if_due(&mut self, batch: &BatchContext, fleet: &Fleet) -> Vec<Vec<u8>> {
         if !self.is_due(batch) {
             return Vec::new();
@@ -78,7 +83,8 @@
         GossipEntry::encode(&entries)
     }
 
-    /// Applies a message. One that is malformed or from an unknown aggregator is ignored.
+    /// Applies a message of another aggregator to the servers that it names. A message that is
+    /// malformed, or whose sender is not one of the aggregators in the settings, is ignored.
     pub(crate) fn on_message(
         &mut self,
         batch: &BatchContext,
@@ -106,27 +112,31 @@
         }
     }
 
+    /// Returns whether there is something to publish, gossip is enabled, and the earliest time of
+    /// the next message has come.
     fn is_due(&self, batch: &BatchContext) -> bool {
         let may_publish = batch.settings.gossip && !self.unpublished.is_empty();
         may_publish && batch.now >= self.next_publish_at
     }
 }
 
-/// A message of another aggregator.
+/// Gossip message of another aggregator, as received.
 #[derive(Clone, Copy)]
 pub(crate) struct GossipMessage<'a> {
+    /// Index of the sender.
     from: usize,
     bytes: &'a [u8],
 }
 
 impl<'a> GossipMessage<'a> {
-    /// A message from the aggregator with this index.
+    /// Creates a message from the aggregator with the index `from`.
     pub(crate) fn new(from: usize, bytes: &'a [u8]) -> Self {
         GossipMessage { from, bytes }
     }
 }
 
-/// What to publish about a server. Without this, a server that others have loaded looks idle.
+/// Returns the status of a server to publish. Without the published work, the other aggregators
+/// would take a server for idle that this aggregator has loaded.
 fn status_of(batch: &BatchContext, server: &Server) -> GossipStatus {
     if server.is_ejected_as_unresponsive(batch.now) {
         return GossipStatus::Failing;
@@ -136,7 +146,7 @@
     }
 }
 
-/// Unit of published work.
+/// Returns the unit in which work is published, in ms.
 fn work_step(batch: &BatchContext) -> Ms {
     WORK_STEP_OBJECTIVES * batch.shortest_objective()
 }
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -1,57 +1,64 @@
 //! Outlier detection: when a server is ejected, and for how long.
 //!
+//! An ejected server receives no attempts while another holder of the shard can be used.
 //! [`OutlierDetector`] owns the ejections of one server.
 
 use super::server_health::FailureVerdict;
 use crate::api::Ms;
 use crate::random::RandomSource;
 
-/// First ejection, in shortest latency objectives.
+/// Length of the first ejection after failures, before jitter, in multiples of the shortest latency
+/// objective.
 const FIRST_EJECTION_OBJECTIVES: f64 = 0.7;
-/// Longest ejection, in shortest latency objectives.
+/// Maximum length of an ejection before jitter, in multiples of the shortest latency objective.
 const MAX_EJECTION_OBJECTIVES: f64 = 4.0;
-/// Longest ejection of an unreachable server, in intervals between this aggregator's sends to it.
+/// Maximum length of the ejection of an unreachable server, in mean intervals between two sends of
+/// this aggregator to one server, if that is longer than the general maximum.
 const MAX_UNREACHABLE_EJECTION_SENDS: f64 = 8.0;
-/// First ejection of a server that rejected a part for lack of capacity, in shortest latency
-/// objectives.
+/// Length of the first ejection of a server that rejected a part for lack of capacity, in multiples
+/// of the shortest latency objective.
 const FIRST_OVERLOAD_EJECTION_OBJECTIVES: f64 = 0.15;
-/// First ejection of a server that rejected a part for lack of capacity, in intervals between
-/// this aggregator's sends to it; the longer of the two holds.
+/// Length of the same first ejection in mean intervals between two sends of this aggregator to one
+/// server. The longer of the two lengths is used.
 const FIRST_OVERLOAD_EJECTION_SENDS: f64 = 0.5;
-/// Factor by which each further ejection is longer until an attempt is served.
+/// Factor by which each ejection is longer than the previous one, until an attempt is served.
 const EJECTION_GROWTH_FACTOR: f64 = 2.0;
-/// Smallest random factor on the length of an ejection.
+/// Minimum of the random factor on the length of an ejection.
 const MIN_JITTER_FACTOR: f64 = 0.75;
-/// Range of the random factor on the length of an ejection.
+/// Difference between the maximum and the minimum of that random factor.
 const JITTER_FACTOR_RANGE: f64 = 0.5;
 
-/// Random factor on the length of an ejection, so that aggregators do not all return at once.
+/// Random factor on the length of an ejection, so that the aggregators do not all send to the
+/// server again at the same time.
 #[derive(Clone, Copy)]
 pub(crate) struct EjectionJitter(f64);
 
 impl EjectionJitter {
-    /// Draws a factor.
+    /// Draws a random factor.
     pub(crate) fn draw(random: &mut RandomSource) -> Self {
         EjectionJitter(MIN_JITTER_FACTOR + JITTER_FACTOR_RANGE * random.fraction())
     }
 
-    /// Length of an ejection that follows from the gossip of another aggregator.
+    /// Returns the length of an ejection that another aggregator's gossip causes, in ms.
     pub(crate) fn peer_ejection(self, shortest_objective: Ms) -> Ms {
         FIRST_EJECTION_OBJECTIVES * shortest_objective * self.0
     }
 }
 
-/// What the length of an ejection depends on besides the server.
+/// Inputs to the length of an ejection that do not depend on the server.
 #[derive(Clone, Copy)]
 pub(crate) struct EjectionContext {
     now: Ms,
+    /// Shortest latency objective of all classes.
     shortest_objective: Ms,
+    /// Mean time between two sends of this aggregator to one server.
     send_interval: Ms,
     jitter: EjectionJitter,
 }
 
 impl EjectionContext {
-    /// The context at this time, with the mean time between this aggregator's sends to one server.
+    /// Creates the context of an ejection that starts at `now`. `send_interval` is the mean time
+    /// between two sends of this aggregator to one server.
     pub(crate) fn new(
         now: Ms,
         shortest_objective: Ms,
@@ -67,25 +74,27 @@
     }
 }
 
-/// Wait before a part is sent again to a server that has rejected it so many times.
+/// Returns the time to wait after the last of `attempts` attempts for a part before the part is
+/// sent to an overloaded server, in ms.
 pub(crate) fn capacity_wait(shortest_objective: Ms, attempts: usize) -> Ms {
     FIRST_OVERLOAD_EJECTION_OBJECTIVES * shortest_objective * attempts as f64
 }
 
 /// Ejections of one server.
 pub(crate) struct OutlierDetector {
-    /// End of its ejection for any reason.
+    /// End of the last ejection, for whatever reason it started.
     ejected_until: Ms,
-    /// End of its ejection for being unreachable.
+    /// End of the last ejection because the server was unreachable; negative infinity once the
+    /// server has served a part since.
     unreachable_until: Ms,
-    /// End of its ejection for having rejected a part.
+    /// End of the last ejection because the server rejected a part for lack of capacity.
     overloaded_until: Ms,
     /// Length of the last ejection before jitter; 0 once the server has served a part since.
     duration: Ms,
 }
 
 impl OutlierDetector {
-    /// A server that was never ejected.
+    /// Creates the state of a server that was never ejected.
     pub(crate) fn new() -> Self {
         OutlierDetector {
             ejected_until: f64::NEG_INFINITY,
@@ -95,34 +104,37 @@
         }
     }
 
-    /// Whether the server is ejected.
+    /// Returns whether the server is ejected.
     pub(crate) fn is_ejected(&self, now: Ms) -> bool {
         now < self.ejected_until
     }
 
-    /// End of the ejection, if the server is ejected.
+    /// Returns the end of the current ejection, or `None` if the server is not ejected.
     pub(crate) fn ejected_until(&self, now: Ms) -> Option<Ms> {
         self.is_ejected(now).then_some(self.ejected_until)
     }
 
-    /// Whether the server is ejected for having rejected a part.
+    /// Returns whether the last ejection for lack of capacity still lasts.
     pub(crate) fn is_overloaded(&self, now: Ms) -> bool {
         self.overloaded_until > now
     }
 
-    /// Rest of the ejection for overload or for being unreachable.
-    pub(crate) fn known_delay(&self, now: Ms) -> Ms {
+    /// Returns the remaining time of the ejections for lack of capacity and because the server
+    /// was unreachable, whichever is longer, in ms; 0 if there is none. Forecasts assume that
+    /// the server serves no part before that time has passed.
+    pub(crate) fn remaining_unavailability(&self, now: Ms) -> Ms {
         (self.overloaded_until.max(self.unreachable_until) - now).max(0.0)
     }
 
-    /// Handles a served attempt: the current ejection continues, and the next one is as short
-    /// as a first one.
+    /// Handles a served attempt. A current ejection continues, but the next one has the length
+    /// of a first ejection again, and the server no longer counts as unreachable.
     pub(crate) fn on_answer(&mut self) {
         self.duration = 0.0;
         self.unreachable_until = f64::NEG_INFINITY;
     }
 
-    /// Ejects a server that rejected a part for lack of capacity.
+    /// Ejects a server that rejected a part for lack of capacity. The new ejection replaces a
+    /// current one.
     pub(crate) fn on_overload(&mut self, context: &EjectionContext) {
         let objective = context.shortest_objective;
         let max = MAX_EJECTION_OBJECTIVES * objective;
@@ -133,10 +145,10 @@
         self.ejected_until = self.overloaded_until;
     }
 
-    /// Ejects a server that fails or cannot be reached, if it is not ejected yet.
+    /// Ejects a server that is failing or unreachable, unless it is already ejected.
     pub(crate) fn on_failure(&mut self, verdict: FailureVerdict, context: &EjectionContext) {
-        // An unreachable server is ejected beyond the next sends to it, or each of them
-        // would fail as well.
+        // The ejection of an unreachable server lasts at least one interval between sends. If it
+        // were shorter, it would be over at each next send, and each send would fail.
         let interval = match verdict {
             FailureVerdict::Tolerable => return,
             FailureVerdict::Failing => 0.0,
@@ -156,12 +168,14 @@
         }
     }
 
-    /// Ejects a server that fails for another aggregator.
+    /// Ejects a server for `duration` because another aggregator published that it is failing. A
+    /// longer current ejection continues.
     pub(crate) fn on_peer_failure(&mut self, now: Ms, duration: Ms) {
         self.ejected_until = self.ejected_until.max(now + duration);
     }
 
-    /// Ends the ejection of a server that answers another aggregator again.
+    /// Ends the ejection of a server because another aggregator published that it is no longer
+    /// failing.
     pub(crate) fn on_peer_recovery(&mut self, now: Ms) {
         self.ejected_until = self.ejected_until.min(now);
     }
--- a/crates/fanout-policy/src/policy/outstanding_work.rs
+++ b/crates/fanout-policy/src/policy/outstanding_work.rs
@@ -1,7 +1,8 @@
-//! Work that waits or runs at a server.
+//! Outstanding work: work that waits or runs at a server, in ms of the server's time.
 //!
-//! [`OutstandingWork`] owns what this aggregator has sent there, what others published by
-//! gossip, and what the server itself reported.
+//! [`OutstandingWork`] owns the work of one server from three sources: the attempts that this
+//! aggregator has in flight there, the gossip of the other aggregators, and the load reports in
+//! the server's own answers.
 
 use super::batch_context::BatchContext;
 use super::batch_timer::CONTROL_INTERVAL_MS;
@@ -10,33 +11,36 @@
 use crate::queries::InFlightAttempt;
 use std::collections::BTreeMap;
 
-/// Share of a server's speed by which its reported work drains: new work replaces about half of it.
+/// Rate at which the work of a load report is assumed to shrink, as a share of the rate at which
+/// the server completes work. New work replaces about half of what the server completes.
 const REPORTED_WORK_DRAIN_SHARE: f64 = 0.5;
-/// Time after which a report of another aggregator expires, since that aggregator may have failed.
+/// Time after which a report of another aggregator expires, in ms. An aggregator publishes its
+/// outstanding work again in each control interval; one that does not may have failed.
 const PEER_REPORT_LIFETIME_MS: Ms = 1.5 * CONTROL_INTERVAL_MS;
-/// Most work that a load report may state: what takes this time at the fleet's latency, in
-/// shortest latency objectives.
+/// Maximum work that is taken from a load report, since the report may be wrong. It is given as
+/// the latency of that work at the fleet's median, in multiples of the shortest latency objective.
 const MAX_REPORTED_WORK_OBJECTIVES: f64 = 3.0;
 
-/// What an aggregator that has not reported is assumed to do.
-const NO_REPORT: PeerReport = PeerReport::Answering { work: 0.0 };
+/// Report that is assumed for an aggregator that has published nothing.
+const DEFAULT_PEER_REPORT: PeerReport = PeerReport::Answering { work: 0.0 };
 
-/// What another aggregator published about a server.
+/// State of a server as another aggregator published it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PeerReport {
-    /// Its attempts there have just failed.
+    /// The attempts of that aggregator failed without an answer, and it has ejected the server.
     Failing {
-        /// Time for which the server is ejected.
+        /// Time for which this aggregator ejects the server.
         ejection: Ms,
     },
-    /// Its attempts there are answered.
+    /// That aggregator has not ejected the server as unresponsive.
     Answering {
-        /// Its outstanding work there.
+        /// Outstanding work of that aggregator at the server.
         work: Ms,
     },
 }
 
 impl PeerReport {
+    /// Returns the outstanding work that the report states; 0 for a failing server.
     fn work(self) -> Ms {
         match self {
             PeerReport::Failing { .. } => 0.0,
@@ -45,14 +49,14 @@
     }
 }
 
-/// The newest report of another aggregator about a server.
+/// Newest report of another aggregator about a server.
 #[derive(Clone, Copy)]
 struct ReceivedReport {
     report: PeerReport,
     received_at: Ms,
 }
 
-/// One attempt in flight.
+/// Send time and forecast of an attempt in flight. The two identify it when it ends.
 #[derive(Clone, Copy, PartialEq)]
 struct SentAttempt {
     sent_at: Ms,
@@ -60,6 +64,7 @@
 }
 
 impl SentAttempt {
+    /// Copies the send time and the forecast of an attempt.
     fn of(attempt: &InFlightAttempt) -> Self {
         SentAttempt {
             sent_at: attempt.sent_at,
@@ -70,26 +75,26 @@
 
 /// Outstanding work at one server.
 pub(crate) struct OutstandingWork {
-    /// Own work sent and not yet ended.
+    /// Work of this aggregator's attempts in flight.
     own: Ms,
-    /// Own attempts in flight, in order of sending.
+    /// Attempts of this aggregator in flight, in order of sending.
     in_flight: Vec<SentAttempt>,
-    /// Parts sent in the current batch; they share calls.
+    /// Number of parts that this aggregator has sent in the current batch.
     parts_in_batch: usize,
-    /// Work of the other aggregators, the sum of their reports.
+    /// Work that the other aggregators published: the sum over `peer_reports`.
     published: Ms,
-    /// The newest report of each other aggregator.
+    /// Newest report of each other aggregator, by its index.
     peer_reports: BTreeMap<usize, ReceivedReport>,
-    /// Work of other aggregators according to the server's own load report.
+    /// Work of other aggregators according to the server's last load report, when it arrived.
     reported: Ms,
-    /// When that load report first arrived.
+    /// Time at which that load report first arrived.
     reported_at: Ms,
-    /// Number of requests that it stated.
+    /// Number of requests that the load report stated; NaN before the first one.
     last_reported_load: f64,
 }
 
 impl OutstandingWork {
-    /// No work.
+    /// Creates the state of a server without outstanding work.
     pub(crate) fn new() -> Self {
         OutstandingWork {
             own: 0.0,
@@ -103,35 +108,40 @@
         }
     }
 
-    /// Own work sent and not yet ended.
+    /// Returns the work of this aggregator's attempts in flight.
     pub(crate) fn own(&self) -> Ms {
         self.own
     }
 
-    /// Work that the other aggregators published.
+    /// Returns the outstanding work that the other aggregators published by gossip.
     pub(crate) fn published(&self) -> Ms {
         self.published
     }
 
-    /// Outstanding work of other aggregators, from gossip and from the server's load report.
-    pub(crate) fn peers(&self, now: Ms, latency_per_work: f64) -> Ms {
+    /// Returns the outstanding work of the other aggregators: what they published by gossip, and
+    /// what remains of the server's last load report. The work of the load report shrinks with
+    /// its age, the faster the lower the server's `latency_per_work` is.
+    pub(crate) fn peer_work(&self, now: Ms, latency_per_work: f64) -> Ms {
         let age = now - self.reported_at;
         let drained = REPORTED_WORK_DRAIN_SHARE * age / latency_per_work.max(MIN_LATENCY_PER_WORK);
         self.published + (self.reported - drained).max(0.0)
     }
 
-    /// Whether no own attempt is in flight.
+    /// Returns whether this aggregator has no attempt in flight at the server.
     pub(crate) fn has_no_attempt_in_flight(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// Whether another part would open a call: parts sent in one batch share calls.
+    /// Returns whether another part in the current batch would need a new call. The parts of one
+    /// batch share calls of up to `max_parts_per_call` parts.
     pub(crate) fn next_part_opens_call(&self, max_parts_per_call: usize) -> bool {
         self.parts_in_batch
             .is_multiple_of(max_parts_per_call.max(1))
     }
 
-    /// Time by which the oldest attempt in flight is late of those sent after `answered_until`.
+    /// Returns by how much the oldest attempt in flight has exceeded its forecast latency, in ms;
+    /// 0 if it has not. `answered_until` is the send time of the newest attempt that was served.
+    /// Attempts sent up to then are left out, since the server has been up after they were sent.
     pub(crate) fn lateness(&self, now: Ms, answered_until: Ms) -> Ms {
         let mut in_flight = self.in_flight.iter();
         let oldest = in_flight.find(|attempt| attempt.sent_at > answered_until);
@@ -139,19 +149,19 @@
         oldest.map_or(0.0, lateness).max(0.0)
     }
 
-    /// Starts a batch.
+    /// Starts a batch, whose parts go into new calls.
     pub(crate) fn on_batch(&mut self) {
         self.parts_in_batch = 0;
     }
 
-    /// Adds an attempt that is sent.
+    /// Adds an attempt of this aggregator when it is sent.
     pub(crate) fn record_send(&mut self, attempt: &InFlightAttempt) {
         self.own += attempt.work;
         self.parts_in_batch += 1;
         self.in_flight.push(SentAttempt::of(attempt));
     }
 
-    /// Removes an attempt that has ended.
+    /// Removes an attempt of this aggregator when it has ended.
     pub(crate) fn record_end(&mut self, attempt: &InFlightAttempt) {
         self.own = (self.own - attempt.work).max(0.0);
         let sent = SentAttempt::of(attempt);
@@ -160,7 +170,7 @@
         }
     }
 
-    /// Replaces the report of another aggregator and returns the previous one.
+    /// Replaces the report of the aggregator with the index `peer` and returns its previous one.
     pub(crate) fn replace_peer_report(
         &mut self,
         now: Ms,
@@ -172,12 +182,12 @@
             received_at: now,
         };
         let previous = self.peer_reports.insert(peer, received);
-        let previous = previous.map_or(NO_REPORT, |previous| previous.report);
+        let previous = previous.map_or(DEFAULT_PEER_REPORT, |previous| previous.report);
         self.published = (self.published + report.work() - previous.work()).max(0.0);
         previous
     }
 
-    /// Discards the reports of other aggregators that have expired.
+    /// Discards the expired reports of other aggregators.
     pub(crate) fn expire_peer_reports(&mut self, now: Ms) {
         let deadline = now - PEER_REPORT_LIFETIME_MS;
         self.peer_reports
@@ -186,8 +196,9 @@
         self.published = reports.map(|received| received.report.work()).sum();
     }
 
-    /// Records the number of requests that the server reports as its load, each with
-    /// this cost. The report is late and may be wrong, so that it is limited.
+    /// Records a load report of the server. `load` is the number of requests that wait or run
+    /// there; those that are not this aggregator's own count as work of `part_cost` each. The
+    /// report arrives late and may be wrong, so the work taken from it is limited.
     pub(crate) fn record_load_report(
         &mut self,
         batch: &BatchContext,
@@ -195,7 +206,8 @@
         part_cost: Ms,
         fleet_latency_per_work: f64,
     ) {
-        // Servers repeat one report in many answers: a repeat is as old as the first.
+        // A server puts the same report into many answers. A repeated value is not a new
+        // observation, so the report keeps the time at which it first arrived.
         if std::mem::replace(&mut self.last_reported_load, load) == load {
             return;
         }
--- a/crates/fanout-policy/src/policy/report_sampling.rs
+++ b/crates/fanout-policy/src/policy/report_sampling.rs
@@ -1,18 +1,21 @@
-//! How many attempts the report of another observer counts as.
+//! Conversion of a load report, in which another observer counted outcomes of attempts, into a few
+//! sample outcomes.
 //!
-//! A report is sampled in the proportion of its outcomes; this module has no state.
+//! The samples have about the same proportions as the counts in the report. This module has no
+//! state.
 
 use crate::api::Outcome;
 use crate::view::LoadReport;
 
-/// Largest number of attempts that one report counts as. Outlier detection works on shares and
-/// on consecutive failures, so that more samples add nothing and would outweigh the reports of
-/// others.
-const MAX_SAMPLES: u64 = 8;
+/// Number of samples to which the counts of a larger report are scaled down. Each scaled count is
+/// rounded up, so there may be up to two more. Outlier detection works on shares and on
+/// consecutive failures: more samples would add no information, and they would outweigh the
+/// reports of other observers.
+const SAMPLES_PER_LARGE_REPORT: u64 = 8;
 
-/// The outcomes that a report counts as: failures first, so that the answers beside them show
-/// that the server is up.
-pub(crate) fn samples(report: &LoadReport) -> impl Iterator<Item = Outcome> + use<> {
+/// Returns the sample outcomes that stand for a report. Failures come first: if the report also has
+/// served attempts, these then reset the consecutive failures and show that the server is up.
+pub(crate) fn sampled_outcomes(report: &LoadReport) -> impl Iterator<Item = Outcome> + use<> {
     let total = report.served + report.errors + report.connection_failures;
     let outcomes = [
         (Outcome::ConnectionLost, report.connection_failures),
@@ -26,11 +29,12 @@
     outcomes.into_iter().flat_map(repeat)
 }
 
-/// Number of samples that stand for these attempts out of a report's total.
+/// Returns the number of samples that stand for `attempts` attempts with the same outcome, in a
+/// report of `total` attempts.
 fn sample_count(attempts: u64, total: u64) -> u64 {
-    if total <= MAX_SAMPLES {
+    if total <= SAMPLES_PER_LARGE_REPORT {
         attempts
     } else {
-        (attempts * MAX_SAMPLES).div_ceil(total)
+        (attempts * SAMPLES_PER_LARGE_REPORT).div_ceil(total)
     }
 }
--- a/crates/fanout-policy/src/policy/retry_budget.rs
+++ b/crates/fanout-policy/src/policy/retry_budget.rs
@@ -1,63 +1,70 @@
-//! Limit on retries and hedged requests, so that these cannot amplify an overload.
+//! Limit on retries and hedged requests, so that they cannot amplify an overload.
 //!
-//! [`RetryBudget`] owns the times at which queries and parts were accepted and further attempts
-//! were sent.
+//! [`RetryBudget`] owns the times at which queries and parts were accepted, and the times at which
+//! retries and hedged requests were sent.
 
 use super::batch_context::BatchContext;
 use crate::api::{Ms, RetryBudget as BudgetSettings};
 use crate::statistics::SlidingWindow;
 
-/// Free attempts in a window where the settings have no retry budget.
+/// Number of retries and hedged requests that a window allows regardless of the number of accepted
+/// requests, if the settings have no retry budget.
 const DEFAULT_FREE_ATTEMPTS: f64 = 6.0;
-/// Attempts per accepted query or part where the settings have no retry budget.
+/// Number of further retries and hedged requests that a window allows per query or part accepted in
+/// it, if the settings have no retry budget.
 const DEFAULT_ATTEMPTS_PER_REQUEST: f64 = 0.3;
-/// Window where the settings have no retry budget, in shortest latency objectives.
+/// Length of the window if the settings have no retry budget, in multiples of the shortest latency
+/// objective.
 const DEFAULT_WINDOW_OBJECTIVES: f64 = 1.5;
-/// Least number of hedged requests per accepted query or part among many aggregators.
+/// Minimum number of hedged requests per accepted query or part to which the default budget is
+/// reduced where there are many aggregators.
 const MIN_HEDGES_PER_REQUEST: f64 = 0.1;
 
-/// Permission to send one retry or hedged request. It counts against the budget only once it is
-/// used.
+/// Permission to send one retry or hedged request. It counts against the budget only when it is
+/// given to [`RetryBudget::record_sent`].
 #[must_use]
 pub(crate) struct RetryPermit(());
 
-/// Requests accepted and further attempts sent in the budget's sliding window.
+/// Requests accepted, and retries and hedged requests sent, in the sliding window of the budget.
 #[derive(Default)]
 pub(crate) struct RetryBudget {
-    /// Queries and parts accepted.
+    /// Arrival times of queries and parts.
     accepted: SlidingWindow,
-    /// Retries and hedged requests sent.
+    /// Send times of retries and hedged requests.
     sent: SlidingWindow,
 }
 
 impl RetryBudget {
-    /// Counts a query or a part that has arrived.
+    /// Records a query or a part that has arrived.
     pub(crate) fn record_accepted(&mut self, now: Ms) {
         self.accepted.record(now);
     }
 
-    /// Permission for one more retry, if the window allows it. Discards what lies before
-    /// the window.
+    /// Returns a permission for one more retry, or `None` if the budget is used up. Discards the
+    /// records from before the window.
     pub(crate) fn try_acquire_retry(&mut self, batch: &BatchContext) -> Option<RetryPermit> {
         self.try_acquire(batch, &budget(batch, 1.0))
     }
 
-    /// Permission for one more hedged request, if the window allows it. Discards what lies
-    /// before the window. By default many aggregators hedge less, down to the slowest tenth
-    /// of parts: their hedges add up and go to servers of whose load one aggregator knows
-    /// little.
+    /// Returns a permission for one more hedged request, or `None` if the budget is used up.
+    /// Discards the records from before the window.
+    ///
+    /// Without a budget in the settings, the default for hedged requests is smaller the more
+    /// aggregators there are, down to 0.1 per request, which covers the slowest tenth of parts.
+    /// The hedged requests of many aggregators add up, and one aggregator observes only a small
+    /// share of the load of the servers to which it sends them.
     pub(crate) fn try_acquire_hedge(&mut self, batch: &BatchContext) -> Option<RetryPermit> {
         self.try_acquire(batch, &budget(batch, batch.load_visibility()))
     }
 
-    /// Counts an attempt that is sent with a permission.
+    /// Records a retry or hedged request that is sent, which uses up its permission.
     pub(crate) fn record_sent(&mut self, now: Ms, _permit: RetryPermit) {
         self.sent.record(now);
     }
 
-    /// Discards what lies before the window. The settings do not say whether the ends of
-    /// the window belong to it: requests leave it a tick early and further attempts a tick
-    /// late, so that the budget holds either way.
+    /// Discards the records from before the window. The settings do not say whether the two ends
+    /// of the window belong to it. Accepted requests therefore leave the window one tick early,
+    /// and retries and hedged requests one tick late, so that the budget is kept in both cases.
     pub(crate) fn discard_expired(&mut self, batch: &BatchContext) {
         let window_start = batch.now - budget(batch, 1.0).window;
         self.accepted
@@ -65,14 +72,16 @@
         self.sent.discard_before(window_start - batch.settings.tick);
     }
 
-    /// Mean time between two parts that this aggregator sends to one of so many servers,
-    /// from what it accepted of late.
+    /// Returns an estimate of the mean time between two sends of this aggregator to one server, in
+    /// ms. It assumes that the queries and parts accepted recently are spread evenly over
+    /// `servers` servers.
     pub(crate) fn mean_send_interval(&self, batch: &BatchContext, servers: usize) -> Ms {
         let window = DEFAULT_WINDOW_OBJECTIVES * batch.shortest_objective();
         let accepted = self.accepted.count_since(batch.now - window);
         window * servers as f64 / accepted.max(1) as f64
     }
 
+    /// Returns a permission if one more retry or hedged request is within the given budget.
     fn try_acquire(
         &mut self,
         batch: &BatchContext,
@@ -85,11 +94,12 @@
     }
 }
 
-/// The budget of the settings, or the default reduced to this share.
-fn budget(batch: &BatchContext, share: f64) -> BudgetSettings {
+/// Returns the budget of the settings, or else the default budget. The numbers of attempts that the
+/// default allows are multiplied by `default_share`; its window is not.
+fn budget(batch: &BatchContext, default_share: f64) -> BudgetSettings {
     batch.settings.retry_budget.unwrap_or(BudgetSettings {
-        free_attempts: DEFAULT_FREE_ATTEMPTS * share,
-        per_request: (DEFAULT_ATTEMPTS_PER_REQUEST * share).max(MIN_HEDGES_PER_REQUEST),
+        free_attempts: DEFAULT_FREE_ATTEMPTS * default_share,
+        per_request: (DEFAULT_ATTEMPTS_PER_REQUEST * default_share).max(MIN_HEDGES_PER_REQUEST),
         window: DEFAULT_WINDOW_OBJECTIVES * batch.shortest_objective(),
     })
 }
--- a/crates/fanout-policy/src/policy/server_health.rs
+++ b/crates/fanout-policy/src/policy/server_health.rs
@@ -1,6 +1,7 @@
-//! What the outcomes of attempts say about the health of a server.
+//! Health of a server, derived from the outcomes of the attempts sent to it.
 //!
-//! [`ServerHealth`] owns the error rates and consecutive failures of one server.
+//! [`ServerHealth`] owns the error rates of one server, its number of consecutive failures, and
+//! whether it is unresponsive.
 
 use super::ended_attempt::EndedAttempt;
 use super::smoothing::{DECAY_SHARE, SAMPLE_WEIGHT, STRONG_SAMPLE_WEIGHT};
@@ -9,62 +10,67 @@
 use crate::statistics::{decay, smooth};
 use std::collections::BTreeMap;
 
-/// Error rate above which a server counts as failing.
+/// Error rate above which a suspect server counts as failing.
 const FAILING_ERROR_RATE: f64 = 0.45;
-/// Consecutive failures from which a server counts as failing.
+/// Number of consecutive failures from which a server is suspect: it then receives one attempt at a
+/// time, and counts as failing if its error rate is above [`FAILING_ERROR_RATE`] as well.
 const FAILING_CONSECUTIVE_FAILURES: u32 = 2;
-/// A lost connection does not count after an answer to an attempt sent this much earlier, in
-/// shortest latency objectives.
+/// A server whose connection is lost is still considered up if it has answered an attempt that was
+/// sent later than the failed one, or less than this time before it. In multiples of the shortest
+/// latency objective.
 const RECENT_ANSWER_OBJECTIVES: f64 = 0.25;
-/// Silence after which an unresponsive server that answers is assumed to have restarted, in
-/// shortest latency objectives.
+/// Time without answers after which an unresponsive server that answers again is assumed to have
+/// restarted, in multiples of the shortest latency objective.
 const RESTART_SILENCE_OBJECTIVES: f64 = 2.5;
 
-/// What a failed attempt shows about its server.
+/// State of a server after a failed attempt, on which its ejection depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureVerdict {
-    /// The server may be healthy.
+    /// Too few attempts have failed to eject the server.
     Tolerable,
-    /// Too many attempts fail there.
+    /// Several attempts in a row have failed, and the error rate is high.
     Failing,
-    /// No connection to it could be made or kept.
+    /// The connection could not be made, or it was lost and no recent answer shows that the
+    /// server is up.
     Unreachable,
 }
 
-/// Whether a server that answers seems to have run since its last answer.
+/// Whether a server that answers may have restarted since its previous answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Continuity {
-    /// It has.
-    Running,
-    /// It was silent for so long that it may have restarted.
+pub(crate) enum RestartVerdict {
+    /// Nothing indicates a restart.
+    StillRunning,
+    /// The server was unresponsive, and no attempt was answered for so long that the server may
+    /// have restarted.
     PossiblyRestarted,
 }
 
-/// Outcomes of one class at a server.
+/// Health of a server with regard to one class.
 #[derive(Default)]
 struct ClassHealth {
-    /// Share of failed attempts, smoothed.
+    /// Moving average of the share of failed attempts of the class.
     error_rate: f64,
-    /// Send time of the newest attempt that was served.
+    /// Send time of the newest attempt of the class that was served; 0 before the first one.
     last_served_sent_at: Ms,
 }
 
 /// Health of one server.
 pub(crate) struct ServerHealth {
-    /// Share of failed attempts, smoothed.
+    /// Moving average of the share of failed attempts.
     error_rate: f64,
-    /// Failed attempts since the last one that was served.
+    /// Number of attempts that have failed since the last one that was served.
     consecutive_failures: u32,
-    /// Send time of the newest attempt that was served.
+    /// Send time of the newest attempt that was served; negative infinity before the first one.
     last_served_sent_at: Ms,
-    /// Whether an attempt timed out or its connection failed, and none has been served since.
+    /// Whether an attempt timed out or found the server unreachable, and none has been served
+    /// since.
     is_unresponsive: bool,
-    /// Outcomes by class.
+    /// Health by index of the class.
     by_class: BTreeMap<usize, ClassHealth>,
 }
 
 impl ServerHealth {
-    /// A server without failures.
+    /// Creates the state of a server without failures.
     pub(crate) fn new() -> Self {
         ServerHealth {
             error_rate: 0.0,
@@ -75,35 +81,40 @@
         }
     }
 
-    /// Share of failed attempts, smoothed.
+    /// Returns the moving average of the share of failed attempts.
     pub(crate) fn error_rate(&self) -> f64 {
         self.error_rate
     }
 
-    /// Share of failed attempts of a class, smoothed.
+    /// Returns the moving average of the share of failed attempts of a class; 0 without any
+    /// ended attempt of that class.
     pub(crate) fn class_error_rate(&self, class: usize) -> f64 {
         self.by_class
             .get(&class)
             .map_or(0.0, |health| health.error_rate)
     }
 
-    /// Send time of the newest attempt that was served.
+    /// Returns the send time of the newest attempt that was served; negative infinity if none
+    /// was.
     pub(crate) fn last_served_sent_at(&self) -> Ms {
         self.last_served_sent_at
     }
 
-    /// Whether an attempt timed out or its connection failed, and none has been served since.
+    /// Returns whether an attempt timed out or found the server unreachable, and none has been
+    /// served since.
     pub(crate) fn is_unresponsive(&self) -> bool {
         self.is_unresponsive
     }
 
-    /// Whether so many attempts in a row have failed that further ones are sent one at a time.
+    /// Returns whether so many consecutive attempts have failed that further ones are sent one at
+    /// a time.
     pub(crate) fn is_suspect(&self) -> bool {
         self.consecutive_failures >= FAILING_CONSECUTIVE_FAILURES
     }
 
-    /// Updates the error rate of the attempt's class. An overdue attempt counts as failed
-    /// if none of its class that was sent later has been served.
+    /// Updates the error rate of the attempt's class. An attempt counts as failed if it ended in
+    /// an error. It also counts as failed if it was overdue and not served, and no attempt of
+    /// its class that was sent at the same time or later has been served.
     pub(crate) fn record_class_outcome(&mut self, ended: &EndedAttempt) {
         let attempt = ended.attempt();
         let health = self.by_class.entry(attempt.class).or_default();
@@ -116,12 +127,13 @@
         }
     }
 
-    /// Learns from an attempt that was served.
+    /// Records an attempt that was served, and returns whether the server may have restarted
+    /// since the previous answer.
     pub(crate) fn record_answer(
         &mut self,
         attempt: &InFlightAttempt,
         shortest_objective: Ms,
-    ) -> Continuity {
+    ) -> RestartVerdict {
         let silence = attempt.sent_at - self.last_served_sent_at;
         let is_restart =
             self.is_unresponsive && silence > RESTART_SILENCE_OBJECTIVES * shortest_objective;
@@ -130,13 +142,13 @@
         self.consecutive_failures = 0;
         self.is_unresponsive = false;
         if is_restart {
-            Continuity::PossiblyRestarted
+            RestartVerdict::PossiblyRestarted
         } else {
-            Continuity::Running
+            RestartVerdict::StillRunning
         }
     }
 
-    /// Learns from an attempt that failed.
+    /// Records an attempt that failed, and returns the resulting state of the server.
     pub(crate) fn record_failure(
         &mut self,
         ended: &EndedAttempt,
@@ -145,8 +157,8 @@
         let outcome = ended.outcome();
         smooth(&mut self.error_rate, SAMPLE_WEIGHT, 1.0);
         self.consecutive_failures += 1;
-        // A server that answered what was sent later, or just before, has lost a
-        // connection but is up.
+        // A lost connection alone does not show that the server is down: if the server has
+        // answered an attempt that was sent later or shortly before, it is up.
         let answered_until =
             self.last_served_sent_at + RECENT_ANSWER_OBJECTIVES * shortest_objective;
         let is_unreachable = match outcome {
@@ -164,12 +176,12 @@
         }
     }
 
-    /// Lets the error rate of the server return to zero.
+    /// Moves the error rate of the server towards zero by one control interval's share.
     pub(crate) fn decay_error_rate(&mut self) {
         decay(&mut self.error_rate, DECAY_SHARE);
     }
 
-    /// Lets the error rates of all classes return to zero.
+    /// Moves the error rates of all classes towards zero by one control interval's share.
     pub(crate) fn decay_class_error_rates(&mut self) {
         for health in self.by_class.values_mut() {
             decay(&mut health.error_rate, DECAY_SHARE);
--- a/crates/fanout-policy/src/policy/slow_start.rs
+++ b/crates/fanout-policy/src/policy/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start: how much work a server may be sent while it warms up.
 //!
-//! [`SlowStart`] owns the start of one server and what it was sent since, [`ServedRate`] the
-//! speed of a warm one.
+//! [`SlowStart`] owns the start time of one server and the work that this aggregator has sent to
+//! it since. [`ServedRate`] owns the rate at which a warm server serves this aggregator's work.
 
 use super::batch_context::BatchContext;
 use super::batch_timer::CONTROL_INTERVAL_MS;
@@ -10,12 +10,13 @@
 use crate::statistics::smooth;
 use std::collections::VecDeque;
 
-/// Share of the overload limit of a warming server that is used: traffic arrives in bursts.
+/// Share of the overload limit of a warming server up to which work is sent. The rest is a margin
+/// for bursts of traffic.
 const LIMIT_SAFETY_SHARE: f64 = 0.75;
-/// Least time that a warm-up is assumed to take.
+/// Minimum duration of a warm-up that is used as a divisor, in ms.
 const MIN_WARM_UP_MS: Ms = 1.0;
 
-/// Work sent at one time.
+/// Work of one attempt with its send time.
 #[derive(Clone, Copy)]
 struct SentWork {
     sent_at: Ms,
@@ -24,16 +25,17 @@
 
 /// The slow start of one server.
 pub(crate) struct SlowStart {
-    /// When the server started, if it may still be warming up.
+    /// Start time of the server, if it may still be warming up.
     warming_since: Option<Ms>,
-    /// Work sent while it is warming up.
+    /// Work that this aggregator has sent during the warm-up.
     sends: VecDeque<SentWork>,
-    /// The current control interval's random draw for a send above the allowance.
+    /// Random number from 0 to below 1, drawn in each control interval, that decides whether an
+    /// attempt above the allowance may be sent; 1 before the first draw.
     draw: f64,
 }
 
 impl SlowStart {
-    /// A server that is warm.
+    /// Creates the state of a server that is fully warmed up.
     pub(crate) fn new() -> Self {
         SlowStart {
             warming_since: None,
@@ -42,12 +44,13 @@
         }
     }
 
-    /// When the server started, if it may still be warming up.
+    /// Returns the start time of the server if it may still be warming up.
     pub(crate) fn warming_since(&self) -> Option<Ms> {
         self.warming_since
     }
 
-    /// Applies the start that the endpoint list states, unless a later one is known.
+    /// Applies the start time that the endpoint list states. It is ignored if the warm-up is
+    /// over by now, or if a later start has been recorded.
     pub(crate) fn on_listed_start(&mut self, batch: &BatchContext, started: Ms) {
         let is_recent = started + batch.settings.warm_up.duration > batch.now;
         if is_recent && self.warming_since.is_none_or(|since| since < started) {
@@ -55,21 +58,21 @@
         }
     }
 
-    /// Starts a warm-up now: the server may have restarted without the endpoint list
-    /// showing it yet.
+    /// Starts a warm-up now. It is called for a server that has probably restarted, since the
+    /// endpoint list may not show the restart yet.
     pub(crate) fn on_assumed_restart(&mut self, now: Ms) {
         self.warming_since = Some(now);
     }
 
-    /// Counts work that is sent, if the server is warming up.
+    /// Records work that is sent to the server, if the server is warming up.
     pub(crate) fn record_send(&mut self, now: Ms, work: Ms) {
         if self.warming_since.is_some() {
             self.sends.push_back(SentWork { sent_at: now, work });
         }
     }
 
-    /// Starts a control interval with this random draw, and ends the slow start of a server
-    /// that is warm.
+    /// Starts a control interval, and ends the slow start once the warm-up is over. `draw` is a
+    /// random number from 0 to below 1 for the new interval.
     pub(crate) fn start_interval(&mut self, batch: &BatchContext, draw: f64) {
         let rule = &batch.settings.warm_up;
         let window_start = batch.now - rule.overload_window;
@@ -79,13 +82,17 @@
         self.warming_since = self.warming_since.filter(is_warming);
     }
 
-    /// Whether the server can be sent `work` without overload while it warms up. A warming
-    /// server fails when it receives more than a multiple of its capacity for the overload
-    /// window, from all aggregators together. What they have all served by a warm server is
-    /// no more than that can do, so each keeps to the limit times what it has served by one
-    /// itself; before that is known, to an even share on one core.
+    /// Returns whether the server can receive `work` without being overloaded; always true for a
+    /// warm server. `peer_work` is the outstanding work that the other aggregators published,
+    /// or `None` without current gossip.
     ///
-    /// `peer_work` is the outstanding work of the other aggregators, if it is known.
+    /// A warming server fails if all aggregators together send it more, within the overload
+    /// window, than `overload_factor` times the work that it can serve in that time. Each
+    /// aggregator therefore keeps to its own allowance: the limit of a server with one core,
+    /// times the rate at which a warm server serves the work of this aggregator, in ms of work
+    /// per ms. The rates of all aggregators add up to at most the full speed of one server, so
+    /// their allowances add up to at most the limit of that server. Until this aggregator has
+    /// measured a higher rate, it uses an even share of one core.
     pub(crate) fn allows(
         &self,
         batch: &BatchContext,
@@ -104,16 +111,20 @@
         if sent + work <= allowance {
             return true;
         }
-        // An allowance below the work of one part: sent with that probability, drawn in
-        // each control interval, or where gossip shows that the outstanding work leaves
-        // capacity within the window.
+        // The allowance may be smaller than the work of one part. If nothing was sent within
+        // the window, one part may then exceed the allowance in either of two cases:
+        // - The work that other aggregators published and this part together fit into what
+        //   the server may receive in a window beyond what it can serve meanwhile.
+        // - The random draw permits it. There is one draw per control interval, with a
+        //   probability for which the expected work per window equals the allowance.
         let spare = (rule.overload_factor - 1.0) * capacity * rule.overload_window;
         let has_spare = peer_work.is_some_and(|peer_work| peer_work + work <= spare);
         let probability = allowance / work * CONTROL_INTERVAL_MS / rule.overload_window;
         sent == 0.0 && (has_spare || self.draw < probability)
     }
 
-    /// Share of its full capacity that the server has now; `None` if it is warm.
+    /// Returns the share of its full capacity that the server has now, or `None` if it is warm.
+    /// The share grows linearly from the initial capacity to 1 during the warm-up.
     fn capacity(&self, now: Ms, rule: &WarmUp) -> Option<f64> {
         let since = self.warming_since?;
         let progress = (now - since).max(0.0) / rule.duration.max(MIN_WARM_UP_MS);
@@ -121,6 +132,7 @@
         is_warming.then_some(rule.initial_capacity + (1.0 - rule.initial_capacity) * progress)
     }
 
+    /// Returns the work that this aggregator has sent to the server at or after `start`.
     fn work_sent_since(&self, start: Ms) -> Ms {
         let sends = self.sends.iter().filter(|send| send.sent_at >= start);
         sends.map(|send| send.work).sum()
@@ -130,19 +142,20 @@
 /// Rate at which a warm server serves the work of this aggregator.
 #[derive(Default)]
 pub(crate) struct ServedRate {
-    /// Work served in the current control interval.
+    /// Work served by all servers in the current control interval.
     work_in_interval: Ms,
-    /// Work served per warm server and ms, smoothed.
+    /// Moving average of the work served per ms and warm server, in ms of work per ms.
     rate: f64,
 }
 
 impl ServedRate {
-    /// Counts the work of an attempt that was served.
+    /// Adds the work of an attempt that was served.
     pub(crate) fn record_served(&mut self, work: Ms) {
         self.work_in_interval += work;
     }
 
-    /// Ends a control interval in which so many servers were warm.
+    /// Ends a control interval: updates the rate with the work that was served in it, divided
+    /// among `warm_servers` servers.
     pub(crate) fn end_interval(&mut self, warm_servers: usize) {
         let warm_servers = warm_servers.max(1) as f64;
         let work = std::mem::take(&mut self.work_in_interval);
--- a/crates/fanout-policy/src/policy/smoothing.rs
+++ b/crates/fanout-policy/src/policy/smoothing.rs
@@ -1,8 +1,10 @@
-//! Smoothing factors that the moving averages of several components share.
+//! Smoothing factors of the moving averages, shared by several components.
 
 /// Weight of a sample in a moving average: about the last five samples count.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.2;
-/// Weight of a sample that must count sooner: an overdue answer, or a failure within one class.
+/// Weight of a sample that must take effect sooner: the latency of an answer that took much longer
+/// than forecast, or the outcome of an attempt in the error rate of its class.
 pub(crate) const STRONG_SAMPLE_WEIGHT: f64 = 0.3;
-/// Share by which statistics without new samples return to their defaults in each control interval.
+/// Share of the distance to its default value by which an average returns in a control interval
+/// without new samples.
 pub(crate) const DECAY_SHARE: f64 = 0.12;
--- a/crates/fanout-policy/src/policy/zone_silence.rs
+++ b/crates/fanout-policy/src/policy/zone_silence.rs
@@ -1,30 +1,33 @@
-//! Share of attempts that get no response, by zone: a network partition makes a whole zone silent.
+//! Share of attempts that get no response, by zone.
 //!
-//! [`ZoneSilence`] owns these averages.
+//! In a network partition no server of a zone responds. The share of the zone then applies to its
+//! servers that were not observed recently, so that the partition is not detected at each server
+//! separately. [`ZoneSilence`] owns these shares.
 
 use crate::statistics::smooth;
 use std::collections::BTreeMap;
 
-/// Weight of a sample: about the last ten samples count.
+/// Weight of a sample in the moving average of a zone: about the last ten samples count.
 const SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Whether a server responded to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Response {
-    /// It did.
+    /// The server responded.
     Received,
-    /// It did not.
+    /// The server did not respond.
     Missing,
 }
 
-/// Share of attempts that got no response, by zone, smoothed.
+/// Moving averages of the share of attempts that got no response, by zone.
 #[derive(Default)]
 pub(crate) struct ZoneSilence {
+    /// Average by index of the zone.
     by_zone: BTreeMap<usize, f64>,
 }
 
 impl ZoneSilence {
-    /// Updates the average of a server's zone, if the zone is known.
+    /// Updates the average of a zone with one attempt; does nothing if the zone is `None`.
     pub(crate) fn record(&mut self, zone: Option<usize>, response: Response) {
         let Some(zone) = zone else {
             return;
@@ -37,8 +40,9 @@
         smooth(silence, SAMPLE_WEIGHT, sample);
     }
 
-    /// Share of attempts in a zone that got no response; 0 if the zone is not known.
-    pub(crate) fn of_zone(&self, zone: Option<usize>) -> f64 {
+    /// Returns the share of attempts in a zone that got no response; 0 if the zone is `None` or
+    /// has no samples.
+    pub(crate) fn no_response_share(&self, zone: Option<usize>) -> f64 {
         let silence = zone.and_then(|zone| self.by_zone.get(&zone));
         silence.copied().unwrap_or(0.0)
     }
