--- a/crates/fanout-policy/src/policy/batch_timer.rs
+++ b/crates/fanout-policy/src/policy/batch_timer.rs
@@ -9,7 +9,8 @@
 /// Control interval: time between two runs of the control loops, in ms.
 pub(crate) const CONTROL_INTERVAL_MS: Ms = 1000.0;
 /// Time after the set time of the timer from which a batch counts as delayed by a pause of this
-/// aggregator, in multiples of the shortest latency objective.
+/// aggregator, in multiples of the shortest latency objective. Timeouts that are reported in such a
+/// batch are not attributed to the servers.
 const PAUSE_OBJECTIVES: f64 = 0.05;
 /// Number of ticks for which the timer is set while no query is in flight.
 const IDLE_INTERVAL_TICKS: f64 = 50.0;
--- a/crates/fanout-policy/src/policy/latency.rs
+++ b/crates/fanout-policy/src/policy/latency.rs
@@ -18,7 +18,8 @@
 /// Latency per work before any observation, in ms per ms of outstanding work.
 const INITIAL_LATENCY_PER_WORK: f64 = 0.8;
 /// Maximum latency per work that a timeout counts as, in multiples of the fleet's median. The
-/// attempt may have timed out because its part was lost, and not because the server is slow.
+/// attempt may have timed out because its part was lost, which says nothing about the speed of the
+/// server.
 const MAX_TIMEOUT_LATENCY_FACTOR: f64 = 4.0;
 /// Maximum age of a server's last observation, in ms, for the server to count in the median.
 const FLEET_LATENCY_WINDOW_MS: Ms = 4.0 * CONTROL_INTERVAL_MS;
--- a/crates/fanout-policy/src/policy/load_gossip.rs
+++ b/crates/fanout-policy/src/policy/load_gossip.rs
@@ -14,8 +14,9 @@
 use crate::random::RandomSource;
 use std::collections::BTreeSet;
 
-/// Minimum time between two gossip messages, in multiples of the shortest latency objective. A
-/// batch that sends an attempt publishes regardless of it.
+/// Minimum time between two gossip messages, in multiples of the shortest latency objective.
+/// Changes in between are published together. A batch that sends an attempt publishes regardless
+/// of the minimum.
 const INTERVAL_OBJECTIVES: f64 = 0.06;
 /// Unit in which work is published, in multiples of the shortest latency objective.
 const WORK_STEP_OBJECTIVES: f64 = 1.0 / 128.0;
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -8,7 +8,7 @@
 use crate::random::RandomSource;
 
 /// Length of the first ejection after failures, before jitter, in multiples of the shortest latency
-/// objective.
+/// objective. It is long enough to spare the queries that would otherwise be sent to the server.
 const FIRST_EJECTION_OBJECTIVES: f64 = 0.7;
 /// Maximum length of an ejection before jitter, in multiples of the shortest latency objective.
 const MAX_EJECTION_OBJECTIVES: f64 = 4.0;
--- a/crates/fanout-policy/src/policy/server_health.rs
+++ b/crates/fanout-policy/src/policy/server_health.rs
@@ -16,8 +16,8 @@
 /// time, and counts as failing if its error rate is above [`FAILING_ERROR_RATE`] as well.
 const FAILING_CONSECUTIVE_FAILURES: u32 = 2;
 /// A server whose connection is lost is still considered up if it has answered an attempt that was
-/// sent later than the failed one, or less than this time before it. In multiples of the shortest
-/// latency objective.
+/// sent later than the failed one, or less than this time before it: the lost connection then says
+/// little about the server. In multiples of the shortest latency objective.
 const RECENT_ANSWER_OBJECTIVES: f64 = 0.25;
 /// Time without answers after which an unresponsive server that answers again is assumed to have
 /// restarted, in multiples of the shortest latency objective.
--- a/crates/fanout-policy/src/policy/smoothing.rs
+++ b/crates/fanout-policy/src/policy/smoothing.rs
@@ -2,9 +2,11 @@
 
 /// Weight of a sample in a moving average: about the last five samples count.
 pub(crate) const SAMPLE_WEIGHT: f64 = 0.2;
-/// Weight of a sample that must take effect sooner: the latency of an answer that took much longer
-/// than forecast, or the outcome of an attempt in the error rate of its class.
+/// Weight of a sample that must take effect sooner: the latency of an answer that took several
+/// times its forecast, or the outcome of an attempt in the error rate of its class. With the
+/// smaller weight, an aggregator that sends to a server only every few seconds would go on sending
+/// to it for a minute after it has become overloaded.
 pub(crate) const STRONG_SAMPLE_WEIGHT: f64 = 0.3;
 /// Share of the distance to its default value by which an average returns in a control interval
-/// without new samples.
+/// without new samples, so that a server that was slow or failing is tried again.
 pub(crate) const DECAY_SHARE: f64 = 0.12;
