--- a/crates/fanout-policy/src/api.rs
+++ b/crates/fanout-policy/src/api.rs
@@ -1,7 +1,8 @@
-//! Public interface of the policy: the settings it starts with, the events it takes and the
-//! actions it returns.
+//! Public interface of the policy: its settings, the events that it receives and the actions that
+//! it returns.
 //!
-//! The types here carry no decisions. All times are milliseconds on the caller's clock.
+//! This module contains no decision logic. All times are in milliseconds on the caller's clock.
+//! Work and costs are in milliseconds of a server's time.
 
 mod actions;
 mod classes;
--- a/crates/fanout-policy/src/api/actions.rs
+++ b/crates/fanout-policy/src/api/actions.rs
@@ -1,58 +1,62 @@
-//! Outputs of the policy.
+//! Actions: the outputs of the policy.
 
 use super::{Ms, NodeId, PartId, QueryId};
 
-/// Largest size of a gossip message in bytes.
+/// Maximum size of a gossip message in bytes.
 pub const MAX_GOSSIP_BYTES: usize = 256;
 
-/// An output of the policy. The caller carries out actions in the order given.
+/// An output of the policy. The caller carries out the actions of a batch in the order in which
+/// they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Send an attempt for a part. Attempts for one server in one batch share calls.
+    /// Send an attempt for a part. Attempts for the same server in the same batch share calls of up
+    /// to [`Settings::max_parts_per_call`](super::Settings::max_parts_per_call) parts.
     SendAttempt {
-        /// The part.
+        /// Identifier of the part.
         part: PartId,
-        /// The server.
+        /// Name of the server.
         node: NodeId,
-        /// Longest wait for an answer; `None` waits until the client's deadline.
+        /// Maximum time to wait for an answer; `None` to wait until the client's deadline.
         timeout: Option<Ms>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt that is in flight.
     CancelAttempt {
-        /// The part.
+        /// Identifier of the part.
         part: PartId,
-        /// Index of the attempt among those of its part.
+        /// Index of the attempt among those of its part, from 0.
         attempt: u32,
     },
-    /// Answer the query from the parts that have been served.
+    /// Answer the query with the parts that have been served.
     Answer {
-        /// The query.
+        /// Identifier of the query.
         query: QueryId,
-        /// Whether the answer is complete.
+        /// Whether the answer is complete rather than partial.
         complete: bool,
     },
-    /// End the query without an answer and state that a retry is safe.
+    /// End the query without an answer and tell the client that a retry is safe.
     Reject {
-        /// The query.
+        /// Identifier of the query.
         query: QueryId,
-        /// When the client should retry.
+        /// Delay after which the client should retry; `None` if retry-after values do
+        /// not reach the clients.
         retry_after: Option<Ms>,
     },
-    /// End the query without an answer and without a statement on retries.
+    /// End the query without an answer. The client is not told that a retry is safe.
     Fail {
-        /// The query.
+        /// Identifier of the query.
         query: QueryId,
     },
     /// Send a gossip message of at most [`MAX_GOSSIP_BYTES`] bytes to all other aggregators.
     PublishLoad {
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
-    /// Poll for changes of the endpoint list from now on.
+    /// Start polling for changes of the endpoint list. Polling continues until it fails, which the
+    /// caller reports by [`ListUpdate::Failed`](super::ListUpdate::Failed).
     PollEndpointList,
-    /// Send [`Event::TimerFired`](super::Event::TimerFired) after this time.
+    /// Send [`Event::TimerFired`](super::Event::TimerFired) after a delay.
     SetTimer {
-        /// Delay from now.
+        /// Delay from the time of the batch.
         after: Ms,
     },
 }
--- a/crates/fanout-policy/src/api/classes.rs
+++ b/crates/fanout-policy/src/api/classes.rs
@@ -1,47 +1,51 @@
-//! Classes of queries and the tenants that send them, as the settings state them.
+//! Settings of the query classes and the tenants.
 
 use super::Ms;
 
 /// Whether a part may safely be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RetrySafety {
-    /// Repeated execution has no further effect.
+    /// Executing the part again has no further effect.
     Idempotent,
-    /// Servers deduplicate repeats by an idempotency key.
+    /// Servers recognize repeats of the part by an idempotency key and do not execute them again.
     IdempotencyKey {
-        /// Time after the first attempt that may have run during which repeats are deduplicated.
+        /// Replay window: time during which servers recognize repeats, from the sending of the
+        /// first attempt that may have run.
         window: Ms,
     },
-    /// Every execution takes effect.
+    /// Each execution of the part takes effect again.
     NotIdempotent,
 }
 
-/// One class of queries.
+/// Settings of one query class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full weight.
+    /// Time within which an answer earns the full priority weight, from the client's first sending
+    /// of the query.
     pub latency_objective: Ms,
-    /// Time after which a client gives up, over all its attempts together.
+    /// Time after which a client gives up, from its first sending of the query. Retries do not
+    /// extend it.
     pub client_timeout: Ms,
-    /// Weight that a complete answer in time earns.
+    /// Weight that a complete answer within the latency objective earns.
     pub priority_weight: f64,
-    /// Fraction of the weight that an answer after the latency objective still earns.
+    /// Fraction of the priority weight that an answer after the latency objective still earns.
     pub late_weight: f64,
-    /// Whether its parts may be executed more than once.
+    /// Whether the parts of its queries may safely be executed more than once.
     pub retry_safety: RetrySafety,
-    /// Share of the total part weight that makes an answer complete.
+    /// Minimum share of the total part weight that makes an answer complete.
     pub required_share: f64,
-    /// Smallest share of the total part weight from which an answer may be given.
+    /// Minimum share of the total part weight with which a partial answer may be given.
     pub minimum_share: f64,
-    /// A partial answer earns this fraction times its share divided by the required share.
+    /// Factor on the priority weight that a partial answer earns: with a share `s` of the total
+    /// part weight it earns the fraction `partial_weight * s / required_share`.
     pub partial_weight: f64,
-    /// Whether the first answer leads to a second step with further parts.
+    /// Whether a second step with further parts follows the first answer.
     pub has_second_step: bool,
 }
 
-/// One tenant.
+/// Settings of one tenant.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Queries per second, over all aggregators together, that are within its quota.
+    /// Quota of the tenant in queries per second, over all aggregators together.
     pub quota_per_s: f64,
 }
--- a/crates/fanout-policy/src/api/endpoints.rs
+++ b/crates/fanout-policy/src/api/endpoints.rs
@@ -2,41 +2,41 @@
 
 use super::{Ms, NodeId};
 
-/// Whether a server accepts requests.
+/// State of a server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServingState {
-    /// It accepts requests.
+    /// The server accepts requests.
     Serving,
-    /// It finishes the requests it has and accepts no others.
+    /// The server finishes the requests that it has received and accepts no new ones.
     Draining,
-    /// It has been removed.
+    /// The server has been removed from the list.
     Removed,
 }
 
 /// One server in the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Endpoint {
-    /// The server.
+    /// Name of the server.
     pub node: NodeId,
-    /// Its cell.
+    /// Index of its cell.
     pub cell: usize,
-    /// Its state.
+    /// Its serving state.
     pub state: ServingState,
-    /// Index of its zone, where the list names zones.
+    /// Index of its zone; `None` if the list names no zones.
     pub zone: Option<usize>,
-    /// When its process last started; `None` if long ago.
+    /// Time of the last start of its process; `None` if that is long ago.
     pub started: Option<Ms>,
 }
 
 /// Kind of an endpoint list update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// Changed entries only.
+    /// The update contains only the entries that have changed.
     Delta,
-    /// The complete current list.
+    /// The update is the complete current list.
     Snapshot,
-    /// The complete list as last written to disk, possibly out of date.
+    /// The update is the complete list as last written to disk. It may be out of date.
     Cached,
-    /// A poll failed or the subscription broke; there are no entries.
+    /// A poll failed or the subscription was interrupted. The update has no entries.
     Failed,
 }
--- a/crates/fanout-policy/src/api/events.rs
+++ b/crates/fanout-policy/src/api/events.rs
@@ -1,4 +1,4 @@
-//! Inputs of the policy.
+//! Events: the inputs of the policy.
 
 use super::{Endpoint, ListUpdate, Ms, Outcome, Part, PartId, Query, QueryId};
 
@@ -7,36 +7,36 @@
 pub enum Event {
     /// The endpoint list was updated.
     EndpointList {
-        /// What the entries are.
+        /// Kind of the update.
         update: ListUpdate,
-        /// The entries.
+        /// Entries of the update.
         endpoints: Vec<Endpoint>,
     },
     /// A query has arrived.
     Query(Query),
-    /// A part of a query has arrived.
+    /// A part of a query has arrived. It is ignored if no query of its group is in flight.
     Part(Part),
     /// An attempt has ended.
     AttemptEnded {
-        /// The part.
+        /// Identifier of the part.
         part: PartId,
         /// Index of the attempt among those of its part, from 0.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Time since it was sent.
+        /// Time from the sending of the attempt to its end.
         elapsed: Ms,
-        /// Number of requests that the server reported as waiting or in execution, if
-        /// it did. The report may be late or wrong.
+        /// Number of requests that the server reported as waiting or running; `None` without a
+        /// report. The report may be out of date or wrong.
         load: Option<f64>,
     },
-    /// The client has disconnected; the query needs no answer.
+    /// The client of this query has disconnected, so the query needs no answer.
     ClientDisconnected(QueryId),
     /// Another aggregator has sent a gossip message.
     Gossip {
-        /// Index of the sender, from 0.
+        /// Index of the sending aggregator, from 0.
         from: usize,
-        /// The message.
+        /// Encoded message.
         bytes: Vec<u8>,
     },
     /// The timer set by [`Action::SetTimer`](super::Action::SetTimer) has fired.
--- a/crates/fanout-policy/src/api/identifiers.rs
+++ b/crates/fanout-policy/src/api/identifiers.rs
@@ -7,8 +7,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub Arc<str>);
 
-/// Identifier of a query, never used twice. Queries that wait at the same time are processed in
-/// its order.
+/// Identifier of a query, never used twice. In each batch the queries in flight are processed in
+/// order of their identifiers.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QueryId(pub Arc<str>);
 
@@ -20,7 +20,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). Any index is accepted
-/// where a deployment has no tenants.
+/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). An index
+/// without a tenant is accepted; such queries have no quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantIndex(pub usize);
--- a/crates/fanout-policy/src/api/queries.rs
+++ b/crates/fanout-policy/src/api/queries.rs
@@ -2,35 +2,35 @@
 
 use super::{ClassIndex, Ms, PartId, QueryId, TenantIndex};
 
-/// A query on arrival. Its parts follow in the same batch.
+/// A query on arrival. The parts of its first step follow in the same batch.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Its identifier.
+    /// Identifier of the query.
     pub id: QueryId,
-    /// Group number that it shares with its parts.
+    /// Group number that the query shares with its parts.
     pub group: u64,
-    /// Its class.
+    /// Index of its class.
     pub class: ClassIndex,
-    /// Its tenant.
+    /// Index of its tenant.
     pub tenant: TenantIndex,
-    /// When the client gives up on this attempt.
+    /// When the client stops waiting for an answer. A retry arrives as a new query.
     pub client_deadline: Ms,
-    /// Whether the client marks it as a retry.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
 }
 
 /// A part of a query.
 #[derive(Clone, Debug)]
 pub struct Part {
-    /// Its identifier.
+    /// Identifier of the part.
     pub id: PartId,
-    /// Group number of its query.
+    /// Group number of the query that it belongs to.
     pub group: u64,
-    /// Its shard.
+    /// Number of the shard that it reads.
     pub shard: usize,
-    /// Its weight in the answer.
+    /// Weight of the part in the answer, as a share of the total weight of the step's parts.
     pub weight: f64,
-    /// Approximate cost, where the deployment provides hints.
+    /// Approximate work of the part; `None` if the deployment provides no hint.
     pub cost_hint: Option<Ms>,
 }
 
@@ -43,7 +43,7 @@
     Error,
     /// The server rejected the part for lack of capacity; the part never ran.
     Overloaded,
-    /// There was no answer in time; the part may have run or may still run.
+    /// No answer arrived in time; the part may have run or may still run.
     TimedOut,
     /// No connection could be made; the part never ran.
     Unreachable,
--- a/crates/fanout-policy/src/api/settings.rs
+++ b/crates/fanout-policy/src/api/settings.rs
@@ -5,82 +5,94 @@
 /// How the endpoint list reaches the aggregator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointListSource {
-    /// Updates arrive without a request.
+    /// Updates arrive without a request of the aggregator.
     Pushed,
-    /// Updates arrive only after the aggregator has polled for them.
+    /// Updates arrive only once the aggregator polls for them.
     Polled,
 }
 
-/// Limit on attempts beyond the first of each part.
+/// Limit on retries and hedged requests, that is, on attempts beyond the first of each part.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Attempts that are free in any window.
+    /// Number of such attempts that are allowed in any window.
     pub free_attempts: f64,
-    /// Further attempts per query or part accepted in the window.
+    /// Number of such attempts that are allowed in addition for each query and each part accepted
+    /// in the window.
     pub per_request: f64,
     /// Length of the sliding window.
     pub window: Ms,
 }
 
-/// Behaviour of servers that have just started.
+/// How servers behave after a start, while they warm up.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
-    /// Least share of its full capacity that a server has when it starts.
+    /// Minimum share of its full capacity that a server has when it starts.
     pub initial_capacity: f64,
-    /// Time after its start by which a server has warmed up.
+    /// Time from its start after which a server has its full capacity.
     pub duration: Ms,
-    /// A server fails when it receives more than this multiple of its current capacity ...
+    /// Multiple of its current capacity above which a warming server is overloaded. It fails if it
+    /// receives more work than that for [`overload_window`](WarmUp::overload_window).
     pub overload_factor: f64,
-    /// ... for this long.
+    /// Length of the overload after which a warming server fails, see
+    /// [`overload_factor`](WarmUp::overload_factor).
     pub overload_window: Ms,
 }
 
 /// Settings of one aggregator, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Query classes.
+    /// Query classes, by class index.
     pub classes: Vec<Class>,
-    /// Tenants; may be empty.
+    /// Tenants, by tenant index; may be empty.
     pub tenants: Vec<Tenant>,
     /// Number of aggregators, including this one.
     pub aggregators: usize,
-    /// Zone of this aggregator, where the deployment has zones. Servers name theirs in
-    /// [`Endpoint::zone`](super::Endpoint::zone).
+    /// Index of this aggregator's zone; `None` if the deployment has no zones. The zones of the
+    /// servers are in [`Endpoint::zone`](super::Endpoint::zone).
     pub zone: Option<usize>,
-    /// Fraction of its priority weight that a query over its tenant's quota keeps.
+    /// Factor on the priority weight of queries whose tenant exceeds its quota.
     pub over_quota_weight: f64,
-    /// Whether the priority weight of a query is proportional to its cost.
+    /// Whether the priority weight of a query is proportional to its work. Otherwise all queries of
+    /// a class have the same weight.
     pub weight_by_work: bool,
     /// Whether clients mark their retries, see [`Query::is_retry`](super::Query::is_retry).
     pub marks_retries: bool,
     /// Number of cells. Shard `s` is held by the cells `(s + j) % cells` for `j < replica_cells`.
     pub cells: usize,
-    /// Number of adjacent cells that hold a shard; 1 where the servers form sets.
+    /// Number of adjacent cells that hold each shard. It is 1 where the servers form sets: all
+    /// servers of a cell hold the same shards, and each shard is held in one cell only. It is
+    /// greater where the servers form a ring: each server has a cell of its own, and a shard is
+    /// held by its home cell and the next ones.
     pub replica_cells: usize,
     /// Number of shards.
     pub shards: usize,
-    /// Largest number of parts in one call to a server.
+    /// Maximum number of parts in one call to a server.
     pub max_parts_per_call: usize,
-    /// Cost of a call to its server in addition to the cost of its parts.
+    /// Work of a call at its server, in addition to the work of its parts.
     pub call_cost: Ms,
-    /// Largest number of attempts for one part.
+    /// Maximum number of attempts for one part.
     pub max_attempts: u32,
-    /// Whether a part may have two attempts in flight at once (request hedging).
+    /// Whether a part may have two attempts in flight at the same time (request hedging).
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Largest retry-after value that clients respect; `None` where it does not reach them.
+    /// Maximum retry-after value that clients respect; `None` if retry-after values do not reach
+    /// the clients.
     pub max_retry_after: Option<Ms>,
     /// Whether aggregators may exchange gossip messages.
     pub gossip: bool,
-    /// Least time between two batches.
+    /// Minimum time between two batches.
     pub tick: Ms,
-    /// How the endpoint list arrives.
+    /// How the endpoint list reaches the aggregator.
     pub list_source: EndpointListSource,
-    /// Time after which an aggregator that polls counts as informed of a change.
+    /// Maximum time between polls of the endpoint list. An aggregator that has not polled for this
+    /// long, or for four times as long after a failed poll, counts as informed of every change that
+    /// was listed that long ago, and the grace period of a draining server counts from then. The
+    /// delays after failed polls are derived from this time.
     pub list_poll_deadline: Ms,
-    /// Limit on further attempts, where one is prescribed.
+    /// Limit on retries and hedged requests; `None` if the deployment sets none, so that the policy
+    /// uses its default budget.
     pub retry_budget: Option<RetryBudget>,
-    /// Behaviour of servers that have just started.
+    /// How servers behave after a start, while they warm up.
     pub warm_up: WarmUp,
 }
--- a/crates/fanout-policy/src/settings/wire.rs
+++ b/crates/fanout-policy/src/settings/wire.rs
@@ -1,4 +1,4 @@
-//! The settings object on the wire: the names and types of its fields.
+//! The settings object on the wire: names and types of its fields.
 
 mod conversion;
 
@@ -48,7 +48,7 @@
     tick_ms: f64,
 }
 
-/// How the data is laid out, with lists that have one number for each class.
+/// Layout of the data over the servers. Each list has one number for each class.
 #[derive(Clone, Debug, Deserialize)]
 struct DataLayoutWire {
     #[serde(rename = "ClassNeed", deserialize_with = "numbers")]
@@ -71,7 +71,7 @@
     call_cost_ms: f64,
 }
 
-/// What aggregators may do.
+/// Limits on what an aggregator does, and features that the deployment allows.
 #[derive(Clone, Debug, Deserialize)]
 struct PermissionsWire {
     #[serde(rename = "SendCap", deserialize_with = "whole_number")]
@@ -84,7 +84,7 @@
     gossip: bool,
     #[serde(rename = "RetryAfter", default, deserialize_with = "flag")]
     retry_after: bool,
-    /// Needed where `retry_after` is set.
+    /// Read only if `retry_after` is set; a fault in it is ignored otherwise.
     #[serde(
         rename = "MaxRetryAfter",
         default,
@@ -109,7 +109,7 @@
     idle_timeout_ms: Option<f64>,
 }
 
-/// Rules that the deployment sets.
+/// Rules of the deployment for polls of the endpoint list, retries and warm-ups.
 #[derive(Clone, Debug, Deserialize)]
 struct RulesWire {
     #[serde(rename = "AskWithin", default, deserialize_with = "optional_number")]
@@ -134,14 +134,14 @@
     overload_window_ms: f64,
 }
 
-/// A class of queries.
+/// Settings of one query class.
 #[derive(Clone, Debug, Deserialize)]
 struct ClassWire {
     #[serde(rename = "Name", default, deserialize_with = "text_or_empty")]
     name: String,
     #[serde(rename = "Semantics", deserialize_with = "choice")]
     retry_safety: RetrySafetyWire,
-    /// Needed where repeats are deduplicated by an idempotency key.
+    /// Required if `retry_safety` is [`RetrySafetyWire::IdempotencyKey`]; not read otherwise.
     #[serde(rename = "MemorySpan", default, deserialize_with = "deferred_number")]
     idempotency_window_ms: Deferred<f64>,
     #[serde(rename = "Aim", deserialize_with = "number")]
@@ -154,7 +154,7 @@
     late_weight: f64,
 }
 
-/// A tenant.
+/// Settings of one tenant.
 #[derive(Clone, Debug, Deserialize)]
 struct TenantWire {
     #[serde(rename = "Name", default, deserialize_with = "text_or_empty")]
@@ -163,15 +163,15 @@
     quota_per_s: f64,
 }
 
-/// How clients behave.
+/// Behavior of the clients.
 #[derive(Clone, Debug, Deserialize)]
 struct ClientsWire {
     #[serde(rename = "MarksRetry", default, deserialize_with = "flag")]
     marks_retries: bool,
 }
 
-/// What the priority weight of a query is proportional to, where it is not the same for all queries
-/// of a class.
+/// Quantity that the priority weight of a query is proportional to. Without it, all queries of a
+/// class have the same weight.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 enum WeightBasisWire {
     #[serde(rename = "work")]
--- a/crates/fanout-policy/src/settings/wire/conversion.rs
+++ b/crates/fanout-policy/src/settings/wire/conversion.rs
@@ -1,6 +1,7 @@
-//! The conversion of the settings object into the settings that the policy uses.
+//! Conversion of the settings object into the settings that the policy uses.
 //!
-//! A field that the presence or value of another one makes necessary is checked here.
+//! Fields that are required only because of the presence or value of another field are checked
+//! here, all others when the object is decoded.
 
 use super::{
     ClassWire, DataLayoutWire, EndpointListSourceWire, PermissionsWire, RetrySafetyWire, RulesWire,
@@ -10,7 +11,8 @@
 use crate::settings::SiteSettings;
 use wire_fields::{FieldError, FieldProblem};
 
-/// Fails where a field is missing that others make necessary.
+/// Fails if a field that another field requires is missing or has a wrong type, or if a list of the
+/// data layout has no entry for a class.
 impl TryFrom<SettingsWire> for SiteSettings {
     type Error = FieldError;
 
@@ -37,7 +39,7 @@
         let layout = wire.data_layout;
         let mut classes = Vec::new();
         for (index, class) in wire.classes.into_iter().enumerate() {
-            classes.push(class.with_figures(layout.figures_of_class(index)?)?);
+            classes.push(class.into_class(layout.class_layout(index)?)?);
         }
         Ok(Settings {
             classes,
@@ -67,7 +69,8 @@
 }
 
 impl PermissionsWire {
-    /// The largest retry-after value, where such values reach the clients.
+    /// Returns the maximum retry-after value; `None` if retry-after values do not reach the clients
+    /// or no maximum is set.
     fn max_retry_after(self) -> Result<Option<f64>, FieldError> {
         if self.retry_after {
             self.max_retry_after_ms.optional("Allowed", "MaxRetryAfter")
@@ -78,7 +81,8 @@
 }
 
 impl RulesWire {
-    /// The retry budget, where any of its fields is present; its window must then be too.
+    /// Returns the retry budget; `None` if all of its fields are absent. Fails if the window alone
+    /// is absent.
     fn retry_budget(&self) -> Result<Option<RetryBudget>, FieldError> {
         match (
             self.retry_window_ms,
@@ -95,6 +99,7 @@
         }
     }
 
+    /// Returns the warm-up behavior of servers.
     fn warm_up(&self) -> WarmUp {
         WarmUp {
             initial_capacity: self.initial_capacity,
@@ -105,8 +110,8 @@
     }
 }
 
-/// The figures of one class among those of the data layout.
-struct ClassFigures {
+/// The numbers of one class in the lists of the data layout.
+struct ClassLayout {
     required_share: f64,
     minimum_share: f64,
     partial_weight: f64,
@@ -114,32 +119,33 @@
 }
 
 impl DataLayoutWire {
-    fn figures_of_class(&self, index: usize) -> Result<ClassFigures, FieldError> {
-        let figure = |figures: &[f64], field| {
+    /// Returns the numbers of the class with this index. Fails if a list has no entry for it.
+    fn class_layout(&self, index: usize) -> Result<ClassLayout, FieldError> {
+        let entry = |entries: &[f64], field| {
             let too_few = || FieldError::new("FamilyInfo", field, FieldProblem::TooFewEntries);
-            figures.get(index).copied().ok_or_else(too_few)
+            entries.get(index).copied().ok_or_else(too_few)
         };
-        Ok(ClassFigures {
-            required_share: figure(&self.required_shares, "ClassNeed")?,
-            minimum_share: figure(&self.minimum_shares, "MinShare")?,
-            partial_weight: figure(&self.partial_weights, "PartialEarns")?,
-            second_step_parts: figure(&self.second_step_parts, "FetchParts")?,
+        Ok(ClassLayout {
+            required_share: entry(&self.required_shares, "ClassNeed")?,
+            minimum_share: entry(&self.minimum_shares, "MinShare")?,
+            partial_weight: entry(&self.partial_weights, "PartialEarns")?,
+            second_step_parts: entry(&self.second_step_parts, "FetchParts")?,
         })
     }
 }
 
 impl ClassWire {
-    fn with_figures(self, figures: ClassFigures) -> Result<Class, FieldError> {
+    fn into_class(self, layout: ClassLayout) -> Result<Class, FieldError> {
         Ok(Class {
             latency_objective: self.latency_objective_ms,
             client_timeout: self.client_timeout_ms,
             priority_weight: self.priority_weight,
             late_weight: self.late_weight,
             retry_safety: self.retry_safety()?,
-            required_share: figures.required_share,
-            minimum_share: figures.minimum_share,
-            partial_weight: figures.partial_weight,
-            has_second_step: figures.second_step_parts > 0.0,
+            required_share: layout.required_share,
+            minimum_share: layout.minimum_share,
+            partial_weight: layout.partial_weight,
+            has_second_step: layout.second_step_parts > 0.0,
         })
     }
 
