--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -1,8 +1,8 @@
-//! The aggregator: composes the components of the policy and keeps the order of a batch.
+//! The aggregator: composes the components of the policy and processes batches of events.
 //!
-//! [`Aggregator`] owns the settings, the queries in flight and the timers, [`PolicyState`] what the
-//! decisions are based on. [`query_driver`] advances queries, [`attempt_outcomes`] records how
-//! attempts ended, [`views`] gives read access.
+//! [`Aggregator`] owns the settings, the queries in flight and the timers. [`PolicyState`] owns the
+//! state that the decisions depend on. [`query_driver`] advances queries, [`attempt_outcomes`]
+//! updates the statistics after each attempt, and [`views`] gives read access to the statistics.
 
 mod attempt_outcomes;
 mod query_driver;
@@ -36,21 +36,21 @@
     control_timer: ControlTimer,
 }
 
-/// What the decisions on queries are based on.
+/// State that the decisions on queries depend on.
 struct PolicyState {
     random: RandomSource,
     fleet: Fleet,
     attempts: AttemptTable,
-    /// Estimates by class.
+    /// Estimates of each class, by class index.
     classes: Vec<ClassEstimates>,
-    /// Controllers of the fan-out width by class.
+    /// Controllers of the fan-out width, by class index.
     fanout_widths: Vec<FanoutWidthController>,
     admission: AdmissionController,
     retry_budget: RetryBudget,
     gossip: LoadGossip,
 }
 
-/// An attempt that the caller reports as ended.
+/// The end of an attempt, as the caller reports it in [`Event::AttemptEnded`].
 struct AttemptReport {
     part: PartId,
     number: u32,
@@ -60,8 +60,8 @@
 }
 
 impl Aggregator {
-    /// An aggregator that knows nothing but its settings. The same seed and events lead to
-    /// the same actions.
+    /// Creates an aggregator without servers, queries or statistics. Two aggregators with the same
+    /// settings, seed and events return the same actions.
     #[must_use]
     pub fn new(settings: Settings, seed: u64) -> Self {
         Aggregator {
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Processes all events of one point in time and returns the actions to carry out, in
-    /// order. Attempts are decided after all events, so that parts for one server share
-    /// calls.
+    /// Processes the events of the batch at time `now` and returns the actions to carry out, in
+    /// order. Attempts are chosen only after all events of the batch have been applied, so that
+    /// parts for the same server share calls.
     pub fn on_batch(&mut self, now: Ms, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.batch_timer
@@ -97,13 +97,14 @@
         actions
     }
 
-    /// Number of servers of which records are held.
+    /// Returns the number of server records in memory, including those of forgotten servers that
+    /// are kept for reuse.
     #[must_use]
     pub fn servers_known(&self) -> usize {
         self.state.fleet.record_count()
     }
 
-    /// Applies one event.
+    /// Applies one event to the state.
     fn handle_event(&mut self, now: Ms, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::EndpointList { update, endpoints } => {
@@ -197,7 +198,7 @@
         gossip.on_message(&batch, message, fleet, random);
     }
 
-    /// Starts a control interval: adjusts all controllers and discards old state.
+    /// Starts a control interval: adjusts all controllers and discards expired state.
     fn run_control_loops(&mut self, now: Ms) {
         let batch = BatchContext::new(now, &self.settings);
         let in_use = self.servers_in_use();
@@ -214,7 +215,7 @@
             width.adjust(max_rows);
         }
         fleet.start_interval(&batch, random);
-        for server in fleet.loaded() {
+        for server in fleet.with_own_work() {
             gossip.mark_changed(server);
         }
         fleet.forget_removed(&batch, &in_use);
@@ -222,13 +223,14 @@
         retry_budget.discard_expired(&batch);
     }
 
-    /// Servers that queries or attempts refer to.
+    /// Returns the servers that a query in flight or an attempt in flight refers to. Their records
+    /// must not be reused yet.
     fn servers_in_use(&self) -> BTreeSet<ServerIndex> {
         let attempts = self.state.attempts.servers();
         self.queries.servers().chain(attempts).collect()
     }
 
-    /// Advances all queries and removes those that have ended.
+    /// Advances all queries in flight and removes those that end.
     fn advance_queries(&mut self, now: Ms, actions: &mut Vec<Action>) {
         let batch = BatchContext::new(now, &self.settings);
         let mut driver = QueryDriver::new(batch, &mut self.state, actions);
--- a/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
+++ b/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
@@ -1,4 +1,4 @@
-//! Passes the end of an attempt on to the components that learn from it.
+//! Updates the statistics of servers and classes after an attempt has ended.
 
 use super::PolicyState;
 use crate::api::Ms;
@@ -8,7 +8,7 @@
 use crate::queries::InFlightAttempt;
 
 impl PolicyState {
-    /// Learns from the end of an attempt.
+    /// Updates the statistics of the attempt's server and class with the end of the attempt.
     pub(super) fn record_attempt_end(
         &mut self,
         batch: &BatchContext,
@@ -47,8 +47,8 @@
         }
     }
 
-    /// Applies a server's report of its load. It is late and may be wrong, so it only
-    /// affects forecasts.
+    /// Applies the load, in requests, that a server reported with the end of an attempt. The
+    /// report arrives late and may be wrong, so it is used for latency forecasts only.
     pub(super) fn record_load_report(
         &mut self,
         batch: &BatchContext,
@@ -60,6 +60,7 @@
             .on_load_report(batch, attempt.server, load, part_cost);
     }
 
+    /// Returns the values that the length of an ejection depends on besides the server's state.
     fn ejection_context(&self, batch: &BatchContext, jitter: EjectionJitter) -> EjectionContext {
         let servers = self.fleet.rows().server_count();
         let send_interval: Ms = self.retry_budget.mean_send_interval(batch, servers);
--- a/crates/fanout-policy/src/aggregator/query_driver.rs
+++ b/crates/fanout-policy/src/aggregator/query_driver.rs
@@ -1,4 +1,5 @@
-//! Advances queries within a batch: carries out what the components decide.
+//! Advances the queries of a batch: asks the components for decisions and turns these into
+//! actions.
 
 use super::PolicyState;
 use crate::api::{Action, QueryId};
@@ -22,7 +23,7 @@
 }
 
 impl<'a> QueryDriver<'a> {
-    /// A driver that adds to these actions.
+    /// Creates a driver that appends its actions to `actions`.
     pub(super) fn new(
         batch: BatchContext<'a>,
         state: &'a mut PolicyState,
@@ -35,7 +36,8 @@
         }
     }
 
-    /// Advances a query: answers it, gives it up, or plans and sends its parts.
+    /// Advances a query by one batch: answers it, ends it without an answer, or plans and sends
+    /// its parts.
     pub(super) fn advance(&mut self, id: &QueryId, query: &mut InFlightQuery) -> QueryProgress {
         let progress = match self.completion().decide(query) {
             CompletionDecision::Wait => QueryProgress::InFlight,
@@ -54,7 +56,8 @@
         QueryProgress::InFlight
     }
 
-    /// Cancels what is left of a query that has ended, and learns from its duration.
+    /// Cancels the attempts of an ended query that are still in flight, and updates the estimates
+    /// of its class with the query's forecast error and the duration of its second step.
     pub(super) fn finish(&mut self, query: &InFlightQuery) {
         self.cancel_attempts(query);
         let objective = self.batch.objective(query);
@@ -67,8 +70,8 @@
         }
     }
 
-    /// Admits a query, assigns its parts to replica rows and defers those that the answer
-    /// can do without.
+    /// Decides on admission in the first step. If the query stays in flight, assigns the parts of
+    /// the current step to replica rows and defers the parts that a complete answer does not need.
     fn plan(&mut self, id: &QueryId, query: &mut InFlightQuery) -> QueryProgress {
         query.start_planning();
         if !query.in_second_step() && self.admit(id, query) == QueryProgress::Ended {
@@ -87,6 +90,7 @@
         QueryProgress::InFlight
     }
 
+    /// Admits the query, or ends it without an answer if the admission control rejects it.
     fn admit(&mut self, id: &QueryId, query: &mut InFlightQuery) -> QueryProgress {
         let PolicyState {
             fleet,
@@ -109,7 +113,7 @@
         }
     }
 
-    /// Sends what a part needs next.
+    /// Sends the attempt that a part needs now, if any.
     fn advance_part(&mut self, query: &mut InFlightQuery, index: usize) {
         match self.retry_policy().next_step(query, &query.parts()[index]) {
             PartStep::Wait => {}
@@ -125,6 +129,8 @@
         }
     }
 
+    /// Sends a retry, unless the retry budget is used up, no server can be selected, or the retry
+    /// has to wait until its server has capacity.
     fn retry(&mut self, query: &mut InFlightQuery, index: usize) {
         let retry_budget = &mut self.state.retry_budget;
         let Some(permit) = retry_budget.try_acquire_retry(&self.batch) else {
@@ -141,6 +147,8 @@
         self.send(query, index, server);
     }
 
+    /// Sends a hedged request for a part whose attempt in flight is overdue, or cancels that
+    /// attempt so that a retry can follow.
     fn hedge(&mut self, query: &mut InFlightQuery, index: usize) {
         let part = &query.parts()[index];
         if !self.retry_policy().is_overdue(query, part) {
@@ -164,7 +172,8 @@
         }
     }
 
-    /// The server for a hedged request, unless an attempt for the part is in flight to it.
+    /// Returns the server for a hedged request. `None` if no server can be selected, if the
+    /// selected server already has an attempt for the part in flight, or if it is not eligible.
     fn select_for_hedge(&self, query: &InFlightQuery, part: &PartState) -> Option<ServerIndex> {
         let selector = self.selector();
         let server = selector.select(query, part)?;
@@ -181,7 +190,8 @@
         }
     }
 
-    /// Sends an attempt for a part and records it.
+    /// Sends an attempt for a part, and records it with the part, the server, the gossip and the
+    /// table of attempts.
     fn send(&mut self, query: &mut InFlightQuery, index: usize, server: ServerIndex) {
         let timeout = self.limits().attempt_timeout(query);
         let attempt = self
@@ -203,7 +213,7 @@
             .insert(part.id().clone(), number, attempt);
     }
 
-    /// Answers a query. It remains in flight if its second step follows.
+    /// Answers the current step of a query. The query stays in flight if its second step follows.
     fn answer(
         &mut self,
         id: &QueryId,
@@ -223,7 +233,7 @@
         QueryProgress::InFlight
     }
 
-    /// Ends a query without an answer.
+    /// Ends a query without an answer: rejects it if a retry is safe, and fails it otherwise.
     fn end_without_answer(&mut self, id: &QueryId, query: &InFlightQuery) -> QueryProgress {
         let query_id = id.clone();
         let end = RetryAfter::new(&self.batch, self.retry_policy()).decide(query);
@@ -238,8 +248,8 @@
         QueryProgress::Ended
     }
 
-    /// Cancels all attempts of the current step that are in flight, where attempts may be
-    /// cancelled.
+    /// Cancels all attempts of the current step that are in flight, if the settings allow
+    /// cancellation.
     fn cancel_attempts(&mut self, query: &InFlightQuery) {
         if !self.batch.settings.cancellation {
             return;
--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -1,6 +1,6 @@
-//! Views of what an aggregator has learned, and input of outcomes that others observed.
+//! Read access to an aggregator's statistics, and input of outcomes that other observers counted.
 //!
-//! Nothing here decides anything: load reports update the same statistics as the aggregator's
+//! This module makes no decisions. A load report updates the same statistics as the aggregator's
 //! own attempts.
 
 use super::{Aggregator, PolicyState};
@@ -14,13 +14,13 @@
 use crate::queries::InFlightAttempt;
 use crate::view::{ClassView, LoadReport, ServerView};
 
-/// Lower bound of the fleet's latency per work as a divisor.
+/// Lower bound of the fleet's latency per work where it is a divisor, in ms per ms of work.
 const MIN_LATENCY_PER_WORK: f64 = 1e-9;
-/// Least work that a reported attempt is assumed to be.
+/// Minimum work that an attempt in a load report is assumed to have been.
 const MIN_REPORTED_WORK_MS: Ms = 1.0;
 
 impl Aggregator {
-    /// All classes, in order of their indexes.
+    /// Returns the statistics of all classes, in order of their indexes.
     #[must_use]
     pub fn class_views(&self) -> Vec<ClassView> {
         let view = |(class, width): (&ClassEstimates, &FanoutWidthController)| ClassView {
@@ -36,13 +36,13 @@
         classes.iter().zip(fanout_widths).map(view).collect()
     }
 
-    /// Median latency per outstanding work over the fleet.
+    /// Returns the median over the fleet of the latency per ms of outstanding work.
     #[must_use]
     pub fn fleet_latency_per_work(&self) -> f64 {
         self.state.fleet.latency().per_work()
     }
 
-    /// All servers that serve or drain, in order of their names.
+    /// Returns the statistics of all servers that serve or drain, in order of their names.
     #[must_use]
     pub fn server_views(&self, now: Ms) -> Vec<ServerView> {
         let servers = self.state.fleet.listed();
@@ -67,8 +67,10 @@
         }
     }
 
-    /// Applies what others observed since their last reports. Each report counts as a few
-    /// attempts in the same proportion.
+    /// Applies outcomes that other observers counted since their previous reports. Each report is
+    /// replaced by a few sample attempts with about the same proportion of outcomes, which are
+    /// recorded as attempts of `class`. Reports on unknown servers, and all reports for an unknown
+    /// class, are ignored.
     pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
         let Some(estimates) = self.state.classes.get(class.0) else {
             return;
@@ -84,6 +86,8 @@
             let attempt = InFlightAttempt {
                 server,
                 class: class.0,
+                // The attempt was not sent by this aggregator, so its end must not reduce this
+                // aggregator's outstanding work at the server.
                 work: 0.0,
                 work_ahead: work,
                 sent_at: now - elapsed.min(expected_latency),
@@ -93,7 +97,7 @@
         }
     }
 
-    /// Learns from the samples of a report, each of which counts as this attempt.
+    /// Updates the statistics with each sample of a report as if `attempt` had ended with it.
     fn apply_load_report(&mut self, now: Ms, attempt: &InFlightAttempt, report: &LoadReport) {
         let batch = BatchContext::new(now, &self.settings);
         let elapsed = report.mean_latency.unwrap_or(attempt.expected_latency);
--- a/crates/fanout-policy/src/fleet.rs
+++ b/crates/fanout-policy/src/fleet.rs
@@ -1,7 +1,8 @@
-//! All known data servers.
+//! All data servers of the endpoint list.
 //!
-//! [`Fleet`] owns the servers with their indexes and what holds for all of them: the replica
-//! rows, the silence of zones, the fleet's latency and the rate at which a warm server serves.
+//! [`Fleet`] owns the servers, the indexes that find them, and the state that concerns several
+//! servers: the replica rows, the share of unanswered attempts of each zone, the median latency of
+//! the fleet, and the rate at which a warm server serves work.
 
 mod replica_rows;
 mod server;
@@ -26,12 +27,13 @@
 use server_records::ServerRecords;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The servers of the endpoint lists seen so far, without those forgotten.
+/// The data servers of all endpoint lists received so far. A server that was removed from the list
+/// is forgotten some time later, see [`Fleet::forget_removed`].
 pub(crate) struct Fleet {
-    /// Records by index. The index of a server does not change while it is known.
+    /// Records of the servers. The index of a server does not change until it is forgotten.
     servers: ServerRecords,
-    /// Indexes of forgotten servers, to be reused.
-    free: Vec<ServerIndex>,
+    /// Indexes of forgotten servers, which are reused for new servers.
+    free_indexes: Vec<ServerIndex>,
     by_name: BTreeMap<NodeId, ServerIndex>,
     by_short_name: BTreeMap<ShortName, ServerIndex>,
     rows: ReplicaRows,
@@ -41,11 +43,11 @@
 }
 
 impl Fleet {
-    /// No servers.
+    /// Creates a fleet without servers.
     pub(crate) fn new() -> Self {
         Fleet {
             servers: ServerRecords::default(),
-            free: Vec::new(),
+            free_indexes: Vec::new(),
             by_name: BTreeMap::new(),
             by_short_name: BTreeMap::new(),
             rows: ReplicaRows::default(),
@@ -55,61 +57,64 @@
         }
     }
 
-    /// Number of records held, including those to be reused.
+    /// Returns the number of server records in memory, including those of forgotten servers that
+    /// are kept for reuse.
     pub(crate) fn record_count(&self) -> usize {
         self.servers.len()
     }
 
-    /// A server.
+    /// Returns the server with this index.
     pub(crate) fn server(&self, index: ServerIndex) -> &Server {
         &self.servers[index]
     }
 
-    /// Index of the server with this name.
+    /// Returns the index of the server with this name; `None` if it is not known.
     pub(crate) fn find(&self, node: &NodeId) -> Option<ServerIndex> {
         self.by_name.get(node).copied()
     }
 
-    /// Whether a server has not been forgotten.
+    /// Returns whether the server with this index is known, that is, has not been forgotten.
     pub(crate) fn is_known(&self, index: ServerIndex) -> bool {
         self.by_name.values().any(|known| *known == index)
     }
 
-    /// The servers that serve or drain, in order of their names.
+    /// Returns the servers that serve or drain, in order of their names.
     pub(crate) fn listed(&self) -> impl Iterator<Item = &Server> {
         let servers = self.by_name.values().map(|index| &self.servers[*index]);
         servers.filter(|server| server.state() != ServingState::Removed)
     }
 
-    /// Indexes of the servers with outstanding work of this aggregator.
-    pub(crate) fn loaded(&self) -> impl Iterator<Item = ServerIndex> {
+    /// Returns the indexes of the servers at which this aggregator has outstanding work.
+    pub(crate) fn with_own_work(&self) -> impl Iterator<Item = ServerIndex> {
         let indexes = self.servers.indexes();
         indexes.filter(move |index| self.servers[*index].outstanding().own() > 0.0)
     }
 
-    /// The holders of the shards.
+    /// Returns the replica rows: the holders of each shard.
     pub(crate) fn rows(&self) -> &ReplicaRows {
         &self.rows
     }
 
-    /// Servers that hold a shard.
+    /// Returns the servers that hold a shard, in row order.
     pub(crate) fn holders(&self, shard: usize) -> &[ServerIndex] {
         self.rows.holders(shard)
     }
 
-    /// Median latency of the servers.
+    /// Returns the median latency of the servers.
     pub(crate) fn latency(&self) -> &FleetLatency {
         &self.latency
     }
 
-    /// Rate at which a warm server serves the work of this aggregator.
+    /// Returns the rate at which a warm server serves the work of this aggregator.
     pub(crate) fn served_rate(&self) -> &ServedRate {
         &self.served_rate
     }
 
-    /// Error rate of a server for a class. A server not observed for an objective is
-    /// assumed to be as silent as its zone, so that a network partition is not discovered
-    /// at each server anew.
+    /// Returns the error rate to expect from attempts of a class at a server: the maximum of the
+    /// server's error rate and its error rate for that class. If the server's latency has not been
+    /// observed within the shortest latency objective, the maximum also
+    /// includes the share of unanswered attempts in the server's zone: once some servers of a zone
+    /// show a network partition, the others are avoided without a failed attempt at each of them.
     pub(crate) fn error_rate(&self, batch: &BatchContext, server: &Server, class: usize) -> f64 {
         let is_unobserved = server
             .latency()
@@ -126,14 +131,16 @@
             .max(health.class_error_rate(class))
     }
 
-    /// Starts a batch.
+    /// Starts a batch. Parts sent in the new batch do not share calls with those of earlier
+    /// batches.
     pub(crate) fn on_batch(&mut self) {
         for server in self.servers.iter_mut() {
             server.on_batch();
         }
     }
 
-    /// Applies an update of the endpoint list.
+    /// Applies an update of the endpoint list. Servers that are missing from a complete list count
+    /// as removed.
     pub(crate) fn apply_list(
         &mut self,
         batch: &BatchContext,
@@ -152,13 +159,13 @@
         self.rebuild_rows(batch.settings.cells, batch.settings.replica_cells);
     }
 
-    /// Records an attempt that is sent.
+    /// Records an attempt that is being sent.
     pub(crate) fn record_send(&mut self, attempt: &InFlightAttempt) {
         self.servers[attempt.server].record_send(attempt);
     }
 
-    /// Records that an attempt is no longer in flight, and what its end says about the
-    /// server's zone and the class.
+    /// Records that an attempt is no longer in flight. Updates the share of unanswered attempts in
+    /// the server's zone and the server's error rate for the attempt's class.
     pub(crate) fn record_end(&mut self, ended: &EndedAttempt) {
         let server = &mut self.servers[ended.attempt().server];
         if let Some(response) = ended.response() {
@@ -167,24 +174,26 @@
         server.record_end(ended);
     }
 
-    /// Learns from an attempt that was served.
+    /// Updates the statistics of the server and the fleet with an attempt that was served.
     pub(crate) fn on_answer(&mut self, batch: &BatchContext, ended: &EndedAttempt) {
         let attempt = ended.attempt();
         self.served_rate.record_served(attempt.work);
         self.servers[attempt.server].on_answer(batch, ended);
     }
 
-    /// Learns from an attempt that was rejected for lack of capacity.
+    /// Ejects the server of an attempt that was rejected for lack of capacity.
     pub(crate) fn on_overload(&mut self, ended: &EndedAttempt, context: &EjectionContext) {
         self.servers[ended.attempt().server].on_overload(context);
     }
 
-    /// Learns from an attempt that timed out, before it counts as a failure.
+    /// Updates the latency estimate of a server with an attempt that timed out. The timeout is also
+    /// a failure, which the caller passes to [`Fleet::on_failure`] afterwards.
     pub(crate) fn on_timeout(&mut self, batch: &BatchContext, ended: &EndedAttempt) {
         self.servers[ended.attempt().server].on_timeout(batch.now, ended, &self.latency);
     }
 
-    /// Learns from an attempt that failed.
+    /// Updates the health of a server with an attempt that failed, and ejects the server if
+    /// necessary.
     pub(crate) fn on_failure(
         &mut self,
         batch: &BatchContext,
@@ -194,7 +203,8 @@
         self.servers[ended.attempt().server].on_failure(batch, ended, context);
     }
 
-    /// Applies a server's report of its load, the number of requests there, each with this cost.
+    /// Applies a server's load report: `load` requests wait or run there, each with `part_cost` of
+    /// work.
     pub(crate) fn on_load_report(
         &mut self,
         batch: &BatchContext,
@@ -205,7 +215,8 @@
         self.servers[server].on_load_report(batch, load, part_cost, &self.latency);
     }
 
-    /// Applies what another aggregator published about a server, if the server is known.
+    /// Applies a report that another aggregator published about a server. A report on an unknown
+    /// server is ignored.
     pub(crate) fn on_peer_report(
         &mut self,
         batch: &BatchContext,
@@ -218,7 +229,8 @@
         }
     }
 
-    /// Starts a control interval: updates all averages and draws for slow start.
+    /// Starts a control interval: updates the fleet's latency and the averages of all servers, and
+    /// draws a random number for the slow start of each server.
     pub(crate) fn start_interval(&mut self, batch: &BatchContext, random: &mut RandomSource) {
         let latencies = self.servers.iter().map(Server::latency);
         self.latency.update(batch.now, latencies);
@@ -229,8 +241,9 @@
         self.served_rate.end_interval(warm_servers.count());
     }
 
-    /// Forgets the removed servers that have long not been observed and are not in use, so
-    /// that records stay bounded as servers are replaced.
+    /// Forgets each removed server whose latency has not been observed for the duration of a
+    /// warm-up, unless it is in `in_use`. This bounds the number of records where servers are
+    /// replaced by others with new names.
     pub(crate) fn forget_removed(&mut self, batch: &BatchContext, in_use: &BTreeSet<ServerIndex>) {
         let unobserved_since = batch.now - batch.settings.warm_up.duration;
         let is_obsolete = |index: &ServerIndex| {
@@ -244,15 +257,16 @@
         self.by_name.retain(|_, index| !forgotten.contains(index));
         self.by_short_name
             .retain(|_, index| !forgotten.contains(index));
-        self.free.extend(forgotten);
+        self.free_indexes.extend(forgotten);
     }
 
+    /// Returns the index of the server with this name, and adds the server if it is not known.
     fn find_or_add(&mut self, node: &NodeId) -> ServerIndex {
         if let Some(index) = self.find(node) {
             return index;
         }
         let server = Server::new(node.clone(), &self.latency);
-        let index = match self.free.pop() {
+        let index = match self.free_indexes.pop() {
             Some(index) => {
                 self.servers[index] = server;
                 index
@@ -264,6 +278,7 @@
         index
     }
 
+    /// Determines the holders of each shard from the servers that serve now.
     fn rebuild_rows(&mut self, cells: usize, replica_cells: usize) {
         let indexes = self.by_name.values().copied();
         let serving = indexes.filter(|index| self.servers[*index].state() == ServingState::Serving);
--- a/crates/fanout-policy/src/fleet/replica_rows.rs
+++ b/crates/fanout-policy/src/fleet/replica_rows.rs
@@ -1,27 +1,29 @@
-//! The replica rows: which servers hold each shard, in row order.
+//! The replica rows: which servers hold each shard, in row order. A row consists of one holder of
+//! each shard.
 
 use super::ServerIndex;
 use std::collections::BTreeSet;
 
-/// A server that serves.
+/// A server in the state `Serving`.
 pub(super) struct ServingServer {
-    /// Its index.
+    /// Index of the server.
     pub(super) index: ServerIndex,
-    /// Its cell.
+    /// Cell of the server.
     pub(super) cell: usize,
 }
 
-/// The holders of each shard, rebuilt with each endpoint list.
+/// The holders of each shard. They are determined anew with each update of the endpoint list.
 #[derive(Default)]
 pub(crate) struct ReplicaRows {
-    /// Holders by home cell of a shard: by distance of their cell, then by server name.
+    /// Holders of the shards by home cell, the first cell that holds a shard. The holders are in
+    /// order of the distance of their cell from the home cell, then in order of name.
     holders: Vec<Vec<ServerIndex>>,
-    /// Number of different servers.
-    servers: usize,
+    /// Number of different servers that hold any shard.
+    server_count: usize,
 }
 
 impl ReplicaRows {
-    /// Rows of the serving servers, given in order of name.
+    /// Creates the rows of the servers in `serving`, which must be in order of name.
     pub(super) fn new(
         cells: usize,
         replica_cells: usize,
@@ -39,11 +41,14 @@
                 .collect()
         };
         let holders: Vec<Vec<ServerIndex>> = (0..cells).map(row).collect();
-        let servers = holders.iter().flatten().collect::<BTreeSet<_>>().len();
-        ReplicaRows { holders, servers }
+        let server_count = holders.iter().flatten().collect::<BTreeSet<_>>().len();
+        ReplicaRows {
+            holders,
+            server_count,
+        }
     }
 
-    /// Servers that hold the shard.
+    /// Returns the servers that hold the shard, in row order.
     pub(crate) fn holders(&self, shard: usize) -> &[ServerIndex] {
         if self.holders.is_empty() {
             &[]
@@ -52,12 +57,12 @@
         }
     }
 
-    /// Number of different servers.
+    /// Returns the number of different servers that hold any shard.
     pub(crate) fn server_count(&self) -> usize {
-        self.servers
+        self.server_count
     }
 
-    /// Largest number of holders of any shard.
+    /// Returns the maximum number of holders of any shard.
     pub(crate) fn max_holders(&self) -> usize {
         self.holders.iter().map(Vec::len).max().unwrap_or(0)
     }
--- a/crates/fanout-policy/src/fleet/server.rs
+++ b/crates/fanout-policy/src/fleet/server.rs
@@ -1,7 +1,7 @@
-//! One data server: its entry in the endpoint list and what is learned about it.
+//! One data server: its entry in the endpoint list and its statistics.
 //!
-//! [`Server`] composes the components that own this knowledge, and tells them what happens in
-//! order.
+//! [`Server`] composes the components that own the statistics, and passes each event on to those
+//! that it concerns.
 
 use crate::api::{Endpoint, Ms, NodeId, ServingState};
 use crate::policy::batch_context::BatchContext;
@@ -13,7 +13,7 @@
 use crate::policy::slow_start::SlowStart;
 use crate::queries::InFlightAttempt;
 
-/// What is known of one data server.
+/// State and statistics of one data server.
 pub(crate) struct Server {
     node: NodeId,
     cell: usize,
@@ -27,7 +27,8 @@
 }
 
 impl Server {
-    /// A server about which nothing but the fleet's latency is known.
+    /// Creates a server that has no entry in the endpoint list yet. Until its latency is observed,
+    /// it is assumed to have the latency of the fleet.
     pub(super) fn new(node: NodeId, fleet_latency: &FleetLatency) -> Self {
         Server {
             node,
@@ -42,80 +43,83 @@
         }
     }
 
-    /// Its name.
+    /// Returns its name.
     pub(crate) fn node(&self) -> &NodeId {
         &self.node
     }
 
-    /// Its cell.
+    /// Returns its cell.
     pub(crate) fn cell(&self) -> usize {
         self.cell
     }
 
-    /// Its zone, if the endpoint list names zones.
+    /// Returns its zone; `None` if the endpoint list names no zones.
     pub(crate) fn zone(&self) -> Option<usize> {
         self.zone
     }
 
-    /// Its state in the endpoint list.
+    /// Returns its state in the endpoint list.
     pub(crate) fn state(&self) -> ServingState {
         self.state
     }
 
-    /// Error rates and failures.
+    /// Returns its error rates and failures.
     pub(crate) fn health(&self) -> &ServerHealth {
         &self.health
     }
 
-    /// Ejections.
+    /// Returns its ejections.
     pub(crate) fn outliers(&self) -> &OutlierDetector {
         &self.outliers
     }
 
-    /// Warm-up after a start.
+    /// Returns the state of its slow start.
     pub(crate) fn slow_start(&self) -> &SlowStart {
         &self.slow_start
     }
 
-    /// Latency per outstanding work.
+    /// Returns the estimate of its latency per ms of outstanding work.
     pub(crate) fn latency(&self) -> &LatencyEstimator {
         &self.latency
     }
 
-    /// Outstanding work.
+    /// Returns its outstanding work.
     pub(crate) fn outstanding(&self) -> &OutstandingWork {
         &self.outstanding
     }
 
-    /// Whether it serves and has warmed up.
+    /// Returns whether it is in the state `Serving` and has warmed up.
     pub(super) fn is_warm(&self) -> bool {
         self.state == ServingState::Serving && self.slow_start.warming_since().is_none()
     }
 
-    /// Outstanding work of other aggregators.
+    /// Returns the outstanding work of other aggregators at the server.
     pub(crate) fn peer_work(&self, now: Ms) -> Ms {
         self.outstanding.peers(now, self.latency.per_work())
     }
 
-    /// Time by which the oldest unanswered attempt is late, and the rest of an overload or
-    /// unreachability.
+    /// Returns the delay to add to the forecast of an attempt sent now. It is the time by which the
+    /// oldest unanswered attempt is later than its own forecast, plus the time left of an ejection
+    /// for overload or for being unreachable.
     pub(crate) fn known_delay(&self, now: Ms) -> Ms {
         let answered_until = self.health.last_served_sent_at();
         self.outstanding.lateness(now, answered_until) + self.outliers.known_delay(now)
     }
 
-    /// Whether attempts there have failed without an answer and it is ejected.
+    /// Returns whether the server is ejected and unresponsive, that is, an attempt timed out or its
+    /// connection failed and no attempt has been served since.
     pub(crate) fn is_ejected_as_unresponsive(&self, now: Ms) -> bool {
         self.health.is_unresponsive() && self.outliers.is_ejected(now)
     }
 
-    /// Whether it is not ejected. After failures it gets one attempt at a time.
+    /// Returns whether the server may be sent an attempt: it must not be ejected. After several
+    /// failures in a row it must also have no attempt in flight, so that it is sent one at a time.
     pub(crate) fn may_receive_attempt(&self, now: Ms) -> bool {
         let may_try = !self.health.is_suspect() || self.outstanding.has_no_attempt_in_flight();
         may_try && !self.outliers.is_ejected(now)
     }
 
-    /// Applies its entry in an endpoint list.
+    /// Applies the server's entry in an update of the endpoint list.
     pub(super) fn update(&mut self, batch: &BatchContext, endpoint: &Endpoint) {
         self.cell = endpoint.cell;
         self.state = endpoint.state;
@@ -125,17 +129,19 @@
         }
     }
 
-    /// Marks it as missing from an endpoint list.
+    /// Marks the server as removed, as it is missing from a complete endpoint list.
     pub(super) fn mark_removed(&mut self) {
         self.state = ServingState::Removed;
     }
 
-    /// Starts a batch.
+    /// Starts a batch. Parts sent in the new batch do not share calls with those of earlier
+    /// batches.
     pub(super) fn on_batch(&mut self) {
         self.outstanding.on_batch();
     }
 
-    /// Starts a control interval with this random draw for slow start.
+    /// Starts a control interval: decays the averages, expires old reports of other aggregators,
+    /// and updates the slow start, for which `draw` is a random number from 0 to below 1.
     pub(super) fn start_interval(
         &mut self,
         batch: &BatchContext,
@@ -151,19 +157,21 @@
         self.outstanding.expire_peer_reports(batch.now);
     }
 
-    /// Records an attempt that is sent.
+    /// Records an attempt that is being sent.
     pub(super) fn record_send(&mut self, attempt: &InFlightAttempt) {
         self.outstanding.record_send(attempt);
         self.slow_start.record_send(attempt.sent_at, attempt.work);
     }
 
-    /// Records that an attempt is no longer in flight, however it ended.
+    /// Records that an attempt is no longer in flight, and updates the error rate of its class.
+    /// This is called for every outcome.
     pub(super) fn record_end(&mut self, ended: &EndedAttempt) {
         self.outstanding.record_end(ended.attempt());
         self.health.record_class_outcome(ended);
     }
 
-    /// Learns from an attempt that was served.
+    /// Updates health, latency and ejections with an attempt that was served. A server that answers
+    /// after it was unresponsive for long may have restarted, so its slow start begins anew.
     pub(super) fn on_answer(&mut self, batch: &BatchContext, ended: &EndedAttempt) {
         let objective = batch.shortest_objective();
         if self.health.record_answer(ended.attempt(), objective) == Continuity::PossiblyRestarted {
@@ -176,18 +184,19 @@
         self.outliers.on_answer();
     }
 
-    /// Learns from an attempt that was rejected for lack of capacity.
+    /// Ejects the server after it rejected an attempt for lack of capacity.
     pub(super) fn on_overload(&mut self, context: &EjectionContext) {
         self.outliers.on_overload(context);
     }
 
-    /// Learns from an attempt that timed out, before it counts as a failure.
+    /// Updates the latency estimate with an attempt that timed out. The timeout is also a failure,
+    /// which the caller passes to [`Server::on_failure`] afterwards.
     pub(super) fn on_timeout(&mut self, now: Ms, ended: &EndedAttempt, fleet: &FleetLatency) {
         self.latency
             .record_timeout(now, ended.attempt(), ended.elapsed(), fleet);
     }
 
-    /// Learns from an attempt that failed.
+    /// Updates the health with an attempt that failed, and ejects the server if necessary.
     pub(super) fn on_failure(
         &mut self,
         batch: &BatchContext,
@@ -199,7 +208,8 @@
         self.outliers.on_failure(verdict, context);
     }
 
-    /// Records the number of requests that it reports as its load, each with this cost.
+    /// Applies the server's load report: `load` requests wait or run there, each with `part_cost`
+    /// of work.
     pub(super) fn on_load_report(
         &mut self,
         batch: &BatchContext,
@@ -211,7 +221,8 @@
             .record_load_report(batch, load, part_cost, fleet_latency.per_work());
     }
 
-    /// Applies what another aggregator published.
+    /// Applies a report that another aggregator published about the server. A first report of
+    /// answers after one of failures counts as a recovery.
     pub(super) fn on_peer_report(
         &mut self,
         batch: &BatchContext,
@@ -231,16 +242,16 @@
         }
     }
 
-    /// Ejects the server since it fails for another aggregator, unless it has answered this
-    /// one as recently.
+    /// Ejects the server, since attempts of another aggregator have failed there. It is not ejected
+    /// if it has served an attempt that this aggregator sent within the last `ejection` ms.
     fn on_peer_failure(&mut self, now: Ms, ejection: Ms) {
         if self.health.last_served_sent_at() < now - ejection {
             self.outliers.on_peer_failure(now, ejection);
         }
     }
 
-    /// Ends the ejection of a server that answers another aggregator again. All aggregators
-    /// return to it at once, so it is assumed to be slow at first.
+    /// Ends the ejection of the server, since it answers another aggregator again. All aggregators
+    /// send to it again at the same time, so it is assumed to be slow at first.
     fn on_peer_recovery(&mut self, batch: &BatchContext, fleet_latency: &FleetLatency) {
         self.outliers.on_peer_recovery(batch.now);
         let initial_capacity = batch.settings.warm_up.initial_capacity;
--- a/crates/fanout-policy/src/fleet/server_records.rs
+++ b/crates/fanout-policy/src/fleet/server_records.rs
@@ -1,18 +1,19 @@
-//! The records of the servers, by index.
+//! Records of the data servers, by index.
 
 use super::Server;
 use std::ops::{Index, IndexMut};
 
-/// Index of a server's record, which does not change while the server is known.
+/// Index of a server's record. It does not change until the server is forgotten; the record is then
+/// reused for another server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ServerIndex(usize);
 
-/// The records of all servers, with those of forgotten servers until they are reused.
+/// The records of all servers. The record of a forgotten server stays until it is reused.
 #[derive(Default)]
 pub(crate) struct ServerRecords(Vec<Server>);
 
 impl ServerRecords {
-    /// Number of records.
+    /// Returns the number of records, including those of forgotten servers.
     pub(crate) fn len(&self) -> usize {
         self.0.len()
     }
@@ -23,17 +24,17 @@
         ServerIndex(self.0.len() - 1)
     }
 
-    /// All records.
+    /// Returns all records, including those of forgotten servers.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Server> {
         self.0.iter()
     }
 
-    /// All records, to be changed.
+    /// Returns all records as mutable references.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Server> {
         self.0.iter_mut()
     }
 
-    /// Indexes of all records.
+    /// Returns the indexes of all records.
     pub(crate) fn indexes(&self) -> impl Iterator<Item = ServerIndex> + use<> {
         (0..self.0.len()).map(ServerIndex)
     }
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -1,22 +1,27 @@
-//! Decisions of an aggregator that answers each query from many shards.
+//! Policy of an aggregator: a broker instance that answers each query from many shards.
 //!
-//! For each query the policy selects how many complete replica rows to contact, distributes the
-//! parts of the query over those rows and batches the parts for one server into one call. From
-//! the outcomes of its own attempts it detects failing and slow servers, retries and hedges
-//! within a budget, answers, and rejects queries that cannot be answered in time.
+//! Each query consists of parts, one for each shard that it reads. Several servers hold each
+//! shard; a replica row consists of one holder of each shard. For each query the policy decides
+//! whether to admit it, how many replica rows to contact (the fan-out width) and to which row each
+//! part goes. Parts for the same server are sent together in one call. The policy detects failing
+//! and slow servers from the outcomes of its own attempts, and sends retries and hedged requests
+//! within a budget. It answers a query as soon as enough parts are served, and rejects a query that
+//! is unlikely to be answered in time.
 //!
 //! The crate performs no input or output: the caller passes events in and carries out the
-//! actions that come back.
+//! actions that are returned.
 //!
 //! # Main types
 //!
-//! [`Aggregator`] composes the components and keeps the order of a batch: events, control loops,
-//! queries, gossip, timer. Its input and output are in [`api`], its statistics in [`view`].
+//! [`Aggregator`] composes the components. It processes each batch of events in a fixed order:
+//! events, control loops, queries, gossip, timer. The types of its input and output are in [`api`],
+//! those of its statistics in [`view`].
 //!
-//! The private module `policy` holds the components that decide. Each owns the state of one
-//! decision, and gets time, settings and random numbers as arguments. `fleet` holds the servers of
-//! the endpoint list; each composes its components for health, ejections, slow start, latency and
-//! outstanding work. `queries` holds the queries in flight, their parts and attempts.
+//! The private module `policy` contains the components that make decisions. Each owns the state for
+//! one kind of decision, and receives time, settings and random numbers as arguments. `fleet`
+//! contains the servers of the endpoint list; each server composes its components for health,
+//! ejections, slow start, latency and outstanding work. `queries` contains the queries in flight,
+//! their parts and attempts.
 //!
 //! # Example
 //!
--- a/crates/fanout-policy/src/queries.rs
+++ b/crates/fanout-policy/src/queries.rs
@@ -1,8 +1,8 @@
 //! The queries that have no final answer yet, their parts and attempts.
 //!
 //! [`QueryTable`] owns the queries, each [`InFlightQuery`] its parts, each [`PartState`] its
-//! [`Attempt`]s. [`AttemptTable`] owns what is needed to learn from the outcome of an attempt;
-//! its entries may outlive the query.
+//! [`Attempt`]s. [`AttemptTable`] owns the data that is needed to update the statistics when an
+//! attempt ends. An attempt may end after its query, so the table keeps its entry until then.
 
 mod attempt;
 mod attempt_table;
--- a/crates/fanout-policy/src/queries/attempt.rs
+++ b/crates/fanout-policy/src/queries/attempt.rs
@@ -1,21 +1,21 @@
-//! Attempts to execute a part at a server.
+//! Attempts: requests that execute one part at one server.
 
 use crate::api::{Ms, Outcome};
 use crate::fleet::ServerIndex;
 
-/// An attempt in flight with what is needed to learn from its outcome.
+/// An attempt in flight, with the data that is needed to update the statistics when it ends.
 pub(crate) struct InFlightAttempt {
-    /// Index of the server.
+    /// Index of the server that it is sent to.
     pub(crate) server: ServerIndex,
     /// Index of the class of its query.
     pub(crate) class: usize,
-    /// Its own work.
+    /// Work of the attempt itself: the part, and the call if the part opens one.
     pub(crate) work: Ms,
-    /// Work at the server when it was sent, including its own.
+    /// Outstanding work at the server when the attempt was sent, including its own work.
     pub(crate) work_ahead: Ms,
     /// When it was sent.
     pub(crate) sent_at: Ms,
-    /// Forecast latency when it was sent.
+    /// Latency that was forecast when it was sent.
     pub(crate) expected_latency: Ms,
 }
 
@@ -29,7 +29,7 @@
 }
 
 impl Attempt {
-    /// The record of an attempt that is sent.
+    /// Creates the record of an attempt that is being sent.
     pub(crate) fn sent(attempt: &InFlightAttempt) -> Self {
         Attempt {
             server: attempt.server,
@@ -39,37 +39,37 @@
         }
     }
 
-    /// Index of the server.
+    /// Returns the index of the server that it was sent to.
     pub(crate) fn server(&self) -> ServerIndex {
         self.server
     }
 
-    /// When it was sent.
+    /// Returns when it was sent.
     pub(crate) fn sent_at(&self) -> Ms {
         self.sent_at
     }
 
-    /// Forecast latency when it was sent.
+    /// Returns the latency that was forecast when it was sent.
     pub(crate) fn expected_latency(&self) -> Ms {
         self.expected_latency
     }
 
     /// Records how it ended.
-    pub(crate) fn end(&mut self, outcome: Outcome) {
+    pub(crate) fn record_outcome(&mut self, outcome: Outcome) {
         self.outcome = Some(outcome);
     }
 
-    /// Whether it has not ended yet.
+    /// Returns whether it has not ended yet.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Whether it ended with a broken connection.
+    /// Returns whether it ended because its connection broke.
     pub(crate) fn lost_connection(&self) -> bool {
         self.outcome == Some(Outcome::ConnectionLost)
     }
 
-    /// Whether the part may have run.
+    /// Returns whether the server may have executed the part. An attempt in flight may have.
     pub(crate) fn may_have_run(&self) -> bool {
         !matches!(
             self.outcome,
--- a/crates/fanout-policy/src/queries/in_flight_query.rs
+++ b/crates/fanout-policy/src/queries/in_flight_query.rs
@@ -3,16 +3,17 @@
 use super::{Attempt, PartState};
 use crate::api::{Ms, Part, Query};
 
-/// Whether an answer has all parts that its class requires.
+/// Whether the parts of an answer reach the share of the total weight that the query's class
+/// requires. A query whose first step was answered partially stays partial in its second step.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AnswerKind {
-    /// It has.
+    /// The answer has at least the required share.
     Complete,
-    /// It has fewer.
+    /// The answer has less than the required share.
     Partial,
 }
 
-/// Step of a query. Classes with a second step answer each of the two steps.
+/// Step of a query. A query of a class with a second step is answered once in each step.
 enum Step {
     First,
     Second {
@@ -23,13 +24,14 @@
     },
 }
 
-/// What is known of a query when it arrives, besides what the client states.
+/// Data of a query that the aggregator determines on arrival, besides what the client states.
 pub(crate) struct Arrival {
-    /// Index of its class among those of the settings.
+    /// Index of its class in the settings.
     pub(crate) class: usize,
     /// When it arrived.
     pub(crate) arrived_at: Ms,
-    /// When the client first sent it, as far as is known. The latency objective counts from here.
+    /// When the client first sent the query, as far as can be determined: earlier than `arrived_at`
+    /// for a retry. The latency objective counts from this time.
     pub(crate) first_sent_at: Ms,
 }
 
@@ -43,12 +45,12 @@
     step: Step,
     /// Whether the parts of the current step have been assigned to rows.
     is_planned: bool,
-    /// Forecast latency, made on arrival; `None` if the query was not admitted.
+    /// Latency that was forecast on admission; `None` if the query has not been admitted.
     forecast: Option<Ms>,
 }
 
 impl InFlightQuery {
-    /// A query that has arrived, without its parts.
+    /// Creates a query that has arrived, without parts.
     pub(crate) fn new(query: &Query, arrival: Arrival) -> Self {
         InFlightQuery {
             arrival,
@@ -62,106 +64,108 @@
         }
     }
 
-    /// Index of its class.
+    /// Returns the index of its class.
     pub(crate) fn class(&self) -> usize {
         self.arrival.class
     }
 
-    /// Index of its tenant.
+    /// Returns the index of its tenant.
     pub(crate) fn tenant(&self) -> usize {
         self.tenant
     }
 
-    /// Group number that it shares with its parts.
+    /// Returns the group number that the query shares with its parts.
     pub(crate) fn group(&self) -> u64 {
         self.group
     }
 
-    /// When the client first sent it, as far as is known.
+    /// Returns when the client first sent the query, as far as can be determined.
     pub(crate) fn first_sent_at(&self) -> Ms {
         self.arrival.first_sent_at
     }
 
-    /// When the client gives up.
+    /// Returns when the client stops waiting for an answer.
     pub(crate) fn client_deadline(&self) -> Ms {
         self.client_deadline
     }
 
-    /// All parts.
+    /// Returns the parts of both steps.
     pub(crate) fn parts(&self) -> &[PartState] {
         &self.parts
     }
 
-    /// Parts of the current step.
+    /// Returns the parts of the current step.
     pub(crate) fn step_parts(&self) -> &[PartState] {
         &self.parts[self.step_start()..]
     }
 
-    /// Parts of the current step, to be changed.
+    /// Returns the parts of the current step as mutable references.
     pub(crate) fn step_parts_mut(&mut self) -> &mut [PartState] {
         let start = self.step_start();
         &mut self.parts[start..]
     }
 
-    /// Indexes of the parts of the current step among all parts.
+    /// Returns the indexes of the current step's parts among the parts of both steps.
     pub(crate) fn step_part_indexes(&self) -> std::ops::Range<usize> {
         self.step_start()..self.parts.len()
     }
 
-    /// One part, to be changed.
+    /// Returns a mutable reference to the part with this index, if it exists.
     pub(crate) fn part_mut(&mut self, index: usize) -> Option<&mut PartState> {
         self.parts.get_mut(index)
     }
 
-    /// All attempts of all parts.
+    /// Returns all attempts for the parts of both steps.
     pub(crate) fn attempts(&self) -> impl Iterator<Item = &Attempt> {
         self.parts.iter().flat_map(PartState::attempts)
     }
 
-    /// Number of parts that were served.
+    /// Returns the number of served parts of both steps.
     pub(crate) fn served_parts(&self) -> usize {
         self.parts.iter().filter(|part| part.is_served()).count()
     }
 
-    /// Total weight of the parts of the current step that satisfy a predicate.
+    /// Returns the total weight of the current step's parts for which `counts` returns true.
     pub(crate) fn step_weight(&self, counts: impl Fn(&PartState) -> bool) -> f64 {
         let parts = self.step_parts().iter().filter(|part| counts(part));
         parts.map(PartState::weight).sum()
     }
 
-    /// Adds a part to the current step and returns its index.
+    /// Adds a part to the current step and returns its index. The parts of the step must then be
+    /// planned again.
     pub(crate) fn add_part(&mut self, part: Part) -> usize {
         self.parts.push(PartState::new(part));
         self.is_planned = false;
         self.parts.len() - 1
     }
 
-    /// Whether parts of the current step have not been assigned to rows.
+    /// Returns whether the current step has parts that are not assigned to rows yet.
     pub(crate) fn needs_planning(&self) -> bool {
         !self.is_planned && !self.step_parts().is_empty()
     }
 
-    /// Records that the parts of the current step are being assigned to rows.
+    /// Records that all parts of the current step are being assigned to rows.
     pub(crate) fn start_planning(&mut self) {
         self.is_planned = true;
     }
 
-    /// Records that the query was admitted with this forecast latency.
+    /// Records that the query is admitted, with the forecast of its latency.
     pub(crate) fn admit(&mut self, forecast: Ms) {
         self.forecast = Some(forecast);
     }
 
-    /// Discards the forecast of a query that was not admitted.
+    /// Discards the forecast of a query that is not admitted, so that the query does not change
+    /// the average of forecast errors.
     pub(crate) fn discard_forecast(&mut self) {
         self.forecast = None;
     }
 
-    /// Whether the first answer has been given and the second step runs.
+    /// Returns whether the first step has been answered and the second step runs.
     pub(crate) fn in_second_step(&self) -> bool {
         matches!(self.step, Step::Second { .. })
     }
 
-    /// What kind of answer the first step gave, if it has.
+    /// Returns whether the first step's answer was complete or partial; `None` before that answer.
     pub(crate) fn first_answer(&self) -> Option<AnswerKind> {
         match self.step {
             Step::First => None,
@@ -169,7 +173,8 @@
         }
     }
 
-    /// Records the first answer. The second step's parts are those that arrive from now on.
+    /// Records the first step's answer and starts the second step. Parts that arrive from now on
+    /// belong to the second step.
     pub(crate) fn start_second_step(&mut self, now: Ms, first_answer: AnswerKind) {
         self.step = Step::Second {
             first_part: self.parts.len(),
@@ -178,7 +183,8 @@
         };
     }
 
-    /// Time from the first sending to the first answer; 0 before that answer.
+    /// Returns the time from the client's first sending of the query to the first step's answer;
+    /// 0 before that answer.
     pub(crate) fn first_step_duration(&self) -> Ms {
         match self.step {
             Step::First => 0.0,
@@ -188,7 +194,7 @@
         }
     }
 
-    /// Time that the second step has taken, if it runs.
+    /// Returns the time since the second step started; `None` in the first step.
     pub(crate) fn second_step_duration(&self, now: Ms) -> Option<Ms> {
         match self.step {
             Step::First => None,
@@ -198,9 +204,9 @@
         }
     }
 
-    /// By how much a query that ends now took longer than forecast until its first answer,
-    /// negative if it was faster; `None` without a forecast, or if it ends in the batch in
-    /// which it arrived.
+    /// Returns by how much the first step of a query that ends now took longer than forecast. The
+    /// value is negative if the first step was faster. `None` if there is no positive forecast, or
+    /// if the first step ended in the batch in which the query arrived.
     pub(crate) fn forecast_error(&self, now: Ms) -> Option<Ms> {
         let first_end = match self.step {
             Step::First => now,
@@ -213,6 +219,7 @@
         (first_end > arrived_at).then_some(first_end - arrived_at - forecast)
     }
 
+    /// Returns the index of the current step's first part among the parts of both steps.
     fn step_start(&self) -> usize {
         match self.step {
             Step::First => 0,
--- a/crates/fanout-policy/src/queries/query_table.rs
+++ b/crates/fanout-policy/src/queries/query_table.rs
@@ -1,11 +1,11 @@
-//! Table of the queries in flight with its indexes.
+//! Table of the queries in flight, with indexes that find queries by group and parts by identifier.
 
 use super::{Attempt, InFlightQuery, PartState};
 use crate::api::{Outcome, Part, PartId, QueryId};
 use crate::fleet::ServerIndex;
 use std::collections::BTreeMap;
 
-/// Where a part is found.
+/// Query that a part belongs to, and index of the part within that query.
 struct PartLocation {
     query: QueryId,
     index: usize,
@@ -15,9 +15,9 @@
 #[must_use]
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QueryProgress {
-    /// It does.
+    /// The query remains in flight.
     InFlight,
-    /// It has ended.
+    /// The query has ended.
     Ended,
 }
 
@@ -28,7 +28,7 @@
     indexes: QueryIndexes,
 }
 
-/// How queries and parts are found.
+/// Indexes of the queries and parts in the table.
 #[derive(Default)]
 struct QueryIndexes {
     by_group: BTreeMap<u64, QueryId>,
@@ -36,18 +36,19 @@
 }
 
 impl QueryTable {
-    /// Whether no query is in flight.
+    /// Returns whether no query is in flight.
     pub(crate) fn is_empty(&self) -> bool {
         self.queries.is_empty()
     }
 
-    /// Adds a query whose parts are still to come.
+    /// Adds a query. Its parts are added by [`QueryTable::add_part`].
     pub(crate) fn add(&mut self, id: QueryId, query: InFlightQuery) {
         self.indexes.by_group.insert(query.group(), id.clone());
         self.queries.insert(id, query);
     }
 
-    /// Adds a part to the query of its group. Without such a query it is dropped.
+    /// Adds a part to the query in flight with the same group. Without such a query, the part is
+    /// ignored.
     pub(crate) fn add_part(&mut self, part: Part) {
         let Some(id) = self.indexes.by_group.get(&part.group) else {
             return;
@@ -63,7 +64,7 @@
         self.indexes.by_part.insert(part_id, location);
     }
 
-    /// Records the outcome of an attempt with its part, if its query is still in flight.
+    /// Records the outcome of an attempt for a part, if the query of the part is still in flight.
     pub(crate) fn record_outcome(&mut self, part: &PartId, number: u32, outcome: Outcome) {
         let Some(location) = self.indexes.by_part.get(part) else {
             return;
@@ -74,15 +75,15 @@
         }
     }
 
-    /// Removes and returns a query.
+    /// Removes and returns a query; `None` if it is not in flight.
     pub(crate) fn remove(&mut self, id: &QueryId) -> Option<InFlightQuery> {
         let query = self.queries.remove(id)?;
         self.indexes.remove(&query);
         Some(query)
     }
 
-    /// Calls `advance` for all queries in order of their identifiers, and removes those
-    /// that have ended.
+    /// Calls `advance` for all queries in order of their identifiers, and removes each query for
+    /// which it returns [`QueryProgress::Ended`].
     pub(crate) fn advance_each(
         &mut self,
         mut advance: impl FnMut(&QueryId, &mut InFlightQuery) -> QueryProgress,
@@ -97,7 +98,8 @@
         });
     }
 
-    /// Servers that any query refers to, with repetitions.
+    /// Returns the servers that any query refers to, by an attempt or by a part's row, with
+    /// repetitions.
     pub(crate) fn servers(&self) -> impl Iterator<Item = ServerIndex> {
         let parts = || self.queries.values().flat_map(InFlightQuery::parts);
         let attempted = parts().flat_map(|part| part.attempts().iter().map(Attempt::server));
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -1,53 +1,54 @@
-//! Read access to what an aggregator has learned, and input of outcomes that others observed.
+//! Types for reading an aggregator's statistics, and for passing in outcomes of attempts that
+//! other observers counted.
 //!
-//! Nothing here decides anything: load reports update the same statistics as the aggregator's
-//! own attempts.
+//! These types take no part in decisions. A load report updates the same statistics as
+//! the aggregator's own attempts.
 
 use crate::api::{Ms, NodeId, ServingState};
 
-/// One server as the aggregator sees it.
+/// Statistics of one server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
-    /// The server.
+    /// Name of the server.
     pub node: NodeId,
     /// Its cell.
     pub cell: usize,
-    /// Its zone.
+    /// Index of its zone, where the endpoint list names zones.
     pub zone: Option<usize>,
     /// Its state in the endpoint list.
     pub state: ServingState,
-    /// When its ejection ends, if it is ejected.
+    /// End of its ejection; `None` if it is not ejected.
     pub ejected_until: Option<Ms>,
-    /// When it started, if it may still be warming up.
+    /// Start of its process, if it may still be warming up; `None` if it is warm.
     pub warming_since: Option<Ms>,
-    /// Latency per outstanding work in multiples of the fleet's.
+    /// Latency per ms of outstanding work, in multiples of the fleet's median.
     pub relative_latency: f64,
-    /// Share of failed attempts, smoothed.
+    /// Moving average of the share of attempts that failed.
     pub error_rate: f64,
 }
 
-/// What others observed at a server over some time.
+/// Outcomes of attempts at one server that another observer counted since its previous report.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
-    /// The server.
+    /// Name of the server.
     pub node: NodeId,
-    /// Attempts that were served.
+    /// Number of attempts that were served.
     pub served: u64,
-    /// Attempts that ended in an error.
+    /// Number of attempts that ended in an error.
     pub errors: u64,
-    /// Attempts that could not connect or lost their connection.
+    /// Number of attempts that could not connect or lost their connection.
     pub connection_failures: u64,
-    /// Mean time of the attempts that were served, if it is known.
+    /// Mean latency of the attempts that were served, if the observer measured it.
     pub mean_latency: Option<Ms>,
 }
 
-/// One class as the aggregator sees it.
+/// Statistics of one class.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClassView {
-    /// Replica rows that its queries contact.
+    /// Fan-out width: average number of replica rows that a query of the class contacts.
     pub fanout_rows: f64,
-    /// Estimated cost of one part.
+    /// Estimated work of one part, in milliseconds of a server's time.
     pub part_cost: Ms,
-    /// How much longer than forecast its queries take, smoothed.
+    /// Moving average of the time by which queries take longer than forecast.
     pub forecast_error: Ms,
 }
