--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -100,7 +100,7 @@
     /// Returns the number of server records in memory, including those of forgotten servers that
     /// are kept for reuse.
     #[must_use]
-    pub fn servers_known(&self) -> usize {
+    pub fn server_record_count(&self) -> usize {
         self.state.fleet.record_count()
     }
 
--- a/crates/fanout-policy/tests/policy/endpoint_list.rs
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -79,9 +79,9 @@
         policy.run_traffic(1, &[], Outcome::Served);
     }
     assert!(
-        policy.aggregator.servers_known() < 15,
+        policy.aggregator.server_record_count() < 15,
         "{}",
-        policy.aggregator.servers_known()
+        policy.aggregator.server_record_count()
     );
     // The late end of an attempt still finds its own server.
     policy.advance(1500.0, all_ended(&in_flight, 0, Outcome::TimedOut, 4000.0));
