--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -1,7 +1,7 @@
 //! Read access to an aggregator's statistics, and input of outcomes that other observers counted.
 //!
-//! This module makes no decisions. A load report updates the same statistics as the aggregator's
-//! own attempts.
+//! This module makes no decisions. An outcome report updates the same statistics as the
+//! aggregator's own attempts.
 
 use super::{Aggregator, PolicyState};
 use crate::api::{ClassIndex, Ms};
@@ -12,11 +12,11 @@
 use crate::policy::fanout_width::FanoutWidthController;
 use crate::policy::report_sampling::samples;
 use crate::queries::InFlightAttempt;
-use crate::view::{ClassView, LoadReport, ServerView};
+use crate::view::{ClassView, OutcomeReport, ServerView};
 
 /// Lower bound of the fleet's latency per work where it is a divisor, in ms per ms of work.
 const MIN_LATENCY_PER_WORK: f64 = 1e-9;
-/// Minimum work that an attempt in a load report is assumed to have been.
+/// Minimum work that an attempt in an outcome report is assumed to have been.
 const MIN_REPORTED_WORK_MS: Ms = 1.0;
 
 impl Aggregator {
@@ -71,7 +71,7 @@
     /// replaced by a few sample attempts with about the same proportion of outcomes, which are
     /// recorded as attempts of `class`. Reports on unknown servers, and all reports for an unknown
     /// class, are ignored.
-    pub fn apply_load_reports(&mut self, now: Ms, class: ClassIndex, reports: &[LoadReport]) {
+    pub fn apply_outcome_reports(&mut self, now: Ms, class: ClassIndex, reports: &[OutcomeReport]) {
         let Some(estimates) = self.state.classes.get(class.0) else {
             return;
         };
@@ -93,12 +93,12 @@
                 sent_at: now - elapsed.min(expected_latency),
                 expected_latency,
             };
-            self.apply_load_report(now, &attempt, report);
+            self.apply_outcome_report(now, &attempt, report);
         }
     }
 
     /// Updates the statistics with each sample of a report as if `attempt` had ended with it.
-    fn apply_load_report(&mut self, now: Ms, attempt: &InFlightAttempt, report: &LoadReport) {
+    fn apply_outcome_report(&mut self, now: Ms, attempt: &InFlightAttempt, report: &OutcomeReport) {
         let batch = BatchContext::new(now, &self.settings);
         let elapsed = report.mean_latency.unwrap_or(attempt.expected_latency);
         let timing = self.batch_timer.timing();
--- a/crates/fanout-policy/src/policy/report_sampling.rs
+++ b/crates/fanout-policy/src/policy/report_sampling.rs
@@ -3,7 +3,7 @@
 //! A report is sampled in the proportion of its outcomes; this module has no state.
 
 use crate::api::Outcome;
-use crate::view::LoadReport;
+use crate::view::OutcomeReport;
 
 /// Largest number of attempts that one report counts as. Outlier detection works on shares and
 /// on consecutive failures, so that more samples add nothing and would outweigh the reports of
@@ -12,7 +12,7 @@
 
 /// The outcomes that a report counts as: failures first, so that the answers beside them show
 /// that the server is up.
-pub(crate) fn samples(report: &LoadReport) -> impl Iterator<Item = Outcome> + use<> {
+pub(crate) fn samples(report: &OutcomeReport) -> impl Iterator<Item = Outcome> + use<> {
     let total = report.served + report.errors + report.connection_failures;
     let outcomes = [
         (Outcome::ConnectionLost, report.connection_failures),
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -1,7 +1,7 @@
 //! Types for reading an aggregator's statistics, and for passing in outcomes of attempts that
 //! other observers counted.
 //!
-//! These types take no part in decisions. A load report updates the same statistics as
+//! Nothing in this module makes decisions. An outcome report updates the same statistics as
 //! the aggregator's own attempts.
 
 use crate::api::{Ms, NodeId, ServingState};
@@ -29,7 +29,7 @@
 
 /// Outcomes of attempts at one server that another observer counted since its previous report.
 #[derive(Clone, Debug)]
-pub struct LoadReport {
+pub struct OutcomeReport {
     /// Name of the server.
     pub node: NodeId,
     /// Number of attempts that were served.
--- a/crates/fanout-policy/tests/policy/server_views.rs
+++ b/crates/fanout-policy/tests/policy/server_views.rs
@@ -1,9 +1,9 @@
-//! Views of servers, and load reports from others.
+//! Views of servers, and outcome reports of other observers.
 
 use crate::common::{endpoint, list_event, ring};
 use fanout_policy::Aggregator;
 use fanout_policy::api::{ClassIndex, Endpoint, ListUpdate, Ms, NodeId, ServingState, Settings};
-use fanout_policy::view::LoadReport;
+use fanout_policy::view::OutcomeReport;
 
 /// Time of the endpoint list.
 const START: Ms = 200.0;
@@ -43,8 +43,8 @@
     aggregator
 }
 
-fn report(number: usize, served: u64, errors: u64, connection_failures: u64) -> LoadReport {
-    LoadReport {
+fn report(number: usize, served: u64, errors: u64, connection_failures: u64) -> OutcomeReport {
+    OutcomeReport {
         node: NodeId(format!("s{number}").into()),
         served,
         errors,
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn load_reports_eject_failing_server_and_show_its_recovery() {
+fn outcome_reports_eject_failing_server_and_show_its_recovery() {
     let mut aggregator = aggregator();
     let class = ClassIndex(0);
     let reports = [
@@ -83,7 +83,7 @@
         report(1, 500, 1, 0),
         report(9, 0, 5, 0),
     ];
-    aggregator.apply_load_reports(1000.0, class, &reports);
+    aggregator.apply_outcome_reports(1000.0, class, &reports);
     let views = aggregator.server_views(1001.0);
     assert!(
         views[0].ejected_until.is_some() && views[1].ejected_until.is_none(),
@@ -93,7 +93,7 @@
         views[0].error_rate > 0.4 && views[1].error_rate < 0.2,
         "{views:?}"
     );
-    aggregator.apply_load_reports(9000.0, class, &[report(0, 500, 0, 0)]);
+    aggregator.apply_outcome_reports(9000.0, class, &[report(0, 500, 0, 0)]);
     assert!(aggregator.server_views(9001.0)[0].error_rate < 0.2);
-    aggregator.apply_load_reports(9002.0, ClassIndex(7), &[report(0, 1, 1, 1)]);
+    aggregator.apply_outcome_reports(9002.0, ClassIndex(7), &[report(0, 1, 1, 1)]);
 }
