--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -1,7 +1,7 @@
 //! Policy of an aggregator: a broker instance that answers each query from many shards.
 //!
-//! Each query consists of parts, one for each shard that it reads. Several servers hold each
-//! shard; a replica row consists of one holder of each shard. For each query the policy decides
+//! Each query consists of parts, each of which reads one shard. Several servers hold each shard; a
+//! replica row consists of one holder of each shard. For each query the policy decides
 //! whether to admit it, how many replica rows to contact (the fan-out width) and to which row each
 //! part goes. Parts for the same server are sent together in one call. The policy detects failing
 //! and slow servers from the outcomes of its own attempts, and sends retries and hedged requests
@@ -95,7 +95,13 @@
 //! let actions = aggregator.on_batch(5.0, vec![Event::Query(arrival), Event::Part(first_part)]);
 //! assert!(matches!(&actions[0], Action::SendAttempt { part: sent, .. } if *sent == part));
 //!
-//! let ended = Event::AttemptEnded { part, attempt: 0, outcome: Outcome::Served, elapsed: 55.0, load: None };
+//! let ended = Event::AttemptEnded {
+//!     part,
+//!     attempt: 0,
+//!     outcome: Outcome::Served,
+//!     elapsed: 55.0,
+//!     load: None,
+//! };
 //! let actions = aggregator.on_batch(60.0, vec![ended]);
 //! assert!(actions.contains(&Action::Answer { query, complete: true }));
 //! ```
