--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -1,4 +1,4 @@
-//! Quota of each client connection in the capacity for queries and parts.
+//! Limits the share of the capacity for queries and parts that each client connection may use.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -13,16 +13,18 @@
     }
 }
 
-/// A connection may use up to this multiple of the capacity that remains free.
+/// A connection may use at most this multiple of the capacity that remains free.
 ///
-/// This is the dynamic threshold by which switches share a buffer among ports (Choudhury and Hahne,
-/// IEEE/ACM Transactions on Networking 6(2), 1998). With a factor of 2, one connection alone can
-/// use up to two thirds of the capacity and two can use two fifths each, so that some capacity
-/// always stays free for connections that use none. The rule needs no estimate of the number of
-/// connections.
+/// This is the dynamic threshold algorithm with which network switches share a buffer among their
+/// ports (Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998). With a factor of 2,
+/// a single busy connection can use up to two thirds of the capacity, and two busy connections can
+/// use up to two fifths each. Some capacity therefore always stays free for connections that have
+/// nothing in use yet. The algorithm needs no estimate of the number of connections.
 const MAX_MULTIPLE_OF_FREE: usize = 2;
 
 /// The capacity for queries and parts, and how much of it each connection uses.
+///
+/// Capacity is counted in units: a query takes one unit for itself and one for each of its parts.
 #[derive(Debug)]
 pub struct ConnectionQuota {
     capacity: usize,
@@ -31,7 +33,7 @@
 }
 
 impl ConnectionQuota {
-    /// A quota for so many queries and parts together.
+    /// Creates a quota that divides `capacity` units among the connections; nothing is in use yet.
     #[must_use]
     pub fn new(capacity: usize) -> Self {
         ConnectionQuota {
@@ -41,16 +43,16 @@
         }
     }
 
-    /// Acquires units for a query and its parts. Returns `false`, and acquires nothing, where the
+    /// Acquires units for a query and its parts. Returns `false`, and acquires nothing, if the
     /// connection would exceed its quota.
     ///
-    /// A connection that uses nothing always acquires its units, however much is in use: whether
-    /// the capacity as a whole suffices is checked by the policy engine.
+    /// A connection that has nothing in use always acquires its units, even if the capacity is
+    /// exhausted: the policy engine checks whether the total capacity suffices.
     #[must_use]
     pub fn try_acquire(&mut self, connection: ConnectionId, units: usize) -> bool {
-        let own = self.in_use_by(connection);
+        let used = self.in_use_by(connection);
         let free = self.capacity.saturating_sub(self.in_use + units);
-        if own > 0 && own + units > MAX_MULTIPLE_OF_FREE * free {
+        if used > 0 && used + units > MAX_MULTIPLE_OF_FREE * free {
             return false;
         }
         self.in_use += units;
@@ -58,36 +60,37 @@
         true
     }
 
-    /// Releases units that [`ConnectionQuota::try_acquire`] acquired.
+    /// Releases units that the connection acquired with [`ConnectionQuota::try_acquire`].
     pub fn release(&mut self, connection: ConnectionId, units: usize) {
-        let own = self.in_use_by(connection);
+        let used = self.in_use_by(connection);
         debug_assert!(
-            units <= own,
-            "connection {connection} releases {units} units, but uses {own}"
+            units <= used,
+            "connection {connection} releases {units} units, but has only {used} in use"
         );
-        let released = units.min(own);
+        let released = units.min(used);
         self.in_use -= released;
-        if released == own {
+        if released == used {
             self.in_use_by_connection.remove(&connection);
         } else {
-            self.in_use_by_connection.insert(connection, own - released);
+            self.in_use_by_connection
+                .insert(connection, used - released);
         }
     }
 
-    /// Number of queries and parts in use by all connections.
+    /// Returns the number of units that all connections together have in use.
     #[must_use]
     pub fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// Number of connections that use some of the capacity.
+    /// Returns the number of connections that have at least one unit in use.
     #[must_use]
-    pub fn holders(&self) -> usize {
+    pub fn active_connections(&self) -> usize {
         self.in_use_by_connection.len()
     }
 
     fn in_use_by(&self, connection: ConnectionId) -> usize {
-        let own = self.in_use_by_connection.get(&connection);
-        own.copied().unwrap_or(0)
+        let used = self.in_use_by_connection.get(&connection);
+        used.copied().unwrap_or(0)
     }
 }
--- a/crates/admission/src/resource_limits.rs
+++ b/crates/admission/src/resource_limits.rs
@@ -1,36 +1,40 @@
-//! Limits of the listeners, derived from the descriptors and the memory for client connections.
+//! Limits of the listeners, derived from the file descriptors and the memory that are available for
+//! client connections.
 
 use thiserror::Error;
 
-/// Where there is an HTTP/2 listener, it gets one part in so many of the memory for client
-/// connections.
+/// The HTTP/2 listener, if there is one, gets the memory for client connections divided by this
+/// number.
 const HTTP2_MEMORY_DIVISOR: u64 = 2;
-/// Likewise for descriptors: HTTP/2 needs few, but one of its connections may use as much memory as
-/// many of HTTP/1.1.
+/// The HTTP/2 listener, if there is one, gets the descriptors for client connections divided by
+/// this number. Its share of the descriptors is smaller than its share of the memory, because it
+/// needs few connections, but one HTTP/2 connection may use as much memory as many HTTP/1.1
+/// connections.
 const HTTP2_DESCRIPTOR_DIVISOR: u64 = 4;
 
-/// Memory in bytes that an HTTP/2 stream uses beside its header list and its share of the
-/// connection's window: its task and its table entries.
+/// Memory in bytes that an HTTP/2 stream uses in addition to its header list and to the data that
+/// the connection's flow-control window bounds: its task and its table entries.
 const STREAM_OVERHEAD_BYTES: u64 = 4 * 1024;
-/// Memory in bytes that an HTTP/2 connection uses beside its streams: its tables for header
-/// compression, and its read and write buffers.
+/// Memory in bytes that an HTTP/2 connection uses in addition to its streams and its flow-control
+/// window: its tables for header compression, and its read and write buffers.
 const CONNECTION_OVERHEAD_BYTES: u64 = 64 * 1024;
 
-/// Default for [`Http2Overrides::max_streams`]. RFC 9113, section 6.5.2, asks for at least 100.
+/// Default for [`Http2Overrides::max_streams`]. RFC 9113, section 6.5.2, recommends at least 100.
 const DEFAULT_MAX_STREAMS: u32 = 200;
-/// Default for [`Http2Overrides::connection_window`], in bytes: several of the longest bodies.
+/// Default for [`Http2Overrides::connection_window`], in bytes. Several request bodies of the
+/// maximum length fit into it.
 const DEFAULT_CONNECTION_WINDOW_BYTES: u32 = 512 * 1024;
 /// Default for [`Http2Overrides::max_header_list`], in bytes.
 const DEFAULT_MAX_HEADER_LIST_BYTES: u32 = 8 * 1024;
 
-/// What the platform gives to client connections.
+/// The resources that the platform assigns to client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientResources {
-    /// Number of descriptors.
+    /// Number of file descriptors; each connection takes one.
     pub descriptors: u64,
-    /// Memory in bytes; `None` where only the descriptors limit the connections.
+    /// Memory in bytes; `None` if only the descriptors limit the number of connections.
     pub memory_bytes: Option<u64>,
-    /// The most memory that an HTTP/1.1 connection uses, in bytes.
+    /// Maximum memory that an HTTP/1.1 connection uses, in bytes.
     pub http1_connection_bytes: u64,
 }
 
@@ -39,14 +43,14 @@
         self.memory_bytes.unwrap_or(u64::MAX)
     }
 
-    /// Number of HTTP/1.1 connections that the resources suffice for.
+    /// Returns the maximum number of HTTP/1.1 connections for which the resources suffice.
     fn fitting_http1_connections(&self) -> usize {
         let by_memory = self.memory_or_unlimited() / self.http1_connection_bytes.max(1);
         self.descriptors.min(by_memory) as usize
     }
 
-    /// What the HTTP/2 listener leaves over.
-    fn without(&self, http2: &Http2Limits) -> ClientResources {
+    /// Returns the resources that remain when the HTTP/2 listener uses its limits in full.
+    fn remaining_after(&self, http2: &Http2Limits) -> ClientResources {
         let connections = http2.max_connections as u64;
         let used_bytes = connections * http2.connection_bytes();
         ClientResources {
@@ -57,34 +61,35 @@
     }
 }
 
-/// The operator's settings for the HTTP/2 listener; each that is `None` takes its default.
+/// The operator's settings for the HTTP/2 listener. A setting that is `None` takes its default.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Http2Overrides {
-    /// Limit of connections. Default: as many as fit.
+    /// Maximum number of connections. Default: as many as the resources allow.
     pub max_connections: Option<usize>,
-    /// Limit of concurrent streams of a connection.
+    /// Maximum number of concurrent streams of a connection.
     pub max_streams: Option<u32>,
     /// Flow-control window of a connection, in bytes.
     pub connection_window: Option<u32>,
-    /// Longest header list of a request, in bytes.
+    /// Maximum size of a request's header list, in bytes.
     pub max_header_list: Option<u32>,
 }
 
 /// The limits of the HTTP/2 listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Http2Limits {
-    /// Limit of connections.
+    /// Maximum number of connections.
     pub max_connections: usize,
-    /// Limit of concurrent streams of a connection.
+    /// Maximum number of concurrent streams of a connection.
     pub max_streams: u32,
     /// Flow-control window of a connection, in bytes.
     pub connection_window: u32,
-    /// Longest header list of a request, in bytes.
+    /// Maximum size of a request's header list, in bytes.
     pub max_header_list: u32,
 }
 
 impl Http2Limits {
-    /// The most memory that a connection uses, in bytes.
+    /// Returns the maximum memory that one connection uses, in bytes: its flow-control window, all
+    /// its streams and the overhead of the connection itself.
     #[must_use]
     pub fn connection_bytes(&self) -> u64 {
         let stream_bytes = u64::from(self.max_header_list) + STREAM_OVERHEAD_BYTES;
@@ -97,51 +102,53 @@
 /// The limits of both listeners.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenerLimits {
-    /// Limit of HTTP/1.1 connections.
+    /// Maximum number of HTTP/1.1 connections.
     pub max_http1_connections: usize,
-    /// Limits of the HTTP/2 listener; `None` where there is none.
+    /// Limits of the HTTP/2 listener; `None` if there is no such listener.
     pub http2: Option<Http2Limits>,
 }
 
-/// The operator's settings for HTTP/2 need more than the platform gives.
+/// The operator's settings for HTTP/2 need more resources than the platform assigns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AllocationError {
-    /// Not even one connection fits.
+    /// The memory of the HTTP/2 listener does not suffice for a single connection.
     #[error(
-        "a connection may use {connection_bytes} bytes, but only {available_bytes} are available for all: lower \
-         http2-streams, http2-header-list or http2-connection-window"
+        "an HTTP/2 connection may use {connection_bytes} bytes, but only {available_bytes} bytes are available for \
+         all HTTP/2 connections together: lower http2-streams, http2-header-list or http2-connection-window"
     )]
     ConnectionTooLarge {
-        /// The most memory that a connection uses with these settings, in bytes.
+        /// Maximum memory that one connection uses with these settings, in bytes.
         connection_bytes: u64,
-        /// Memory of the HTTP/2 listener, in bytes.
+        /// Memory that is available to the HTTP/2 listener, in bytes.
         available_bytes: u64,
     },
-    /// The limit of connections is too high.
+    /// The operator's maximum number of connections exceeds the number for which the resources
+    /// suffice.
     #[error(
-        "http2-connections {requested} exceeds the limit of {fitting} connections, with {connection_bytes} bytes each \
-         of {available_bytes} and {available_descriptors} descriptors"
+        "http2-connections {requested} exceeds the limit of {fitting} connections: each may use {connection_bytes} \
+         bytes, and {available_bytes} bytes and {available_descriptors} descriptors are available for HTTP/2"
     )]
     TooManyConnections {
-        /// The limit that the operator set.
+        /// Maximum number of connections that the operator has set.
         requested: usize,
-        /// Number of connections that fit.
+        /// Number of connections for which the resources suffice.
         fitting: usize,
-        /// The most memory that a connection uses with these settings, in bytes.
+        /// Maximum memory that one connection uses with these settings, in bytes.
         connection_bytes: u64,
-        /// Memory of the HTTP/2 listener, in bytes.
+        /// Memory that is available to the HTTP/2 listener, in bytes.
         available_bytes: u64,
-        /// Descriptors of the HTTP/2 listener.
+        /// Number of descriptors that are available to the HTTP/2 listener.
         available_descriptors: u64,
     },
 }
 
-/// Divides the resources among the listeners; `http2` is `None` where there is no HTTP/2 listener.
-/// HTTP/1.1 gets what HTTP/2 leaves over.
+/// Divides the resources among the listeners; `http2` is `None` if there is no HTTP/2 listener.
+/// The HTTP/1.1 listener gets all resources that the HTTP/2 listener does not use at its limits.
 ///
 /// # Errors
 ///
-/// [`AllocationError`] where the operator's settings for HTTP/2 do not fit.
+/// Returns an [`AllocationError`] if the operator's settings for HTTP/2 need more resources than
+/// are available to the HTTP/2 listener.
 pub fn allocate(
     resources: ClientResources,
     http2: Option<Http2Overrides>,
@@ -154,7 +161,9 @@
     };
     let http2 = allocate_http2(&resources, overrides)?;
     Ok(ListenerLimits {
-        max_http1_connections: resources.without(&http2).fitting_http1_connections(),
+        max_http1_connections: resources
+            .remaining_after(&http2)
+            .fitting_http1_connections(),
         http2: Some(http2),
     })
 }
--- a/crates/admission/tests/quota.rs
+++ b/crates/admission/tests/quota.rs
@@ -1,4 +1,4 @@
-//! Quota of client connections.
+//! Tests of the quota of client connections.
 
 use admission::{ConnectionId, ConnectionQuota};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 const SECOND: ConnectionId = ConnectionId(2);
 const THIRD: ConnectionId = ConnectionId(3);
 
-/// Acquires single units until one is denied; returns how many were acquired.
+/// Acquires single units until the quota denies one. Returns how many it acquired.
 fn acquire_all(quota: &mut ConnectionQuota, connection: ConnectionId) -> usize {
     let before = quota.in_use();
     while quota.try_acquire(connection, 1) {}
@@ -22,7 +22,7 @@
     assert_eq!(acquire_all(&mut quota, SECOND), 66);
     assert!(
         quota.try_acquire(THIRD, 4),
-        "a connection that uses nothing was denied"
+        "a connection that has nothing in use must be admitted"
     );
 }
 
@@ -38,11 +38,11 @@
     acquire_all(&mut quota, FIRST);
     acquire_all(&mut quota, SECOND);
     quota.release(FIRST, 200);
-    assert_eq!((quota.in_use(), quota.holders()), (66, 1));
+    assert_eq!((quota.in_use(), quota.active_connections()), (66, 1));
     assert!(quota.try_acquire(SECOND, 1));
 }
 
-/// One step of a random sequence.
+/// One operation of a random sequence.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Acquire { connection: u64, units: usize },
@@ -57,9 +57,9 @@
 }
 
 proptest! {
-    /// Whatever connections do: the total is the sum of what each uses, a connection that uses
-    /// nothing is always admitted, and one beyond its first query uses at most twice what stays
-    /// free.
+    /// For any sequence of operations: the total is the sum of what each connection uses; a
+    /// connection that has nothing in use is always admitted; and a connection that acquires units
+    /// for a second query has at most twice as much in use as stays free.
     #[test]
     fn total_is_the_sum_of_all_connections_and_quotas_hold(steps in prop::collection::vec(step(), 0..400)) {
         let mut quota = ConnectionQuota::new(100);
--- a/crates/admission/tests/resource_limits.rs
+++ b/crates/admission/tests/resource_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of the listeners.
+//! Tests of the division of descriptors and memory among the listeners.
 
 use admission::resource_limits::{
     AllocationError, ClientResources, Http2Overrides, ListenerLimits, allocate,
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn http1_gets_all_resources_where_there_is_no_http2_listener() {
+fn http1_gets_all_resources_without_an_http2_listener() {
     let limits = allocate(RESOURCES, None).unwrap();
     let expected = ListenerLimits {
         max_http1_connections: 600,
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn connection_limit_that_does_not_fit_is_refused_with_the_limit_that_would() {
+fn too_high_connection_limit_is_rejected_with_the_highest_possible_limit() {
     let overrides = Http2Overrides {
         max_connections: Some(100),
         ..Http2Overrides::default()
@@ -36,15 +36,15 @@
             ..
         }
     ));
-    let text = error.to_string();
-    assert!(
-        text.starts_with("http2-connections 100 exceeds the limit of 19 connections, with "),
-        "{text}"
+    assert_eq!(
+        error.to_string(),
+        "http2-connections 100 exceeds the limit of 19 connections: each may use 3047424 bytes, and 60293120 bytes \
+         and 150 descriptors are available for HTTP/2"
     );
 }
 
 #[test]
-fn settings_under_which_no_connection_fits_are_refused_with_the_keywords_to_lower() {
+fn settings_under_which_no_connection_fits_are_rejected_with_the_keywords_to_lower() {
     let overrides = Http2Overrides {
         max_streams: Some(65_536),
         ..Http2Overrides::default()
@@ -78,8 +78,8 @@
 }
 
 proptest! {
-    /// Whatever the platform gives and the operator sets, both listeners at their limits stay
-    /// within the resources.
+    /// For any resources and any operator's settings that are accepted, both listeners together
+    /// stay within the resources when each uses its limits in full.
     #[test]
     fn both_listeners_at_their_limits_fit_the_resources(
         descriptors in 4u64..5000, memory_bytes in prop::option::of(1u64 << 16..1 << 32), overrides in overrides(),
@@ -89,7 +89,7 @@
             return Ok(());
         };
         let http1 = limits.max_http1_connections as u64;
-        let http2 = limits.http2.expect("HTTP/2 was asked for");
+        let http2 = limits.http2.expect("overrides for HTTP/2 were passed");
         let http2_connections = http2.max_connections as u64;
         prop_assert!(http1 + http2_connections <= descriptors);
         prop_assert!(http2_connections >= 1);
