--- a/crates/policy-engine/src/admitted.rs
+++ b/crates/policy-engine/src/admitted.rs
@@ -1,8 +1,8 @@
-//! The queries that the engine has admitted and not ended: the capacity that they use, the numbers
-//! of their attempts and their deadlines.
+//! The queries that the engine has admitted and that have not ended: the capacity that they use,
+//! the numbers of their attempts and their deadlines.
 //!
-//! [`AdmittedQueries`] knows nothing of what the policy or the broker's connections keep for a
-//! query. The engine removes a query at its end, which frees its capacity.
+//! [`AdmittedQueries`] holds no state of the policy or of the broker's connections. The engine
+//! removes a query when it ends, which frees its capacity.
 
 use crate::commands::QuerySpec;
 use broker_types::query::{AttemptId, PartIndex, QueryId};
@@ -11,51 +11,55 @@
 
 /// A query that was admitted.
 struct AdmittedQuery {
-    /// Number of attempts started so far for each part. The policy numbers them by their order
-    /// alone.
+    /// Number of attempts started so far, by part; the next attempt at the part has this number.
+    /// The policy's actions do not contain it: the policy counts attempts in the order in which it
+    /// sends them.
     attempts: Vec<u32>,
     /// Time at which the client stops waiting.
     deadline: Timestamp,
 }
 
 impl AdmittedQuery {
-    /// Capacity that the query takes: one unit for itself and one for each part.
+    /// Returns the capacity that the query uses: one unit for itself and one for each part.
     fn units(&self) -> usize {
         1 + self.attempts.len()
     }
 }
 
-/// Deadline of a query. The order is that of time.
+/// The deadline of a query. Deadlines are ordered by time, and equal times by the query's number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct QueryDeadline {
     at: Timestamp,
     query: QueryId,
 }
 
-/// An attempt that was just started.
+/// An attempt that has just been started.
 pub(crate) struct StartedAttempt {
-    /// The attempt.
+    /// Identifies the attempt.
     pub(crate) id: AttemptId,
     /// Deadline of the attempt's query.
     pub(crate) query_deadline: Timestamp,
 }
 
-/// The capacity does not suffice for another query.
+/// The remaining capacity does not suffice for a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OverCapacity;
 
-/// All queries that were admitted and have not ended, bounded by a capacity in queries and parts
-/// together.
+/// All queries that were admitted and have not ended. Their number is bounded by a capacity in
+/// units, of which a query uses one for itself and one for each part.
 pub(crate) struct AdmittedQueries {
+    /// Maximum number of units.
     capacity: usize,
+    /// Number of units that the queries use.
     in_use: usize,
     queries: BTreeMap<QueryId, AdmittedQuery>,
-    /// One deadline for each query.
+    /// The deadlines of all queries, the earliest first.
     deadlines: BTreeSet<QueryDeadline>,
 }
 
 impl AdmittedQueries {
-    /// Returns no queries, with a capacity for so many queries and parts together.
+    /// Creates an empty set of queries. `capacity` is the maximum number of queries and parts
+    /// together.
     pub(crate) fn new(capacity: usize) -> Self {
         AdmittedQueries {
             capacity,
@@ -65,16 +69,17 @@
         }
     }
 
-    /// Number of queries and parts in use of the capacity.
+    /// Returns the number of queries and parts that use the capacity, together.
     pub(crate) fn in_use(&self) -> usize {
         self.in_use
     }
 
-    /// Admits a query and its parts.
+    /// Admits a query with its parts.
     ///
     /// # Errors
     ///
-    /// They exceed the capacity. Nothing has changed then.
+    /// Returns [`OverCapacity`], and changes nothing, if the query and its parts exceed the
+    /// remaining capacity.
     pub(crate) fn admit(&mut self, query: &QuerySpec) -> Result<(), OverCapacity> {
         let admitted = AdmittedQuery {
             attempts: vec![0; query.parts.len()],
@@ -92,7 +97,7 @@
         Ok(())
     }
 
-    /// Removes a query and its parts. Returns whether it had not ended before.
+    /// Removes a query with its parts. Returns `false` if the query has ended before.
     pub(crate) fn remove(&mut self, query: QueryId) -> bool {
         let Some(removed) = self.queries.remove(&query) else {
             return false;
@@ -105,7 +110,7 @@
         true
     }
 
-    /// Starts the next attempt at a part. Returns `None` where the query has ended or has no such
+    /// Starts the next attempt at a part. Returns `None` if the query has ended or has no such
     /// part.
     pub(crate) fn start_attempt(
         &mut self,
@@ -126,12 +131,12 @@
         })
     }
 
-    /// The earliest deadline of all queries.
+    /// Returns the earliest deadline of all queries; `None` if there are no queries.
     pub(crate) fn earliest_deadline(&self) -> Option<Timestamp> {
         self.deadlines.first().map(|deadline| deadline.at)
     }
 
-    /// The query with the earliest deadline, where that is not after `time`.
+    /// Returns the query with the earliest deadline if that deadline is at or before `time`.
     pub(crate) fn first_due_by(&self, time: Timestamp) -> Option<QueryId> {
         let first = self.deadlines.first()?;
         (first.at <= time).then_some(first.query)
--- a/crates/policy-engine/src/commands.rs
+++ b/crates/policy-engine/src/commands.rs
@@ -1,11 +1,11 @@
-//! The values that go into the engine and the decisions that come out of it.
+//! The inputs of the engine, and the decisions that it returns.
 
 use broker_types::query::{AttemptId, ClassIndex, PartSpec, QueryId, TenantIndex};
 use broker_types::server::{NodeId, Outcome};
 use broker_types::time::Timestamp;
 use std::time::Duration;
 
-/// A query to be fanned out to the servers of its shards.
+/// A query to fan out to the servers that hold its shards.
 #[derive(Clone, Debug)]
 pub struct QuerySpec {
     /// Number of the query.
@@ -25,22 +25,23 @@
 /// The end of an attempt.
 #[derive(Clone, Debug)]
 pub struct AttemptReport {
-    /// The attempt that ended.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
     /// How the attempt ended.
     pub outcome: Outcome,
     /// Time from the dispatch to the end of the attempt.
     pub elapsed: Duration,
-    /// Outstanding work that the server reported with its answer, if it did.
+    /// Number of requests that the server reported with its answer as waiting or in execution;
+    /// `None` if it reported none.
     pub load: Option<f64>,
 }
 
-/// An attempt to send to a server.
+/// The instruction to send an attempt to a server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Dispatch {
-    /// The attempt to send.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
-    /// The server to send it to.
+    /// The server that receives the attempt.
     pub server: NodeId,
     /// Time at which the attempt times out.
     pub deadline: Timestamp,
@@ -56,14 +57,14 @@
     },
     /// The query was not served and had no effect, so that the client may retry.
     Rejected {
-        /// Time after which the client should retry, where clients take such advice.
+        /// Delay after which the client should retry; `None` if clients ignore such advice.
         retry_after: Option<Duration>,
     },
     /// The query was not served; whether it had an effect is unknown.
     Failed,
 }
 
-/// The one final outcome of a query.
+/// The final outcome of a query. Each query has exactly one, unless its client disconnects first.
 #[derive(Clone, Debug, PartialEq)]
 pub struct FinishedQuery {
     /// The query that ended.
@@ -72,18 +73,20 @@
     pub outcome: QueryOutcome,
 }
 
-/// What the caller has to carry out, in the order of the fields: cancel, finish, dispatch.
+/// The decisions that the caller has to carry out, in the order of the fields: first cancel, then
+/// finish, then dispatch.
 #[derive(Debug, Default, PartialEq)]
 pub struct Decisions {
-    /// Attempts to cancel. The engine still expects an [`AttemptReport`] for each.
+    /// Attempts to cancel. The caller still has to pass an [`AttemptReport`] for each to the
+    /// engine.
     pub cancellations: Vec<AttemptId>,
-    /// Queries to answer now.
+    /// Queries that have ended; their clients have to be sent a response now.
     pub finished: Vec<FinishedQuery>,
     /// Attempts to send.
     pub dispatches: Vec<Dispatch>,
     /// Number of queries among `finished` that were rejected because the capacity was exhausted.
     pub over_capacity: usize,
-    /// Number of queries among `finished` that failed because the policy had not decided before
-    /// their deadline.
+    /// Number of queries among `finished` that failed because the policy had not ended them in time
+    /// before their deadline.
     pub expired: usize,
 }
--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -1,4 +1,4 @@
-//! The engine: feeds the policy with events and translates its actions into decisions.
+//! The engine: passes events to the policy and translates the policy's actions into decisions.
 
 use crate::admitted::{AdmittedQueries, OverCapacity};
 use crate::commands::{AttemptReport, Decisions, Dispatch, FinishedQuery, QueryOutcome, QuerySpec};
@@ -18,15 +18,16 @@
     policy: Aggregator,
     settings: Settings,
     admitted: AdmittedQueries,
-    /// Events for the next run of the policy.
+    /// Events that have not been passed to the policy yet; its next run takes all of them.
     staged: Vec<Event>,
-    /// Time at which the policy asked to be run again.
-    wake_at: Option<Timestamp>,
+    /// Time of the next timer event; `None` if no timer is set.
+    timer_at: Option<Timestamp>,
 }
 
 impl PolicyEngine {
-    /// An engine that holds up to `max_in_flight` queries and parts together; `seed` is for the
-    /// policy's random number generator.
+    /// Creates an engine without servers or queries. `max_in_flight` is the maximum number of
+    /// queries and parts in flight together. `seed` initializes the policy's random number
+    /// generator.
     #[must_use]
     pub fn new(settings: Settings, max_in_flight: usize, seed: u64) -> Self {
         PolicyEngine {
@@ -34,17 +35,17 @@
             settings,
             admitted: AdmittedQueries::new(max_in_flight),
             staged: Vec::new(),
-            wake_at: Some(Timestamp::ORIGIN),
+            timer_at: Some(Timestamp::ORIGIN),
         }
     }
 
-    /// Updates the list of servers. The policy takes the update into account from its next run on.
+    /// Updates the list of servers. The policy applies the update in its next run.
     pub fn update_endpoints(&mut self, scope: ListScope, servers: Vec<ServerInfo>) {
         self.staged.push(endpoints_event(scope, servers));
     }
 
-    /// Ends a query whose client has disconnected: it gets no [`FinishedQuery`]. Does nothing where
-    /// the query is not in flight.
+    /// Ends a query whose client has disconnected. No [`FinishedQuery`] is returned for it. Does
+    /// nothing if the query is not in flight.
     pub fn abandon(&mut self, query: QueryId) {
         if self.admitted.remove(query) {
             self.staged
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Reports attempts that have ended.
+    /// Reports to the policy which attempts have ended, and runs it. Does nothing without reports.
     pub fn on_attempts_ended(&mut self, now: Timestamp, reports: Vec<AttemptReport>) -> Decisions {
         if reports.is_empty() {
             return Decisions::default();
@@ -62,8 +63,8 @@
         self.run_policy(now)
     }
 
-    /// Submits new queries. A query that exceeds the capacity is rejected without asking the
-    /// policy.
+    /// Submits new queries to the policy, and runs it. A query that exceeds the capacity is
+    /// rejected and is not passed to the policy. Does nothing without queries.
     pub fn submit(&mut self, now: Timestamp, queries: Vec<QuerySpec>) -> Decisions {
         if queries.is_empty() {
             return Decisions::default();
@@ -81,11 +82,11 @@
         decisions
     }
 
-    /// Runs the policy where it asked for it or where events are staged, and fails queries that are
-    /// about to expire.
+    /// Runs the policy if its timer is due or if events are staged, and fails the queries whose
+    /// deadline is at most one tick away.
     pub fn poll(&mut self, now: Timestamp) -> Decisions {
-        let is_wake_due = self.wake_at.take_if(|at| now >= *at).is_some();
-        if is_wake_due {
+        let is_timer_due = self.timer_at.take_if(|at| now >= *at).is_some();
+        if is_timer_due {
             self.staged.push(Event::TimerFired);
         }
         let mut decisions = if self.staged.is_empty() {
@@ -97,33 +98,34 @@
         decisions
     }
 
-    /// The latest time at which [`PolicyEngine::poll`] has to be called next; `None` where there is
-    /// none.
+    /// Returns the time by which [`PolicyEngine::poll`] has to be called next; `None` if there is
+    /// nothing to do before another input arrives.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let query_expires = self.admitted.earliest_deadline();
-        let fail_at = query_expires.map(|deadline| deadline - self.expiry_margin());
+        let earliest_deadline = self.admitted.earliest_deadline();
+        let fail_at = earliest_deadline.map(|deadline| deadline - self.expiry_margin());
         let run_at = if self.staged.is_empty() {
-            self.wake_at
+            self.timer_at
         } else {
             Some(Timestamp::ORIGIN)
         };
         [fail_at, run_at].into_iter().flatten().min()
     }
 
-    /// A summary of the policy's state for the log.
+    /// Returns a summary of the policy's state for the log.
     #[must_use]
     pub fn summary(&self, now: Timestamp) -> PolicySummary {
         PolicySummary::of(&self.policy, to_policy_time(now))
     }
 
-    /// Number of queries and parts in flight.
+    /// Returns the number of queries and parts in flight together.
     #[must_use]
     pub fn in_flight(&self) -> usize {
         self.admitted.in_use()
     }
 
-    /// Time before its deadline at which an undecided query fails: one tick of the settings.
+    /// Returns how long before its deadline a query fails that the policy has not ended: one tick
+    /// of the settings.
     fn expiry_margin(&self) -> Duration {
         millis(self.settings.tick)
     }
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Guarantees an answer before the deadline, whatever the policy does.
+    /// Fails the queries that are about to expire. This guarantees that each client receives a
+    /// response before its deadline, even if the policy never ends its query.
     fn fail_expiring_queries(&mut self, now: Timestamp, decisions: &mut Decisions) {
         let latest = now + self.expiry_margin();
         while let Some(query) = self.admitted.first_due_by(latest) {
@@ -149,7 +152,7 @@
         }
     }
 
-    /// Runs the policy on the staged events.
+    /// Passes the staged events to the policy, and translates the actions that it returns.
     fn run_policy(&mut self, now: Timestamp) -> Decisions {
         let events = std::mem::take(&mut self.staged);
         let actions = self.policy.on_batch(to_policy_time(now), events);
@@ -191,13 +194,15 @@
                 let outcome = QueryOutcome::Failed;
                 decisions.finished.extend(self.finish(&query, outcome));
             }
-            Action::SetTimer { after } => self.wake_at = Some(now + millis(after)),
-            // The broker has no channel to its peers, and always watches the endpoint list.
+            Action::SetTimer { after } => self.timer_at = Some(now + millis(after)),
+            // The broker does not exchange gossip with other brokers, and it always watches the
+            // endpoint list, so that it never has to start polling.
             Action::PublishLoad { .. } | Action::PollEndpointList => {}
         }
     }
 
-    /// Starts an attempt that the policy asked for; `None` where its query is no longer in flight.
+    /// Starts an attempt that the policy requests. It times out after `timeout`, but no later than
+    /// at the deadline of its query. Returns `None` if the query is no longer in flight.
     fn dispatch(
         &mut self,
         now: Timestamp,
@@ -218,7 +223,7 @@
         })
     }
 
-    /// Ends a query with its outcome; `None` where it is no longer in flight.
+    /// Ends a query with this outcome. Returns `None` if the query is no longer in flight.
     fn finish(&mut self, query: &PolicyQueryId, outcome: QueryOutcome) -> Option<FinishedQuery> {
         let query = parse_query(query)?;
         self.admitted
--- a/crates/policy-engine/src/engine/tests.rs
+++ b/crates/policy-engine/src/engine/tests.rs
@@ -1,13 +1,15 @@
+//! Tests of the engine with the real policy and two servers.
+
 use super::*;
 use broker_types::query::{ClassIndex, PartIndex, PartSpec, TenantIndex};
 use broker_types::server::{Outcome, ServingState};
 use fanout_policy::settings::decode;
 use serde_json::Value;
 
-/// Deadline of all queries here.
+/// Deadline of all queries in these tests.
 const DEADLINE: Timestamp = Timestamp::from_micros(1_000_000);
 
-/// A time in microseconds.
+/// Returns the time `micros` microseconds after the origin of the clock.
 const fn at(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
@@ -22,7 +24,7 @@
     }
 }
 
-/// An engine with two servers.
+/// Creates an engine with two serving servers.
 fn engine(max_in_flight: usize) -> PolicyEngine {
     let settings: Value =
         serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
@@ -100,9 +102,10 @@
     assert_eq!(engine.poll(at(2_000_000)).finished, []);
 }
 
-/// The simulator never submits a query beyond `MaxOpen`, so that the policy does not expect one.
+/// The policy does not expect queries beyond the capacity, because the simulator never submits more
+/// than `MaxOpen`. The engine therefore rejects them without passing them to the policy.
 #[test]
-fn query_over_capacity_is_rejected_with_advice_and_capacity_is_released() {
+fn query_over_capacity_is_rejected_with_retry_after_and_capacity_is_released() {
     let mut engine = engine(3);
     let both = engine.submit(at(1000), vec![query(1, &[0, 1]), query(2, &[2])]);
     assert!(matches!(
@@ -125,9 +128,10 @@
 }
 
 #[test]
-fn query_that_the_policy_forgets_fails_before_its_deadline() {
+fn query_that_the_policy_never_ends_fails_before_its_deadline() {
     let mut engine = engine(10);
     engine.submit(at(1000), vec![query(1, &[0])]);
+    // The new policy has no record of the query, and thus never ends it.
     engine.policy = Aggregator::new(engine.settings.clone(), 7);
     let tick = Duration::from_millis(5);
     let next_deadline = engine.next_deadline();
@@ -138,7 +142,7 @@
 }
 
 #[test]
-fn draining_server_is_sent_nothing_from_the_next_batch_on() {
+fn draining_server_receives_no_attempt_from_the_next_batch_on() {
     let mut engine = engine(100);
     let first = engine.submit(at(1000), vec![query(1, &[0])]).dispatches;
     let name = first[0].server.clone();
--- a/crates/policy-engine/src/events.rs
+++ b/crates/policy-engine/src/events.rs
@@ -1,7 +1,7 @@
 //! Translation of the engine's inputs into the policy's events.
 //!
-//! The policy counts points in time and time spans in milliseconds; [`from_micros`] is the only
-//! place where whole microseconds are given up.
+//! The policy represents points in time and durations as floating-point milliseconds. Only
+//! [`from_micros`] converts whole microseconds to this representation.
 
 use crate::commands::{AttemptReport, QuerySpec};
 use crate::names::{part_name, query_name};
@@ -14,13 +14,13 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
-/// A point in time on the policy's clock.
+/// Converts a point in time to the policy's representation.
 pub(crate) fn to_policy_time(at: Timestamp) -> Ms {
     from_micros(at.as_micros() as f64)
 }
 
-/// A time span as the policy counts it.
-fn to_policy_span(span: Duration) -> Ms {
+/// Converts a duration to the policy's representation.
+fn to_policy_duration(span: Duration) -> Ms {
     from_micros(whole_micros(span) as f64)
 }
 
@@ -28,7 +28,7 @@
     micros / MICROS_PER_MILLISECOND
 }
 
-/// The event of a changed endpoint list.
+/// Returns the event for an update of the endpoint list.
 pub(crate) fn endpoints_event(scope: ListScope, servers: Vec<ServerInfo>) -> Event {
     let update = match scope {
         ListScope::Cached => ListUpdate::Cached,
@@ -53,18 +53,18 @@
     }
 }
 
-/// The event of an attempt that ended.
+/// Returns the event for an attempt that has ended.
 pub(crate) fn attempt_ended_event(report: AttemptReport) -> Event {
     Event::AttemptEnded {
         part: part_name(report.attempt.query, report.attempt.part),
         attempt: report.attempt.attempt,
         outcome: report.outcome,
-        elapsed: to_policy_span(report.elapsed),
+        elapsed: to_policy_duration(report.elapsed),
         load: report.load,
     }
 }
 
-/// The events of a new query: the query itself, followed by its parts.
+/// Returns the events for a new query: one for the query itself, followed by one for each part.
 pub(crate) fn query_events(query: &QuerySpec) -> impl Iterator<Item = Event> {
     let parts = query.parts.iter().enumerate();
     let parts = parts.map(|(index, part)| part_event(query.id, PartIndex(index), part));
@@ -88,6 +88,6 @@
         group: query.0,
         shard: part.shard,
         weight: part.weight,
-        cost_hint: part.work_hint.map(to_policy_span),
+        cost_hint: part.work_hint.map(to_policy_duration),
     })
 }
--- a/crates/policy-engine/src/names/tests.rs
+++ b/crates/policy-engine/src/names/tests.rs
@@ -1,7 +1,9 @@
+//! Tests of the policy's ids of queries and parts.
+
 use super::*;
 
 #[test]
-fn names_are_parsed_back_to_the_numbers_they_were_made_from() {
+fn names_are_parsed_back_to_the_numbers_from_which_they_were_built() {
     let (query, part) = (QueryId(u64::MAX), PartIndex(7));
     assert_eq!(parse_query(&query_name(query)), Some(query));
     assert_eq!(
--- a/crates/policy-engine/src/summary.rs
+++ b/crates/policy-engine/src/summary.rs
@@ -5,11 +5,12 @@
 use fanout_policy::view::ClassView;
 use std::fmt;
 
-/// A server counts as slow above this multiple of the fleet's latency per unit of outstanding work.
+/// A server counts as slow if its latency per unit of outstanding work exceeds this multiple of the
+/// fleet's.
 const SLOW_SERVER_RATIO: f64 = 2.0;
 
-/// One figure for each class, in the order of the settings. It is displayed as `1.0,2.5`, with one
-/// decimal.
+/// One figure for each class, in the order of the settings. It is displayed with one decimal place
+/// for each figure, such as `1.0,2.5`.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PerClass(pub Vec<f64>);
 
@@ -23,29 +24,29 @@
     }
 }
 
-/// The state that the policy bases its decisions on.
+/// Summary of the statistics on which the policy bases its decisions.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PolicySummary {
-    /// Number of servers that may be sent parts.
+    /// Number of servers that accept requests.
     pub serving: usize,
-    /// Number of servers that are ejected for their failures or because they are overloaded.
+    /// Number of servers that are ejected because of failures or overload.
     pub ejected: usize,
     /// Number of servers that may be warming up.
     pub warming_up: usize,
-    /// The fleet's usual latency per unit of outstanding work.
+    /// Median over the fleet of a server's latency per unit of outstanding work.
     pub latency_per_work: f64,
-    /// Number of servers with more than twice that latency.
+    /// Number of servers whose latency per unit of outstanding work is more than twice the median.
     pub slow: usize,
-    /// Number of rows that a query touches, by class.
+    /// Number of replica rows that a query contacts, by class.
     pub touched_rows: PerClass,
     /// Estimated work of a part in milliseconds, by class.
     pub part_cost_ms: PerClass,
-    /// Time in milliseconds by which queries take longer than forecast, by class.
+    /// Smoothed time in milliseconds by which queries take longer than forecast, by class.
     pub forecast_error_ms: PerClass,
 }
 
 impl PolicySummary {
-    /// Summarizes the policy's state at a time in milliseconds.
+    /// Summarizes the policy's state at the time `now`.
     pub(crate) fn of(policy: &Aggregator, now: Ms) -> Self {
         let servers = policy.server_views(now);
         let classes = policy.class_views();
