--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -1,4 +1,4 @@
-//! What is known of one idempotency key and of the parts that were sent under it.
+//! The state of one idempotency key and of the parts that were sent under it.
 
 use crate::execution::ExecutionEvidence;
 use crate::key_admission::KeyAdmission;
@@ -6,16 +6,16 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What is known of one part under a key.
+/// The state of one part that was sent under a key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PartState {
     /// Time at which the first attempt that may have been executed was sent.
     first_sent_at: Option<Timestamp>,
     /// Number of attempts in flight.
     in_flight: u32,
-    /// Number of ended attempts that were or may have been executed.
+    /// Number of ended attempts that were executed or may have been executed.
     possibly_executed: u32,
-    /// Time until which an attempt may still be executed after it was cancelled.
+    /// Time until which an attempt may still be executed, even if it was cancelled.
     busy_until: Timestamp,
 }
 
@@ -38,17 +38,18 @@
         }
     }
 
-    /// Whether no attempt at the part is in flight or may have been executed.
-    fn is_untouched(&self) -> bool {
+    /// Returns `true` if no attempt at the part is in flight, and none may have been executed.
+    fn is_certainly_not_executed(&self) -> bool {
         self.in_flight == 0 && self.possibly_executed == 0
     }
 
-    /// Whether an attempt is in flight or may still be executed.
+    /// Returns `true` if an attempt at the part is in flight or may still be executed.
     fn is_busy(&self, now: Timestamp) -> bool {
         self.in_flight > 0 || self.busy_until > now
     }
 
-    /// Time from which on the part may not be sent; `None` where no attempt may have been executed.
+    /// Returns the end of the replay window, from which on the part must not be sent; `None` if no
+    /// attempt was sent.
     pub(crate) fn window_ends_at(&self, window: Duration) -> Option<Timestamp> {
         self.first_sent_at.map(|sent_at| sent_at + window)
     }
@@ -58,25 +59,27 @@
             .is_some_and(|ends_at| now >= ends_at)
     }
 
-    /// Whether the part may be sent now.
+    /// Returns `true` if the part may be sent at `now`: no attempt at it is in flight, and its
+    /// replay window has not ended.
     pub(crate) fn may_send(&self, now: Timestamp, window: Duration) -> bool {
         self.in_flight == 0 && !self.is_window_expired(now, window)
     }
 }
 
-/// What is known of one key.
+/// The state of one key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct KeyState {
     /// Deadline of the key's query, while one is in flight.
     query_deadline: Option<Timestamp>,
-    /// The parts that were sent, by shard.
+    /// The parts that are in flight or may have been executed, by shard.
     parts: BTreeMap<usize, PartState>,
-    /// Time at which the key may be forgotten; meaningful only while no query is in flight.
-    forget_at: Timestamp,
+    /// Time at which the key expires; valid only while no query is in flight.
+    expires_at: Timestamp,
 }
 
 impl KeyState {
-    /// Whether another query of this key, with parts for these shards, may be served now.
+    /// Decides whether another query with this key and with parts for `shards` may be served at
+    /// `now`. `window` is the length of the replay window.
     pub(crate) fn admission(
         &self,
         now: Timestamp,
@@ -97,34 +100,36 @@
         busy_until.map_or(KeyAdmission::Admitted, KeyAdmission::RetryAt)
     }
 
-    /// Records that a query of this key was admitted, whose client waits until `deadline`.
+    /// Records that a query with this key was admitted and that its client waits until `deadline`.
     pub(crate) fn start_query(&mut self, deadline: Timestamp) {
         self.query_deadline = Some(deadline);
     }
 
-    /// Records that the query in flight has ended; `None` where there was none.
+    /// Records that the query in flight has ended, and returns its deadline; `None` if no query was
+    /// in flight.
     pub(crate) fn end_query(&mut self) -> Option<Timestamp> {
         self.query_deadline.take()
     }
 
-    /// What is known of the part for a shard, if it was sent.
+    /// Returns the state of the part for a shard; `None` if the part was not sent, or if it is
+    /// certain that it was not executed.
     pub(crate) fn part(&self, shard: usize) -> Option<&PartState> {
         self.parts.get(&shard)
     }
 
-    /// Whether a part was sent that is not forgotten.
+    /// Returns `true` if any part is in flight or may have been executed.
     pub(crate) fn has_parts(&self) -> bool {
         !self.parts.is_empty()
     }
 
-    /// Records that an attempt at a part is sent, which times out at `deadline`.
+    /// Records that an attempt at a part is sent. The attempt times out at `deadline`.
     pub(crate) fn on_attempt_sent(&mut self, now: Timestamp, shard: usize, deadline: Timestamp) {
         let part = self.parts.entry(shard).or_default();
         part.on_attempt_sent(now, deadline);
     }
 
-    /// Records the end of an attempt. A part of which nothing may have been executed is forgotten
-    /// at once.
+    /// Records the end of an attempt. If no attempt at the part is in flight or may have been
+    /// executed, the part's state is removed.
     pub(crate) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -135,28 +140,29 @@
             return;
         };
         part.on_attempt_ended(now, evidence);
-        if part.is_untouched() {
+        if part.is_certainly_not_executed() {
             self.parts.remove(&shard);
         }
     }
 
+    /// Returns `true` if an attempt at any part is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.parts.values().any(|part| part.in_flight > 0)
     }
 
-    /// Time at which the key may be forgotten; meaningful only while no query is in flight.
-    pub(crate) fn forget_at(&self) -> Timestamp {
-        self.forget_at
+    /// Returns the time at which the key expires; valid only while no query is in flight.
+    pub(crate) fn expires_at(&self) -> Timestamp {
+        self.expires_at
     }
 
-    /// Sets the time at which the key may be forgotten, and returns it.
-    pub(crate) fn retain_until(&mut self, forget_at: Timestamp) -> Timestamp {
-        self.forget_at = forget_at;
-        forget_at
+    /// Sets the time at which the key expires, and returns it.
+    pub(crate) fn retain_until(&mut self, expires_at: Timestamp) -> Timestamp {
+        self.expires_at = expires_at;
+        expires_at
     }
 
-    /// The latest time at which an attempt was sent first or may be executed; `now` where there are
-    /// no parts.
+    /// Returns the latest time, over all parts, at which the first attempt was sent or an attempt
+    /// may still be executed; `now` if there are no parts.
     pub(crate) fn latest_activity(&self, now: Timestamp) -> Timestamp {
         let activity = |part: &PartState| part.first_sent_at.unwrap_or(now).max(part.busy_until);
         self.parts.values().map(activity).max().unwrap_or(now)
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,19 +1,20 @@
-//! Register of idempotency keys: whether a client's retry may be served, and until when.
+//! Register of idempotency keys: decides whether a client's retry may be served, and until when.
 //!
-//! Data servers drop repeated parts of a class with idempotency keys, but only for a window after
-//! the first attempt. Within one query the policy keeps to that window. It knows nothing of earlier
-//! queries: where a client disconnects and sends its query again under the same key, that is a new
-//! query to the policy. [`IdempotencyRegister`] closes this gap. While a query of a key is in
-//! flight, or a cancelled attempt may still be executed, a retry is rejected with the time at which
-//! to come back. Once the window of a part that may have been executed has ended, that part is not
-//! sent again, and a retry fails.
+//! Data servers drop repeated parts of a class with idempotency keys, but only during a replay
+//! window after the first attempt. Within one query, the policy sends no part after its window has
+//! ended. But the policy has no record of earlier queries: if a client disconnects and sends its
+//! query again with the same key, the policy treats it as a new query and might send a part that
+//! the servers no longer recognize as a repetition. [`IdempotencyRegister`] prevents this. While a
+//! query with the same key is in flight, or a cancelled attempt may still be executed, a retry is
+//! rejected together with the time at which the client may retry. After the window of a part that
+//! may have been executed, the part is not sent again, and a retry fails.
 //!
-//! The register has to be notified of each part that is sent
-//! ([`IdempotencyRegister::on_attempt_sent`]) and of the end of the attempt
-//! ([`IdempotencyRegister::on_attempt_ended`]), also after the query itself has ended. It holds a
-//! bounded number of keys: when it is full, keys whose query was answered are forgotten first;
-//! where there are none, a new key is rejected rather than an old one forgotten. It does no I/O and
-//! reads no clock.
+//! The caller has to notify the register of each attempt that is sent
+//! ([`IdempotencyRegister::on_attempt_sent`]) and of the end of each attempt
+//! ([`IdempotencyRegister::on_attempt_ended`]), even if the query itself has ended before. The
+//! register holds a bounded number of keys. When it is full, a new key replaces a key whose query
+//! was answered. If there is no such key, the new key is rejected: a key whose client may still
+//! retry must not be removed. The register does no I/O and reads no clock.
 //!
 //! ```
 //! use broker_types::time::Timestamp;
--- a/crates/idempotency/src/query_end.rs
+++ b/crates/idempotency/src/query_end.rs
@@ -3,8 +3,8 @@
 /// How a query under an idempotency key ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryEnd {
-    /// With an answer, after which its client has no reason to retry.
+    /// The query was answered, so that its client has no reason to retry.
     Answered,
-    /// Without an answer: its client may retry.
+    /// The query ended without an answer, so that its client may retry.
     Unanswered,
 }
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -13,15 +13,17 @@
 /// Time limits and size of an [`IdempotencyRegister`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RegisterLimits {
-    /// Time after the first attempt in which servers drop repetitions.
+    /// Length of the replay window: time after the first attempt at a part during which servers
+    /// drop repetitions of the part.
     pub window: Duration,
-    /// Time after the window in which clients may still retry: for so long a key is remembered.
+    /// Time after the replay window during which clients may still retry. The register keeps a key
+    /// until the end of this time, so that it can reject such a retry.
     pub retention: Duration,
-    /// Most keys that are remembered.
+    /// Maximum number of keys in the register.
     pub max_keys: usize,
 }
 
-/// The idempotency keys under which parts were sent.
+/// The idempotency keys under which parts were sent, and the state of these parts.
 #[derive(Debug)]
 pub struct IdempotencyRegister {
     limits: RegisterLimits,
@@ -31,7 +33,7 @@
 }
 
 impl IdempotencyRegister {
-    /// An empty register.
+    /// Creates an empty register.
     #[must_use]
     pub fn new(limits: RegisterLimits) -> Self {
         IdempotencyRegister {
@@ -41,10 +43,10 @@
         }
     }
 
-    /// Asks whether a query of this key with parts for these shards may be served; its client waits
-    /// until `deadline`. Where it is [`KeyAdmission::Admitted`],
-    /// [`IdempotencyRegister::on_query_ended`] has to be called at its end. Otherwise nothing of it
-    /// is remembered.
+    /// Decides whether a query with this key and with parts for `shards` may be served. `deadline`
+    /// is the time until which its client waits. If the query is [`KeyAdmission::Admitted`], the
+    /// caller has to call [`IdempotencyRegister::on_query_ended`] when the query ends. Otherwise
+    /// the register does not record the query.
     #[must_use]
     pub fn admit(
         &mut self,
@@ -53,7 +55,7 @@
         shards: impl Iterator<Item = usize>,
         deadline: Timestamp,
     ) -> KeyAdmission {
-        self.forget_expired_keys(now);
+        self.remove_expired_keys(now);
         let admission = match self.keys.get(key) {
             Some(state) => state.admission(now, self.limits.window, shards),
             None => self.admit_new_key(deadline),
@@ -62,29 +64,29 @@
             let state = self.keys.entry(key.clone()).or_default();
             state.start_query(deadline);
             self.retention.remove(&RetainedKey {
-                forget_at: state.forget_at(),
+                expires_at: state.expires_at(),
                 key: key.clone(),
             });
         }
         admission
     }
 
-    /// Whether the part may be sent now: not while an attempt is in flight, nor after the window of
-    /// an attempt that may have been executed.
+    /// Returns `true` if the part may be sent at `now`. It must not be sent while an attempt at it
+    /// is in flight, nor after the replay window of an attempt that may have been executed.
     #[must_use]
     pub fn may_send(&self, now: Timestamp, key: &str, shard: usize) -> bool {
         self.part(key, shard)
             .is_none_or(|part| part.may_send(now, self.limits.window))
     }
 
-    /// Time from which on the part may not be sent; `None` where no attempt at it may have been
-    /// executed.
+    /// Returns the end of the part's replay window, from which on the part must not be sent; `None`
+    /// if no attempt at it may have been executed.
     #[must_use]
     pub fn window_ends_at(&self, key: &str, shard: usize) -> Option<Timestamp> {
         self.part(key, shard)?.window_ends_at(self.limits.window)
     }
 
-    /// Records that an attempt at a part is sent, which times out at `deadline`.
+    /// Records that an attempt at a part is sent. The attempt times out at `deadline`.
     pub fn on_attempt_sent(
         &mut self,
         now: Timestamp,
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Records that an attempt at a part has ended.
+    /// Records that an attempt at a part has ended, and whether it may have been executed.
     pub fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Records that the query of this key has ended.
+    /// Records that the query in flight with this key has ended.
     pub fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, end: QueryEnd) {
         let Some(state) = self.keys.get_mut(key) else {
             return;
@@ -122,15 +124,15 @@
             self.keys.remove(key);
             return;
         }
-        let forget_at = state.latest_activity(now) + self.limits.window + self.limits.retention;
+        let expires_at = state.latest_activity(now) + self.limits.window + self.limits.retention;
         let retained = RetainedKey {
-            forget_at: state.retain_until(forget_at),
+            expires_at: state.retain_until(expires_at),
             key: key.clone(),
         };
         self.retention.insert(retained, end);
     }
 
-    /// Number of keys that are remembered.
+    /// Returns the number of keys in the register.
     #[must_use]
     pub fn key_count(&self) -> usize {
         self.keys.len()
@@ -140,9 +142,11 @@
         self.keys.get(key)?.part(shard)
     }
 
-    /// Admits a key that is not remembered, where there is space for it or a key whose query was
-    /// answered can be forgotten. A full register must not let a retry through by forgetting the
-    /// key that it repeats.
+    /// Decides whether a key that is not in the register may be added. If the register is full, a
+    /// key whose query was answered is removed to make space. Other keys are not removed, because
+    /// their clients may still retry: a retry whose key was removed would count as a new query and
+    /// be served, although its parts may have been executed. If no key can be removed, the client
+    /// may retry when the next key expires, or at `deadline` if all keys have a query in flight.
     fn admit_new_key(&mut self, deadline: Timestamp) -> KeyAdmission {
         if self.keys.len() < self.limits.max_keys {
             return KeyAdmission::Admitted;
@@ -151,20 +155,23 @@
             self.keys.remove(&evicted.key);
             return KeyAdmission::Admitted;
         }
-        let retry_at = self.retention.earliest().unwrap_or(deadline);
+        let retry_at = self.retention.earliest_expiry().unwrap_or(deadline);
         KeyAdmission::RetryAt(retry_at)
     }
 
-    fn forget_expired_keys(&mut self, now: Timestamp) {
+    /// Removes all keys that have expired at `now` and that have no attempt in flight.
+    fn remove_expired_keys(&mut self, now: Timestamp) {
         while let Some(expired) = self.retention.first_expired(now).cloned() {
             let end = self.retention.remove(&expired);
-            self.forget_or_postpone(now, expired, end);
+            self.remove_or_postpone(now, expired, end);
         }
     }
 
-    /// Forgets a key, unless it has an attempt in flight: such an attempt is past its deadline and
-    /// its end should have been reported, but the key must not be forgotten all the same.
-    fn forget_or_postpone(&mut self, now: Timestamp, expired: RetainedKey, end: QueryEnd) {
+    /// Removes an expired key, unless it has an attempt in flight. The deadline of such an attempt
+    /// has passed, so that its end should have been reported by now. Without this report the
+    /// register cannot tell whether the attempt is over, and keeps the key for another replay
+    /// window.
+    fn remove_or_postpone(&mut self, now: Timestamp, expired: RetainedKey, end: QueryEnd) {
         let Some(state) = self.keys.get_mut(&expired.key) else {
             return;
         };
@@ -173,7 +180,7 @@
             return;
         }
         let postponed = RetainedKey {
-            forget_at: state.retain_until(now + self.limits.window),
+            expires_at: state.retain_until(now + self.limits.window),
             key: expired.key,
         };
         self.retention.insert(postponed, end);
--- a/crates/idempotency/tests/random_retries.rs
+++ b/crates/idempotency/tests/random_retries.rs
@@ -1,4 +1,4 @@
-//! Random retries under idempotency keys, checked against a model.
+//! Tests of the register with random sequences of retries, checked against a reference model.
 
 use broker_types::time::Timestamp;
 use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, QueryEnd, RegisterLimits};
@@ -11,10 +11,10 @@
 const WINDOW: Duration = Duration::from_secs(5);
 const KEYS: usize = 4;
 const SHARDS: usize = 2;
-/// One key less than clients use.
+/// One less than the number of keys that clients use, so that the register can be full.
 const MAX_KEYS: usize = KEYS - 1;
 
-/// One step of clients, servers or time.
+/// One operation of a random sequence: by a client, by a server, or the passing of time.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     Admit {
@@ -29,7 +29,8 @@
         shard: usize,
         evidence: ExecutionEvidence,
     },
-    /// The query ends without an answer: a client that has its answer does not use its key again.
+    /// The query ends without an answer. Answered queries are not tested here, because their
+    /// clients do not use the key again.
     EndQuery {
         key: usize,
     },
@@ -62,7 +63,7 @@
     format!("k{key}").into()
 }
 
-/// What really happened to a part.
+/// The reference state of a part, recorded independently of the register.
 #[derive(Clone, Copy, Debug, Default)]
 struct PartModel {
     in_flight: u32,
@@ -71,7 +72,7 @@
     possibly_executed: u32,
 }
 
-/// The register together with what really happened.
+/// The register and the reference state of all queries and parts.
 struct Model {
     register: IdempotencyRegister,
     now: Timestamp,
@@ -132,6 +133,7 @@
         prop_assert_eq!(part.in_flight, 0);
         if let Some(first_sent_at) = part.first_sent_at {
             let is_within_window = now < first_sent_at + WINDOW;
+            // The register keeps the key only as long as clients may retry.
             let is_after_last_retry = now >= first_sent_at + 2 * WINDOW;
             prop_assert!(is_within_window || is_after_last_retry);
         }
@@ -170,11 +172,11 @@
 }
 
 proptest! {
-    /// Clients repeat keys at will, and attempts end in any way and order. No part is sent while
-    /// another attempt at it is in flight, and none that may have been executed after its window,
-    /// for as long as clients may retry.
+    /// Clients repeat keys in any order, and attempts end with any outcome in any order. No part is
+    /// sent while another attempt at it is in flight. A part that may have been executed is not
+    /// sent between the end of its replay window and the last time at which clients may retry.
     #[test]
-    fn no_part_is_sent_twice_at_once_or_after_its_window(steps in steps()) {
+    fn no_part_is_sent_twice_concurrently_or_after_its_window(steps in steps()) {
         let mut model = Model::new();
         for step in steps {
             model.apply(step)?;
--- a/crates/idempotency/tests/register.rs
+++ b/crates/idempotency/tests/register.rs
@@ -1,4 +1,4 @@
-//! Retries under idempotency keys, one case at a time.
+//! Tests of single cases of retries under idempotency keys.
 
 use broker_types::time::Timestamp;
 use idempotency::{ExecutionEvidence, IdempotencyRegister, KeyAdmission, QueryEnd, RegisterLimits};
@@ -7,17 +7,17 @@
 
 const WINDOW: Duration = Duration::from_secs(5);
 
-/// A time in microseconds.
+/// Returns the time `micros` microseconds after the origin of the clock.
 const fn at(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
 
-/// A time in seconds.
+/// Returns the time `seconds` seconds after the origin of the clock.
 const fn seconds(seconds: u64) -> Timestamp {
     Timestamp::from_micros(seconds * 1_000_000)
 }
 
-/// The end of the window of an attempt that was sent at the origin.
+/// Returns the end of the replay window of a part that was first sent at the origin of the clock.
 fn window_end() -> Timestamp {
     Timestamp::ORIGIN + WINDOW
 }
@@ -34,7 +34,7 @@
     format!("k{number}").into()
 }
 
-/// Asks for a query with parts for shards 0 and 1, whose client waits for four seconds.
+/// Requests admission for a query with parts for shards 0 and 1, whose client waits for 4 seconds.
 fn admit(register: &mut IdempotencyRegister, now: Timestamp, number: usize) -> KeyAdmission {
     register.admit(
         now,
@@ -57,7 +57,8 @@
     must_admit(&mut register, seconds(1), 2);
 }
 
-/// The client disconnects while an attempt is in flight: that may be executed until its deadline.
+/// The client disconnects while an attempt is in flight. The attempt is cancelled, but the server
+/// may still execute it until its deadline.
 #[test]
 fn retry_is_rejected_while_a_cancelled_attempt_may_be_executed() {
     let mut register = register(100);
@@ -73,12 +74,12 @@
     assert!(!register.may_send(window_end(), "k1", 0));
     assert!(
         register.may_send(window_end(), "k1", 1),
-        "a part that was never sent is no repetition"
+        "a part that was never sent must be allowed after the window of another part"
     );
 }
 
-/// Ends an attempt at shard 0 with the evidence, and the query without an answer; returns what a
-/// retry gets.
+/// Sends an attempt at shard 0 and ends it with `evidence`, then ends the query without an answer.
+/// Returns the decision on a retry at `retry_at`.
 fn retry_after_attempt(evidence: ExecutionEvidence, retry_at: Timestamp) -> KeyAdmission {
     let mut register = register(100);
     must_admit(&mut register, at(0), 1);
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn retry_within_the_window_is_admitted_once_execution_is_over_or_ruled_out() {
+fn retry_within_the_window_is_admitted_after_execution_finished_or_was_ruled_out() {
     for evidence in [ExecutionEvidence::Executed, ExecutionEvidence::NotExecuted] {
         let retry = retry_after_attempt(evidence, at(20));
         assert_eq!(retry, KeyAdmission::Admitted, "{evidence:?}");
@@ -97,7 +98,7 @@
 }
 
 #[test]
-fn retry_after_the_window_is_admitted_only_where_nothing_was_executed() {
+fn retry_after_the_window_is_admitted_only_if_nothing_was_executed() {
     for (evidence, expected) in [
         (ExecutionEvidence::Executed, KeyAdmission::WindowExpired),
         (
@@ -111,9 +112,10 @@
     }
 }
 
-/// A full register must not let a retry through by forgetting the key that it repeats.
+/// If a full register removed a key whose client may still retry, the retry would count as a new
+/// query and be served, although its parts may have been executed.
 #[test]
-fn full_register_forgets_answered_keys_and_rejects_new_keys_otherwise() {
+fn full_register_removes_answered_keys_and_rejects_new_keys_if_there_are_none() {
     let mut register = register(2);
     for number in 0..2 {
         must_admit(&mut register, at(0), number);
