--- a/crates/batch-window/src/lib.rs
+++ b/crates/batch-window/src/lib.rs
@@ -1,14 +1,16 @@
-//! How long the broker gathers events before it processes them as a batch.
+//! The batch window: how long the broker gathers events before it processes them as a batch.
 //!
 //! Parts that are dispatched to one server in one batch share a call, and each call costs the
-//! server work of its own. A busy broker therefore gathers for a while before it runs the policy.
-//! An idle broker gains nothing by waiting: there is no other query to share a call with. The
-//! window depends on the number of queries in flight: a single one is processed at once, and each
-//! further one lengthens the window up to its limit.
+//! server work in addition to the work of its parts. A busy broker therefore gathers events for
+//! some time before it runs the policy. An idle broker gains nothing by waiting, because there is
+//! no other query with which a call could be shared. The length of the window therefore depends on
+//! the number of queries in flight: a single query is processed immediately, and each additional
+//! query lengthens the window up to its maximum.
 //!
-//! The window does not depend on the arrival rate. A client that sends one query after another
-//! raises that rate as soon as it is served at once, and lowers it again as soon as it waits, so
-//! that the window would oscillate.
+//! The window does not depend on the arrival rate, because it would oscillate. A client that sends
+//! one query after another raises the arrival rate if its queries are processed immediately. The
+//! higher rate would lengthen the window, so that the client has to wait and the rate falls, which
+//! would shorten the window again.
 //!
 //! ```
 //! use batch_window::BatchWindow;
@@ -23,21 +25,23 @@
 use broker_types::time::Timestamp;
 use std::time::Duration;
 
-/// Number of queries in flight, beside the first, from which on the window has its full length.
+/// Number of queries in flight, not counting the first one, from which on the adaptive window has
+/// its maximum length.
 const QUERIES_FOR_FULL_WINDOW: u32 = 8;
 
-/// The least time between the starts of two batches.
+/// The minimum time between the starts of two batches.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BatchWindow {
-    /// The same time, however many queries are in flight.
+    /// A constant time, independent of the number of queries in flight.
     Fixed(Duration),
-    /// From zero with one query in flight up to this time with many.
+    /// A time that grows with the number of queries in flight, from zero for a single query up to
+    /// this maximum.
     Adaptive(Duration),
 }
 
 impl BatchWindow {
-    /// The least time between the starts of two batches, with so many queries in flight. Queries
-    /// that wait for the next batch count too.
+    /// Returns the minimum time between the starts of two batches. `queries_in_flight` includes the
+    /// queries that wait for the next batch.
     #[must_use]
     pub fn duration(self, queries_in_flight: usize) -> Duration {
         match self {
@@ -51,7 +55,7 @@
         }
     }
 
-    /// The longest [`BatchWindow::duration`].
+    /// Returns the maximum of [`BatchWindow::duration`] over all numbers of queries in flight.
     #[must_use]
     pub fn max_duration(self) -> Duration {
         match self {
@@ -59,7 +63,7 @@
         }
     }
 
-    /// The earliest start of the next batch, where the last one started at `last_start`.
+    /// Returns the earliest start of the next batch if the previous batch started at `last_start`.
     #[must_use]
     pub fn next_start(self, last_start: Timestamp, queries_in_flight: usize) -> Timestamp {
         last_start + self.duration(queries_in_flight)
--- a/crates/batch-window/tests/batch_window.rs
+++ b/crates/batch-window/tests/batch_window.rs
@@ -1,4 +1,4 @@
-//! Length of the batch window.
+//! Tests of the length of the batch window.
 
 use batch_window::BatchWindow;
 use broker_types::time::Timestamp;
@@ -20,8 +20,9 @@
     assert_eq!(durations, [Duration::from_micros(5000); 3]);
 }
 
-/// A client that sends one query after another never has more than one in flight, however fast it
-/// is served: if the window depended on the arrival rate, its second query would wait.
+/// A client that sends one query after another never has more than one query in flight, so that
+/// waiting could not let queries share a call. If the window depended on the arrival rate, the
+/// client's second query would have to wait.
 #[test]
 fn client_that_sends_one_query_after_another_never_waits() {
     let window = BatchWindow::Adaptive(Duration::from_micros(5000));
