--- a/crates/broker-types/src/limits.rs
+++ b/crates/broker-types/src/limits.rs
@@ -5,13 +5,13 @@
 /// Limits of the connection pool to the data servers.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolLimits {
-    /// Limit of connections to all servers together.
+    /// Maximum number of connections to all servers together.
     pub max_connections: usize,
-    /// Limit of parts in a call.
+    /// Maximum number of parts in a call.
     pub max_parts_per_call: usize,
-    /// Limit of parts in flight on a connection.
+    /// Maximum number of parts in flight on a connection.
     pub max_parts_per_connection: usize,
-    /// Time within which a connection has to be established.
+    /// Maximum time for establishing a connection.
     pub dial_timeout: Duration,
     /// Time after which a server closes an idle connection.
     pub idle_timeout: Duration,
--- a/crates/broker-types/src/query.rs
+++ b/crates/broker-types/src/query.rs
@@ -1,4 +1,4 @@
-//! Queries: what a client requests, their parts and attempts, and the one final response.
+//! Queries as clients request them, their parts and attempts, and the final response.
 
 use std::fmt;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
     }
 }
 
-/// Position of a part among the parts of its query, from 0.
+/// Index of a part among the parts of its query, from 0.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PartIndex(pub usize);
 
@@ -26,59 +26,61 @@
     }
 }
 
-/// One attempt at a part of a query.
+/// Identifies one attempt at a part of a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
-    /// The query of the part.
+    /// Number of the query.
     pub query: QueryId,
-    /// The part of the query.
+    /// Index of the part within the query.
     pub part: PartIndex,
-    /// Number of the attempt among those at the part, from 0.
+    /// Number of the attempt among the attempts at the part, from 0.
     pub attempt: u32,
 }
 
-/// One part of a query, as the policy sees it.
+/// One part of a query, in the form that the policy takes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartSpec {
     /// Index of the shard that the part is for.
     pub shard: usize,
-    /// Share of the complete answer, from 0 to 1; the weights of a query add up to 1.
+    /// Share of the complete answer that the part contributes, from 0 to 1. The weights of all
+    /// parts of a query add up to 1.
     pub weight: f64,
-    /// The client's estimate of the work in the part, if it gave one.
+    /// The client's estimate of the work that the part takes; `None` if the request contains none.
     pub work_hint: Option<Duration>,
 }
 
 /// A client's request for a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
-    /// Id of the request, which data servers see too.
+    /// Id of the request. The broker sends it to the data servers as a part of each part's id.
     pub id: Rc<str>,
     /// Class of the query.
     pub class: ClassIndex,
     /// Tenant of the query.
     pub tenant: TenantIndex,
-    /// Time that the client waits for the response.
+    /// Time for which the client waits for the response.
     pub client_timeout: Duration,
     /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// The idempotency key, where the class uses them.
+    /// The idempotency key; `None` if the class of the query does not use idempotency keys.
     pub idempotency_key: Option<Rc<str>>,
     /// The parts of the query.
     pub parts: Vec<PartSpec>,
-    /// The predicate that is sent to the servers with each part.
+    /// The predicate that the broker sends to the data servers with each part.
     pub payload: Rc<str>,
 }
 
-/// The value that a data server gave for one shard.
+/// The value that a data server returned for one shard.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardValue {
     /// Index of the shard.
     pub shard: usize,
-    /// The value, as the server sent it.
+    /// The value, unchanged from the server's response.
     pub value: String,
 }
 
-/// The one final response to a client.
+/// The final response to a client. Each request receives exactly one, unless its client disconnects
+/// first.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FinalResponse {
     /// The query was served.
@@ -90,7 +92,7 @@
     },
     /// The query was not served and had no effect, so that the client may retry.
     Rejected {
-        /// Time after which the client should retry.
+        /// Delay after which the client should retry; `None` if the response does not state one.
         retry_after: Option<Duration>,
     },
     /// The query was not served; whether it had an effect is unknown.
@@ -99,18 +101,19 @@
     Invalid {
         /// HTTP status code of the response.
         status: u16,
-        /// What is wrong with the request, in words for the client.
+        /// Description of the error, which is sent to the client.
         reason: String,
     },
 }
 
-/// The names behind the indices of the settings.
+/// The names of the classes, tenants and zones. Each list is in the order of the settings, so that
+/// a name's position is the index that the policy uses.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    /// Name of each class.
+    /// Names of the classes.
     pub classes: Vec<String>,
-    /// Name of each tenant; empty where the deployment has none.
+    /// Names of the tenants; empty if the deployment has no tenants.
     pub tenants: Vec<String>,
-    /// Name of each zone.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -1,4 +1,4 @@
-//! The list of data servers: as discovery sends it, and as the policy takes it.
+//! The list of data servers, as discovery sends it and in the form that the policy takes.
 
 mod wire;
 
@@ -8,41 +8,42 @@
 
 pub use fanout_policy::api::{NodeId, Outcome, ServingState};
 
-/// A data server, as the policy takes it.
+/// A data server, in the form that the policy takes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerInfo {
     /// Name of the server.
     pub name: NodeId,
     /// Index of the server's cell.
     pub cell: usize,
-    /// Whether the server may be sent parts.
+    /// Whether the server accepts requests.
     pub state: ServingState,
-    /// Index of the server's zone; `None` where the configuration does not name it.
+    /// Index of the server's zone; `None` if the configuration contains no zone of that name.
     pub zone: Option<usize>,
-    /// Time at which the server's process started; `None` where that is long ago.
+    /// Time at which the server's process started; `None` if it started long ago.
     pub started_at: Option<SignedTimestamp>,
 }
 
-/// What the entries of an endpoint list are.
+/// Which servers an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
-    /// All servers, as they were last known; perhaps outdated.
+    /// All servers, from a stored copy of the list, which may be out of date.
     Cached,
-    /// All servers.
+    /// All servers, up to date.
     Snapshot,
-    /// The servers that have changed.
+    /// Only the servers that have changed.
     Delta,
 }
 
-/// The list of data servers or its changes, from discovery or from the configuration.
+/// The list of data servers, or the changes to it, from discovery or from the configuration.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(from = "wire::EndpointList")]
 pub struct EndpointList {
     /// Revision of the list.
     pub revision: u64,
-    /// Whether the entries are all servers, or only those that have changed.
+    /// `true` if the entries are all servers; `false` if they are only the servers that have
+    /// changed.
     pub is_snapshot: bool,
-    /// The data servers.
+    /// The entries.
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -51,21 +52,21 @@
 pub struct Endpoint {
     /// Name of the server.
     pub name: String,
-    /// Address for connections from this broker; a removed server may have none.
+    /// Address to which the broker connects; a removed server may have none.
     pub address: Option<SocketAddr>,
     /// Name of the server's zone.
     pub zone: String,
     /// Index of the server's cell.
     pub cell: usize,
-    /// Whether the server may be sent parts.
+    /// Whether the server accepts requests.
     pub state: ServingState,
-    /// Time at which the server's process started, in Unix milliseconds; `None` where that is long
+    /// Unix time in milliseconds at which the server's process started; `None` if it started long
     /// ago.
     pub started_unix_ms: Option<i64>,
 }
 
 impl EndpointList {
-    /// What the entries are to the policy.
+    /// Returns which servers the list contains, in the form that the policy takes.
     #[must_use]
     pub fn scope(&self) -> ListScope {
         if self.is_snapshot {
@@ -75,8 +76,9 @@
         }
     }
 
-    /// The entries as the policy takes them. `zones` are the configured names of the zones;
-    /// `from_unix_ms` converts Unix time in milliseconds to the program's clock.
+    /// Converts the entries to the form that the policy takes. `zones` are the configured names of
+    /// the zones, in the order of their indices. `from_unix_ms` converts a Unix time in
+    /// milliseconds to the program's clock.
     pub fn servers(
         &self,
         zones: &[String],
--- a/crates/broker-types/src/server/wire.rs
+++ b/crates/broker-types/src/server/wire.rs
@@ -1,13 +1,13 @@
-//! The endpoint list on the wire: the only place with the names of its fields.
+//! The JSON format of the endpoint list. Only this module contains the names of its fields.
 //!
-//! The structs have the names of the types that they become, because errors in the operator's log
-//! call them so.
+//! Each struct has the same name as the type into which it is converted, because deserialization
+//! errors, which operators see in the log, contain the name of the struct.
 
 use super::ServingState;
 use serde::Deserialize;
 use std::net::SocketAddr;
 
-/// The list of data servers or its changes.
+/// The list of data servers, or the changes to it.
 #[derive(Debug, Deserialize)]
 pub(super) struct EndpointList {
     #[serde(rename = "rev")]
@@ -31,7 +31,7 @@
     cell: usize,
     #[serde(rename = "state")]
     state: EndpointState,
-    /// 0 or less where it is long ago.
+    /// Zero or negative if the server's process started long ago.
     #[serde(default, rename = "boot_ms")]
     started_unix_ms: f64,
 }
--- a/crates/broker-types/src/time.rs
+++ b/crates/broker-types/src/time.rs
@@ -1,8 +1,7 @@
-//! Points in time on the program's clock, in whole microseconds, and time spans, which are
-//! [`Duration`]s.
+//! Points in time on the program's clock, in whole microseconds. A time span is a [`Duration`].
 //!
-//! The origin of the clock is chosen by the program. Arithmetic saturates: a time that would lie
-//! before the origin is the origin, and one that would be too late to count is [`Timestamp::MAX`].
+//! The program chooses the origin of the clock. Arithmetic saturates: a result before the origin
+//! becomes [`Timestamp::ORIGIN`], and a result beyond the range becomes [`Timestamp::MAX`].
 
 use std::fmt;
 use std::ops::{Add, Sub};
@@ -18,12 +17,12 @@
 }
 
 impl Timestamp {
-    /// The origin of the clock, which is the earliest time.
+    /// The origin of the clock, which is the earliest representable time.
     pub const ORIGIN: Timestamp = Timestamp::from_micros(0);
-    /// The latest time, which is never reached.
+    /// The latest representable time. The clock never reaches it.
     pub const MAX: Timestamp = Timestamp::from_micros(u64::MAX);
 
-    /// The time so many microseconds after the origin.
+    /// Creates the point in time that is `micros_since_origin` microseconds after the origin.
     #[must_use]
     pub const fn from_micros(micros_since_origin: u64) -> Self {
         Timestamp {
@@ -31,13 +30,13 @@
         }
     }
 
-    /// Microseconds since the origin.
+    /// Returns the number of microseconds since the origin.
     #[must_use]
     pub const fn as_micros(self) -> u64 {
         self.micros_since_origin
     }
 
-    /// The time since an earlier one; zero where that is later.
+    /// Returns the time from `earlier` to this point in time; zero if `earlier` is the later one.
     #[must_use]
     pub const fn saturating_since(self, earlier: Timestamp) -> Duration {
         let micros = self.micros_since_origin;
@@ -45,7 +44,8 @@
     }
 }
 
-/// The later time by a span, which counts in whole microseconds.
+/// Returns the point in time that is `span` later. The fraction of a microsecond in `span` is
+/// ignored.
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
 
@@ -54,7 +54,8 @@
     }
 }
 
-/// The earlier time by a span, which counts in whole microseconds.
+/// Returns the point in time that is `span` earlier. The fraction of a microsecond in `span` is
+/// ignored.
 impl Sub<Duration> for Timestamp {
     type Output = Timestamp;
 
@@ -70,22 +71,24 @@
     }
 }
 
-/// The same as its display, so that the log shows a bare number within other values.
+/// Formatted like [`Display`](fmt::Display), so that a timestamp within another value appears as a
+/// plain number in the log.
 impl fmt::Debug for Timestamp {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         fmt::Display::fmt(self, f)
     }
 }
 
-/// A point in time on the program's clock that may lie before its origin, as the start of another
-/// process may.
+/// A point in time on the program's clock that may lie before the origin. For example, a data
+/// server may have started before the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SignedTimestamp {
     micros_since_origin: i64,
 }
 
 impl SignedTimestamp {
-    /// The time so many microseconds after the origin, or before it where they are negative.
+    /// Creates the point in time that is `micros_since_origin` microseconds after the origin. A
+    /// negative number stands for a time before the origin.
     #[must_use]
     pub const fn from_micros(micros_since_origin: i64) -> Self {
         SignedTimestamp {
@@ -93,21 +96,22 @@
         }
     }
 
-    /// Microseconds since the origin, negative before it.
+    /// Returns the number of microseconds since the origin, which is negative for a time before the
+    /// origin.
     #[must_use]
     pub const fn as_micros(self) -> i64 {
         self.micros_since_origin
     }
 }
 
-/// Whole microseconds in a time span; the greatest number where there are more.
+/// Returns the number of whole microseconds in a time span; [`u64::MAX`] if the number is greater.
 #[must_use]
 pub fn whole_micros(span: Duration) -> u64 {
     u64::try_from(span.as_micros()).unwrap_or(u64::MAX)
 }
 
-/// Converts a time span from milliseconds, rounded to whole microseconds. A negative span counts as
-/// 0.
+/// Converts a number of milliseconds to a time span, rounded to whole microseconds. A negative
+/// number becomes a span of zero.
 #[must_use]
 pub fn millis(ms: f64) -> Duration {
     Duration::from_micros((ms.max(0.0) * MICROS_PER_MILLISECOND).round() as u64)
--- a/crates/broker-types/tests/endpoint_list.rs
+++ b/crates/broker-types/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Decoding of the endpoint list.
+//! Tests of the decoding of the endpoint list.
 
 use broker_types::server::{EndpointList, ListScope, NodeId, ServerInfo, ServingState};
 use broker_types::time::SignedTimestamp;
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn list_with_an_unknown_state_is_refused() {
+fn list_with_an_unknown_state_is_rejected() {
     let unknown = r#"{"rev":1,"all":true,"targets":[{"uid":"a","state":"new"}]}"#;
     assert!(serde_json::from_str::<EndpointList>(unknown).is_err());
 }
@@ -47,14 +47,15 @@
     serde_json::from_str(text).map_err(|error| error.to_string())
 }
 
-/// A list with one entry of these fields in addition to the required ones.
+/// Returns the text of a list with one entry, which has `fields` in addition to the required
+/// fields.
 fn list_with(fields: &str) -> String {
     format!(r#"{{"rev":1,"all":true,"targets":[{{"uid":"a","state":"active"{fields}}}]}}"#)
 }
 
-/// The texts are what operators see in the log.
+/// Operators see these texts in the log.
 #[test]
-fn malformed_list_is_refused_with_the_place_of_the_fault() {
+fn malformed_list_is_rejected_with_the_line_and_column_of_the_error() {
     for (text, error) in [
         (r"{}", "missing field `rev` at line 1 column 2"),
         (r#"{"rev":1}"#, "missing field `all` at line 1 column 9"),
@@ -145,7 +146,7 @@
 }
 
 #[test]
-fn start_time_is_any_number_and_counts_from_above_zero() {
+fn start_time_may_be_any_number_and_is_ignored_unless_positive() {
     for (started, expected) in [
         ("0", None),
         ("-5", None),
@@ -160,9 +161,9 @@
     }
 }
 
-/// A list is also read from its values in order, without their names.
+/// JSON arrays are accepted in place of objects; their values are in the order of the fields.
 #[test]
-fn list_of_values_in_order_is_decoded() {
+fn list_of_values_without_field_names_is_decoded() {
     let list = decode(r#"[7,false,[["a",null,"y",2,"left",0]]]"#).unwrap();
     assert_eq!((list.revision, list.scope()), (7, ListScope::Delta));
     let servers = list.servers(&[], |_| SignedTimestamp::from_micros(0));
@@ -170,7 +171,7 @@
 }
 
 #[test]
-fn deeply_nested_value_is_ignored_or_refused_without_a_panic() {
+fn deeply_nested_value_is_ignored_or_rejected_without_a_panic() {
     for depth in [200, 100_000] {
         let nested = "[".repeat(depth) + &"]".repeat(depth);
         assert!(decode(&list_with(&format!(r#","unknown":{nested}"#))).is_ok());
--- a/crates/broker-types/tests/time.rs
+++ b/crates/broker-types/tests/time.rs
@@ -1,4 +1,4 @@
-//! Points in time and conversion of time spans.
+//! Tests of points in time and of the conversion of time spans.
 
 use broker_types::time::{Timestamp, millis, whole_micros};
 use std::time::Duration;
@@ -25,16 +25,16 @@
 }
 
 #[test]
-fn spans_count_in_whole_microseconds() {
+fn fractions_of_a_microsecond_are_ignored() {
     assert_eq!(whole_micros(Duration::from_nanos(1999)), 1);
     assert_eq!(whole_micros(Duration::MAX), u64::MAX);
     let at = Timestamp::ORIGIN + Duration::from_nanos(1999);
     assert_eq!(at, Timestamp::from_micros(1));
 }
 
-/// The log shows timestamps within the debug form of other values.
+/// Timestamps appear in the log within the debug format of other values.
 #[test]
-fn timestamp_is_shown_as_a_number_of_microseconds() {
+fn timestamp_is_formatted_as_a_number_of_microseconds() {
     let at = Timestamp::from_micros(1_250_000);
     assert_eq!(format!("{at} {:?}", Some(at)), "1250000 Some(1250000)");
 }
