--- a/crates/logging/src/layer.rs
+++ b/crates/logging/src/layer.rs
@@ -1,4 +1,4 @@
-//! The layer of `tracing` that turns events into lines.
+//! The `tracing` layer that writes events as lines.
 
 use crate::Format;
 use crate::limiter::Limiter;
@@ -14,7 +14,7 @@
 use tracing_subscriber::layer::{Context, Layer};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Packages whose events are logged. Libraries emit events of their own, which are left out.
+/// Packages whose events are logged. Events of libraries are left out.
 const PROJECT_PACKAGES: [&str; 6] = [
     "admission",
     "broker",
@@ -31,6 +31,7 @@
 }
 
 impl<W> LineLayer<W> {
+    /// Creates a layer that writes to `output`.
     pub(crate) fn new(output: W) -> Self {
         LineLayer {
             output: Mutex::new(output),
@@ -39,7 +40,8 @@
     }
 }
 
-/// Whether an event or span is the project's own and of a level that is logged.
+/// Returns `true` if an event or span comes from one of the project's packages and has a level that
+/// is logged.
 fn is_logged(metadata: &Metadata<'_>) -> bool {
     let package = metadata.target().split("::").next().unwrap_or_default();
     *metadata.level() <= mode::level() && PROJECT_PACKAGES.contains(&package)
@@ -104,7 +106,8 @@
             Format::Logfmt => line.to_logfmt(),
             Format::Json => line.to_json(),
         };
-        // A closed standard error must not end the program, as a panicking print would.
+        // If standard error is closed, the line is lost, but the program continues. `eprint!` would
+        // panic instead.
         if let Ok(mut output) = self.output.lock() {
             let _ = output.write_all(text.as_bytes());
         }
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,10 +1,11 @@
 //! Writes `tracing` events as lines on standard error, in logfmt or JSON.
 //!
-//! An event is known by its name (`tracing::warn!(name: "connection_slots_exhausted", open)`),
-//! which operators search for. Each event is limited to one line a second, so that a fault that
-//! repeats cannot flood the log; the next line of the event says how many were left out. Text from
-//! outside cannot forge a field or a line. Only events of the project's own packages are logged;
-//! those of libraries are left out at every level.
+//! An event is identified by its name (`tracing::warn!(name: "connection_slots_exhausted", open)`),
+//! for which operators search the log. Each event is limited to one line per second, so that a
+//! repeated fault cannot flood the log; the next line of the event states how many lines were left
+//! out. Field values are quoted and escaped where necessary, so that text from clients or servers
+//! cannot forge a field or a line. Only events of the project's own packages are logged; events of
+//! libraries are left out at every level.
 
 mod layer;
 mod limiter;
@@ -16,18 +17,18 @@
 use tracing::Level;
 use tracing_subscriber::layer::SubscriberExt;
 
-/// The format of the lines.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
     /// `key=value` pairs.
     #[default]
     Logfmt,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Logs to standard error from now on, for the whole process. Later calls change only the format
-/// and the level.
+/// Starts logging to standard error for the whole process. Later calls only change the format and
+/// the level.
 pub fn init(format: Format, level: Level) {
     static INSTALLED: OnceLock<()> = OnceLock::new();
     reconfigure(format, level);
@@ -37,7 +38,7 @@
     });
 }
 
-/// Changes the format and the level while the program runs.
+/// Changes the format and the level of the log while the program runs.
 pub fn reconfigure(format: Format, level: Level) {
     mode::set(format, level);
     tracing::callsite::rebuild_interest_cache();
--- a/crates/logging/src/limiter.rs
+++ b/crates/logging/src/limiter.rs
@@ -1,4 +1,4 @@
-//! Limits each event to one line a second.
+//! Limits each event to one line per second.
 
 #[cfg(test)]
 mod tests;
@@ -7,41 +7,42 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Shortest time between two lines of an event.
+/// Minimum time between two lines of an event.
 pub(crate) const MIN_LINE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The state of the limit for each event name. Its size is bounded by the number of events in the
-/// program's source.
+/// Limits the number of lines of each event. Its size is bounded by the number of events in
+/// the program's source.
 #[derive(Default)]
 pub(crate) struct Limiter {
-    events: Mutex<BTreeMap<&'static str, EventLines>>,
+    events: Mutex<BTreeMap<&'static str, EventState>>,
 }
 
-/// The lines of one event.
-struct EventLines {
+/// The state of the limit for one event.
+struct EventState {
+    /// Time at which the last line was written.
     last_line_at: Instant,
-    /// Lines that were left out since the last line.
+    /// Number of lines that were left out since the last line.
     suppressed: u64,
 }
 
 impl Limiter {
-    /// Returns how many lines of this event were left out since its last line, or `None` if this
-    /// line has to be left out too.
+    /// Decides whether a line of this event is written at `now`. Returns the number of lines that
+    /// were left out since the event's last line, or `None` if this line has to be left out too.
     pub(crate) fn admit(&self, event: &'static str, now: Instant) -> Option<u64> {
         let mut events = self.events.lock().ok()?;
-        let Some(lines) = events.get_mut(event) else {
-            let first_line = EventLines {
+        let Some(state) = events.get_mut(event) else {
+            let first_state = EventState {
                 last_line_at: now,
                 suppressed: 0,
             };
-            events.insert(event, first_line);
+            events.insert(event, first_state);
             return Some(0);
         };
-        if now.saturating_duration_since(lines.last_line_at) < MIN_LINE_INTERVAL {
-            lines.suppressed += 1;
+        if now.saturating_duration_since(state.last_line_at) < MIN_LINE_INTERVAL {
+            state.suppressed += 1;
             return None;
         }
-        lines.last_line_at = now;
-        Some(std::mem::take(&mut lines.suppressed))
+        state.last_line_at = now;
+        Some(std::mem::take(&mut state.suppressed))
     }
 }
--- a/crates/logging/src/limiter/tests.rs
+++ b/crates/logging/src/limiter/tests.rs
@@ -1,4 +1,4 @@
-//! The limit of one line a second.
+//! Tests of the limit of one line per second.
 
 use super::{Limiter, MIN_LINE_INTERVAL};
 use std::time::Instant;
--- a/crates/logging/src/line.rs
+++ b/crates/logging/src/line.rs
@@ -1,13 +1,14 @@
-//! The text of one line of the log.
+//! The text of a log line.
 
 use serde_json::{Map, Value};
 use std::fmt::{Debug, Write};
 use tracing::Level;
 use tracing::field::{Field, Visit};
 
-/// Longest text of a field, in bytes; longer ones are cut off and end in an ellipsis.
+/// Maximum length of a field's text, in bytes. A longer text is truncated, and an ellipsis is
+/// appended.
 const MAX_TEXT_BYTES: usize = 512;
-/// Key of [`Line::suppressed`].
+/// Key under which [`Line::suppressed`] appears in the log.
 const SUPPRESSED_KEY: &str = "left_out";
 const ELLIPSIS: char = '\u{2026}';
 
@@ -16,7 +17,7 @@
 pub(crate) struct Fields(Vec<(&'static str, Value)>);
 
 impl Fields {
-    /// Adds the fields of an enclosing span that are not there yet.
+    /// Adds the fields of an enclosing span, except those whose keys are present already.
     pub(crate) fn add_missing(&mut self, span_fields: &Fields) {
         for (key, value) in &span_fields.0 {
             if !self.0.iter().any(|(present, _)| present == key) {
@@ -25,6 +26,7 @@
         }
     }
 
+    /// Sets the value of a field, which replaces an earlier value of the same field.
     fn set(&mut self, field: &Field, value: Value) {
         match self.0.iter_mut().find(|(key, _)| *key == field.name()) {
             Some((_, present)) => *present = value,
@@ -67,16 +69,17 @@
     }
 }
 
-/// The content of a line.
+/// The content of a log line.
 pub(crate) struct Line<'a> {
     pub(crate) level: &'a Level,
     pub(crate) event: &'a str,
     pub(crate) fields: &'a Fields,
-    /// Lines of this event that were left out since its last line.
+    /// Number of lines of this event that were left out since its last line.
     pub(crate) suppressed: u64,
 }
 
 impl Line<'_> {
+    /// Returns the line as `key=value` pairs, with a line feed at the end.
     pub(crate) fn to_logfmt(&self) -> String {
         let mut line = format!("level={} event={}", level_name(*self.level), self.event);
         for (key, value) in &self.fields.0 {
@@ -96,6 +99,7 @@
         line + "\n"
     }
 
+    /// Returns the line as a JSON object, with a line feed at the end.
     pub(crate) fn to_json(&self) -> String {
         let mut object = Map::new();
         object.insert("level".into(), level_name(*self.level).into());
@@ -110,8 +114,8 @@
     }
 }
 
-/// Whether a text can stand in logfmt without quotes. Quotes keep text from outside from forging a
-/// field or a line.
+/// Returns `true` if a text needs no quotes in logfmt. Any other text is quoted and escaped, so
+/// that text from clients or servers cannot forge a field or a line.
 fn is_safe_unquoted(text: &str) -> bool {
     let is_safe = |byte: u8| byte.is_ascii_graphic() && !matches!(byte, b'"' | b'=' | b'\\');
     !text.is_empty() && text.bytes().all(is_safe)
--- a/crates/logging/src/mode.rs
+++ b/crates/logging/src/mode.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU8, Ordering};
 use tracing::Level;
 
-/// All levels; an index stands for a level.
+/// All levels. [`LEVEL_INDEX`] is an index into this array.
 const LEVELS: [Level; 5] = [
     Level::ERROR,
     Level::WARN,
@@ -12,12 +12,13 @@
     Level::DEBUG,
     Level::TRACE,
 ];
-/// Index of [`Level::INFO`].
+/// Index of [`Level::INFO`] in [`LEVELS`].
 const DEFAULT_LEVEL: u8 = 2;
 
 static IS_JSON: AtomicBool = AtomicBool::new(false);
 static LEVEL_INDEX: AtomicU8 = AtomicU8::new(DEFAULT_LEVEL);
 
+/// Sets the format and the level for all later events.
 pub(crate) fn set(format: Format, level: Level) {
     IS_JSON.store(format == Format::Json, Ordering::Relaxed);
     let index = LEVELS.iter().position(|candidate| *candidate == level);
@@ -25,6 +26,7 @@
     LEVEL_INDEX.store(index, Ordering::Relaxed);
 }
 
+/// Returns the format of log lines.
 pub(crate) fn format() -> Format {
     if IS_JSON.load(Ordering::Relaxed) {
         Format::Json
@@ -33,7 +35,7 @@
     }
 }
 
-/// The most verbose level that is logged.
+/// Returns the most verbose level that is logged.
 pub(crate) fn level() -> Level {
     let index = usize::from(LEVEL_INDEX.load(Ordering::Relaxed));
     LEVELS[index.min(LEVELS.len() - 1)]
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -1,14 +1,15 @@
-//! The lines as they leave the process: the tests run this program again with the log on, and read
-//! what it writes.
+//! Tests of the lines that a process writes to standard error. Each test runs this test program
+//! again as a child process, with the log enabled, and reads its output.
 
 use logging::{Format, init, reconfigure};
 use std::process::{Command, Stdio};
 use tracing::{Level, debug, debug_span, error, info, warn};
 
-/// Environment variable that turns the log on in the child process.
+/// Environment variable that enables the log in the child process and sets its format.
 const FORMAT_VARIABLE: &str = "LOGGING_TEST_FORMAT";
 
-/// No test by itself: what the child process of the tests below logs.
+/// Logs the events that the other tests expect. This is not a test by itself: it does nothing
+/// unless it runs in the child process of another test.
 #[test]
 fn child() {
     let Ok(format) = std::env::var(FORMAT_VARIABLE) else {
@@ -31,7 +32,7 @@
     info!(name: "long", target: "broker::test", words = "\u{e9}".repeat(600));
 }
 
-/// The lines that the child process writes in this format.
+/// Returns the lines that the child process writes in the given format.
 fn child_lines(format: &str) -> Vec<String> {
     let output = Command::new(std::env::current_exe().unwrap())
         .args(["--exact", "child", "--nocapture", "--test-threads=1"])
