--- a/crates/server-protocol/src/broker.rs
+++ b/crates/server-protocol/src/broker.rs
@@ -1,54 +1,56 @@
-//! The broker's side: encodes calls and cancellations, decodes what data servers send.
+//! The broker's side of the protocol: encodes calls and cancellations, and decodes the messages of
+//! data servers.
 
 use crate::fields::{
-    IDEMPOTENCY_KEY_OPTION, REQUESTS_IN_FLIGHT, REQUESTS_IN_FLIGHT_IN_SETTINGS, WAIT_OPTION,
+    IDEMPOTENCY_KEY_OPTION, REQUESTS_IN_FLIGHT_ENTRY, REQUESTS_IN_FLIGHT_SETTINGS_ENTRY,
+    WAIT_OPTION,
 };
 use crate::frame::{self, FrameKind, PartialFrame, split_line, utf8};
 use crate::{Decoded, InvalidFrame, PartStatus};
 use fanout_policy::api::Outcome;
 use std::fmt::{self, Write};
 
-/// Longest body accepted from a data server, in bytes: a value as long as the longest HTTP body,
-/// and its line.
+/// Maximum length of the kind and payload of a frame from a data server, in bytes. It suffices for
+/// a response line and a value as long as the longest HTTP body.
 const MAX_BODY_LEN: usize = 66 * 1024;
-/// Longest line of a response, in bytes: it carries an id no longer than a client may choose, and
-/// short fields.
+/// Maximum length of the first line of a response to a part, in bytes. The line consists of an id,
+/// whose length is limited because clients choose part of it, and of short fields.
 pub const MAX_RESPONSE_LINE_LEN: usize = 1024;
 
-/// One part of a call, to be encoded.
+/// One part of a call that is to be encoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartRequest<'a> {
-    /// Id of the part on the wire.
+    /// Id of the part, which its response and its cancellation repeat.
     pub id: &'a str,
-    /// Shard that the part asks for.
+    /// Index of the shard that the part reads.
     pub shard: usize,
-    /// How long the broker will wait for the response, in milliseconds.
+    /// Time for which the broker waits for the response, in milliseconds.
     pub wait_ms: u64,
-    /// The query's idempotency key, if its class has one.
+    /// Idempotency key of the query, if its class uses one.
     pub idempotency_key: Option<&'a str>,
-    /// The query's text.
+    /// Text of the query.
     pub text: &'a str,
 }
 
 /// A message from a data server.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ServerMessage {
-    /// The response to one part.
+    /// Response to one part.
     PartResponse(PartResponse),
-    /// The server rejected the previous frame, for the reason given, and will close the connection.
+    /// The server has rejected the previous frame for this reason, and will close the connection.
     FrameRejected(String),
 }
 
 /// A data server's response to one part.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartResponse {
-    /// Id of the part on the wire.
+    /// Id of the part, as in its call.
     pub id: String,
     /// Outcome of the part.
     pub outcome: Outcome,
-    /// Number of requests in flight at the server, if it reports one.
+    /// Number of requests in flight at the server. `None` if the load report does not contain it.
     pub requests_in_flight: Option<f64>,
-    /// The value, as received.
+    /// Value in the response, as received.
     pub value: String,
 }
 
@@ -56,13 +58,13 @@
 pub fn encode_call<'a>(parts: impl IntoIterator<Item = PartRequest<'a>>) -> Vec<u8> {
     let mut payload = String::new();
     for part in parts {
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = write_part(&mut payload, &part);
     }
     frame::encode(FrameKind::Call, payload.as_bytes())
 }
 
-/// Writes `ID SHARD OPTIONS LENGTH\nTEXT`.
+/// Writes a part as `ID SHARD OPTIONS LENGTH\nTEXT`, where `LENGTH` is that of `TEXT` in bytes.
 fn write_part(payload: &mut String, part: &PartRequest) -> fmt::Result {
     let PartRequest {
         id,
@@ -85,14 +87,15 @@
     frame::encode(FrameKind::Cancel, id.as_bytes())
 }
 
-/// Decodes the frame that `input` begins with. `Ok(None)`: it has not arrived completely.
+/// Decodes the frame at the start of `input`. Returns `Ok(None)` if the frame has not arrived
+/// completely.
 ///
-/// A frame is reported as invalid as soon as the bytes received show it, because the rest may never
-/// arrive.
+/// An invalid frame is reported as soon as the bytes received show that it is invalid, because the
+/// rest may never arrive.
 ///
 /// # Errors
 ///
-/// The frame is invalid.
+/// The reason why the frame is invalid.
 pub fn decode(input: &[u8]) -> Result<Option<Decoded<ServerMessage>>, InvalidFrame> {
     let Some(frame) = PartialFrame::parse(input, MAX_BODY_LEN)? else {
         return Ok(None);
@@ -101,7 +104,7 @@
         None => None,
         Some(FrameKind::PartResponse) => decode_part_response(&frame)?,
         Some(FrameKind::Rejection) => frame.payload().map(decode_rejection),
-        // Brokers send no probes, so the response to one is unexpected as well.
+        // Brokers send no probes, so they do not expect responses to probes either.
         Some(_) => return Err(InvalidFrame::UnknownKind),
     };
     Ok(message.map(|message| Decoded {
@@ -114,7 +117,7 @@
     ServerMessage::FrameRejected(String::from_utf8_lossy(payload).into_owned())
 }
 
-/// Decodes the response to a part. `None`: it has not arrived completely.
+/// Decodes the response to a part. Returns `Ok(None)` if it has not arrived completely.
 fn decode_part_response(frame: &PartialFrame) -> Result<Option<ServerMessage>, InvalidFrame> {
     match frame.payload() {
         Some(payload) => {
@@ -126,13 +129,13 @@
     }
 }
 
-/// Whether the beginning of a response contains more than the longest line, and no line feed within
-/// it.
+/// Returns whether the first line of a response is longer than the maximum, judged by the bytes
+/// that have been received.
 fn exceeds_line_limit(received: &[u8]) -> bool {
     received.len() > MAX_RESPONSE_LINE_LEN && !received[..MAX_RESPONSE_LINE_LEN].contains(&b'\n')
 }
 
-/// Parses `ID STATUS SCORE LOAD_REPORT\nVALUE`.
+/// Parses the payload `ID STATUS SCORE LOAD_REPORT\nVALUE`.
 fn parse_part_response(payload: &[u8]) -> Result<PartResponse, InvalidFrame> {
     let (line, value) = split_line(payload).ok_or(InvalidFrame::UnterminatedResponseLine)?;
     let mut fields = line.splitn(4, |byte| *byte == b' ');
@@ -153,11 +156,11 @@
     })
 }
 
-/// Number of requests in flight according to a load report. An unreadable report does not
-/// invalidate its frame: the number is unknown.
+/// Returns the number of requests in flight in a load report, or `None` if the report does not
+/// contain a valid one. A malformed load report does not make its frame invalid.
 fn parse_requests_in_flight(load_report: &[u8]) -> Option<f64> {
     let load_report = utf8(load_report).ok()?;
-    let names = [REQUESTS_IN_FLIGHT, REQUESTS_IN_FLIGHT_IN_SETTINGS];
+    let names = [REQUESTS_IN_FLIGHT_ENTRY, REQUESTS_IN_FLIGHT_SETTINGS_ENTRY];
     let mut entries = load_report
         .split(',')
         .filter_map(|entry| entry.split_once('='));
--- a/crates/server-protocol/src/fields.rs
+++ b/crates/server-protocol/src/fields.rs
@@ -1,11 +1,11 @@
-//! Names of the fields in the payloads of frames, for both sides.
+//! Names of the options and load report entries in the payloads of frames, for both sides.
 
-/// Option of a part: how long the broker will wait for the response, in milliseconds.
+/// Option of a part: the time for which the broker waits for the response, in milliseconds.
 pub(crate) const WAIT_OPTION: &str = "d";
-/// Option of a part: the query's idempotency key.
+/// Option of a part: the idempotency key of its query.
 pub(crate) const IDEMPOTENCY_KEY_OPTION: &str = "k";
 
-/// The number of requests in flight in a load report.
-pub(crate) const REQUESTS_IN_FLIGHT: &str = "inflight";
-/// The name of the same number where load reports use the names of the settings.
-pub(crate) const REQUESTS_IN_FLIGHT_IN_SETTINGS: &str = "rif";
+/// Entry of a load report: the number of requests in flight at the server.
+pub(crate) const REQUESTS_IN_FLIGHT_ENTRY: &str = "inflight";
+/// Name of the same entry in load reports that use the names of the broker's settings.
+pub(crate) const REQUESTS_IN_FLIGHT_SETTINGS_ENTRY: &str = "rif";
--- a/crates/server-protocol/src/frame.rs
+++ b/crates/server-protocol/src/frame.rs
@@ -1,27 +1,27 @@
-//! The outer form of a frame: its length, its kind and its payload.
+//! Structure of a frame: its length, its kind and its payload.
 
 use crate::InvalidFrame;
 
-/// Size of the length that precedes each frame, in bytes.
+/// Size of the length field, which each frame starts with, in bytes.
 const LENGTH_SIZE: usize = size_of::<u32>();
-/// Size of the kind, which the length counts, in bytes.
+/// Size of the kind, in bytes. The length includes the kind and the payload.
 const KIND_SIZE: usize = 1;
 
-/// What a frame is, with its letter on the wire.
+/// Kind of a frame, with the byte that represents it in the frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum FrameKind {
-    /// A call: one or more parts of queries.
+    /// Call: one or more parts of queries.
     Call = b'm',
-    /// The cancellation of a part.
+    /// Cancellation of a part.
     Cancel = b'n',
-    /// A health probe, or the response to one.
+    /// Health probe, or the response to one.
     HealthProbe = b'o',
-    /// A load probe, or the response to one.
+    /// Load probe, or the response to one.
     LoadProbe = b'p',
-    /// The response to a part.
+    /// Response to a part.
     PartResponse = b'q',
-    /// The message that the previous frame was rejected.
+    /// Notice that the server has rejected the previous frame.
     Rejection = b'r',
 }
 
@@ -35,14 +35,14 @@
         FrameKind::Rejection,
     ];
 
-    /// The kind with a letter.
+    /// Returns the kind that `byte` represents.
     ///
     /// # Errors
     ///
-    /// No kind has this letter.
-    fn of_letter(letter: u8) -> Result<Self, InvalidFrame> {
+    /// [`InvalidFrame::UnknownKind`] if `byte` represents no kind.
+    fn from_wire(byte: u8) -> Result<Self, InvalidFrame> {
         let mut kinds = FrameKind::ALL.into_iter();
-        let kind = kinds.find(|kind| *kind as u8 == letter);
+        let kind = kinds.find(|kind| *kind as u8 == byte);
         kind.ok_or(InvalidFrame::UnknownKind)
     }
 }
@@ -61,16 +61,17 @@
 pub(crate) struct PartialFrame<'a> {
     /// Length of kind and payload, in bytes; at least 1.
     body_len: usize,
-    /// The input after the length: it may be shorter than the body, or go on behind it.
+    /// The input after the length. It may be shorter than the body, or continue after the body.
     input: &'a [u8],
 }
 
 impl<'a> PartialFrame<'a> {
-    /// Reads the length of the frame that `input` begins with. `None`: the length has not arrived.
+    /// Reads the length of the frame at the start of `input`. Returns `Ok(None)` if the length has
+    /// not arrived completely.
     ///
     /// # Errors
     ///
-    /// The length is zero or greater than `max_body_len`.
+    /// [`InvalidFrame::LengthOutOfBounds`] if the length is zero or greater than `max_body_len`.
     pub(crate) fn parse(
         input: &'a [u8],
         max_body_len: usize,
@@ -85,42 +86,43 @@
         Ok(Some(PartialFrame { body_len, input }))
     }
 
-    /// The frame's kind, once it has arrived.
+    /// Returns the kind of the frame, or `Ok(None)` if it has not arrived.
     ///
     /// # Errors
     ///
-    /// The kind is unknown.
+    /// [`InvalidFrame::UnknownKind`] if the byte that has arrived represents no kind.
     pub(crate) fn kind(&self) -> Result<Option<FrameKind>, InvalidFrame> {
-        let letter = self.input.first().copied();
-        letter.map(FrameKind::of_letter).transpose()
+        let byte = self.input.first().copied();
+        byte.map(FrameKind::from_wire).transpose()
     }
 
-    /// The payload, once all of it has arrived.
+    /// Returns the payload, or `None` if it has not arrived completely.
     pub(crate) fn payload(&self) -> Option<&'a [u8]> {
         self.input.get(KIND_SIZE..self.body_len)
     }
 
-    /// What follows the kind in the input.
+    /// Returns the bytes of the input after the kind. They may go beyond the end of the payload.
     pub(crate) fn received(&self) -> &'a [u8] {
         self.input.get(KIND_SIZE..).unwrap_or_default()
     }
 
-    /// Length of the whole frame, in bytes.
+    /// Returns the length of the whole frame, in bytes.
     pub(crate) fn frame_len(&self) -> usize {
         LENGTH_SIZE + self.body_len
     }
 }
 
-/// Reads bytes of a frame as text.
+/// Returns bytes of a frame as text.
 ///
 /// # Errors
 ///
-/// The bytes are not UTF-8.
+/// [`InvalidFrame::NotUtf8`] if the bytes are not UTF-8.
 pub(crate) fn utf8(bytes: &[u8]) -> Result<&str, InvalidFrame> {
     std::str::from_utf8(bytes).map_err(|_| InvalidFrame::NotUtf8)
 }
 
-/// Splits off the first line; the line feed belongs to neither half. `None`: there is no line feed.
+/// Returns the first line and the bytes after it, both without the line feed between them. Returns
+/// `None` if there is no line feed.
 pub(crate) fn split_line(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let line_feed = bytes.iter().position(|byte| *byte == b'\n')?;
     Some((&bytes[..line_feed], &bytes[line_feed + 1..]))
--- a/crates/server-protocol/src/lib.rs
+++ b/crates/server-protocol/src/lib.rs
@@ -1,11 +1,12 @@
 //! Codec for the frames exchanged by brokers and data servers. It works on byte slices and does no
 //! I/O.
 //!
-//! A frame is a length of four bytes (big endian, counting what follows), one byte for the kind,
-//! and a payload whose form depends on the kind. [`broker`] encodes and decodes for a broker,
-//! [`server`] for a data server. Both sides decode the first message of the bytes that have
-//! arrived, as a [`Decoded`] once it is complete, or give an [`InvalidFrame`], after which the
-//! connection is of no further use.
+//! A frame consists of a length of four bytes (big endian; it counts all bytes after itself), one
+//! byte for the kind, and a payload whose form depends on the kind. Module [`broker`] encodes and
+//! decodes for a broker, module [`server`] for a data server. Both `decode` functions decode the
+//! first frame of the bytes that have arrived. They return a [`Decoded`] message once the frame is
+//! complete. If the frame is invalid, they return an [`InvalidFrame`], and the connection must be
+//! closed.
 //!
 //! ```
 //! use server_protocol::broker::{self, PartRequest, ServerMessage};
@@ -36,11 +37,11 @@
 pub use error::InvalidFrame;
 pub use part_status::PartStatus;
 
-/// A message decoded from the beginning of the input.
+/// Message that was decoded from the start of the input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Decoded<M> {
-    /// The message.
+    /// The decoded message.
     pub message: M,
-    /// Length of its whole frame in bytes: the next frame begins after it.
+    /// Length of the message's whole frame, in bytes. The next frame starts after it.
     pub frame_len: usize,
 }
--- a/crates/server-protocol/src/part_status.rs
+++ b/crates/server-protocol/src/part_status.rs
@@ -1,4 +1,4 @@
-//! The status of a part's response.
+//! The status in the response to a part.
 
 use crate::InvalidFrame;
 use fanout_policy::api::Outcome;
@@ -21,7 +21,7 @@
         PartStatus::Rejected,
     ];
 
-    /// The status as it stands in a frame.
+    /// Returns the status as it is written in a frame.
     pub(crate) fn as_wire(self) -> &'static str {
         match self {
             PartStatus::Succeeded => "good",
@@ -30,11 +30,11 @@
         }
     }
 
-    /// Reads a status from a frame.
+    /// Parses a status from a frame.
     ///
     /// # Errors
     ///
-    /// The status is unknown.
+    /// [`InvalidFrame::UnknownStatus`] if no status is written like this.
     pub(crate) fn from_wire(bytes: &[u8]) -> Result<Self, InvalidFrame> {
         let mut statuses = PartStatus::ALL.into_iter();
         let status = statuses.find(|status| status.as_wire().as_bytes() == bytes);
--- a/crates/server-protocol/src/server.rs
+++ b/crates/server-protocol/src/server.rs
@@ -1,35 +1,36 @@
-//! The data server's side, for test doubles of data servers: decodes what brokers send, encodes
-//! responses.
+//! The data server's side of the protocol, for test doubles of data servers: decodes the messages
+//! of brokers, and encodes responses.
 
-use crate::fields::{IDEMPOTENCY_KEY_OPTION, REQUESTS_IN_FLIGHT, WAIT_OPTION};
+use crate::fields::{IDEMPOTENCY_KEY_OPTION, REQUESTS_IN_FLIGHT_ENTRY, WAIT_OPTION};
 use crate::frame::{self, FrameKind, PartialFrame, split_line, utf8};
 use crate::{Decoded, InvalidFrame, PartStatus};
 
-/// Longest body accepted from a broker, in bytes: a call with the most parts, each with the longest
-/// text.
+/// Maximum length of the kind and payload of a frame from a broker, in bytes. It suffices for a
+/// call with the maximum number of parts, each with a text of the maximum length.
 const MAX_BODY_LEN: usize = 4 << 20;
-/// Score of each response; brokers make no use of it.
+/// Score in each response. Brokers ignore its value.
 const SCORE: u32 = 1;
 
-/// One part of a call, as decoded.
+/// One part of a decoded call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartRequest {
-    /// Id of the part on the wire.
+    /// Id of the part, which its response and its cancellation repeat.
     pub id: String,
-    /// Shard that the part asks for.
+    /// Index of the shard that the part reads.
     pub shard: usize,
-    /// How long the broker will wait for the response, in milliseconds.
+    /// Time for which the broker waits for the response, in milliseconds. Zero if the part has no
+    /// such option.
     pub wait_ms: u64,
-    /// The query's idempotency key, if its class has one.
+    /// Idempotency key of the query, if its class uses one.
     pub idempotency_key: Option<String>,
-    /// The query's text.
+    /// Text of the query.
     pub text: String,
 }
 
 /// A message from a broker.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BrokerMessage {
-    /// A call with its parts, at least one.
+    /// A call with one or more parts.
     Call(Vec<PartRequest>),
     /// The part with this id is cancelled.
     Cancel(String),
@@ -37,16 +38,17 @@
     Probe(ProbeKind),
 }
 
-/// What a probe asks for.
+/// Kind of a probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeKind {
-    /// Whether the server is healthy.
+    /// A health probe, which asks whether the server is healthy.
     Health,
-    /// How many requests the server has in flight.
+    /// A load probe, which asks for the number of requests in flight at the server.
     Load,
 }
 
-/// Encodes the response to the part with this id; `requests_in_flight` is the number at the server.
+/// Encodes the response to the part with this id. `requests_in_flight` is the number of requests in
+/// flight at the server.
 #[must_use]
 pub fn encode_part_response(
     id: &str,
@@ -60,7 +62,8 @@
     frame::encode(FrameKind::PartResponse, payload.as_bytes())
 }
 
-/// Encodes the response to a probe.
+/// Encodes the response to a probe. `requests_in_flight` is the number of requests in flight at the
+/// server. The server always reports that it is healthy.
 #[must_use]
 pub fn encode_probe_response(kind: ProbeKind, requests_in_flight: usize) -> Vec<u8> {
     match kind {
@@ -76,20 +79,21 @@
 }
 
 fn encode_load_report(requests_in_flight: usize) -> String {
-    format!("{REQUESTS_IN_FLIGHT}={requests_in_flight}")
+    format!("{REQUESTS_IN_FLIGHT_ENTRY}={requests_in_flight}")
 }
 
-/// Encodes the message that the broker's previous frame was rejected.
+/// Encodes the notice that the server has rejected the broker's previous frame for this reason.
 #[must_use]
 pub fn encode_frame_rejection(reason: &str) -> Vec<u8> {
     frame::encode(FrameKind::Rejection, reason.as_bytes())
 }
 
-/// Decodes the frame that `input` begins with. `Ok(None)`: it has not arrived completely.
+/// Decodes the frame at the start of `input`. Returns `Ok(None)` if the frame has not arrived
+/// completely.
 ///
 /// # Errors
 ///
-/// The frame is invalid.
+/// The reason why the frame is invalid.
 pub fn decode(input: &[u8]) -> Result<Option<Decoded<BrokerMessage>>, InvalidFrame> {
     let Some(frame) = PartialFrame::parse(input, MAX_BODY_LEN)? else {
         return Ok(None);
@@ -127,7 +131,8 @@
     }
 }
 
-/// Decodes one part, `ID SHARD OPTIONS LENGTH\nTEXT`, and returns it with the rest of the payload.
+/// Decodes the part `ID SHARD OPTIONS LENGTH\nTEXT` at the start of the payload. Returns the part
+/// and the rest of the payload.
 fn decode_part(payload: &[u8]) -> Result<(PartRequest, &[u8]), InvalidFrame> {
     let (line, rest) = split_line(payload).ok_or(InvalidFrame::UnterminatedPartLine)?;
     let fields: Vec<&str> = utf8(line)?.split(' ').collect();
@@ -150,7 +155,7 @@
     Ok((part, rest))
 }
 
-/// Decodes one option of a part.
+/// Decodes one option of a part and stores its value in `part`.
 fn decode_option(option: &str, part: &mut PartRequest) -> Result<(), InvalidFrame> {
     match option.split_once('=') {
         Some((WAIT_OPTION, wait_ms)) => part.wait_ms = parse_number(wait_ms)? as u64,
@@ -160,7 +165,7 @@
     Ok(())
 }
 
-/// Reads a number of a part's line.
+/// Parses a number in the line of a part.
 fn parse_number(field: &str) -> Result<usize, InvalidFrame> {
     field.parse().map_err(|_| InvalidFrame::InvalidNumber)
 }
--- a/crates/server-protocol/tests/broker_side.rs
+++ b/crates/server-protocol/tests/broker_side.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding on the broker's side.
+//! Tests of encoding and decoding on the broker's side.
 
 mod common;
 
@@ -10,14 +10,14 @@
     encode_cancel,
 };
 
-/// Decodes a frame that must be the response to a part.
+/// Decodes a frame. Panics unless it is a complete and valid response to a part.
 fn decode_part_response(bytes: &[u8]) -> PartResponse {
     match decode(bytes) {
         Ok(Some(Decoded {
             message: ServerMessage::PartResponse(response),
             ..
         })) => response,
-        other => panic!("{other:?}"),
+        other => panic!("expected the response to a part, found {other:?}"),
     }
 }
 
@@ -65,8 +65,8 @@
     assert_eq!(decode(&bytes), Ok(Some(decoded)));
 }
 
-/// The rest of an invalid frame may never arrive: what its first bytes show must be reported at
-/// once.
+/// The rest of an invalid frame may never arrive, so a frame must be reported as invalid as soon as
+/// its first bytes show it.
 #[test]
 fn invalid_frame_is_detected_from_its_first_bytes() {
     let long_line = [&[0, 1, 0, 0, b'q'][..], &[b'x'; MAX_RESPONSE_LINE_LEN + 1]].concat();
@@ -76,7 +76,7 @@
         &[0, 0, 0, 5, b'o'],
         &long_line,
     ] {
-        assert!(decode(input).is_err(), "{input:?}");
+        assert!(decode(input).is_err(), "accepted {input:?}");
     }
 }
 
@@ -98,7 +98,10 @@
         b"\xff good 1 -\n",
         b"9b.3 good 1 -\n\xff",
     ] {
-        assert!(decode(&frame(b'q', payload)).is_err(), "{payload:?}");
+        assert!(
+            decode(&frame(b'q', payload)).is_err(),
+            "accepted {payload:?}"
+        );
     }
     assert!(decode(&frame(b'x', b"")).is_err());
     assert!(decode(&[0, 0, 0, 0]).is_err());
--- a/crates/server-protocol/tests/server_side.rs
+++ b/crates/server-protocol/tests/server_side.rs
@@ -1,4 +1,4 @@
-//! Encoding and decoding on the data server's side.
+//! Tests of encoding and decoding on the data server's side.
 
 mod common;
 
@@ -10,8 +10,8 @@
 };
 use server_protocol::{Decoded, InvalidFrame, PartStatus};
 
-/// What decoding returns for a message whose frame is all of `bytes`.
-fn whole<M>(message: M, bytes: &[u8]) -> Option<Decoded<M>> {
+/// Returns the expected result of decoding a message whose frame consists of all of `bytes`.
+fn decoded_from<M>(message: M, bytes: &[u8]) -> Option<Decoded<M>> {
     Some(Decoded {
         message,
         frame_len: bytes.len(),
@@ -44,19 +44,20 @@
         ..received.clone()
     };
     let call = BrokerMessage::Call(vec![received, received_without_key]);
-    assert_eq!(decode(&bytes), Ok(whole(call, &bytes)));
+    assert_eq!(decode(&bytes), Ok(decoded_from(call, &bytes)));
 
     let bytes = encode_cancel("9b.3");
     let cancel = BrokerMessage::Cancel("9b.3".into());
-    assert_eq!(decode(&bytes), Ok(whole(cancel, &bytes)));
+    assert_eq!(decode(&bytes), Ok(decoded_from(cancel, &bytes)));
 
     let bytes = encode_part_response("9b.3", PartStatus::Rejected, 7, "");
+    let decoded = broker::decode(&bytes);
     let Ok(Some(Decoded {
         message: ServerMessage::PartResponse(response),
         ..
-    })) = broker::decode(&bytes)
+    })) = &decoded
     else {
-        panic!()
+        panic!("expected the response to a part, found {decoded:?}")
     };
     assert_eq!(
         (response.id.as_str(), response.requests_in_flight),
@@ -71,21 +72,21 @@
         assert_eq!(decode(&bytes[..cut]), Ok(None));
     }
     assert_eq!(decode(&bytes), Err(InvalidFrame::UnknownKind));
-    // Responses are for brokers.
+    // Only data servers send responses and rejections.
     for kind in [b'q', b'r'] {
         assert_eq!(decode(&frame(kind, b"")), Err(InvalidFrame::UnknownKind));
     }
 }
 
 #[test]
-fn probe_is_decoded_and_its_response_has_the_form_of_the_protocol() {
+fn probe_is_decoded_and_its_response_is_encoded() {
     for (kind, letter, response) in [
         (ProbeKind::Health, b'o', &b"good"[..]),
         (ProbeKind::Load, b'p', b"inflight=7"),
     ] {
         let bytes = frame(letter, b"");
         let probe = BrokerMessage::Probe(kind);
-        assert_eq!(decode(&bytes), Ok(whole(probe, &bytes)));
+        assert_eq!(decode(&bytes), Ok(decoded_from(probe, &bytes)));
         assert_eq!(encode_probe_response(kind, 7), frame(letter, response));
     }
     assert_eq!(encode_frame_rejection("too long"), frame(b'r', b"too long"));
@@ -102,7 +103,10 @@
         b"a 1 d=1 0",
         b"\xff 1 d=1 0\n",
     ] {
-        assert!(decode(&frame(b'm', payload)).is_err(), "{payload:?}");
+        assert!(
+            decode(&frame(b'm', payload)).is_err(),
+            "accepted {payload:?}"
+        );
     }
     assert!(decode(&frame(b'o', b"x")).is_err() && decode(&[255, 0, 0, 0]).is_err());
     assert_eq!(decode(&[0, 0, 0, 9, b'm']), Ok(None));
