--- a/crates/broker/src/upstream/assignment.rs
+++ b/crates/broker/src/upstream/assignment.rs
@@ -1,19 +1,19 @@
-//! The place of an attempt on a connection.
+//! The assignment of an attempt to a connection.
 
 use crate::event_queue::ServerConnectionId;
 use broker_types::time::Timestamp;
 use std::time::Duration;
 
-/// The place of an attempt on the connection that it was assigned to.
+/// The assignment of an attempt to a connection.
 pub(super) struct Assignment {
     connection: ServerConnectionId,
-    /// Id of the attempt's part on the wire.
+    /// Id of the attempt's part in the frames of the connection.
     wire_id: String,
     assigned_at: Timestamp,
 }
 
 impl Assignment {
-    /// The assignment of an attempt to a connection now.
+    /// Creates the assignment of an attempt to `connection`, made at the time `now`.
     pub(super) fn new(connection: ServerConnectionId, wire_id: String, now: Timestamp) -> Self {
         Assignment {
             connection,
@@ -22,22 +22,22 @@
         }
     }
 
-    /// The connection.
+    /// Returns the id of the connection that the attempt was assigned to.
     pub(super) fn connection(&self) -> ServerConnectionId {
         self.connection
     }
 
-    /// Id of the attempt's part on the wire.
+    /// Returns the id of the attempt's part in the frames of the connection.
     pub(super) fn wire_id(&self) -> &str {
         &self.wire_id
     }
 
-    /// When the attempt was assigned to the connection.
+    /// Returns the time at which the attempt was assigned to the connection.
     pub(super) fn assigned_at(&self) -> Timestamp {
         self.assigned_at
     }
 
-    /// Time since the attempt was assigned to the connection.
+    /// Returns the time between the assignment and `now`.
     pub(super) fn elapsed(&self, now: Timestamp) -> Duration {
         now.saturating_since(self.assigned_at)
     }
--- a/crates/broker/src/upstream/attempt.rs
+++ b/crates/broker/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! The records of an attempt: before it is sent, its result, and after it has ended.
+//! Data types for an attempt that is to be sent, for its result, and for an attempt that has ended.
 
 use broker_types::query::AttemptId;
 use broker_types::server::{NodeId, Outcome};
@@ -10,33 +10,34 @@
 /// An attempt to be sent to a data server.
 #[derive(Clone, Debug)]
 pub struct OutgoingAttempt {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Data server that it is sent to.
+    /// Data server that the attempt is sent to.
     pub server: NodeId,
-    /// The part to be sent.
+    /// Part that the attempt requests.
     pub part: OutgoingPart,
 }
 
-/// The part that an attempt asks for, with all that goes into its frame.
+/// The part that an attempt requests, with everything that is needed to encode it into a frame.
 #[derive(Clone, Debug)]
 pub struct OutgoingPart {
-    /// Id of the part on the wire.
+    /// Id of the part in the frames of its connection.
     pub wire_id: String,
-    /// Shard that the part asks for.
+    /// Index of the shard that the part reads.
     pub shard: usize,
-    /// Time until which the broker waits for the response. The frame states the time left when it
-    /// is written.
+    /// Time until which the broker waits for the response. The frame contains the time that is left
+    /// when the frame is written.
     pub deadline: Timestamp,
-    /// Time from which on the part must not be sent any more, if there is one.
+    /// Time from which on the part must no longer be sent. `None` means that only the deadline
+    /// applies.
     pub send_before: Option<Timestamp>,
-    /// The query's idempotency key, if its class has one.
+    /// Idempotency key of the query, if its class uses one.
     pub idempotency_key: Option<Rc<str>>,
-    /// The query's text.
+    /// Text of the query.
     pub text: Rc<str>,
 }
 
-/// What an attempt ended with.
+/// Result of an attempt.
 pub(super) struct AttemptResult {
     outcome: Outcome,
     requests_in_flight: Option<f64>,
@@ -44,7 +45,7 @@
 }
 
 impl From<Outcome> for AttemptResult {
-    /// The result of an attempt that ended without a response.
+    /// Creates the result of an attempt that ended without a response.
     fn from(outcome: Outcome) -> Self {
         AttemptResult {
             outcome,
@@ -55,7 +56,8 @@
 }
 
 impl From<PartResponse> for AttemptResult {
-    /// The result of an attempt that ended with this response. Only a served one has a value.
+    /// Creates the result of an attempt that ended with `response`. Only a served attempt has a
+    /// value.
     fn from(response: PartResponse) -> Self {
         let is_served = response.outcome == Outcome::Served;
         AttemptResult {
@@ -66,8 +68,8 @@
     }
 }
 
-/// The end of one of the attempts on a connection that fails.
-pub(super) struct AttemptEnd {
+/// Outcome of one of the attempts that were in flight on a connection when it failed.
+pub(super) struct AttemptOutcome {
     pub(super) attempt: AttemptId,
     pub(super) outcome: Outcome,
 }
@@ -75,20 +77,21 @@
 /// An attempt that has ended.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndedAttempt {
-    /// The attempt.
+    /// Id of the attempt.
     pub attempt: AttemptId,
-    /// Its outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// Time since it was handed to the pools.
+    /// Time between the assignment of the attempt to a connection and its end. Zero if it was never
+    /// assigned.
     pub elapsed: Duration,
-    /// Number of requests in flight at the server, if the response reports it.
+    /// Number of requests in flight at the server, if a response reported it.
     pub requests_in_flight: Option<f64>,
-    /// The value, if the attempt was served.
+    /// Value in the response, if the attempt was served.
     pub value: Option<String>,
 }
 
 impl EndedAttempt {
-    /// An attempt that ended with this result.
+    /// Creates the record of an attempt that ended with `result`.
     pub(super) fn new(attempt: AttemptId, elapsed: Duration, result: AttemptResult) -> Self {
         let AttemptResult {
             outcome,
@@ -104,7 +107,7 @@
         }
     }
 
-    /// An attempt that ended before it was handed to a connection.
+    /// Creates the record of an attempt that ended before it was assigned to a connection.
     #[must_use]
     pub fn unsent(attempt: AttemptId, outcome: Outcome) -> Self {
         EndedAttempt::new(attempt, Duration::ZERO, outcome.into())
--- a/crates/broker/src/upstream/attempt_tracker.rs
+++ b/crates/broker/src/upstream/attempt_tracker.rs
@@ -1,8 +1,8 @@
-//! The attempts that are assigned to connections, and the times at which each is looked at again.
+//! The attempts that are assigned to connections, and the time at which each must be checked next.
 //!
-//! [`AttemptTracker`] owns each attempt from its assignment to a connection until its end has been
-//! taken. It knows neither queries nor connections beyond their ids: when an attempt ends, and how,
-//! is decided by its callers.
+//! [`AttemptTracker`] owns each attempt from its assignment to a connection until its
+//! [`EndedAttempt`] is taken. It refers to queries and connections by their ids only. Its callers
+//! decide when an attempt ends and with which result.
 
 use super::assignment::Assignment;
 use super::attempt::{AttemptResult, EndedAttempt, OutgoingAttempt};
@@ -14,44 +14,48 @@
 /// An attempt that is assigned to a connection and has not ended.
 struct TrackedAttempt {
     assignment: Assignment,
-    /// Time until which the response is awaited.
+    /// Time until which the broker waits for the response.
     deadline: Timestamp,
-    /// Time of its [`Check`].
+    /// Time of the attempt's [`ExpiryCheck`].
     check_at: Timestamp,
 }
 
-/// A time at which an attempt is looked at again. Checks are ordered by time, then by attempt.
+/// The next time at which an attempt must be checked for one of its time limits. Checks are ordered
+/// by time, then by attempt.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Check {
+struct ExpiryCheck {
     at: Timestamp,
     attempt: AttemptId,
 }
 
-/// An attempt for which a time has been reached.
+/// A time limit that an attempt has reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Expiry {
-    /// The part must not be sent any more. If it was sent already, its response is awaited.
+    /// The part of this attempt must no longer be sent. If it was sent before, the broker continues
+    /// to wait for its response.
     SendPeriodOver(AttemptId),
-    /// The response is not awaited any more.
+    /// The deadline of this attempt has been reached: the broker no longer waits for its response.
     DeadlineReached(AttemptId),
 }
 
-/// All attempts that are assigned to connections, and those that have ended and were not taken.
+/// The attempts that are assigned to connections, and the ended attempts that have not been taken
+/// yet.
 #[derive(Default)]
 pub(super) struct AttemptTracker {
     attempts: BTreeMap<AttemptId, TrackedAttempt>,
-    /// One check for each attempt.
-    checks: BTreeSet<Check>,
+    /// Exactly one check for each entry of `attempts`.
+    checks: BTreeSet<ExpiryCheck>,
+    /// Ended attempts that have not been taken yet, in the order in which they ended.
     ended: Vec<EndedAttempt>,
 }
 
 impl AttemptTracker {
-    /// Tracks an attempt that has been assigned to a connection.
+    /// Starts to track an attempt that has been assigned to a connection.
     pub(super) fn track(&mut self, outgoing: &OutgoingAttempt, assignment: Assignment) {
         let (attempt, deadline) = (outgoing.attempt, outgoing.part.deadline);
         let send_before = outgoing.part.send_before;
         let check_at = send_before.map_or(deadline, |limit| limit.min(deadline));
-        self.checks.insert(Check {
+        self.checks.insert(ExpiryCheck {
             at: check_at,
             attempt,
         });
@@ -63,14 +67,15 @@
         self.attempts.insert(attempt, tracked);
     }
 
-    /// The assignment of an attempt, unless it has ended.
+    /// Returns the assignment of an attempt, or `None` if the attempt has ended.
     pub(super) fn assignment(&self, attempt: AttemptId) -> Option<&Assignment> {
         self.attempts
             .get(&attempt)
             .map(|tracked| &tracked.assignment)
     }
 
-    /// Ends an attempt and returns its former assignment, unless it has ended before.
+    /// Ends an attempt with `result` and returns its former assignment. Does nothing and returns
+    /// `None` if the attempt has ended before.
     pub(super) fn end(
         &mut self,
         now: Timestamp,
@@ -78,7 +83,7 @@
         result: AttemptResult,
     ) -> Option<Assignment> {
         let tracked = self.attempts.remove(&attempt)?;
-        self.checks.remove(&Check {
+        self.checks.remove(&ExpiryCheck {
             at: tracked.check_at,
             attempt,
         });
@@ -87,23 +92,27 @@
         Some(tracked.assignment)
     }
 
-    /// Ends an attempt that could not be assigned to a connection.
+    /// Records the end of an attempt that could not be assigned to a connection.
     pub(super) fn end_unassigned(&mut self, attempt: AttemptId, outcome: Outcome) {
         self.ended.push(EndedAttempt::unsent(attempt, outcome));
     }
 
-    /// Takes the attempts that have ended, in the order in which they did.
+    /// Removes and returns the ended attempts, in the order in which they ended.
     pub(super) fn take_ended(&mut self) -> Vec<EndedAttempt> {
         std::mem::take(&mut self.ended)
     }
 
-    /// Whether attempts have ended that were not taken.
+    /// Returns whether there are ended attempts that have not been taken yet.
     pub(super) fn has_ended(&self) -> bool {
         !self.ended.is_empty()
     }
 
-    /// The attempts at one part of a query, or at all of its parts.
-    pub(super) fn of_query(&self, query: QueryId, part: Option<PartIndex>) -> Vec<AttemptId> {
+    /// Returns the attempts at one part of a query, or at all of its parts if `part` is `None`.
+    pub(super) fn attempts_of_query(
+        &self,
+        query: QueryId,
+        part: Option<PartIndex>,
+    ) -> Vec<AttemptId> {
         let first = AttemptId {
             query,
             part: part.unwrap_or(PartIndex(0)),
@@ -118,8 +127,8 @@
         attempts.map(|(attempt, _)| *attempt).collect()
     }
 
-    /// Sorts attempts by the time at which they were assigned, then by their ids.
-    pub(super) fn oldest_first(
+    /// Returns `attempts` sorted by the time at which they were assigned, then by their ids.
+    pub(super) fn sorted_oldest_first(
         &self,
         attempts: impl IntoIterator<Item = AttemptId>,
     ) -> Vec<AttemptId> {
@@ -131,8 +140,12 @@
         attempts
     }
 
-    /// The first attempt for which a time has been reached. One whose deadline is reached must be
-    /// ended by the caller; any other is next looked at when its deadline is reached.
+    /// Returns the earliest time limit that an attempt has reached by `now`, or `None` if there is
+    /// none.
+    ///
+    /// After [`Expiry::SendPeriodOver`] the attempt is checked again at its deadline. After
+    /// [`Expiry::DeadlineReached`] the caller must end the attempt, because the next call would
+    /// return the same attempt again.
     pub(super) fn next_expired(&mut self, now: Timestamp) -> Option<Expiry> {
         let check = *self.checks.first()?;
         if check.at > now {
@@ -144,25 +157,26 @@
                 tracked.check_at = tracked.deadline;
                 let at = tracked.check_at;
                 self.checks.remove(&check);
-                self.checks.insert(Check { at, attempt });
+                self.checks.insert(ExpiryCheck { at, attempt });
                 Some(Expiry::SendPeriodOver(attempt))
             }
             _ => Some(Expiry::DeadlineReached(attempt)),
         }
     }
 
-    /// The earliest time at which an attempt is looked at again.
+    /// Returns the earliest time at which an attempt must be checked, or `None` if no attempt is
+    /// tracked.
     pub(super) fn next_check(&self) -> Option<Timestamp> {
         self.checks.first().map(|check| check.at)
     }
 
-    /// Ids of all attempts that have not ended.
+    /// Returns the ids of all attempts that have not ended.
     #[cfg(test)]
     pub(super) fn ids(&self) -> impl Iterator<Item = AttemptId> {
         self.attempts.keys().copied()
     }
 
-    /// Number of checks.
+    /// Returns the number of scheduled checks.
     #[cfg(test)]
     pub(super) fn scheduled_checks(&self) -> usize {
         self.checks.len()
--- a/crates/broker/src/upstream/cancelled_parts.rs
+++ b/crates/broker/src/upstream/cancelled_parts.rs
@@ -2,31 +2,34 @@
 
 use std::collections::VecDeque;
 
-/// Most parts that are remembered. The parts of several calls may wait at a slow server, so this is
-/// more than may be in flight at once.
-const MAX_PARTS: usize = 256;
+/// Maximum number of cancelled parts that are kept for one connection. Cancelled parts of several
+/// successive calls may still wait at a slow server, so this is greater than the number of parts
+/// that may be in flight at the same time.
+const MAX_CANCELLED_PARTS: usize = 256;
 
-/// Ids on the wire of the parts that were cancelled after they had been written, the latest last.
+/// Ids of the parts that were cancelled after they had been written, in the order of their
+/// cancellation.
 #[derive(Default)]
 pub(super) struct CancelledParts {
     wire_ids: VecDeque<String>,
 }
 
 impl CancelledParts {
-    /// Whether no response to a cancelled part is expected.
+    /// Returns whether no response to a cancelled part is outstanding.
     pub(super) fn is_empty(&self) -> bool {
         self.wire_ids.is_empty()
     }
 
-    /// Remembers a part. The oldest one is forgotten if there are too many.
+    /// Adds a part. If the maximum number of parts is reached, removes the part that was added
+    /// first.
     pub(super) fn insert(&mut self, wire_id: String) {
-        if self.wire_ids.len() >= MAX_PARTS {
+        if self.wire_ids.len() >= MAX_CANCELLED_PARTS {
             self.wire_ids.pop_front();
         }
         self.wire_ids.push_back(wire_id);
     }
 
-    /// Forgets a part because its response has arrived. Returns whether it was remembered.
+    /// Removes a part because its response has arrived. Returns whether the part was present.
     pub(super) fn remove(&mut self, wire_id: &str) -> bool {
         let index = self.wire_ids.iter().position(|id| id == wire_id);
         index
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -1,10 +1,10 @@
-//! One connection to a data server: the attempts assigned to it, and what its events mean for them.
+//! One connection to a data server: the attempts assigned to it and their outcomes.
 //!
 //! [`ServerConnection`] decides on the outcomes of its attempts from what was written and received.
-//! Its socket is served by a task of its own: see [`SocketHandle`].
+//! The socket is served by a task of its own: see [`SocketHandle`].
 
 use super::assignment::Assignment;
-use super::attempt::{AttemptEnd, OutgoingAttempt, OutgoingPart};
+use super::attempt::{AttemptOutcome, OutgoingAttempt, OutgoingPart};
 use super::cancelled_parts::CancelledParts;
 use super::connection_event::{EventEffect, ProtocolViolation};
 use super::receive_progress::ReceiveProgress;
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use tracing::warn;
 
-/// Why the response to an attempt is no longer awaited.
+/// Why the broker stops waiting for the response to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StopReason {
     /// The attempt was cancelled.
@@ -31,7 +31,7 @@
 }
 
 impl From<StopReason> for Outcome {
-    /// The outcome of a sent attempt.
+    /// Returns the outcome of an attempt of which at least one byte was written.
     fn from(reason: StopReason) -> Self {
         match reason {
             StopReason::Cancelled => Outcome::Cancelled,
@@ -40,21 +40,23 @@
     }
 }
 
-/// Outcome of an attempt whose response is no longer awaited, and what it shows about its
-/// connection.
-pub(super) enum Stopped {
-    /// The attempt ends; the connection is kept.
+/// Outcome of an attempt for whose response the broker stops waiting, and whether its connection
+/// must be closed.
+pub(super) enum StopResult {
+    /// The attempt ends with this outcome. The connection stays open.
     KeepConnection(Outcome),
-    /// The attempt ends, and afterwards the connection must be closed: nothing can be written to
-    /// it, so that a further attempt at the part could run beside this one, or wait behind the same
-    /// socket.
+    /// The attempt ends with this outcome. Afterwards the connection must be closed, because its
+    /// socket accepts no data. If the attempt was sent, its cancellation would not reach the
+    /// server, and a further attempt at the same part could run at the same time as this one. If
+    /// the further attempt was assigned to this connection, the blocked socket would hold it up.
     CloseConnection(Outcome),
 }
 
-/// How much a connection is in use. The least is that of an idle connection, and of these of the
-/// one that has been idle for longest.
+/// Order of connections by their use: first by the number of attempts in flight, then by the time
+/// of the last use. The minimum is therefore the connection that has been idle for longest, if any
+/// connection is idle.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) struct ConnectionUse {
+pub(super) struct ConnectionUsage {
     in_flight: usize,
     last_used: Timestamp,
 }
@@ -63,20 +65,20 @@
 pub(super) struct ServerConnection {
     id: ServerConnectionId,
     server: NodeId,
-    /// The socket. Dropping it closes it.
+    /// Handle of the socket. Dropping it closes the socket.
     socket: SocketHandle,
-    /// Attempts in flight on this connection by the id of their part on the wire.
+    /// Attempts in flight on this connection, by the id of their part in its frames.
     in_flight: BTreeMap<String, AttemptId>,
     cancelled: CancelledParts,
     progress: ReceiveProgress,
-    /// When an attempt was last sent or last ended here.
+    /// Time at which an attempt was last assigned to this connection or last ended on it.
     last_used: Timestamp,
-    /// Whether it accepts no further attempts and is closed once none is in flight.
+    /// Whether the connection accepts no further attempts and is closed once it is idle.
     is_draining: bool,
 }
 
 impl ServerConnection {
-    /// A connection to a server whose socket begins to open now.
+    /// Creates a connection to `server` whose socket starts to open at the time `now`.
     pub(super) fn new(
         now: Timestamp,
         id: ServerConnectionId,
@@ -95,45 +97,46 @@
         }
     }
 
-    /// Number of the connection.
+    /// Returns the id of the connection.
     pub(super) fn id(&self) -> ServerConnectionId {
         self.id
     }
 
-    /// Server that the connection leads to.
+    /// Returns the server that the connection leads to.
     pub(super) fn server(&self) -> &NodeId {
         &self.server
     }
 
-    /// The frames to be written.
+    /// Returns the queue of the frames to be written.
     pub(super) fn send_queue(&self) -> &Rc<SendQueue> {
         self.socket.send_queue()
     }
 
-    /// Whether no attempt is in flight.
+    /// Returns whether no attempt is in flight.
     pub(super) fn is_idle(&self) -> bool {
         self.in_flight.is_empty()
     }
 
-    /// How much the connection is in use.
-    pub(super) fn usage(&self) -> ConnectionUse {
-        ConnectionUse {
+    /// Returns the key by which connections are ordered from the least to the most used.
+    pub(super) fn usage(&self) -> ConnectionUsage {
+        ConnectionUsage {
             in_flight: self.in_flight.len(),
             last_used: self.last_used,
         }
     }
 
-    /// Whether `parts` more parts may be sent, of which at most `max_in_flight` may be in flight.
+    /// Returns whether the connection is not draining and `parts` more parts may be sent on it if
+    /// at most `max_in_flight` parts may be in flight.
     pub(super) fn has_capacity(&self, parts: usize, max_in_flight: usize) -> bool {
         !self.is_draining && self.in_flight.len() + parts <= max_in_flight
     }
 
-    /// The attempts in flight, in the order of the ids of their parts on the wire.
+    /// Returns the attempts in flight, ordered by the ids of their parts in the frames.
     pub(super) fn attempts(&self) -> impl Iterator<Item = AttemptId> {
         self.in_flight.values().copied()
     }
 
-    /// Assigns an attempt to this connection. Its part is sent with
+    /// Assigns an attempt to this connection. The caller sends its part with
     /// [`ServerConnection::send_call`].
     pub(super) fn assign(&mut self, now: Timestamp, outgoing: &OutgoingAttempt) -> Assignment {
         let wire_id = outgoing.part.wire_id.clone();
@@ -142,19 +145,19 @@
         Assignment::new(self.id, wire_id, now)
     }
 
-    /// Sends parts in one call.
+    /// Queues one call with these parts to be written.
     pub(super) fn send_call(&self, parts: Vec<OutgoingPart>) {
         self.send_queue().push(OutgoingFrame::Call(parts));
     }
 
-    /// Releases the place of an attempt that has ended.
+    /// Removes an ended attempt from the attempts in flight.
     pub(super) fn release(&mut self, now: Timestamp, assignment: &Assignment) {
         self.in_flight.remove(assignment.wire_id());
         self.last_used = now;
     }
 
-    /// Accepts no further attempts from now on. Returns the attempts that are withdrawn because
-    /// they were not sent; the others may finish.
+    /// Starts to drain the connection: it accepts no further attempts. Withdraws the attempts of
+    /// which no byte was written, and returns them. The other attempts continue.
     pub(super) fn start_draining(&mut self) -> Vec<AttemptId> {
         self.is_draining = true;
         let withdrawn = self.send_queue().withdraw_all();
@@ -164,23 +167,26 @@
             .collect()
     }
 
-    /// Withdraws the part of an attempt, unless any of its bytes was written. Returns whether it is
-    /// withdrawn.
+    /// Withdraws the part of an attempt unless any byte of it was written. Returns whether the part
+    /// was withdrawn.
     pub(super) fn try_withdraw(&self, assignment: &Assignment) -> bool {
         self.send_queue().try_withdraw(assignment.wire_id())
     }
 
-    /// Stops waiting for the response to an attempt: withdraws its part, or cancels it on the
-    /// server if it was written. The caller ends the attempt.
+    /// Stops waiting for the response to an attempt. Withdraws its part, or cancels it on the
+    /// server if any byte of it was written. The caller ends the attempt.
+    ///
+    /// If nothing was received since the attempt was assigned, and that is longer ago than the
+    /// maximum silence, the connection starts to drain: its link may be severed.
     pub(super) fn stop_waiting(
         &mut self,
         now: Timestamp,
         assignment: &Assignment,
         reason: StopReason,
         timeouts: &ConnectionTimeouts,
-    ) -> Stopped {
+    ) -> StopResult {
         if self.try_withdraw(assignment) {
-            return self.stop_unsent(reason);
+            return self.result_of_withdrawn(reason);
         }
         let wire_id = assignment.wire_id().to_owned();
         self.cancelled.insert(wire_id.clone());
@@ -188,34 +194,36 @@
             .send_queue()
             .push(OutgoingFrame::Cancel(wire_id));
         let is_silent = self.progress.is_silent_since(assignment.assigned_at());
-        if is_silent && assignment.elapsed(now) >= timeouts.silence() {
+        if is_silent && assignment.elapsed(now) >= timeouts.max_silence() {
             self.is_draining = true;
         }
-        // The cancellation does not get through a blocked socket.
+        // A blocked socket does not pass the cancellation on to the server.
         if self.send_queue().is_blocked() {
-            Stopped::CloseConnection(reason.into())
+            StopResult::CloseConnection(reason.into())
         } else {
-            Stopped::KeepConnection(reason.into())
+            StopResult::KeepConnection(reason.into())
         }
     }
 
-    /// Outcome of an attempt whose part was withdrawn, so that it never ran. If it timed out
-    /// because the connection was not established or its socket accepts nothing, the server counts
-    /// as unreachable.
-    fn stop_unsent(&self, reason: StopReason) -> Stopped {
+    /// Returns the result for an attempt whose part was withdrawn and therefore never ran.
+    ///
+    /// An attempt that timed out ends as unreachable if the socket accepts no data or the
+    /// connection was not established. Otherwise it ends as not sent, which says nothing about the
+    /// server.
+    fn result_of_withdrawn(&self, reason: StopReason) -> StopResult {
         match reason {
-            StopReason::Cancelled => Stopped::KeepConnection(Outcome::Cancelled),
+            StopReason::Cancelled => StopResult::KeepConnection(Outcome::Cancelled),
             StopReason::TimedOut if self.send_queue().is_blocked() => {
-                Stopped::CloseConnection(Outcome::Unreachable)
+                StopResult::CloseConnection(Outcome::Unreachable)
             }
             StopReason::TimedOut if self.send_queue().was_connected() => {
-                Stopped::KeepConnection(Outcome::NotSent)
+                StopResult::KeepConnection(Outcome::NotSent)
             }
-            StopReason::TimedOut => Stopped::KeepConnection(Outcome::Unreachable),
+            StopReason::TimedOut => StopResult::KeepConnection(Outcome::Unreachable),
         }
     }
 
-    /// Handles an event that the socket task has reported.
+    /// Handles an event that the socket task has reported, and returns what the caller must do.
     pub(super) fn on_event(&mut self, now: Timestamp, event: ConnectionEvent) -> EventEffect {
         self.progress.on_event(now);
         match event {
@@ -240,12 +248,14 @@
         }
     }
 
-    /// Assigns a response to its attempt. A cancelled part may still be responded to; nothing needs
-    /// that response. Any other one takes the place of a response that is expected and will not
-    /// arrive.
+    /// Handles a response: finds the attempt that it belongs to.
+    ///
+    /// The response to a cancelled part may still arrive and is ignored. A response to any other
+    /// part violates the protocol: the server has sent it in place of a response that is
+    /// outstanding and will therefore not arrive.
     fn on_response(&mut self, response: PartResponse) -> EventEffect {
         if let Some(&attempt) = self.in_flight.get(&response.id) {
-            EventEffect::Respond { attempt, response }
+            EventEffect::EndAttempt { attempt, response }
         } else if self.cancelled.remove(&response.id) {
             EventEffect::Continue
         } else {
@@ -253,6 +263,8 @@
         }
     }
 
+    /// Handles the arrival of an incomplete frame, which violates the protocol if no response is
+    /// outstanding.
     fn on_partial_frame(&mut self, now: Timestamp) -> EventEffect {
         if self.is_idle() && self.cancelled.is_empty() {
             return EventEffect::ProtocolViolated(ProtocolViolation::UnsolicitedData);
@@ -269,51 +281,58 @@
         );
     }
 
-    /// The ends of all attempts after the connection was lost.
+    /// Returns the outcomes of all attempts in flight after the connection was lost.
     ///
-    /// A part whose frame was not written completely never ran; any other may have run. Attempts
-    /// that waited on a connection that had been established do not show whether the server is
-    /// reachable.
-    pub(super) fn ends_after_loss(&self) -> Vec<AttemptEnd> {
+    /// A part whose frame was not written completely never ran; any other part may have run. An
+    /// unwritten attempt ends as unreachable only if the connection was never established. If it
+    /// was established, its loss does not show whether the server is reachable, so the attempt ends
+    /// as not sent.
+    pub(super) fn outcomes_after_loss(&self) -> Vec<AttemptOutcome> {
         let unwritten = self.unwritten_attempts();
         let outcome_of_unwritten = if self.send_queue().was_connected() {
             Outcome::NotSent
         } else {
             Outcome::Unreachable
         };
-        let end = |attempt| {
+        let with_outcome = |attempt| {
             let outcome = if unwritten.contains(&attempt) {
                 outcome_of_unwritten
             } else {
                 Outcome::ConnectionLost
             };
-            AttemptEnd { attempt, outcome }
+            AttemptOutcome { attempt, outcome }
         };
-        self.attempts().map(end).collect()
+        self.attempts().map(with_outcome).collect()
     }
 
-    /// The ends of all attempts after the server has violated the protocol. `oldest_first` are all
-    /// attempts in flight, in the order in which they were assigned.
+    /// Returns the outcomes of all attempts in flight after the server has violated the protocol.
+    /// `oldest_first` contains all attempts in flight, in the order in which they were assigned.
+    ///
+    /// The oldest sent attempt ends with an error, because the server has failed once. The other
+    /// sent attempts end as cancelled, so that the one failure is counted neither against the
+    /// server again nor against their queries. Every sent part may have run. Attempts whose frames
+    /// were not written completely end as not sent.
     ///
-    /// If nothing is in flight, this was surplus after a complete response and no attempt fails.
-    /// Otherwise the oldest sent attempt ends with an error and may have run. The other sent ones
-    /// may have run as well, but are held neither against their server, which has failed only once,
-    /// nor against their queries, so they end as cancelled.
-    pub(super) fn ends_after_violation(&self, oldest_first: Vec<AttemptId>) -> Vec<AttemptEnd> {
+    /// If no attempt is in flight, the server sent surplus data after a complete response, and no
+    /// attempt fails.
+    pub(super) fn outcomes_after_violation(
+        &self,
+        oldest_first: Vec<AttemptId>,
+    ) -> Vec<AttemptOutcome> {
         let unwritten = self.unwritten_attempts();
         let mut outcome_of_sent = Outcome::Error;
-        let end = |attempt| {
+        let with_outcome = |attempt| {
             let outcome = if unwritten.contains(&attempt) {
                 Outcome::NotSent
             } else {
                 std::mem::replace(&mut outcome_of_sent, Outcome::Cancelled)
             };
-            AttemptEnd { attempt, outcome }
+            AttemptOutcome { attempt, outcome }
         };
-        oldest_first.into_iter().map(end).collect()
+        oldest_first.into_iter().map(with_outcome).collect()
     }
 
-    /// The attempts in flight whose frames were not written completely.
+    /// Returns the attempts in flight whose frames were not written completely.
     fn unwritten_attempts(&self) -> BTreeSet<AttemptId> {
         let unwritten = self.send_queue().unwritten_parts();
         let wire_ids = unwritten.iter();
@@ -322,19 +341,21 @@
             .collect()
     }
 
-    /// Whether the connection is idle, and draining or unused for too long.
+    /// Returns whether the connection is idle and must be closed, because it is draining or was not
+    /// used for the maximum idle time.
     pub(super) fn is_expired(&self, now: Timestamp, timeouts: &ConnectionTimeouts) -> bool {
         let is_unused = now.saturating_since(self.last_used) >= timeouts.max_idle();
         self.is_idle() && (self.is_draining || is_unused)
     }
 
-    /// Whether an incomplete frame has made no progress for too long.
+    /// Returns whether an incomplete frame has not grown for the maximum stall time.
     pub(super) fn is_stalled(&self, now: Timestamp, timeouts: &ConnectionTimeouts) -> bool {
-        self.progress.is_stalled(now, timeouts.stall())
+        self.progress.is_stalled(now, timeouts.max_stall())
     }
 
-    /// When an incomplete frame will have made no progress for too long, while there is one.
-    pub(super) fn stalls_at(&self, timeouts: &ConnectionTimeouts) -> Option<Timestamp> {
-        self.progress.stalls_at(timeouts.stall())
+    /// Returns the time at which the connection counts as stalled unless its incomplete frame
+    /// grows, or `None` if there is no incomplete frame.
+    pub(super) fn stall_deadline(&self, timeouts: &ConnectionTimeouts) -> Option<Timestamp> {
+        self.progress.stall_deadline(timeouts.max_stall())
     }
 }
--- a/crates/broker/src/upstream/connection_event.rs
+++ b/crates/broker/src/upstream/connection_event.rs
@@ -1,36 +1,37 @@
-//! What an event of a connection means for the attempts on it.
+//! The effects of a connection's events on its attempts.
 
 use broker_types::query::AttemptId;
 use server_protocol::InvalidFrame;
 use server_protocol::broker::PartResponse;
 use thiserror::Error;
 
-/// What the caller has to do after an event of a connection.
+/// What the caller must do after a connection has handled an event.
 pub(super) enum EventEffect {
-    /// Nothing: all attempts go on.
+    /// Nothing: all attempts continue.
     Continue,
-    /// End an attempt with the response to it.
-    Respond {
+    /// End an attempt with the response that has arrived for it.
+    EndAttempt {
         attempt: AttemptId,
         response: PartResponse,
     },
-    /// End all attempts on the connection, which has been closed or could not be opened.
+    /// Remove the connection, which was closed or could not be opened, and end all its attempts.
     ConnectionLost,
-    /// End all attempts on the connection and close it.
+    /// Close the connection, because the server has violated the protocol, and end all its
+    /// attempts.
     ProtocolViolated(ProtocolViolation),
 }
 
-/// Reason why what a server sent makes its connection unusable.
+/// Violation of the protocol by a server. Its connection is unusable afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub(super) enum ProtocolViolation {
-    /// A response names a part that is not in flight.
-    #[error("the part of the response is not in flight")]
+    /// A response names a part that is neither in flight nor cancelled.
+    #[error("the response names a part that is not in flight")]
     UnexpectedResponse,
-    /// Data arrived although no response is expected.
+    /// Data arrived although no response is outstanding.
     #[error("data arrived although no response is expected")]
     UnsolicitedData,
-    /// The rest of a frame does not arrive.
-    #[error("the rest of the frame does not arrive")]
+    /// The rest of an incomplete frame did not arrive in time.
+    #[error("the rest of the frame did not arrive in time")]
     IncompleteFrame,
     /// A frame could not be decoded.
     #[error(transparent)]
--- a/crates/broker/src/upstream/connection_pool.rs
+++ b/crates/broker/src/upstream/connection_pool.rs
@@ -1,10 +1,11 @@
 //! The connections to all data servers: opening, selecting, draining and closing them.
 //!
 //! [`ConnectionPool`] owns each connection from its opening until its socket task is dropped, which
-//! closes the socket. What ends an attempt is reported to the caller.
+//! closes the socket. It does not end attempts itself, but returns to its caller which attempts
+//! must end.
 
 use super::assignment::Assignment;
-use super::connection::{ServerConnection, StopReason, Stopped};
+use super::connection::{ServerConnection, StopReason, StopResult};
 use super::selection::{ConnectionSelector, Selection};
 use super::server_table::ServerTable;
 use super::socket::Connector;
@@ -29,7 +30,7 @@
 }
 
 impl ConnectionPool {
-    /// A pool without servers, which opens connections with `connector`.
+    /// Creates a pool without servers, which opens connections with `connector`.
     pub(super) fn new(limits: PoolLimits, connector: Connector) -> Self {
         ConnectionPool {
             limits,
@@ -41,9 +42,9 @@
         }
     }
 
-    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. If the
-    /// address changes, the connections to the old one are drained. Returns the attempts that are
-    /// withdrawn from these.
+    /// Sets the address of a server. `None` means that the server accepts no further attempts or
+    /// was removed. If the server had a different address before, starts to drain the connections
+    /// to that address and returns the attempts that are withdrawn from them.
     pub(super) fn set_endpoint(
         &mut self,
         name: &NodeId,
@@ -58,29 +59,30 @@
         withdrawn
     }
 
-    /// Names of all servers that accept attempts.
+    /// Returns the names of all servers that accept attempts.
     pub(super) fn serving(&self) -> impl Iterator<Item = &NodeId> {
         self.servers.serving()
     }
 
-    /// Number of connections, open or being opened.
+    /// Returns the number of connections that are open or being opened.
     pub(super) fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// A connection, unless it is closed.
+    /// Returns a connection, or `None` if it is closed.
     #[cfg(test)]
     pub(super) fn get(&self, id: ServerConnectionId) -> Option<&ServerConnection> {
         self.connections.get(&id)
     }
 
-    /// A connection, unless it is closed.
+    /// Returns a connection, or `None` if it is closed.
     pub(super) fn get_mut(&mut self, id: ServerConnectionId) -> Option<&mut ServerConnection> {
         self.connections.get_mut(&id)
     }
 
-    /// A connection with capacity for a call with `parts` parts, which may be opened for it.
-    /// `None`: the server accepts no attempts, or the limit on sockets is reached.
+    /// Returns a connection with capacity for a call with `parts` parts, and opens one if needed.
+    /// Returns `None` if the server accepts no attempts, or if the limit of connections is reached
+    /// and none of them is idle.
     pub(super) fn acquire(
         &mut self,
         now: Timestamp,
@@ -91,7 +93,7 @@
         let id = match selector.select(server, parts) {
             Selection::Existing(id) => id,
             Selection::Open(address) => self.open(now, server, address),
-            Selection::OpenInPlaceOf { evicted, address } => {
+            Selection::EvictAndOpen { evicted, address } => {
                 self.remove(evicted);
                 self.open(now, server, address)
             }
@@ -107,7 +109,7 @@
         self.connections.get_mut(&id)
     }
 
-    /// Begins to open a connection.
+    /// Starts to open a connection and returns its id.
     fn open(&mut self, now: Timestamp, server: &NodeId, address: SocketAddr) -> ServerConnectionId {
         let id = ServerConnectionId(self.next_id);
         self.next_id += 1;
@@ -118,62 +120,65 @@
         id
     }
 
-    /// Removes a connection. Dropping it closes its socket.
+    /// Removes and returns a connection, or returns `None` if it is closed. Dropping the connection
+    /// closes its socket.
     pub(super) fn remove(&mut self, id: ServerConnectionId) -> Option<ServerConnection> {
         let connection = self.connections.remove(&id)?;
         self.servers.remove_connection(connection.server(), id);
         Some(connection)
     }
 
-    /// Withdraws the part of an attempt, unless any of its bytes was written. Returns whether it is
-    /// withdrawn.
+    /// Withdraws the part of an attempt unless any byte of it was written. Returns whether the part
+    /// was withdrawn.
     pub(super) fn try_withdraw(&self, assignment: &Assignment) -> bool {
         let connection = self.connections.get(&assignment.connection());
         connection.is_some_and(|connection| connection.try_withdraw(assignment))
     }
 
-    /// Stops waiting for the response to an attempt: withdraws its part, or cancels it on the
-    /// server if it was written.
+    /// Stops waiting for the response to an attempt. Withdraws its part, or cancels it on the
+    /// server if any byte of it was written. The caller ends the attempt.
     pub(super) fn stop_waiting(
         &mut self,
         now: Timestamp,
         assignment: &Assignment,
         reason: StopReason,
-    ) -> Stopped {
+    ) -> StopResult {
         match self.connections.get_mut(&assignment.connection()) {
             Some(connection) => connection.stop_waiting(now, assignment, reason, &self.timeouts),
-            None => Stopped::KeepConnection(reason.into()),
+            None => StopResult::KeepConnection(reason.into()),
         }
     }
 
-    /// Releases the place of an attempt that has ended.
+    /// Removes an ended attempt from the attempts in flight on its connection.
     pub(super) fn release(&mut self, now: Timestamp, assignment: &Assignment) {
         if let Some(connection) = self.connections.get_mut(&assignment.connection()) {
             connection.release(now, assignment);
         }
     }
 
-    /// Closes the connections that are idle for too long, or that are draining and idle.
+    /// Closes the idle connections that are draining or were not used for the maximum idle time.
     pub(super) fn close_expired(&mut self, now: Timestamp) {
         for id in self.ids_where(|connection| connection.is_expired(now, &self.timeouts)) {
             self.remove(id);
         }
     }
 
-    /// The connections on which an incomplete frame has made no progress for too long.
+    /// Returns the ids of the connections on which an incomplete frame has not grown for the
+    /// maximum stall time.
     pub(super) fn stalled(&self, now: Timestamp) -> Vec<ServerConnectionId> {
         self.ids_where(|connection| connection.is_stalled(now, &self.timeouts))
     }
 
-    /// When the first incomplete frame will have made no progress for too long, while there is one.
-    pub(super) fn next_stall(&self) -> Option<Timestamp> {
+    /// Returns the earliest time at which a connection counts as stalled unless its incomplete
+    /// frame grows, or `None` if no connection has an incomplete frame.
+    pub(super) fn next_stall_deadline(&self) -> Option<Timestamp> {
         let connections = self.connections.values();
         connections
-            .filter_map(|connection| connection.stalls_at(&self.timeouts))
+            .filter_map(|connection| connection.stall_deadline(&self.timeouts))
             .min()
     }
 
-    /// Ids of the connections that meet a condition.
+    /// Returns the ids of the connections that meet a condition.
     fn ids_where(&self, condition: impl Fn(&ServerConnection) -> bool) -> Vec<ServerConnectionId> {
         let connections = self.connections.values();
         connections
@@ -182,13 +187,13 @@
             .collect()
     }
 
-    /// Number of servers that have an address or connections.
+    /// Returns the number of servers that have an address or connections.
     #[cfg(test)]
     pub(super) fn known_servers(&self) -> usize {
         self.servers.len()
     }
 
-    /// All connections, in the order in which they were opened.
+    /// Returns all connections, in the order in which they were opened.
     #[cfg(test)]
     pub(super) fn connections(&self) -> impl Iterator<Item = &ServerConnection> {
         self.connections.values()
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -1,21 +1,22 @@
-//! Connections to data servers and the attempts on them.
+//! Connections to data servers and the attempts sent on them.
 //!
-//! [`ServerPools`] is what the event loop works with. Each state below it has one owner:
+//! The event loop uses [`ServerPools`]. Each piece of state behind it has exactly one owner:
 //!
-//! - `attempt_tracker`: each attempt from its assignment to a connection until its one
-//!   [`EndedAttempt`] is taken, with its deadline;
-//! - `connection_pool`: each connection from its opening until it is closed, and `server_table`:
-//!   the servers' addresses;
-//! - `connection`: the parts in flight on one connection, and with what its attempts end. It is
-//!   composed of `receive_progress` (when anything was last received), `cancelled_parts` (responses
-//!   that may still arrive), `send_queue` (frames to be written) and its `socket`.
+//! - `attempt_tracker` owns each attempt, with its deadline, from its assignment to a connection
+//!   until its [`EndedAttempt`] is taken. Each attempt yields exactly one [`EndedAttempt`].
+//! - `connection_pool` owns each connection from its opening until it is closed.
+//! - `server_table` owns the servers' addresses and records which connections lead to each server.
+//! - `connection` owns the parts in flight on one connection and decides on the outcomes of its
+//!   attempts. It is composed of `receive_progress` (when anything was last received),
+//!   `cancelled_parts` (parts whose responses may still arrive), `send_queue` (frames to be
+//!   written) and `socket`.
 //!
-//! Decisions without state of their own: `selection` (the connection for a call), `timeouts` (how
-//! long a connection may be idle, silent or stalled). `assignment`, `attempt` and
-//! `connection_event` are plain records.
+//! Two modules make decisions without state of their own: `selection` chooses the connection for a
+//! call, and `timeouts` computes how long a connection may be idle, silent or stalled.
+//! `assignment`, `attempt` and `connection_event` hold plain data types.
 //!
-//! Socket tasks report what happens as events in the event queue; the event loop passes these on to
-//! the pools.
+//! Each socket is served by a task of its own, which reports what happens as events in the event
+//! queue. The event loop takes the events from the queue and passes them to the pools.
 
 mod assignment;
 mod attempt;
--- a/crates/broker/src/upstream/pools.rs
+++ b/crates/broker/src/upstream/pools.rs
@@ -1,11 +1,11 @@
-//! The pools of all data servers, as the event loop uses them.
+//! The interface of this module for the event loop.
 //!
-//! [`ServerPools`] composes the [`ConnectionPool`] and the [`AttemptTracker`]: whatever ends an
-//! attempt on the one side is passed on to the other.
+//! [`ServerPools`] composes the [`ConnectionPool`] and the [`AttemptTracker`] and keeps them
+//! consistent: when an attempt ends, it is removed from its connection and from the tracker.
 
-use super::attempt::{AttemptEnd, AttemptResult, EndedAttempt, OutgoingAttempt};
+use super::attempt::{AttemptOutcome, AttemptResult, EndedAttempt, OutgoingAttempt};
 use super::attempt_tracker::{AttemptTracker, Expiry};
-use super::connection::{StopReason, Stopped};
+use super::connection::{StopReason, StopResult};
 use super::connection_event::{EventEffect, ProtocolViolation};
 use super::connection_pool::ConnectionPool;
 use super::socket::Connector;
@@ -25,12 +25,13 @@
 pub struct ServerPools {
     connections: ConnectionPool,
     attempts: AttemptTracker,
-    /// Most parts in one call; at least one.
+    /// Maximum number of parts in one call; at least 1.
     max_parts_per_call: usize,
 }
 
 impl ServerPools {
-    /// Pools without servers.
+    /// Creates pools without servers. The tasks of the sockets run in `executor` and report to
+    /// `event_queue`.
     pub fn new(
         executor: Rc<LocalExecutor<'static>>,
         event_queue: Rc<EventQueue>,
@@ -45,28 +46,28 @@
         }
     }
 
-    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed. If the
-    /// address changes, the connections to the old one are drained and unsent attempts on them end
-    /// as not sent.
+    /// Sets the address of a server. `None` means that the server accepts no further attempts or
+    /// was removed. If the server had a different address before, the connections to that address
+    /// start to drain, and the attempts on them of which no byte was written end as not sent.
     pub fn set_endpoint(&mut self, now: Timestamp, name: &NodeId, endpoint: Option<SocketAddr>) {
         for attempt in self.connections.set_endpoint(name, endpoint) {
             self.end_attempt(now, attempt, Outcome::NotSent);
         }
     }
 
-    /// Names of all servers that accept attempts.
+    /// Returns the names of all servers that accept attempts.
     #[must_use]
     pub fn serving(&self) -> Vec<NodeId> {
         self.connections.serving().cloned().collect()
     }
 
-    /// Number of connections, open or being opened.
+    /// Returns the number of connections that are open or being opened.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Sends the attempts of one iteration of the event loop. Those for one server are combined
+    /// Sends the attempts of one event loop iteration. Attempts for the same server are combined
     /// into calls.
     pub fn send_attempts(&mut self, now: Timestamp, attempts: Vec<OutgoingAttempt>) {
         let mut by_server: BTreeMap<NodeId, Vec<OutgoingAttempt>> = BTreeMap::new();
@@ -84,7 +85,8 @@
         }
     }
 
-    /// Sends attempts to one server in one call. They end at once if no connection is available.
+    /// Sends attempts to one server in one call. If no connection is available, they end
+    /// immediately as unreachable.
     fn send_call(&mut self, now: Timestamp, server: &NodeId, attempts: Vec<OutgoingAttempt>) {
         let Some(connection) = self.connections.acquire(now, server, attempts.len()) else {
             for outgoing in attempts {
@@ -101,25 +103,27 @@
         connection.send_call(parts.collect());
     }
 
-    /// Cancels an attempt, on the server too if it was sent.
+    /// Cancels an attempt, also on the server if any byte of its part was written.
     pub fn cancel(&mut self, now: Timestamp, attempt: AttemptId) {
         self.stop_waiting(now, attempt, StopReason::Cancelled);
     }
 
-    /// Withdraws the unsent attempts of a query that has ended, or those at one part of it that was
-    /// served. None of them reaches a server, so this is permitted also where sent attempts may not
-    /// be cancelled.
+    /// Withdraws the unsent attempts of a query that has ended, or only those at `part` if that
+    /// part was served. This is permitted even where the settings forbid cancelling sent attempts,
+    /// because a withdrawn attempt never reaches a server.
     pub fn cancel_unsent(&mut self, now: Timestamp, query: QueryId, part: Option<PartIndex>) {
-        for attempt in self.attempts.of_query(query, part) {
+        for attempt in self.attempts.attempts_of_query(query, part) {
             self.withdraw_unsent(now, attempt);
         }
     }
 
-    /// Takes the attempts that have ended, including those whose deadline is reached by now.
+    /// Ends the attempts whose deadlines have been reached by `now`, then removes and returns all
+    /// ended attempts.
     ///
-    /// Each iteration of the event loop begins with this: the policy ends a query at the moment at
-    /// which its attempts time out, and would otherwise cancel them first, so that no time-out was
-    /// ever reported and silent servers remained undetected.
+    /// Each event loop iteration must call this before the policy runs. The policy ends a query at
+    /// the same time at which the query's attempts time out, and then cancels them. If it ran
+    /// first, the attempts would end as cancelled, no time-out would be reported, and the policy
+    /// could not detect servers that do not respond.
     pub fn take_ended_attempts(&mut self, now: Timestamp) -> Vec<EndedAttempt> {
         while let Some(expiry) = self.attempts.next_expired(now) {
             match expiry {
@@ -132,13 +136,13 @@
         self.attempts.take_ended()
     }
 
-    /// Whether attempts have ended that were not taken.
+    /// Returns whether there are ended attempts that have not been taken yet.
     #[must_use]
     pub fn has_ended_attempts(&self) -> bool {
         self.attempts.has_ended()
     }
 
-    /// Handles an event of a connection. Those of a closed connection are ignored.
+    /// Handles an event of a connection. Events of a closed connection are ignored.
     pub fn on_connection_event(
         &mut self,
         now: Timestamp,
@@ -150,14 +154,16 @@
         };
         match connection.on_event(now, event) {
             EventEffect::Continue => {}
-            EventEffect::Respond { attempt, response } => self.end_attempt(now, attempt, response),
+            EventEffect::EndAttempt { attempt, response } => {
+                self.end_attempt(now, attempt, response);
+            }
             EventEffect::ConnectionLost => self.on_connection_lost(now, id),
             EventEffect::ProtocolViolated(violation) => self.fail_connection(now, id, violation),
         }
     }
 
-    /// Closes connections that are idle for too long, that are draining and idle, or on which an
-    /// incomplete frame has made no progress for too long.
+    /// Closes the idle connections that are draining or were not used for the maximum idle time,
+    /// and the connections on which an incomplete frame has not grown for the maximum stall time.
     pub fn close_expired_connections(&mut self, now: Timestamp) {
         self.connections.close_expired(now);
         for id in self.connections.stalled(now) {
@@ -165,14 +171,18 @@
         }
     }
 
-    /// The next time at which an attempt is due or an incomplete frame is overdue, if there is one.
+    /// Returns the earliest time at which an attempt reaches a time limit or a connection counts as
+    /// stalled, or `None` if there is none.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Timestamp> {
-        let deadlines = [self.attempts.next_check(), self.connections.next_stall()];
+        let deadlines = [
+            self.attempts.next_check(),
+            self.connections.next_stall_deadline(),
+        ];
         deadlines.into_iter().flatten().min()
     }
 
-    /// Ends an attempt as not sent if none of its bytes was written.
+    /// Withdraws an attempt and ends it as not sent, unless any byte of its part was written.
     fn withdraw_unsent(&mut self, now: Timestamp, attempt: AttemptId) {
         let assignment = self.attempts.assignment(attempt);
         if assignment.is_some_and(|assignment| self.connections.try_withdraw(assignment)) {
@@ -180,23 +190,24 @@
         }
     }
 
-    /// Ends an attempt that was cancelled or timed out, and cancels it on the server if it was
-    /// sent.
+    /// Ends an attempt that was cancelled or timed out, and cancels it on the server if any byte of
+    /// its part was written.
     fn stop_waiting(&mut self, now: Timestamp, attempt: AttemptId, reason: StopReason) {
         let Some(assignment) = self.attempts.assignment(attempt) else {
             return;
         };
         let connection = assignment.connection();
         match self.connections.stop_waiting(now, assignment, reason) {
-            Stopped::KeepConnection(outcome) => self.end_attempt(now, attempt, outcome),
-            Stopped::CloseConnection(outcome) => {
+            StopResult::KeepConnection(outcome) => self.end_attempt(now, attempt, outcome),
+            StopResult::CloseConnection(outcome) => {
                 self.end_attempt(now, attempt, outcome);
                 self.on_connection_lost(now, connection);
             }
         }
     }
 
-    /// Ends an attempt. This is the only place where an assigned one becomes an ended one.
+    /// Ends an attempt, and removes it from its connection. Every assigned attempt ends here and
+    /// nowhere else.
     fn end_attempt(
         &mut self,
         now: Timestamp,
@@ -208,15 +219,15 @@
         }
     }
 
-    /// Closes a connection that was lost, and ends all attempts on it.
+    /// Removes a connection that was lost, and ends all its attempts.
     fn on_connection_lost(&mut self, now: Timestamp, id: ServerConnectionId) {
         if let Some(connection) = self.connections.remove(id) {
-            self.end_attempts(now, connection.ends_after_loss());
+            self.end_attempts(now, connection.outcomes_after_loss());
         }
     }
 
-    /// Closes a connection on which the server has violated the protocol: whatever follows cannot
-    /// be relied on. Ends all attempts on it.
+    /// Closes a connection on which the server has violated the protocol, because nothing that the
+    /// server sends afterwards can be relied on. Ends all attempts on the connection.
     fn fail_connection(
         &mut self,
         now: Timestamp,
@@ -227,23 +238,23 @@
             return;
         };
         connection.log_violation(violation);
-        let oldest_first = self.attempts.oldest_first(connection.attempts());
-        self.end_attempts(now, connection.ends_after_violation(oldest_first));
+        let oldest_first = self.attempts.sorted_oldest_first(connection.attempts());
+        self.end_attempts(now, connection.outcomes_after_violation(oldest_first));
     }
 
-    fn end_attempts(&mut self, now: Timestamp, ends: Vec<AttemptEnd>) {
-        for AttemptEnd { attempt, outcome } in ends {
+    fn end_attempts(&mut self, now: Timestamp, outcomes: Vec<AttemptOutcome>) {
+        for AttemptOutcome { attempt, outcome } in outcomes {
             self.end_attempt(now, attempt, outcome);
         }
     }
 
-    /// The connections, for tests.
+    /// Returns the connections.
     #[cfg(test)]
     pub(super) fn connections(&self) -> &ConnectionPool {
         &self.connections
     }
 
-    /// The attempts, for tests.
+    /// Returns the tracked attempts.
     #[cfg(test)]
     pub(super) fn attempts(&self) -> &AttemptTracker {
         &self.attempts
--- a/crates/broker/src/upstream/receive_progress.rs
+++ b/crates/broker/src/upstream/receive_progress.rs
@@ -1,49 +1,51 @@
-//! What one connection has received last, and whether an incomplete frame makes progress.
+//! When one connection last received anything, and whether its incomplete frame still grows.
 
 use broker_types::time::Timestamp;
 use std::time::Duration;
 
-/// When a connection last received anything.
+/// Times of the latest progress in receiving on one connection.
 pub(super) struct ReceiveProgress {
-    /// When the socket task last reported an event.
-    last_event: Timestamp,
-    /// When an incomplete frame last grew, while there is one.
-    partial_frame_since: Option<Timestamp>,
+    /// Time at which the socket task last reported an event.
+    last_event_at: Timestamp,
+    /// Time at which the incomplete frame last grew. `None` if there is no incomplete frame.
+    partial_frame_grew_at: Option<Timestamp>,
 }
 
 impl ReceiveProgress {
-    /// The progress of a connection that begins to open now.
+    /// Creates the progress of a connection that starts to open at the time `now`.
     pub(super) fn new(now: Timestamp) -> Self {
         ReceiveProgress {
-            last_event: now,
-            partial_frame_since: None,
+            last_event_at: now,
+            partial_frame_grew_at: None,
         }
     }
 
-    /// Notes that the socket task has reported an event.
+    /// Records that the socket task has reported an event. If the event is the growth of an
+    /// incomplete frame, [`ReceiveProgress::on_partial_frame`] must be called afterwards.
     pub(super) fn on_event(&mut self, now: Timestamp) {
-        self.last_event = now;
-        self.partial_frame_since = None;
+        self.last_event_at = now;
+        self.partial_frame_grew_at = None;
     }
 
-    /// Notes that an incomplete frame has grown.
+    /// Records that an incomplete frame has grown.
     pub(super) fn on_partial_frame(&mut self, now: Timestamp) {
-        self.partial_frame_since = Some(now);
+        self.partial_frame_grew_at = Some(now);
     }
 
-    /// Whether nothing has been reported since this time.
+    /// Returns whether no event has been reported after `time`.
     pub(super) fn is_silent_since(&self, time: Timestamp) -> bool {
-        self.last_event <= time
+        self.last_event_at <= time
     }
 
-    /// When an incomplete frame will have made no progress for `timeout`, while there is one.
-    pub(super) fn stalls_at(&self, timeout: Duration) -> Option<Timestamp> {
-        Some(self.partial_frame_since? + timeout)
+    /// Returns the time at which the incomplete frame will not have grown for `max_stall`, or
+    /// `None` if there is no incomplete frame.
+    pub(super) fn stall_deadline(&self, max_stall: Duration) -> Option<Timestamp> {
+        Some(self.partial_frame_grew_at? + max_stall)
     }
 
-    /// Whether an incomplete frame has made no progress for `timeout`.
-    pub(super) fn is_stalled(&self, now: Timestamp, timeout: Duration) -> bool {
-        self.partial_frame_since
-            .is_some_and(|since| now.saturating_since(since) >= timeout)
+    /// Returns whether there is an incomplete frame that has not grown for `max_stall`.
+    pub(super) fn is_stalled(&self, now: Timestamp, max_stall: Duration) -> bool {
+        self.partial_frame_grew_at
+            .is_some_and(|grew_at| now.saturating_since(grew_at) >= max_stall)
     }
 }
--- a/crates/broker/src/upstream/selection.rs
+++ b/crates/broker/src/upstream/selection.rs
@@ -1,4 +1,4 @@
-//! Choice of the connection that a call is sent on.
+//! Selection of the connection that a call is sent on.
 
 use super::connection::ServerConnection;
 use super::server_table::ServerTable;
@@ -8,28 +8,30 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Most connections to one server, if the limit on sockets allows as many. An invalid response ends
-/// all attempts in flight on its connection, so calls are spread over several ones.
+/// Maximum number of connections to one server, if the limit of connections to all servers allows
+/// as many. Calls are spread over several connections because an invalid response ends all attempts
+/// in flight on its connection.
 const MAX_CONNECTIONS_PER_SERVER: usize = 4;
 
-/// The connection for a call.
+/// Result of the selection of a connection for a call.
 pub(super) enum Selection {
-    /// Send on this connection.
+    /// Send the call on this connection.
     Existing(ServerConnectionId),
-    /// Open a connection to this address.
+    /// Open a connection to this address, and send the call on it.
     Open(SocketAddr),
-    /// Close an idle connection, and open one to this address.
-    OpenInPlaceOf {
+    /// Close the idle connection `evicted`, open a connection to `address`, and send the call on
+    /// it.
+    EvictAndOpen {
         evicted: ServerConnectionId,
         address: SocketAddr,
     },
     /// The server accepts no attempts.
     NotServing,
-    /// No socket is left, and none of the connections is idle.
+    /// The limit of connections is reached, and none of them is idle.
     Exhausted,
 }
 
-/// Selects connections within the limits of the pool. It sees all servers and all connections.
+/// Selects connections within the limits of the pool, with access to all servers and connections.
 pub(super) struct ConnectionSelector<'a> {
     limits: &'a PoolLimits,
     servers: &'a ServerTable,
@@ -37,7 +39,7 @@
 }
 
 impl<'a> ConnectionSelector<'a> {
-    /// A selector for these servers and connections.
+    /// Creates a selector that chooses among `connections`.
     pub(super) fn new(
         limits: &'a PoolLimits,
         servers: &'a ServerTable,
@@ -52,10 +54,12 @@
 
     /// Selects a connection with capacity for a call with `parts` parts.
     ///
-    /// An idle connection is preferred, and of these the one that has been idle for longest: a
-    /// server may close a connection right after its response, and an attempt that crosses the
-    /// closing ends as a reset. Otherwise a new connection is opened, or the one with the fewest
-    /// attempts in flight is used if no more are allowed.
+    /// Among the connections to the server, prefers the one that has been idle for longest. A
+    /// server may close a connection right after its response, and an attempt that is sent at that
+    /// moment ends with a connection reset; this is least likely on the connection that has been
+    /// idle for longest. If none is idle, selects a new connection if a further one is allowed, and
+    /// otherwise the connection with the fewest attempts in flight. If none has capacity and the
+    /// limit of connections is reached, an idle connection to another server must be closed first.
     pub(super) fn select(&self, server: &NodeId, parts: usize) -> Selection {
         let Some(address) = self.servers.endpoint(server) else {
             return Selection::NotServing;
@@ -69,13 +73,13 @@
             return Selection::Open(address);
         }
         match self.longest_idle() {
-            Some(evicted) => Selection::OpenInPlaceOf { evicted, address },
+            Some(evicted) => Selection::EvictAndOpen { evicted, address },
             None => Selection::Exhausted,
         }
     }
 
-    /// Of the connections to a server that have capacity for `parts` more parts, the least used
-    /// one.
+    /// Returns the least used connection to a server among those with capacity for `parts` more
+    /// parts, or `None` if none has the capacity.
     fn least_used(&self, server: &NodeId, parts: usize) -> Option<&ServerConnection> {
         let max_in_flight = self.limits.max_parts_per_connection;
         self.servers
@@ -85,7 +89,9 @@
             .min_by_key(|connection| connection.usage())
     }
 
-    /// Whether a further connection to a server is within the limits, without closing any other.
+    /// Returns whether a further connection to a server may be opened without closing another one.
+    /// Each server may have an equal share of the connections to all servers, but at least one and
+    /// at most [`MAX_CONNECTIONS_PER_SERVER`].
     fn may_open(&self, server: &NodeId) -> bool {
         let max_open = self.limits.max_connections;
         let fair_share = max_open / self.servers.len().max(1);
@@ -94,7 +100,8 @@
         is_below_share && self.connections.len() < max_open
     }
 
-    /// The connection that has been idle for longest.
+    /// Returns the connection to any server that has been idle for longest, or `None` if none is
+    /// idle.
     fn longest_idle(&self) -> Option<ServerConnectionId> {
         let idle = self.connections.values().filter(|c| c.is_idle());
         idle.min_by_key(|c| c.usage()).map(ServerConnection::id)
--- a/crates/broker/src/upstream/send_queue.rs
+++ b/crates/broker/src/upstream/send_queue.rs
@@ -1,4 +1,4 @@
-//! The frames that wait to be written to one connection.
+//! Queue of the frames to be written to one connection.
 
 use super::attempt::OutgoingPart;
 use async_channel::{Receiver, Sender};
@@ -8,19 +8,20 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Least time left with which a part is sent: the unit of the time in the frame.
+/// Minimum time until the deadline with which a part is still sent. A frame contains this time in
+/// whole milliseconds, so any shorter time would be sent as zero.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 /// A frame to be written to a connection.
 pub(super) enum OutgoingFrame {
-    /// One call with its parts.
+    /// A call with these parts.
     Call(Vec<OutgoingPart>),
     /// The cancellation of the part with this id.
     Cancel(String),
 }
 
 impl OutgoingFrame {
-    /// The parts of a call; a cancellation has none.
+    /// Returns the parts of a call. A cancellation has none.
     fn parts(&self) -> &[OutgoingPart] {
         match self {
             OutgoingFrame::Call(parts) => parts,
@@ -28,7 +29,7 @@
         }
     }
 
-    /// Encodes the frame. The time that a call states for each part is the time left now.
+    /// Encodes the frame. For each part, a call contains the time between `now` and the deadline.
     fn encode(&self, now: Timestamp) -> Vec<u8> {
         match self {
             OutgoingFrame::Cancel(wire_id) => encode_cancel(wire_id),
@@ -45,36 +46,37 @@
 
 /// A frame that is being written.
 pub(super) struct StartedFrame {
-    /// The frame, in case that the socket accepts none of its bytes.
+    /// The frame, which is put back into the queue if the socket accepts none of its bytes.
     frame: OutgoingFrame,
-    /// Its encoding.
+    /// The encoded frame.
     bytes: Vec<u8>,
 }
 
 impl StartedFrame {
-    /// The encoded frame.
+    /// Returns the encoded frame.
     pub(super) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// The encoded frame, once it can no longer be put back into the queue.
+    /// Returns the encoded frame and drops the original, which can no longer be put back into the
+    /// queue.
     pub(super) fn into_bytes(self) -> Vec<u8> {
         self.bytes
     }
 }
 
-/// The frames that wait to be written to one connection. A part can be withdrawn until the socket
-/// has accepted the first byte of its frame. The queue is bounded by the attempts that may be in
-/// flight.
+/// Queue of the frames to be written to one connection. A part can be withdrawn until the socket
+/// has accepted the first byte of its frame. The length of the queue is bounded by the maximum
+/// number of attempts in flight on the connection.
 pub(super) struct SendQueue {
     frames: RefCell<VecDeque<OutgoingFrame>>,
-    /// Ids of parts that expired before they could be written.
+    /// Ids of the parts that expired before they were written and have not been withdrawn yet.
     expired: RefCell<BTreeSet<String>>,
-    /// Ids of the parts of the frame that is being written, while there is one.
+    /// Ids of the parts of the frame that is being written. `None` if no frame is being written.
     writing: RefCell<Option<Vec<String>>>,
-    /// Whether the socket accepts nothing at present.
+    /// Whether the socket accepts no data at present.
     is_socket_full: Cell<bool>,
-    /// Whether the connection has been established.
+    /// Whether the connection was established.
     is_connected: Cell<bool>,
     wake_sender: Sender<()>,
     wake_receiver: Receiver<()>,
@@ -99,12 +101,11 @@
     /// Appends a frame and wakes the socket task.
     pub(super) fn push(&self, frame: OutgoingFrame) {
         self.frames.borrow_mut().push_back(frame);
-        // A full channel means that the socket task has been woken already.
+        // If the channel is full, the socket task has already been woken.
         let _ = self.wake_sender.try_send(());
     }
 
-    /// Removes a part unless any of its bytes was written. Returns whether the part was here and is
-    /// removed.
+    /// Removes a part unless any byte of it was written. Returns whether the part was removed.
     pub(super) fn try_withdraw(&self, wire_id: &str) -> bool {
         let mut is_withdrawn = self.expired.borrow_mut().remove(wire_id);
         self.frames.borrow_mut().retain_mut(|frame| {
@@ -119,7 +120,7 @@
         is_withdrawn
     }
 
-    /// Removes all parts of which no byte was written, and returns their ids.
+    /// Removes all parts of which no byte was written and returns their ids.
     pub(super) fn withdraw_all(&self) -> Vec<String> {
         let expired = std::mem::take(&mut *self.expired.borrow_mut());
         let mut withdrawn: Vec<String> = expired.into_iter().collect();
@@ -133,7 +134,7 @@
         withdrawn
     }
 
-    /// Ids of the parts whose frames were not written completely.
+    /// Returns the ids of the parts whose frames were not written completely.
     pub(super) fn unwritten_parts(&self) -> BTreeSet<String> {
         let frames = self.frames.borrow();
         let queued = frames.iter().flat_map(OutgoingFrame::parts);
@@ -146,28 +147,31 @@
             .collect()
     }
 
-    /// Notes that the connection is established.
+    /// Records that the connection is established.
     pub(super) fn on_connected(&self) {
         self.is_connected.set(true);
     }
 
-    /// Whether the connection had been established.
+    /// Returns whether the connection was ever established. Stays true after its loss.
     pub(super) fn was_connected(&self) -> bool {
         self.is_connected.get()
     }
 
-    /// Notes that the socket accepts nothing at present.
+    /// Records that the socket accepts no data at present.
     pub(super) fn on_socket_full(&self) {
         self.is_socket_full.set(true);
     }
 
-    /// Notes that the socket accepts data again.
+    /// Records that the socket accepts data again.
     pub(super) fn on_socket_writable(&self) {
         self.is_socket_full.set(false);
     }
 
-    /// Whether the socket does not accept the frames that wait for it. The socket task runs between
-    /// the iterations of the event loop, so a frame that is still being written in one is held up.
+    /// Returns whether the socket does not accept all data of the queued frames at present.
+    ///
+    /// The socket task runs between event loop iterations and then writes as much as the socket
+    /// accepts. A frame that is still being written during an iteration is therefore held up by the
+    /// socket.
     pub(super) fn is_blocked(&self) -> bool {
         self.is_socket_full.get() || self.writing.borrow().is_some()
     }
@@ -179,8 +183,9 @@
         }
     }
 
-    /// Takes the next frame and encodes it as of now. Expired parts are left out, and a call is
-    /// skipped if all of its parts have expired. `None`: there is no frame left.
+    /// Removes the next frame from the queue and encodes it for being written at the time `now`.
+    /// Omits the parts that have expired, and skips a call if all its parts have expired. Returns
+    /// `None` if no frame is left.
     pub(super) fn start_frame(&self, now: Timestamp) -> Option<StartedFrame> {
         loop {
             let mut frame = self.frames.borrow_mut().pop_front()?;
@@ -197,7 +202,8 @@
         }
     }
 
-    /// Removes the parts of a call that must not be sent any more or have too little time left.
+    /// Removes the parts of a call that must no longer be sent or whose deadline is less than
+    /// [`MIN_TIME_LEFT`] away, and records them as expired.
     fn remove_expired(&self, now: Timestamp, parts: &mut Vec<OutgoingPart>) {
         let is_expired = |part: &mut OutgoingPart| {
             part.deadline < now + MIN_TIME_LEFT || part.send_before.is_some_and(|at| at <= now)
@@ -207,12 +213,13 @@
         self.expired.borrow_mut().extend(expired_ids);
     }
 
-    /// Notes that the started frame was written completely.
+    /// Records that the started frame was written completely.
     pub(super) fn finish_frame(&self) {
         *self.writing.borrow_mut() = None;
     }
 
-    /// Puts the started frame back to the front because the socket has accepted none of its bytes.
+    /// Puts the started frame back to the front of the queue, because the socket has accepted none
+    /// of its bytes.
     pub(super) fn requeue(&self, started: StartedFrame) {
         *self.writing.borrow_mut() = None;
         self.frames.borrow_mut().push_front(started.frame);
--- a/crates/broker/src/upstream/server_table.rs
+++ b/crates/broker/src/upstream/server_table.rs
@@ -1,4 +1,4 @@
-//! The data servers: their addresses, and which connections lead to each.
+//! The addresses of the data servers, and which connections lead to each server.
 
 use crate::event_queue::ServerConnectionId;
 use broker_types::server::NodeId;
@@ -8,7 +8,7 @@
 /// One data server.
 #[derive(Default)]
 struct Server {
-    /// Address that new connections lead to. `None`: the server accepts no further attempts.
+    /// Address for new connections. `None` if the server accepts no further attempts.
     endpoint: Option<SocketAddr>,
     connections: BTreeSet<ServerConnectionId>,
 }
@@ -20,8 +20,9 @@
 }
 
 impl ServerTable {
-    /// Sets the address of a server; `None`: it accepts no further attempts, or was removed.
-    /// Returns the connections that lead to a former address.
+    /// Sets the address of a server. `None` means that the server accepts no further attempts or
+    /// was removed. If the server had a different address before, returns all connections to the
+    /// server, which lead to former addresses.
     pub(super) fn set_endpoint(
         &mut self,
         name: &NodeId,
@@ -39,23 +40,23 @@
         outdated
     }
 
-    /// Address of a server, if it accepts attempts.
+    /// Returns the address of a server, or `None` if the server accepts no attempts.
     pub(super) fn endpoint(&self, name: &NodeId) -> Option<SocketAddr> {
         self.servers.get(name)?.endpoint
     }
 
-    /// Names of all servers that accept attempts.
+    /// Returns the names of all servers that accept attempts.
     pub(super) fn serving(&self) -> impl Iterator<Item = &NodeId> {
         let serving = self.servers.iter().filter(|(_, s)| s.endpoint.is_some());
         serving.map(|(name, _)| name)
     }
 
-    /// Number of servers that have an address or connections.
+    /// Returns the number of servers that have an address or connections.
     pub(super) fn len(&self) -> usize {
         self.servers.len()
     }
 
-    /// The connections that lead to a server.
+    /// Returns the connections that lead to a server.
     pub(super) fn connections_to(
         &self,
         name: &NodeId,
@@ -73,7 +74,7 @@
         server.connections.insert(id);
     }
 
-    /// Removes a connection that led to a server.
+    /// Removes a connection that led to a server. Removes the server too if it is no longer used.
     pub(super) fn remove_connection(&mut self, name: &NodeId, id: ServerConnectionId) {
         if let Some(server) = self.servers.get_mut(name) {
             server.connections.remove(&id);
@@ -81,7 +82,7 @@
         self.remove_if_unused(name);
     }
 
-    /// Removes a server that has neither an address nor connections.
+    /// Removes a server if it has neither an address nor connections.
     fn remove_if_unused(&mut self, name: &NodeId) {
         let server = self.servers.get(name);
         if server.is_some_and(|s| s.endpoint.is_none() && s.connections.is_empty()) {
--- a/crates/broker/src/upstream/socket.rs
+++ b/crates/broker/src/upstream/socket.rs
@@ -1,5 +1,5 @@
-//! The sockets of connections. Each is opened, written and read by a task of its own, which reports
-//! what happens to the event queue.
+//! The sockets of the connections. Each socket is opened, written and read by a task of its own,
+//! which reports what happens as events to the event queue.
 
 use super::send_queue::{SendQueue, StartedFrame};
 use crate::clock::{Clock, with_timeout};
@@ -17,18 +17,18 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Opens sockets and starts the tasks that serve them.
+/// Starts the tasks that open and serve sockets.
 pub(super) struct Connector {
     executor: Rc<LocalExecutor<'static>>,
-    /// Where events are reported.
+    /// Queue that the tasks report events to.
     event_queue: Rc<EventQueue>,
     clock: Clock,
-    /// Time within which a connection must be established.
+    /// Maximum time for establishing a connection.
     dial_timeout: Duration,
 }
 
 impl Connector {
-    /// A connector whose tasks run in `executor` and report their events to `event_queue`.
+    /// Creates a connector whose tasks run in `executor` and report events to `event_queue`.
     pub(super) fn new(
         executor: Rc<LocalExecutor<'static>>,
         event_queue: Rc<EventQueue>,
@@ -43,7 +43,7 @@
         }
     }
 
-    /// Begins to open a socket to a server at this address.
+    /// Starts a task that opens a socket to the server at `address` and serves it as `connection`.
     pub(super) fn connect(
         &self,
         connection: ServerConnectionId,
@@ -72,28 +72,29 @@
 }
 
 impl SocketHandle {
-    /// The frames to be written.
+    /// Returns the queue of the frames to be written.
     pub(super) fn send_queue(&self) -> &Rc<SendQueue> {
         &self.send_queue
     }
 }
 
-/// The socket of one connection and what its task works with.
+/// State of the task that serves the socket of one connection.
 struct SocketTask {
     connection: ServerConnectionId,
     /// Address of the server.
     address: SocketAddr,
-    /// Time within which the connection must be established.
+    /// Maximum time for establishing the connection.
     dial_timeout: Duration,
-    /// Frames to be written.
+    /// Queue of the frames to be written.
     send_queue: Rc<SendQueue>,
-    /// Where events are reported.
+    /// Queue that the task reports events to.
     event_queue: Rc<EventQueue>,
     clock: Clock,
 }
 
 impl SocketTask {
-    /// Opens the connection, writes and reads until it ends, and reports its end as the last event.
+    /// Opens the connection, then writes and reads until the connection ends, and reports the end
+    /// as the last event.
     async fn run(self) {
         let dial = Async::<TcpStream>::connect(self.address);
         let last_event = match with_timeout(self.dial_timeout, dial).await {
@@ -103,8 +104,8 @@
                     let error = write_frames(&stream, &self.send_queue, self.clock).await;
                     ConnectionEvent::Closed(error)
                 };
-                // Reading is polled first: nothing is written to a connection that the server has
-                // closed by then.
+                // Reading is polled first, so that nothing is written to a connection that the
+                // server has already closed.
                 self.read_frames(&stream).or(write).await
             }
             Err(error) => ConnectionEvent::Closed(error),
@@ -120,7 +121,8 @@
         });
     }
 
-    /// Reads and reports frames until the connection ends, and returns its last event.
+    /// Reads and reports frames until the connection ends. Returns the event that ended it, which
+    /// the caller reports.
     async fn read_frames(&self, stream: &Async<TcpStream>) -> ConnectionEvent {
         let mut input = Vec::new();
         loop {
@@ -128,7 +130,7 @@
                 return ConnectionEvent::FrameInvalid(invalid);
             }
             if input.is_empty() {
-                // Frees the buffer while the connection is idle.
+                // Frees the buffer's memory while no frame is being received.
                 input = Vec::new();
             } else {
                 self.report(ConnectionEvent::FrameStarted);
@@ -138,12 +140,12 @@
                 Ok(_) => {}
                 Err(error) => return ConnectionEvent::Closed(error),
             }
-            // A server that sends without pause must not keep the thread from all other tasks.
+            // Lets other tasks run: a server that sends continuously must not occupy the thread.
             yield_now().await;
         }
     }
 
-    /// Reports the complete frames that `input` begins with, and removes them from it.
+    /// Reports the complete frames at the start of `input` and removes them from it.
     fn report_frames(&self, input: &mut Vec<u8>) -> Result<(), InvalidFrame> {
         let mut decoded_len = 0;
         while let Some(Decoded { message, frame_len }) = decode(&input[decoded_len..])? {
@@ -155,7 +157,8 @@
     }
 }
 
-/// Writes the frames of a queue until that fails, and returns the error.
+/// Writes the frames of a queue to a socket until an operation on the socket fails, and returns its
+/// error.
 pub(super) async fn write_frames(
     mut stream: &Async<TcpStream>,
     send_queue: &SendQueue,
@@ -194,16 +197,16 @@
 
 /// Result of the first write of a frame.
 enum FirstWrite {
-    /// The socket accepted the first `written` bytes.
+    /// The socket accepted the first `written` bytes of `bytes`.
     Accepted { bytes: Vec<u8>, written: usize },
-    /// The socket accepts nothing at present; the frame is back in its queue.
+    /// The socket accepts no data at present. The frame was put back into its queue.
     SocketFull,
-    /// A signal interrupted the write; the frame is back in its queue.
+    /// A signal interrupted the write. The frame was put back into its queue.
     Interrupted,
 }
 
-/// Writes as much of a started frame as the socket accepts at once, or puts it back if that is
-/// nothing.
+/// Writes as much of a started frame as the socket accepts without blocking. If the socket accepts
+/// no byte, puts the frame back into its queue.
 fn write_first_bytes(
     stream: &Async<TcpStream>,
     send_queue: &SendQueue,
--- a/crates/broker/src/upstream/tests/cancellation.rs
+++ b/crates/broker/src/upstream/tests/cancellation.rs
@@ -1,8 +1,9 @@
-//! Withdrawal of attempts that were not sent.
+//! Cancellation of attempts that were not sent, and of attempts on a blocked socket.
 
 use super::*;
 
-/// Where the settings do not allow cancellation, unsent attempts are withdrawn all the same.
+/// The settings may forbid cancelling sent attempts. Unsent attempts must be withdrawn nevertheless
+/// when their query ends. The attempt whose frame has been started must not be withdrawn.
 #[test]
 fn unsent_attempts_are_withdrawn_when_their_query_ends() {
     let mut pools = TestPools::new(limits());
@@ -15,12 +16,12 @@
     assert!(pools.attempts().ids().all(|id| id.query == QueryId(2)));
 }
 
-/// A connection whose socket accepts nothing looks idle once its queue is empty: it must not be
-/// used again.
+/// When the only attempt on a connection has been withdrawn, the connection counts as idle. If its
+/// socket accepts no data, it must be closed, because a further attempt on it could not be sent.
 #[test]
 fn connection_that_accepted_nothing_of_an_attempt_is_closed_at_its_deadline() {
     let (broker, _server) = socket_pair();
-    fill(&broker);
+    fill_send_buffer(&broker);
     let mut pools = TestPools::new(limits());
     pools.send(START, attempts_of(1).deadline(at(HOUR)));
     poll_write(&broker, &pools.send_queue_of(CONNECTION_0));
--- a/crates/broker/src/upstream/tests/connections.rs
+++ b/crates/broker/src/upstream/tests/connections.rs
@@ -1,4 +1,4 @@
-//! Which connection an attempt is sent on, and when idle connections are closed.
+//! Selection of the connection for a call, and closing of idle connections.
 
 use super::*;
 
@@ -19,8 +19,8 @@
     assert_eq!(in_flight, [4; 5]);
 }
 
-/// A server may close a connection right after its response: the one idle for longest is the
-/// safest.
+/// A server may close a connection right after its response, so an attempt on a connection that has
+/// just become idle can be lost. The connection that has been idle for longest must be selected.
 #[test]
 fn connection_idle_for_longest_is_selected() {
     let mut pools = TestPools::new(limits());
@@ -36,10 +36,11 @@
     assert_eq!(pools.in_flight_on(CONNECTION_1), 1);
 }
 
-/// Every attempt ends, also one for which no socket is left.
+/// When the limit of connections is reached and no connection is idle, the attempt must end. Once a
+/// connection to another server is idle, it must be closed to make room for a new one.
 #[test]
 fn idle_connection_is_evicted_or_attempt_ends_when_no_socket_is_left() {
-    let mut pools = TestPools::new(single_socket());
+    let mut pools = TestPools::new(single_connection_limits());
     pools.send(START, attempts_of(1));
     let other = NodeId("s1".into());
     pools.add_server(&other);
@@ -51,7 +52,9 @@
     assert_eq!(pools.open_connections(), 1);
 }
 
-/// An attempt that crosses the server's closing of an idle connection would end as a reset.
+/// An attempt that is sent while the server closes the idle connection would end with a connection
+/// reset, so the broker must close the connection first, after 75% of the server's idle timeout of
+/// 15 seconds.
 #[test]
 fn idle_connection_is_closed_before_the_server_closes_it() {
     let mut pools = TestPools::new(limits());
@@ -63,7 +66,8 @@
     assert_eq!(pools.open_connections(), 0);
 }
 
-/// During the grace period of a drain nothing may be sent, not even what was queued when it began.
+/// While a server drains, no attempt may be sent to it. Attempts that were queued before the start
+/// of the drain must be withdrawn.
 #[test]
 fn unsent_attempts_are_withdrawn_when_their_server_drains() {
     let mut pools = TestPools::new(limits());
--- a/crates/broker/src/upstream/tests/deadlines.rs
+++ b/crates/broker/src/upstream/tests/deadlines.rs
@@ -1,8 +1,9 @@
-//! Deadlines of attempts, and times after which they must not be sent.
+//! Deadlines of attempts, and the times after which attempts must no longer be sent.
 
 use super::*;
 
-/// That no time was left shows nothing about a server whose connection is established.
+/// If an attempt on an established connection has no time left when it could be written, this shows
+/// nothing about the server. The attempt must not end as timed out or unreachable.
 #[test]
 fn attempt_that_expires_before_it_is_written_ends_as_not_sent() {
     let mut pools = TestPools::new(limits());
@@ -17,7 +18,8 @@
     assert_eq!(pools.take_outcomes(at(SECOND)), [Outcome::NotSent]);
 }
 
-/// An attempt that must not be sent any more ends at that moment; one sent before is waited for.
+/// An unsent attempt must end at the time after which it must no longer be sent. An attempt that
+/// was sent before must remain in flight until its deadline.
 #[test]
 fn attempt_ends_after_its_send_period_unless_it_was_sent() {
     let mut pools = TestPools::new(limits());
@@ -34,9 +36,9 @@
     assert_eq!(pools.attempts().scheduled_checks(), 0);
 }
 
-/// Time limits at the end of their range are never reached, and no sum of times overflows.
+/// Time limits with the maximum value must never be reached, and no sum of times may overflow.
 #[test]
-fn limits_without_end_never_expire() {
+fn maximum_time_limits_never_expire() {
     let mut pools = TestPools::new(PoolLimits {
         dial_timeout: Duration::MAX,
         idle_timeout: Duration::MAX,
--- a/crates/broker/src/upstream/tests/failures.rs
+++ b/crates/broker/src/upstream/tests/failures.rs
@@ -1,12 +1,13 @@
-//! Outcomes of attempts whose connection fails.
+//! Outcomes of attempts whose connections fail.
 
 use super::*;
 use std::io::Read;
 
-/// The end of a connection that had been established does not show whether its server is reachable.
+/// The loss of an established connection does not show whether its server is reachable, so an
+/// attempt that was queued on it must not end as unreachable.
 #[test]
 fn attempt_queued_on_an_established_connection_ends_as_not_sent_when_it_fails() {
-    let mut pools = TestPools::new(single_socket());
+    let mut pools = TestPools::new(single_connection_limits());
     pools.send(START, attempts_of(1));
     pools.run_until_written(CONNECTION_0);
     pools.send(at_micros(10), attempts_of(2));
@@ -17,7 +18,8 @@
     );
 }
 
-/// A part that was not written completely never ran; one that was may have run, or may run yet.
+/// A part whose frame was not written completely never ran, and its outcome must say so. A part
+/// that was written completely may have run or may still run.
 #[test]
 fn outcome_shows_whether_the_attempt_may_have_run() {
     let mut pools = TestPools::new(limits());
@@ -43,7 +45,8 @@
     );
 }
 
-/// Over a severed link connections stay open and silent; one that has received data is kept.
+/// A severed link leaves connections open and silent. When an attempt times out, its connection
+/// must be closed if it has received nothing since the attempt was sent, and kept otherwise.
 #[test]
 fn silent_connection_is_closed_when_its_attempt_times_out() {
     for has_responded in [false, true] {
@@ -60,8 +63,8 @@
     }
 }
 
-/// A further attempt at a part must not be sent while a blocked socket holds back the cancellation
-/// of the first.
+/// A blocked socket holds back the cancellation of an attempt. A further attempt at the same part
+/// could then run at the same time on the server, so the connection must be closed.
 #[test]
 fn connection_blocked_within_a_frame_is_closed_when_an_attempt_is_cancelled() {
     let mut pools = TestPools::new(limits());
@@ -75,8 +78,9 @@
     assert_eq!(pools.open_connections(), 0);
 }
 
-/// The server closes an idle connection, and an attempt is sent before the pools have handled that:
-/// it must not end as one that may have run, which some classes may not repeat.
+/// The server closes an idle connection, and an attempt is queued on it before the pools have
+/// handled the closing. The attempt must not end as one that may have run, because queries of some
+/// classes must not repeat such attempts.
 #[test]
 fn attempt_sent_on_a_connection_that_the_server_has_closed_ends_as_not_sent() {
     let mut pools = TestPools::new(limits());
--- a/crates/broker/src/upstream/tests/mod.rs
+++ b/crates/broker/src/upstream/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the pools. Events of connections are made by hand except where a test needs real
-//! sockets.
+//! Tests of the pools. The tests create the events of connections themselves, except where a test
+//! needs real sockets.
 
 mod cancellation;
 mod connections;
@@ -32,24 +32,25 @@
 const SECOND: Duration = Duration::from_secs(1);
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// The time at which the pools are made.
+/// Time at which the pools are created.
 const START: Timestamp = Timestamp::ORIGIN;
 
-/// The first two connections that the pools open.
+/// Ids of the first two connections that the pools open.
 const CONNECTION_0: ServerConnectionId = ServerConnectionId(0);
 const CONNECTION_1: ServerConnectionId = ServerConnectionId(1);
 
-/// The time so long after [`START`].
-fn at(span: Duration) -> Timestamp {
-    START + span
+/// Returns the time that is `elapsed` after [`START`].
+fn at(elapsed: Duration) -> Timestamp {
+    START + elapsed
 }
 
-/// The time so many microseconds after [`START`].
+/// Returns the time that is `micros` microseconds after [`START`].
 fn at_micros(micros: u64) -> Timestamp {
     at(Duration::from_micros(micros))
 }
 
-/// Pools with one server, which has a listener and accepts only what a test accepts.
+/// Pools with one server, and the listener at the server's address. A connection is accepted only
+/// where a test does so explicitly.
 struct TestPools {
     pools: ServerPools,
     listener: TcpListener,
@@ -87,7 +88,7 @@
         pools
     }
 
-    /// Adds a server, or sets its address: that of the listener.
+    /// Sets the address of a server to that of the listener. Adds the server if it is new.
     fn add_server(&mut self, name: &NodeId) {
         let address = self.listener.local_addr().unwrap();
         self.pools.set_endpoint(START, name, Some(address));
@@ -98,19 +99,19 @@
         self.pools.send_attempts(now, attempts.build());
     }
 
-    /// Handles the response to a part on a connection.
+    /// Passes the pools a response to a part, as received on a connection.
     fn receive_response(&mut self, now: Timestamp, connection: ServerConnectionId, wire_id: &str) {
         let event = response(wire_id);
         self.pools.on_connection_event(now, connection, event);
     }
 
-    /// Handles the reset of a connection.
+    /// Passes the pools the event that a connection was reset.
     fn reset_connection(&mut self, now: Timestamp, connection: ServerConnectionId) {
         let event = ConnectionEvent::Closed(ErrorKind::ConnectionReset.into());
         self.pools.on_connection_event(now, connection, event);
     }
 
-    /// Takes the ended attempts and returns their outcomes.
+    /// Takes the attempts that have ended by `now` and returns their outcomes.
     fn take_outcomes(&mut self, now: Timestamp) -> Vec<Outcome> {
         let ended: Vec<EndedAttempt> = self.pools.take_ended_attempts(now);
         ended.iter().map(|attempt| attempt.outcome).collect()
@@ -132,18 +133,18 @@
             .count()
     }
 
-    /// Starts a frame of a connection as if its socket accepted the first bytes.
+    /// Starts the next frame of a connection, as if its socket accepted only the first bytes.
     fn start_frame(&self, connection: ServerConnectionId) {
         self.send_queue_of(connection).start_frame(START);
     }
 
-    /// Starts and finishes a frame of a connection as if its socket accepted all of it.
+    /// Starts and finishes the next frame of a connection, as if its socket accepted all bytes.
     fn write_frame(&self, connection: ServerConnectionId) {
         self.start_frame(connection);
         self.send_queue_of(connection).finish_frame();
     }
 
-    /// Runs the socket tasks until all frames of a connection are written.
+    /// Runs the socket tasks until all calls of a connection are written.
     fn run_until_written(&self, connection: ServerConnectionId) {
         let send_queue = self.send_queue_of(connection);
         let written = async {
@@ -154,7 +155,7 @@
         async_io::block_on(self.executor.run(written));
     }
 
-    /// Runs the socket tasks until one has reported events.
+    /// Runs the socket tasks until any of them has reported events, and returns the events.
     fn run_until_events(&self) -> Vec<Event> {
         async_io::block_on(self.executor.run(async {
             loop {
@@ -168,7 +169,7 @@
     }
 }
 
-/// Limits of small numbers: two parts in a call, four on a connection.
+/// Returns small limits: two parts in a call and four parts in flight on a connection.
 fn limits() -> PoolLimits {
     PoolLimits {
         max_connections: 10,
@@ -179,8 +180,8 @@
     }
 }
 
-/// The same limits, but for a single socket.
-fn single_socket() -> PoolLimits {
+/// Returns [`limits`] with a limit of one connection.
+fn single_connection_limits() -> PoolLimits {
     PoolLimits {
         max_connections: 1,
         ..limits()
@@ -191,7 +192,7 @@
     NodeId("s0".into())
 }
 
-/// The first attempt at a part.
+/// Returns the id of the first attempt at a part.
 fn attempt(query: u64, part: usize) -> AttemptId {
     AttemptId {
         query: QueryId(query),
@@ -200,7 +201,7 @@
     }
 }
 
-/// The first attempts at the parts of a query.
+/// Builder of the first attempts at the parts of a query.
 struct Attempts {
     query: u64,
     parts: usize,
@@ -209,7 +210,8 @@
     send_before: Option<Timestamp>,
 }
 
-/// The attempt at the only part of a query, with a deadline one second after [`START`].
+/// Creates the builder of one attempt, at the first part of a query, with a deadline one second
+/// after [`START`].
 fn attempts_of(query: u64) -> Attempts {
     Attempts {
         query,
@@ -221,7 +223,7 @@
 }
 
 impl Attempts {
-    /// One attempt at each of the first `parts` parts.
+    /// Builds one attempt at each of the first `parts` parts.
     fn parts(self, parts: usize) -> Self {
         Attempts { parts, ..self }
     }
@@ -269,7 +271,7 @@
     }
 }
 
-/// The event that a part was served.
+/// Creates the event that the response to a served part was received.
 fn response(wire_id: &str) -> ConnectionEvent {
     ConnectionEvent::FrameReceived(ServerMessage::PartResponse(PartResponse {
         id: wire_id.to_owned(),
@@ -279,7 +281,7 @@
     }))
 }
 
-/// Whether an event is the end of this connection.
+/// Returns whether an event reports the end of the connection `id`.
 fn is_closed_event(event: &Event, id: ServerConnectionId) -> bool {
     let Event::ServerConnection { connection, event } = event else {
         return false;
@@ -287,15 +289,15 @@
     *connection == id && matches!(event, ConnectionEvent::Closed(_))
 }
 
-/// A connected pair of sockets: the broker's and the server's.
+/// Creates a connected pair of sockets: the broker's and the server's.
 fn socket_pair() -> (Async<TcpStream>, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let broker = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     (Async::new(broker).unwrap(), listener.accept().unwrap().0)
 }
 
-/// Writes to a socket until it accepts nothing more. Returns the number of bytes written.
-fn fill(stream: &Async<TcpStream>) -> usize {
+/// Writes to a socket until it accepts no more data. Returns the number of bytes written.
+fn fill_send_buffer(stream: &Async<TcpStream>) -> usize {
     let mut filled = 0;
     while let Ok(written) = stream.get_ref().write(&[0; 4096]) {
         filled += written;
@@ -303,7 +305,8 @@
     filled
 }
 
-/// Polls once the future that writes the frames of a queue to a socket.
+/// Polls the future that writes the frames of a queue to a socket once. Panics unless it is
+/// pending.
 fn poll_write(stream: &Async<TcpStream>, send_queue: &SendQueue) {
     let write = pin!(socket::write_frames(stream, send_queue, Clock::start()));
     let poll = write.poll(&mut Context::from_waker(Waker::noop()));
--- a/crates/broker/src/upstream/tests/responses.rs
+++ b/crates/broker/src/upstream/tests/responses.rs
@@ -1,11 +1,12 @@
-//! Responses, valid and invalid.
+//! Valid and invalid responses.
 
 use super::*;
 use server_protocol::InvalidFrame;
 
-/// A response to a part that is not in flight takes the place of one that will not arrive, so that
-/// one must not be waited for. It is one failure of the server, whatever else was in flight, and
-/// none of a query's own.
+/// A server that responds to a part that is not in flight has sent this response in place of
+/// another one, which will not arrive: its attempt must not wait until its deadline. This must
+/// count as one failure of the server, however many attempts are in flight, and not as a failure of
+/// their queries.
 #[test]
 fn invalid_response_fails_one_attempt_and_closes_its_connection() {
     for event in [
@@ -27,8 +28,8 @@
     }
 }
 
-/// A duplicate response or noise after a valid response fails no attempt, but the connection is
-/// unreliable.
+/// Surplus data after a valid response, such as a duplicate response or an invalid frame, must not
+/// fail any attempt. The connection must be closed, because its data can no longer be relied on.
 #[test]
 fn surplus_data_after_a_valid_response_closes_the_connection_and_fails_no_attempt() {
     for surplus in [
@@ -45,7 +46,8 @@
     }
 }
 
-/// The response to a cancelled part may cross the cancellation: it violates nothing, but only once.
+/// A server may send the response to a part before it receives the cancellation of that part. The
+/// first such response must be ignored; a second one violates the protocol.
 #[test]
 fn late_response_to_a_cancelled_attempt_is_ignored_once() {
     let mut pools = TestPools::new(limits());
@@ -60,11 +62,11 @@
     assert_eq!(pools.open_connections(), 0);
 }
 
-/// A slow server responds in order to parts that were cancelled several rounds ago: that must not
-/// end the attempts that are in flight now.
+/// A slow server may respond to parts that were cancelled long ago, and to more of them than may be
+/// in flight at the same time. These responses must not end the attempts in flight.
 #[test]
 fn late_responses_to_more_parts_than_may_be_in_flight_are_ignored() {
-    let mut pools = TestPools::new(single_socket());
+    let mut pools = TestPools::new(single_connection_limits());
     for query in 1..=limits().max_parts_per_connection as u64 + 2 {
         pools.send(START, attempts_of(query));
         let send_queue = pools.send_queue_of(CONNECTION_0);
@@ -81,7 +83,8 @@
     assert_eq!(pools.open_connections(), 1);
 }
 
-/// A wrong length announces bytes that never arrive: the attempt must not wait until its deadline.
+/// If the length of a frame is wrong, the rest of the frame may never arrive. The attempt must end
+/// after the maximum stall time and not wait until its deadline.
 #[test]
 fn frame_that_makes_no_progress_is_invalid() {
     let mut pools = TestPools::new(limits());
--- a/crates/broker/src/upstream/tests/send_queue.rs
+++ b/crates/broker/src/upstream/tests/send_queue.rs
@@ -5,17 +5,17 @@
 use std::io::Read;
 use std::net::Shutdown;
 
-/// A call with one part.
+/// Creates a call with one part.
 fn call(wire_id: &str, deadline: Timestamp) -> OutgoingFrame {
     OutgoingFrame::Call(vec![outgoing_part(wire_id, deadline)])
 }
 
-/// A part counts as sent from its first byte on: until the socket accepts that, the part can be
-/// withdrawn.
+/// A part counts as sent once the socket has accepted the first byte of its frame. Until then it
+/// must be possible to withdraw the part, and nothing of it may reach the server afterwards.
 #[test]
 fn part_can_be_withdrawn_while_the_socket_is_full() {
     let (broker, mut server) = socket_pair();
-    let filled = fill(&broker);
+    let filled = fill_send_buffer(&broker);
     let send_queue = SendQueue::default();
     send_queue.push(call("q1.0", at(HOUR)));
     poll_write(&broker, &send_queue);
@@ -27,10 +27,10 @@
     assert_eq!(server.read(&mut received).unwrap(), 0);
 }
 
-/// The time that a part spent in the queue is not available to the server, and a part without time
-/// is not sent.
+/// The time that a part has spent in the queue must be subtracted from the time that its frame
+/// gives to the server. A part without time left must not be sent.
 #[test]
-fn frame_states_the_time_left_when_it_is_written() {
+fn frame_contains_the_time_left_when_it_is_written() {
     let send_queue = SendQueue::default();
     let write_payload = |now| {
         let started = send_queue.start_frame(now)?;
--- a/crates/broker/src/upstream/timeouts.rs
+++ b/crates/broker/src/upstream/timeouts.rs
@@ -1,26 +1,32 @@
-//! How long connections may be silent, idle or stalled.
+//! How long a connection may be silent, idle or stalled.
+//!
+//! A connection is silent while it receives nothing although an attempt is in flight, idle while no
+//! attempt is in flight, and stalled while an incomplete frame does not grow.
 
 use broker_types::limits::PoolLimits;
 use std::time::Duration;
 
-/// Time without any sign of life on its connection after which an attempt that is cancelled or
-/// times out makes the connection suspect, in multiples of the dial timeout. A severed link leaves
-/// connections open and silent, and TCP does not notice.
-const SILENT_DIAL_TIMEOUTS: u32 = 2;
+/// Maximum silence of a connection, in multiples of the dial timeout. If nothing was received since
+/// an attempt was assigned, for this time or longer, and the attempt is then cancelled or times
+/// out, its connection is no longer used. A severed link leaves connections open and silent, and
+/// TCP does not detect this.
+const MAX_SILENCE_DIAL_TIMEOUTS: u32 = 2;
 
-/// Percentage of the servers' idle timeout after which an idle connection is closed on this side.
-/// An attempt that crosses the server's closing ends as a reset, which leaves open whether it ran.
-const IDLE_LIMIT_PERCENT: u32 = 75;
+/// Maximum idle time of a connection, as a percentage of the servers' idle timeout. The broker
+/// closes idle connections before the servers do: an attempt that is sent while the server closes
+/// the connection ends with a connection reset, which does not show whether the part ran.
+const MAX_IDLE_PERCENT: u32 = 75;
 
-/// The time limits of all connections.
+/// The time limits that apply to every connection.
 pub(super) struct ConnectionTimeouts {
+    /// Maximum time for establishing a connection.
     dial: Duration,
     /// Time after which a server closes an idle connection.
     server_idle: Duration,
 }
 
 impl ConnectionTimeouts {
-    /// The time limits that follow from the settings.
+    /// Creates the time limits from the limits of the pool.
     pub(super) fn new(limits: &PoolLimits) -> Self {
         ConnectionTimeouts {
             dial: limits.dial_timeout,
@@ -28,19 +34,19 @@
         }
     }
 
-    /// Time after which an idle connection is closed.
+    /// Returns the time without use after which an idle connection is closed.
     pub(super) fn max_idle(&self) -> Duration {
-        self.server_idle.saturating_mul(IDLE_LIMIT_PERCENT) / 100
+        self.server_idle.saturating_mul(MAX_IDLE_PERCENT) / 100
     }
 
-    /// Time within which an incomplete frame must grow.
-    pub(super) fn stall(&self) -> Duration {
+    /// Returns the maximum time for which an incomplete frame may stop growing.
+    pub(super) fn max_stall(&self) -> Duration {
         self.dial
     }
 
-    /// Time without any event after which a connection with an unanswered attempt is used for no
-    /// other one.
-    pub(super) fn silence(&self) -> Duration {
-        self.dial.saturating_mul(SILENT_DIAL_TIMEOUTS)
+    /// Returns the time without any event after which a connection with an unanswered attempt is
+    /// used for no further attempts.
+    pub(super) fn max_silence(&self) -> Duration {
+        self.dial.saturating_mul(MAX_SILENCE_DIAL_TIMEOUTS)
     }
 }
