--- a/crates/fanout-policy/tests/policy/admission.rs
+++ b/crates/fanout-policy/tests/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission of queries, and the retry-after value of rejected ones.
+//! Admission: which queries are rejected as soon as they arrive, with which retry-after value.
 
 use crate::common::{
     Harness, SentAttempt, class, class_without_late_weight, final_responses, one_cell, rejected,
@@ -7,7 +7,7 @@
 use fanout_policy::api::{Action, Class, Ms, Outcome, Settings};
 
 #[test]
-fn timeouts_make_admission_reject_with_retry_after() {
+fn queries_are_rejected_with_retry_after_while_no_part_is_served() {
     let settings = Settings {
         hedging: false,
         ..ring_with_class(class_without_late_weight())
@@ -24,14 +24,15 @@
     }
     assert!(
         rejections > 100,
-        "no part is ever served, yet only {rejections} queries were rejected"
+        "no part is ever served, yet only {rejections} of 200 queries were rejected at once"
     );
 }
 
 #[test]
-fn client_retry_past_its_objective_is_recognized_by_its_shorter_deadline() {
-    // The client's timeout over all its attempts is 4000 ms: with 2000 ms left instead of the usual
-    // 3500 ms, its first attempt was 2000 ms ago.
+fn client_retry_past_its_objective_is_recognized_by_its_shorter_time_left() {
+    // The client timeout of the class, over all attempts of a client, is 4000 ms, and queries
+    // usually arrive with 3500 ms left. One with 2000 ms left is a retry: its first attempt was
+    // sent 2000 ms ago, which is past the latency objective of 1000 ms.
     let mut policy = Harness::new(ring_with_class(class_without_late_weight()), 1);
     policy.answer_queries(20, 3500.0);
     let events = policy.query_events("again", 0, &[0], 2000.0);
@@ -40,6 +41,8 @@
     assert_eq!(policy.attempts_after(5.0, events).len(), 1);
 }
 
+/// Guards against an estimate of the usual client timeout that follows a single query: all queries
+/// with the usual timeout would then count as retries and be rejected.
 #[test]
 fn one_long_client_timeout_does_not_make_other_queries_retries() {
     let mut policy = Harness::new(ring_with_class(class_without_late_weight()), 1);
@@ -49,10 +52,13 @@
     assert_eq!(policy.attempts_after(5.0, events).len(), 1);
 }
 
+/// Guards against admission that never recovers: rejected queries give no samples, so that
+/// estimates from an overload could reject all later queries although the servers are idle.
 #[test]
 fn past_overload_does_not_reject_queries_of_an_idle_fleet_for_good() {
-    // Queries end long after their forecast, at servers whose answers show the usual latency. A
-    // class with a much larger weight leaves this one the least share of its time.
+    // The queries take 900 ms, much longer than forecast, although the servers answer the parts in
+    // the usual time. The other class has a much larger weight, which reduces the admission limit
+    // of this one to its minimum.
     let low_weight = class_without_late_weight();
     let high_weight = Class {
         priority_weight: 50.0,
@@ -76,12 +82,12 @@
         .collect();
     assert!(
         admitted[40..].contains(&true),
-        "all are rejected: {admitted:?}"
+        "all of the last 20 queries are rejected; admitted: {admitted:?}"
     );
 }
 
-/// The retry-after value of a query of this class without any server, where clients respect at most
-/// `max_retry_after`.
+/// Returns the retry-after value with which a query of the class is rejected in a fleet without
+/// servers. `max_retry_after` is the maximum that clients respect, in milliseconds.
 fn retry_after_of(class: Class, max_retry_after: Ms) -> Option<Ms> {
     let settings = Settings {
         max_retry_after: Some(max_retry_after),
@@ -90,30 +96,31 @@
     let mut policy = Harness::new(settings, 0);
     match policy.responses_to("q", &[0]).as_slice() {
         [Action::Reject { retry_after, .. }] => *retry_after,
-        responses => panic!("{responses:?}"),
+        responses => panic!("expected one rejection, found {responses:?}"),
     }
 }
 
 #[test]
-fn retry_after_lets_the_retry_meet_its_objective() {
-    // Clients respect up to twice the latency objective; a retry after that time would earn
-    // nothing.
+fn retry_after_leaves_time_for_the_retry_to_meet_its_objective() {
+    // Clients respect a retry-after value of up to twice the latency objective. A retry that waits
+    // as long as that would miss the objective.
     let retry_after = retry_after_of(class(), 2000.0).unwrap();
     assert!(
         retry_after > 0.0 && retry_after < 500.0,
-        "{retry_after} of an objective of 1000"
+        "a retry-after value of {retry_after} ms with a latency objective of 1000 ms"
     );
     assert_eq!(
         retry_after_of(class(), 100.0),
         Some(100.0),
-        "never longer than clients respect"
+        "the value must not exceed the maximum that clients respect"
     );
 }
 
-/// In sev6538 an answer past its objective earned a tenth, and two thirds of the work of overloaded
-/// servers was late.
+/// Guards against servers that are busy with answers of little value. In sev6538 an answer after
+/// its latency objective had a tenth of its weight, and two thirds of the work of the overloaded
+/// servers was for such answers.
 #[test]
-fn attempt_ends_at_the_objective_when_late_answers_earn_little() {
+fn attempt_ends_at_the_objective_when_late_answers_have_little_weight() {
     for (late_weight, timeout, expected) in
         [(0.1, 990.0, vec![rejected("q")]), (0.3, 3990.0, vec![])]
     {
@@ -129,15 +136,18 @@
         let sent = policy.attempts_for("q", &[0]);
         assert!(
             (sent[0].timeout.unwrap() - timeout).abs() < 1.0,
-            "{late_weight}: {sent:?}"
+            "late weight {late_weight}, expected a timeout of {timeout} ms: {sent:?}"
         );
         let responses = policy.responses_after(995.0, vec![]);
-        assert_eq!(responses, expected, "{late_weight}");
+        assert_eq!(
+            responses, expected,
+            "995 ms after a query with late weight {late_weight}"
+        );
     }
 }
 
-/// Otherwise seventeen parts of a query run for nothing while the eighteenth has no reachable
-/// replica.
+/// Guards against wasted work: without the rejection, seventeen parts of a query run although its
+/// eighteenth part has no reachable replica, so that the query cannot be answered.
 #[test]
 fn query_is_rejected_immediately_while_a_part_has_no_reachable_replica() {
     let settings = Settings {
@@ -157,8 +167,9 @@
     assert_eq!(policy.attempts_for("later", &[0, 1]).len(), 2);
 }
 
-/// A mean over many parts hides the one server that makes the query late, and each of many brokers
-/// may send few hedges around that server.
+/// Guards against the admission of queries that one slow server makes late. The mean of the
+/// forecasts over many parts hides that server, and where there are many brokers, each may send
+/// only a few hedges to avoid it.
 #[test]
 fn query_that_needs_all_parts_is_rejected_for_one_late_part() {
     for (required_share, aggregators, is_rejected) in
@@ -184,7 +195,7 @@
         assert_eq!(
             !responses.is_empty(),
             is_rejected,
-            "{required_share} among {aggregators}"
+            "required share {required_share}, {aggregators} aggregators, responses {responses:?}"
         );
     }
 }
@@ -198,7 +209,7 @@
     };
     let mut policy = Harness::new(settings, 2);
     policy.answer_queries(10, 4000.0);
-    // Each time that both replicas reject a part they are avoided for longer.
+    // Each time that both replicas reject a part, they are ejected for longer.
     let mut last = vec![];
     for k in 0..12 {
         let mut open = policy.attempts_for(&format!("q{k}"), &[0]);
@@ -212,11 +223,11 @@
     }
     assert!(
         last.is_empty(),
-        "the work for its other parts would be wasted"
+        "the last query must be rejected at once, since any work for it would be wasted: {last:?}"
     );
     policy.advance(6000.0, vec![]);
     assert!(
         !policy.attempts_for("later", &[0]).is_empty(),
-        "a replica is used as soon as it may be"
+        "parts must be sent again once the ejections have ended"
     );
 }
--- a/crates/fanout-policy/tests/policy/answers.rs
+++ b/crates/fanout-policy/tests/policy/answers.rs
@@ -1,4 +1,5 @@
-//! Final responses: complete, partial, and of queries with a second step.
+//! Final responses of queries: complete answers, partial answers, and the answers to both steps of
+//! a query with a second step.
 
 use crate::common::{
     Harness, attempt_ended, cancels_an_attempt, class, class_without_late_weight, complete_answer,
@@ -26,8 +27,8 @@
     assert!(final_responses(&late).is_empty() && sent_attempts(&late).is_empty());
 }
 
-/// Settings with one class, which may be answered from half of its parts, each of which is sent
-/// once.
+/// Creates the settings of [`ring`] with one class, where half of the parts suffice for a partial
+/// answer and each part gets one attempt.
 fn half_answer_without_retries() -> Settings {
     ring_without_retries(Class {
         minimum_share: 0.5,
@@ -42,7 +43,10 @@
     let first = policy.end_attempt("q.0", 0, Outcome::Served, 10.0);
     assert!(final_responses(&first).is_empty());
     let repeated = policy.end_attempt("q.0", 0, Outcome::Served, 10.0);
-    assert!(final_responses(&repeated).is_empty(), "a part counts once");
+    assert!(
+        final_responses(&repeated).is_empty(),
+        "q.0 counts once, although its end was reported twice"
+    );
     policy.end_attempt("q.1", 0, Outcome::Served, 10.0);
     let mut last = Vec::new();
     last.extend(policy.run_ticks(250));
@@ -50,7 +54,7 @@
 }
 
 #[test]
-fn query_for_some_parts_sends_just_enough_and_the_rest_after_an_error() {
+fn parts_beyond_the_required_share_are_sent_only_after_an_error() {
     let class = Class {
         required_share: 0.67,
         minimum_share: 0.67,
@@ -58,13 +62,14 @@
     };
     let mut policy = Harness::new(ring_with_class(class), 1);
     let sent = policy.attempts_for("q", &[0, 1, 2, 3, 4, 5]);
+    // Four of six parts have a weight of 0.667, five have 0.833.
     assert_eq!(sent.len(), 5);
     let error = attempt_ended(&sent[0].part, 0, Outcome::Error, 10.0);
     let more = policy.attempts_after(10.0, vec![error]);
     assert_eq!(
         more.len(),
         2,
-        "the part that was left out, and a retry of the failed one"
+        "expected the part that was deferred and a retry of the failed one: {more:?}"
     );
     let mut events = served(&sent[1..], 0, 20.0);
     events.push(attempt_ended(&more[0].part, 0, Outcome::Served, 5.0));
@@ -72,13 +77,14 @@
     assert_eq!(final_responses(&last), vec![complete_answer("q")]);
     assert!(
         cancels_an_attempt(&last),
-        "the attempt in flight is cancelled"
+        "the attempt that is still in flight must be cancelled: {last:?}"
     );
 }
 
 #[test]
 fn partial_answer_waits_for_parts_that_may_still_be_served() {
-    // One part of four uses up its attempts early; the others are only slower.
+    // One of four parts fails on its only attempt. Two are served, which is enough for a partial
+    // answer, and the last one is still in flight.
     let mut policy = Harness::new(half_answer_without_retries(), 1);
     policy.submit("q", &[0, 1, 2, 3]);
     let served = |part: &str| attempt_ended(part, 0, Outcome::Served, 20.0);
@@ -89,14 +95,14 @@
     ];
     assert!(
         policy.responses_after(20.0, early).is_empty(),
-        "the last part would add a quarter"
+        "no answer before the last part, which adds a quarter of the weight"
     );
     let last = policy.advance(100.0, vec![served("q.3")]);
     assert_eq!(final_responses(&last), vec![partial_answer("q")]);
 }
 
 #[test]
-fn second_step_is_answered_after_all_its_parts() {
+fn second_step_is_answered_once_all_its_parts_are_served() {
     let class = Class {
         has_second_step: true,
         ..class()
@@ -113,7 +119,8 @@
     assert_eq!(final_responses(&both_served), vec![complete_answer("q")]);
 }
 
-/// Settings with one class, which has a second step and may be answered from half of its parts.
+/// Creates the settings of [`ring`] without hedging and with one class, which has a second step and
+/// may be answered from half of its parts.
 fn second_step_settings() -> Settings {
     let class = Class {
         has_second_step: true,
@@ -126,7 +133,7 @@
     }
 }
 
-/// The arrival of a part of a second step.
+/// Creates the event that a part of the second step of query number `group` has arrived.
 fn second_step_part(name: &str, group: u64, weight: f64) -> Event {
     Event::Part(Part {
         id: part_id(name),
@@ -137,6 +144,8 @@
     })
 }
 
+/// Guards against a query that ends between the answer to its first step and the arrival of its
+/// second step's parts, when it has no attempt in flight.
 #[test]
 fn second_step_is_not_ended_by_a_batch_before_its_parts() {
     let mut policy = Harness::new(second_step_settings(), 1);
@@ -146,16 +155,19 @@
     let empty_batch = policy.advance(5.0, vec![]);
     assert!(
         final_responses(&empty_batch).is_empty(),
-        "its parts have not arrived yet"
+        "the parts of the second step have not arrived yet"
     );
     let parts = vec![second_step_part("x", 1, 1.0)];
     assert_eq!(policy.attempts_after(5.0, parts).len(), 1);
 }
 
+/// Guards against a partial first answer that is given so late that the second step misses the
+/// latency objective.
 #[test]
 fn partial_first_answer_leaves_time_for_the_second_step() {
     let mut policy = Harness::new(second_step_settings(), 1);
-    // Second steps take 300 ms of a latency objective of 1000 ms here.
+    // The second steps of earlier queries take 300 ms of a latency objective of 1000 ms, so that a
+    // partial first answer is due after about 700 ms.
     for k in 1..30 {
         let name = format!("u{k}");
         policy.submit(&name, &[0]);
--- a/crates/fanout-policy/tests/policy/backoff.rs
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -1,10 +1,10 @@
-//! How long unreachable and overloaded servers are avoided.
+//! Ejections of unreachable and overloaded servers: how long nothing is sent to them.
 
 use crate::common::{Harness, ring, sent_attempts, served};
 use fanout_policy::api::{Ms, Outcome};
 
-/// Times between attempts at one server under continuous traffic, where its attempts have this
-/// outcome and all others are served.
+/// Submits queries continuously and returns the times between consecutive attempts at the server
+/// `c1n0`, in milliseconds. Its attempts end with `outcome_at_server`, all others are served.
 fn gaps_between_attempts(outcome_at_server: Outcome) -> Vec<Ms> {
     let mut policy = Harness::new(ring(), 1);
     policy.answer_queries(12, 4000.0);
@@ -29,21 +29,28 @@
     let gaps = gaps_between_attempts(Outcome::Unreachable);
     assert!(
         gaps.len() > 2 && gaps[0] > 300.0,
-        "attempted again after {gaps:?}"
+        "times between attempts at the unreachable server, in ms: {gaps:?}"
+    );
+    assert!(
+        gaps[1] > gaps[0],
+        "times between attempts at the unreachable server, in ms: {gaps:?}"
     );
-    assert!(gaps[1] > gaps[0], "{gaps:?}");
 }
 
 #[test]
 fn server_that_rejects_all_parts_is_avoided_longer_each_time() {
     let gaps = gaps_between_attempts(Outcome::Overloaded);
-    assert!(gaps.len() > 3 && gaps[gaps.len() - 1] > 2000.0, "{gaps:?}");
+    assert!(
+        gaps.len() > 3 && gaps[gaps.len() - 1] > 2000.0,
+        "times between attempts at the overloaded server, in ms: {gaps:?}"
+    );
 }
 
-/// For a broker that sends to a server every few seconds, a pause of 75 ms keeps no part from an
-/// overloaded server.
+/// Guards against an ejection that is too short to have an effect. A broker that sends a part to a
+/// given server only every few seconds has none for it within 75 ms, so that an ejection of 75 ms
+/// keeps no part away from an overloaded server.
 #[test]
-fn overloaded_server_is_avoided_for_half_the_interval_between_its_parts() {
+fn overloaded_server_is_ejected_for_half_the_interval_between_its_parts() {
     let mut policy = Harness::new(ring(), 1);
     let first = policy.attempts_for("q", &[0]);
     let overloaded = first[0].node.clone();
@@ -53,17 +60,18 @@
         let is_avoided = sent.iter().all(|attempt| attempt.node != overloaded);
         assert!(
             is_avoided,
-            "{overloaded} was called again after {} ms",
+            "{overloaded} received another part after {} ms",
             100 * k
         );
         policy.advance(95.0, served(&sent, 0, 40.0));
     }
 }
 
-/// In sev4209 brokers with an outdated endpoint list called the same dead servers for ten seconds:
-/// each pause of at most two seconds was over before their next part for that server.
+/// In sev4209, brokers with an outdated endpoint list sent parts to the same dead
+/// servers for ten seconds. Each ejection lasted two seconds at most and was over before the
+/// broker's next part for that server.
 #[test]
-fn unreachable_server_is_avoided_for_the_interval_between_its_parts() {
+fn unreachable_server_is_ejected_for_the_interval_between_its_parts() {
     let mut policy = Harness::new(ring(), 1);
     policy.submit("q", &[0]);
     policy.end_attempt("q.0", 0, Outcome::Unreachable, 5.0);
@@ -73,10 +81,12 @@
         .iter()
         .find_map(|view| view.ejected_until)
         .unwrap();
-    // Two parts in 1.5 latency objectives over six servers: an interval of 4.5 objectives.
+    // The policy has accepted two requests, the query and its part, in a window of 1.5 latency
+    // objectives. Over six servers that makes an interval of 4.5 objectives between the parts for
+    // one server. Jitter shortens the ejection to 0.75 of that or more.
     assert!(
         until - policy.now > 3000.0,
-        "called again after {} ms",
+        "the server is ejected for {} ms only",
         until - policy.now
     );
 }
--- a/crates/fanout-policy/tests/policy/common.rs
+++ b/crates/fanout-policy/tests/policy/common.rs
@@ -1,4 +1,5 @@
-//! What the tests share: settings, events, the actions that are expected, and a harness.
+//! Helpers that the tests share: settings, builders of events, filters and builders of actions, and
+//! a harness that runs an aggregator.
 
 mod actions;
 mod events;
@@ -15,5 +16,5 @@
 pub use harness::Harness;
 pub use settings::{
     class, class_without_late_weight, one_cell, ring, ring_with_class, ring_with_gossip,
-    ring_without_hedging, ring_without_retries, sets,
+    ring_without_hedging, ring_without_retries, two_cells,
 };
--- a/crates/fanout-policy/tests/policy/common/actions.rs
+++ b/crates/fanout-policy/tests/policy/common/actions.rs
@@ -1,11 +1,12 @@
-//! The actions of an aggregator: attempts among them, and the final responses that are expected.
+//! Filters that pick attempts, final responses and cancellations out of an aggregator's actions,
+//! and builders of the final responses that tests expect.
 
 use super::events::query_id;
 use super::settings::MAX_RETRY_AFTER;
 use fanout_policy::api::{Action, Ms};
 use std::collections::BTreeSet;
 
-/// An attempt among the actions.
+/// The contents of an [`Action::SendAttempt`], with its identifiers as plain strings.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SentAttempt {
     pub part: String,
@@ -13,7 +14,7 @@
     pub timeout: Option<Ms>,
 }
 
-/// The attempts among the actions.
+/// Returns the attempts that the actions send, in order.
 pub fn sent_attempts(actions: &[Action]) -> Vec<SentAttempt> {
     let to_attempt = |action: &Action| match action {
         Action::SendAttempt {
@@ -30,7 +31,7 @@
     actions.iter().filter_map(to_attempt).collect()
 }
 
-/// The servers that attempts among the actions go to.
+/// Returns the names of the servers to which the actions send attempts.
 pub fn servers_of(actions: &[Action]) -> BTreeSet<String> {
     sent_attempts(actions)
         .into_iter()
@@ -38,7 +39,7 @@
         .collect()
 }
 
-/// The final responses among the actions.
+/// Returns the actions that end a query or give its first answer: `Answer`, `Reject` and `Fail`.
 pub fn final_responses(actions: &[Action]) -> Vec<Action> {
     let is_final = |action: &&Action| {
         matches!(
@@ -49,7 +50,7 @@
     actions.iter().filter(is_final).cloned().collect()
 }
 
-/// The rejection of a query with the largest retry-after value.
+/// Creates the rejection of the query `name` with the maximum retry-after value of the settings.
 pub fn rejected(name: &str) -> Action {
     Action::Reject {
         query: query_id(name),
@@ -57,14 +58,14 @@
     }
 }
 
-/// The failure of a query.
+/// Creates the failure of the query `name`, which doesn't tell the client that a retry is safe.
 pub fn failed(name: &str) -> Action {
     Action::Fail {
         query: query_id(name),
     }
 }
 
-/// The complete answer to a query.
+/// Creates the complete answer to the query `name`.
 pub fn complete_answer(name: &str) -> Action {
     Action::Answer {
         query: query_id(name),
@@ -72,7 +73,7 @@
     }
 }
 
-/// The partial answer to a query.
+/// Creates the partial answer to the query `name`.
 pub fn partial_answer(name: &str) -> Action {
     Action::Answer {
         query: query_id(name),
@@ -80,7 +81,7 @@
     }
 }
 
-/// Whether an attempt is cancelled by one of the actions.
+/// Returns whether any of the actions cancels an attempt.
 pub fn cancels_an_attempt(actions: &[Action]) -> bool {
     let is_cancellation = |action: &Action| matches!(action, Action::CancelAttempt { .. });
     actions.iter().any(is_cancellation)
--- a/crates/fanout-policy/tests/policy/common/harness.rs
+++ b/crates/fanout-policy/tests/policy/common/harness.rs
@@ -1,4 +1,4 @@
-//! An aggregator with a clock and a timer.
+//! A harness that runs an aggregator on a simulated clock and fires its timer.
 
 use super::actions::{SentAttempt, final_responses, sent_attempts};
 use super::events::{attempt_ended, endpoint, list_event, part_id, query_id, served};
@@ -10,22 +10,25 @@
 };
 use std::collections::BTreeMap;
 
-/// Time after which a client of [`Harness::submit`] gives up, in milliseconds.
+/// Client timeout of queries that [`Harness::submit`] sends, in milliseconds.
 const CLIENT_TIMEOUT: Ms = 4000.0;
-/// Seed of the harness's aggregator.
+/// Seed of the aggregator's random numbers.
 const SEED: u64 = 11;
 
-/// An aggregator with a clock and a timer.
+/// An aggregator, the simulated time, and the timer that the aggregator has set.
 pub struct Harness {
     pub aggregator: Aggregator,
+    /// Time of the latest batch.
     pub now: Ms,
+    /// When the aggregator's timer fires; infinite while none is set.
     timer_fires_at: Ms,
+    /// Number of the latest query; the query and its parts refer to each other by it.
     last_group: u64,
 }
 
 impl Harness {
-    /// An aggregator that has read a list with `per_cell` servers in each cell: `c0n0`, `c0n1`,
-    /// `c1n0` and so on.
+    /// Creates an aggregator and gives it a cached endpoint list with `per_cell` servers in each
+    /// cell. Server `n` of cell `c` has the name `c{c}n{n}`: `c0n0`, `c0n1`, `c1n0` and so on.
     pub fn new(settings: Settings, per_cell: usize) -> Harness {
         let mut endpoints = Vec::new();
         for cell in 0..settings.cells {
@@ -41,8 +44,9 @@
         harness
     }
 
-    /// Runs a batch with these events `after` the last one, and before it the batches of timers
-    /// that fire until then.
+    /// Runs a batch with the events, `after` milliseconds after the latest one. If the timer fires
+    /// before that time, the batches that it triggers run first. Returns the actions of all these
+    /// batches.
     pub fn advance(&mut self, after: Ms, events: Vec<Event>) -> Vec<Action> {
         let end = self.now + after;
         let mut actions = Vec::new();
@@ -53,7 +57,8 @@
         actions
     }
 
-    /// Runs one batch, as if the aggregator had paused since the last one.
+    /// Runs one batch at the time `now`, even if the timer was due earlier. The aggregator then
+    /// sees a late batch, as after a pause of its own process.
     pub fn run_batch(&mut self, now: Ms, mut events: Vec<Event>) -> Vec<Action> {
         self.now = now;
         if now >= self.timer_fires_at {
@@ -69,7 +74,7 @@
         actions
     }
 
-    /// Advances by this time, at the end of which an attempt ends that took as long.
+    /// Advances by `elapsed` and ends an attempt that was sent at the start of that period.
     pub fn end_attempt(
         &mut self,
         part: &str,
@@ -81,8 +86,8 @@
         self.advance(elapsed, vec![end])
     }
 
-    /// The arrival of a query at the next tick, with a part `name.shard` of equal weight for each
-    /// shard.
+    /// Creates the events of a query that arrives at the next tick and of its parts, one for each
+    /// shard. The parts have equal weights and the identifiers `name.shard`.
     pub fn query_events(
         &mut self,
         name: &str,
@@ -115,40 +120,42 @@
         events
     }
 
-    /// Submits a query of the first class at the next tick.
+    /// Submits a query of the first class at the next tick and returns the actions.
     pub fn submit(&mut self, name: &str, shards: &[usize]) -> Vec<Action> {
         let events = self.query_events(name, 0, shards, CLIENT_TIMEOUT);
         self.advance(TICK, events)
     }
 
-    /// The attempts of a query of the first class that is submitted at the next tick.
+    /// Submits a query of the first class at the next tick and returns the attempts that are sent.
     pub fn attempts_for(&mut self, name: &str, shards: &[usize]) -> Vec<SentAttempt> {
         sent_attempts(&self.submit(name, shards))
     }
 
-    /// Submits a query with one part, which is served after this time, and returns its server.
+    /// Submits a query with one part, serves the part after `elapsed`, and returns the name of the
+    /// server that it was sent to.
     pub fn serve_part(&mut self, name: &str, shard: usize, elapsed: Ms) -> String {
         let SentAttempt { part, node, .. } = self.attempts_for(name, &[shard]).swap_remove(0);
         self.end_attempt(&part, 0, Outcome::Served, elapsed);
         node
     }
 
-    /// The final responses that a query of the first class gets at the next tick.
+    /// Submits a query of the first class at the next tick and returns the final responses that the
+    /// same batch gives.
     pub fn responses_to(&mut self, name: &str, shards: &[usize]) -> Vec<Action> {
         final_responses(&self.submit(name, shards))
     }
 
-    /// The attempts that [`Harness::advance`] leads to.
+    /// Calls [`Harness::advance`] and returns the attempts that are sent.
     pub fn attempts_after(&mut self, after: Ms, events: Vec<Event>) -> Vec<SentAttempt> {
         sent_attempts(&self.advance(after, events))
     }
 
-    /// The final responses that [`Harness::advance`] leads to.
+    /// Calls [`Harness::advance`] and returns the final responses.
     pub fn responses_after(&mut self, after: Ms, events: Vec<Event>) -> Vec<Action> {
         final_responses(&self.advance(after, events))
     }
 
-    /// Runs this many batches without events, one a tick, and returns their actions.
+    /// Advances by `count` ticks, with a batch without events at each, and returns all actions.
     pub fn run_ticks(&mut self, count: usize) -> Vec<Action> {
         let mut actions = Vec::new();
         for _ in 0..count {
@@ -157,13 +164,14 @@
         actions
     }
 
-    /// Updates the endpoint list at the next tick.
+    /// Sends an update of the endpoint list at the next tick.
     pub fn update_list(&mut self, update: ListUpdate, endpoints: Vec<Endpoint>) {
         self.advance(TICK, vec![list_event(update, endpoints)]);
     }
 
-    /// Submits one-part queries one after the other. Attempts at the `faulty` servers have the
-    /// given outcome, all others are served. Returns the number of attempts at each server.
+    /// Submits `count` one-part queries one after the other, and ends each attempt 30 milliseconds
+    /// after it was sent: at the `faulty` servers with `outcome`, at all others as served. Returns
+    /// the number of attempts at each server, retries included.
     pub fn run_traffic(
         &mut self,
         count: usize,
@@ -190,8 +198,8 @@
         attempts_by_server
     }
 
-    /// Submits one-part queries one after the other and has each answered after 20 milliseconds, so
-    /// that the aggregator learns the usual latency and the clients' timeout.
+    /// Submits `count` one-part queries one after the other and serves each after 20 milliseconds.
+    /// The aggregator's estimates of the latency and of the clients' timeout follow from these.
     pub fn answer_queries(&mut self, count: usize, client_timeout: Ms) {
         for n in 0..count {
             let name = format!("u{n}-{client_timeout}");
--- a/crates/fanout-policy/tests/policy/common/settings.rs
+++ b/crates/fanout-policy/tests/policy/common/settings.rs
@@ -1,13 +1,14 @@
-//! Classes and settings.
+//! Classes and settings for the tests.
 
 use fanout_policy::api::{Class, EndpointListSource, Ms, RetrySafety, Settings, WarmUp};
 
-/// Retry-after value of the settings, in milliseconds.
+/// Maximum retry-after value that clients respect, in milliseconds.
 pub const MAX_RETRY_AFTER: Ms = 50.0;
-/// Time between two batches, in milliseconds.
+/// Minimum time between two batches, in milliseconds.
 pub const TICK: Ms = 5.0;
 
-/// A class of idempotent queries that need all their parts.
+/// Creates a class of idempotent queries, which are answered from all their parts only, within a
+/// latency objective of one second.
 pub fn class() -> Class {
     Class {
         latency_objective: 1000.0,
@@ -22,7 +23,7 @@
     }
 }
 
-/// The same class where an answer after the latency objective earns nothing.
+/// Creates the same class, except that an answer after the latency objective has no weight.
 pub fn class_without_late_weight() -> Class {
     Class {
         late_weight: 0.0,
@@ -30,7 +31,8 @@
     }
 }
 
-/// A ring of six cells, three of which hold a shard.
+/// Creates the settings of a fleet of six cells, where three adjacent cells hold each shard and the
+/// first cell follows the last.
 pub fn ring() -> Settings {
     Settings {
         classes: vec![class()],
@@ -63,7 +65,7 @@
     }
 }
 
-/// The ring with this class alone.
+/// Creates the settings of [`ring`] with `class` as the only class.
 pub fn ring_with_class(class: Class) -> Settings {
     Settings {
         classes: vec![class],
@@ -71,7 +73,7 @@
     }
 }
 
-/// The ring with this class alone, where a part is sent once.
+/// Creates the settings of [`ring`] with `class` as the only class and one attempt for each part.
 pub fn ring_without_retries(class: Class) -> Settings {
     Settings {
         max_attempts: 1,
@@ -79,7 +81,7 @@
     }
 }
 
-/// The ring with aggregators that exchange gossip.
+/// Creates the settings of [`ring`] with gossip between the aggregators.
 pub fn ring_with_gossip() -> Settings {
     Settings {
         gossip: true,
@@ -87,7 +89,7 @@
     }
 }
 
-/// The ring where a part may have one attempt in flight only.
+/// Creates the settings of [`ring`] without hedging: a part has at most one attempt in flight.
 pub fn ring_without_hedging() -> Settings {
     Settings {
         hedging: false,
@@ -95,7 +97,7 @@
     }
 }
 
-/// One cell that holds all shards.
+/// Creates the settings of a fleet with one cell, which holds all shards.
 pub fn one_cell() -> Settings {
     Settings {
         cells: 1,
@@ -104,8 +106,8 @@
     }
 }
 
-/// Two sets of servers, each of which holds every second shard.
-pub fn sets() -> Settings {
+/// Creates the settings of a fleet with two cells, each of which holds every second shard.
+pub fn two_cells() -> Settings {
     Settings {
         cells: 2,
         replica_cells: 1,
--- a/crates/fanout-policy/tests/policy/endpoint_list.rs
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -25,6 +25,8 @@
     assert!(seen.keys().all(|n| n == "c1n0" || n == "c3n0"), "{seen:?}");
 }
 
+/// Guards against additional load on a list service that fails, since such a service is often
+/// overloaded.
 #[test]
 fn failed_poll_is_repeated_after_a_delay() {
     let mut aggregator = Aggregator::new(
@@ -49,7 +51,7 @@
         !aggregator
             .on_batch(10.0, failed)
             .contains(&Action::PollEndpointList),
-        "not immediately"
+        "the poll must not be repeated in the batch of its failure"
     );
     let batch_times = (1..2000).map(|k| 10.0 + f64::from(k) * 5.0);
     let batches = batch_times.map(|time| aggregator.on_batch(time, vec![]));
@@ -61,8 +63,8 @@
     );
 }
 
-/// Over time every server is replaced many times under new names: no state may grow with their
-/// number.
+/// Guards against state that grows without limit: over time every server is replaced many times by
+/// one with a new name.
 #[test]
 fn removed_servers_are_forgotten_once_unreferenced() {
     let mut policy = Harness::new(one_cell(), 0);
@@ -80,10 +82,11 @@
     }
     assert!(
         policy.aggregator.servers_known() < 15,
-        "{}",
+        "{} servers are known after 102 were listed, two at a time",
         policy.aggregator.servers_known()
     );
-    // The late end of an attempt still finds its own server.
+    // Servers with attempts in flight are kept, so that the late ends of these attempts are
+    // attributed to the right server.
     policy.advance(1500.0, all_ended(&in_flight, 0, Outcome::TimedOut, 4000.0));
     assert_eq!(
         policy
--- a/crates/fanout-policy/tests/policy/hedging.rs
+++ b/crates/fanout-policy/tests/policy/hedging.rs
@@ -18,9 +18,9 @@
     assert_ne!(hedges[0].node, first[0].node);
 }
 
-/// Number of hedges that one of so many aggregators sends for ten queries without answers, each at
-/// its own servers.
-fn hedges_of_one_among(aggregators: usize) -> usize {
+/// Returns the number of hedges that one aggregator sends for ten unanswered queries, whose parts
+/// are all at different servers, when it is one of `aggregators` aggregators.
+fn hedges_of_one_aggregator(aggregators: usize) -> usize {
     let settings = Settings {
         aggregators,
         cells: 60,
@@ -37,17 +37,18 @@
     policy.attempts_after(600.0, vec![]).len()
 }
 
-/// At a hot spot all attempts are late. The hedges of a hundred brokers, each within a limit that
-/// suits three brokers, would double its load.
+/// At overloaded servers all attempts are late. If each of a hundred brokers sent as many hedges as
+/// suit a fleet of three brokers, the hedges would double the load of those servers.
 #[test]
 fn hedges_of_many_aggregators_together_are_limited() {
-    assert_eq!([3, 100].map(hedges_of_one_among), [10, 2]);
+    assert_eq!([3, 100].map(hedges_of_one_aggregator), [10, 2]);
 }
 
-/// A single lost answer or slow server must not fail the query: where a part may have one attempt
-/// in flight only, the overdue one is cancelled first, and the retry is sent once that has ended.
+/// Guards against a query that fails because of one lost answer or one slow server. Without hedging
+/// a part may have only one attempt in flight: the overdue attempt has to be cancelled first, and
+/// the retry is sent once the end of the cancelled attempt is reported.
 #[test]
-fn overdue_part_is_cancelled_and_retried_elsewhere_without_hedging() {
+fn overdue_attempt_is_cancelled_and_retried_elsewhere_without_hedging() {
     let mut policy = Harness::new(ring_without_hedging(), 1);
     let first = policy.attempts_for("q", &[0]);
     let cancellation = Action::CancelAttempt {
@@ -66,13 +67,13 @@
     assert!((0..20).all(|_| policy.attempts_after(10.0, vec![]).is_empty()));
 }
 
-/// In normal operation an answer that takes slightly longer than forecast will arrive: cancelling
-/// it wastes its work.
+/// Guards against the waste of work that a server has nearly finished: an answer that takes
+/// slightly longer than forecast usually still arrives.
 #[test]
 fn slightly_late_attempt_is_not_cancelled() {
     let mut policy = Harness::new(ring_without_hedging(), 1);
-    // Three replicas with three parts each: the last part waits behind two others, and then all
-    // replicas are idle.
+    // Three replicas receive three parts each. All parts but the last one, which waits behind two
+    // others, are then served: the replicas have no other work.
     let sent: Vec<_> = (0..9)
         .flat_map(|n| policy.attempts_for(&format!("t{n}"), &[0]))
         .collect();
@@ -101,8 +102,8 @@
 
 #[test]
 fn hedge_is_sent_sooner_when_the_other_replica_is_idle() {
-    // Two aggregators whose attempt is in flight equally long; one of them has loaded the other
-    // replica.
+    // The first attempt is in flight equally long in both runs. In one of them, further queries
+    // load the other replica before the hedge is due.
     let batches_until_hedge = |other_queries: usize| {
         let mut policy = Harness::new(one_cell(), 2);
         policy.answer_queries(20, 4000.0);
@@ -116,5 +117,8 @@
             .unwrap_or(300)
     };
     let (idle, loaded) = (batches_until_hedge(0), batches_until_hedge(12));
-    assert!(idle < loaded, "{idle} and {loaded}");
+    assert!(
+        idle < loaded,
+        "hedge after {idle} batches with an idle replica, after {loaded} with a loaded one"
+    );
 }
--- a/crates/fanout-policy/tests/policy/idempotency.rs
+++ b/crates/fanout-policy/tests/policy/idempotency.rs
@@ -1,4 +1,4 @@
-//! Parts that may not be executed twice.
+//! Retries of parts whose repeated execution has an effect, with and without an idempotency key.
 
 use crate::common::{
     Harness, class, failed, final_responses, rejected, ring_with_class, ring_without_retries,
@@ -6,7 +6,8 @@
 };
 use fanout_policy::api::{Class, Ms, Outcome, RetrySafety, Settings};
 
-/// A class whose parts may be retried within this time of the first attempt.
+/// Creates a class whose parts have an idempotency key: servers deduplicate repeats until `window`
+/// after the first attempt that may have run.
 fn class_with_idempotency_key(window: Ms) -> Class {
     Class {
         retry_safety: RetrySafety::IdempotencyKey { window },
@@ -14,7 +15,7 @@
     }
 }
 
-/// A class whose parts must not be executed twice.
+/// Creates a class whose parts take effect each time that they are executed.
 fn non_idempotent_class() -> Class {
     Class {
         retry_safety: RetrySafety::NotIdempotent,
@@ -22,7 +23,7 @@
     }
 }
 
-/// The ring with this class alone and without hedging.
+/// Creates the settings of [`ring`] without hedging and with `class` as the only class.
 fn ring_with_class_without_hedging(class: Class) -> Settings {
     Settings {
         hedging: false,
@@ -35,14 +36,18 @@
     let mut policy = Harness::new(ring_with_class(non_idempotent_class()), 1);
     policy.submit("q", &[0]);
     let retry = policy.end_attempt("q.0", 0, Outcome::Overloaded, 5.0);
-    assert_eq!(sent_attempts(&retry).len(), 1, "a rejected part never ran");
+    assert_eq!(
+        sent_attempts(&retry).len(),
+        1,
+        "a part that the server rejected never ran and must be retried"
+    );
     let mut after = policy.end_attempt("q.0", 1, Outcome::ConnectionLost, 5.0);
     after.extend(policy.run_ticks(900));
     assert!(sent_attempts(&after).is_empty());
     assert_eq!(
         final_responses(&after),
         vec![failed("q")],
-        "a failure, not a rejection"
+        "a rejection would tell the client that a retry is safe"
     );
 }
 
@@ -53,11 +58,15 @@
         let mut policy = Harness::new(settings.clone(), 1);
         policy.submit("q", &[0]);
         let actions = policy.end_attempt("q.0", 0, Outcome::Error, wait);
-        assert_eq!(sent_attempts(&actions).len(), expected_retries, "{wait} ms");
+        assert_eq!(
+            sent_attempts(&actions).len(),
+            expected_retries,
+            "retries {wait} ms after the first attempt"
+        );
     }
 }
 
-/// Otherwise the client would wait until its deadline for a part that can no longer be served.
+/// Guards against a client that waits until its deadline for a part that can no longer be served.
 #[test]
 fn query_fails_immediately_when_its_part_may_not_be_retried() {
     for class in [non_idempotent_class(), class_with_idempotency_key(300.0)] {
@@ -70,9 +79,9 @@
 }
 
 #[test]
-fn query_with_idempotency_key_is_rejected_only_within_its_window() {
-    // The only attempt may have run. The window either is long or has ended by the time of the
-    // client's retry.
+fn query_with_idempotency_key_is_rejected_only_if_the_client_retry_is_within_its_window() {
+    // The only attempt may have run. The window of 1000 ms still covers the client's retry, the one
+    // of 250 ms has ended by then.
     let response = |window: Ms| {
         let class = class_with_idempotency_key(window);
         let mut policy = Harness::new(ring_without_retries(class), 1);
@@ -83,6 +92,6 @@
     assert_eq!(
         response(250.0),
         vec![failed("q")],
-        "a retry could take effect twice"
+        "a retry by the client would execute the part a second time"
     );
 }
--- a/crates/fanout-policy/tests/policy/load_reports.rs
+++ b/crates/fanout-policy/tests/policy/load_reports.rs
@@ -1,4 +1,8 @@
-//! Load reports of servers and gossip between aggregators.
+//! Reports of load that this aggregator did not send itself: gossip of other aggregators, and the
+//! load reports that servers put into their answers.
+//!
+//! A gossip message consists of entries of three bytes: two bytes of the server's short name, then
+//! its status, which is outstanding work in steps or 255 for a server that fails.
 
 use crate::common::{
     Harness, SentAttempt, all_ended, endpoint, one_cell, part_id, ring, ring_with_gossip,
@@ -7,8 +11,8 @@
 use fanout_policy::api::{Action, Event, ListUpdate, MAX_GOSSIP_BYTES, Ms, Outcome, Settings};
 use std::collections::BTreeSet;
 
-/// The gossip of another aggregator with work in flight at servers, or with this outcome of its
-/// attempts there.
+/// Returns the gossip bytes that another aggregator publishes after it has sent parts of the
+/// shards: while these are in flight, or, with an `outcome`, after all of them have ended with it.
 fn gossip_of_a_peer(settings: &Settings, shards: &[usize], outcome: Option<Outcome>) -> Vec<u8> {
     let mut peer = Harness::new(settings.clone(), 1);
     let sent = peer.attempts_for("other", shards);
@@ -25,7 +29,7 @@
     message
 }
 
-/// The arrival of gossip.
+/// Creates the event that a gossip message of the aggregator with this index has arrived.
 fn gossip_from(aggregator: usize, bytes: &[u8]) -> Event {
     Event::Gossip {
         from: aggregator,
@@ -33,6 +37,8 @@
     }
 }
 
+/// Guards against parts that are sent to a server that other aggregators have loaded: without
+/// gossip, such a server looks idle.
 #[test]
 fn work_reported_by_a_peer_moves_parts_to_idle_servers() {
     let settings = Settings {
@@ -42,14 +48,19 @@
     let mut policy = Harness::new(settings.clone(), 2);
     let gossip = gossip_of_a_peer(&settings, &[0], None);
     assert!(!gossip.is_empty() && gossip.len() <= MAX_GOSSIP_BYTES && gossip[2] > 0);
-    // The server that the peer has loaded, whichever it is, is avoided here.
+    // The first entry is about a server that the peer has sent work to. A load of 200 steps there
+    // must send all parts of this aggregator to the other server.
     let loaded = gossip_from(1, &[gossip[0], gossip[1], 200]);
     policy.advance(5.0, vec![loaded]);
     let mut nodes = BTreeSet::new();
     for k in 0..6 {
         nodes.extend(servers_of(&policy.submit(&format!("n{k}"), &[0])));
     }
-    assert_eq!(nodes.len(), 1, "all go to the idle server: {nodes:?}");
+    assert_eq!(
+        nodes.len(),
+        1,
+        "all parts must go to the idle server: {nodes:?}"
+    );
 }
 
 #[test]
@@ -64,14 +75,15 @@
     let others = servers_of_queries(&mut policy, "q", 20);
     assert!(
         others.len() < 3,
-        "one of three replicas is avoided: {others:?}"
+        "the unreachable one of three replicas must receive nothing: {others:?}"
     );
+    // The same server name, now with the status of a server that answers and has no work.
     let recovered = [unreachable[0][0], unreachable[0][1], 0];
     policy.advance(5.0, vec![gossip_from(1, &recovered)]);
     let soon = servers_of_queries(&mut policy, "soon", 4);
     assert!(
         soon.len() < 3,
-        "it may be warming up, and the idle ones are faster"
+        "the recovered server is assumed to be slow at first: {soon:?}"
     );
     policy.advance(6000.0, vec![]);
     assert_eq!(servers_of_queries(&mut policy, "later", 60).len(), 3);
@@ -98,7 +110,7 @@
     assert_ne!(
         without_gossip,
         attempts_after(vec![gossip_from(1, &gossip)]),
-        "valid gossip has an effect"
+        "valid gossip of a known aggregator must change the servers that parts are sent to"
     );
 }
 
@@ -125,16 +137,24 @@
         let later = parts_sent_to(&sent.node, &mut policy, 20);
         PartsAfterReport { soon, later }
     };
-    assert_eq!(parts_after_report(30.0).soon, 0, "thirty parts wait there");
+    assert_eq!(
+        parts_after_report(30.0).soon,
+        0,
+        "parts sent to a server that reports thirty waiting requests"
+    );
     assert!(
         parts_after_report(1e300).later > 0,
-        "an absurd report counts for a limited time"
+        "an absurdly large report must expire"
+    );
+    assert!(
+        parts_after_report(f64::NAN).later > 0,
+        "a report that is not a number must not keep parts away"
     );
-    assert!(parts_after_report(f64::NAN).later > 0);
 }
 
-/// A server puts one report into many answers. A repeated report holds nothing new: the load in it
-/// decays with time.
+/// Guards against a server that is avoided for good because of one old report. A server puts the
+/// same report into many answers; the load in it has to decay from its first arrival on, while a
+/// report with a different value starts anew.
 #[test]
 fn repeated_load_report_expires() {
     let parts_sent_to_a = |reported_load: fn(usize) -> f64| {
@@ -159,23 +179,26 @@
     let new = parts_sent_to_a(|query| 9.0 + query as f64 / 1000.0);
     assert!(
         repeated > new + 10,
-        "{repeated} with a repeated report, {new} with new ones"
+        "{repeated} parts with a repeated report, {new} parts with new reports"
     );
 }
 
-/// Submits one-part queries that are all answered and returns the servers that they were sent to.
+/// Submits `count` one-part queries, serves them all, and returns the servers that they were sent
+/// to.
 fn servers_of_queries(policy: &mut Harness, name: &str, count: usize) -> BTreeSet<String> {
     let serve = |k| policy.serve_part(&format!("{name}{k}"), 0, 20.0);
     (0..count).map(serve).collect()
 }
 
-/// Parts that a server receives within moments of its load report, and long after it.
+/// Numbers of parts that a server receives after its load report.
 struct PartsAfterReport {
+    /// Parts of the three queries that follow the report.
     soon: usize,
+    /// Parts of 20 queries that are submitted more than 20 seconds after the report.
     later: usize,
 }
 
-/// Submits one-part queries that are all answered and counts those that were sent to this server.
+/// Submits one-part queries, serves them all, and returns how many were sent to the server `node`.
 fn parts_sent_to(node: &str, policy: &mut Harness, queries: usize) -> usize {
     let serve = |k| policy.serve_part(&format!("n{k}-{}", policy.now), 0, 20.0);
     (0..queries)
@@ -184,7 +207,8 @@
         .count()
 }
 
-/// The end of a first attempt that was served, with the server's load report.
+/// Creates the event that the first attempt for a part was served, with the server's load report:
+/// the number of requests that wait or run there.
 fn served_with_load(part: &str, elapsed: Ms, load: f64) -> Event {
     Event::AttemptEnded {
         part: part_id(part),
--- a/crates/fanout-policy/tests/policy/main.rs
+++ b/crates/fanout-policy/tests/policy/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the policy through its public interface, without the simulator.
+//! Tests of the fan-out policy through its public interface, [`fanout_policy::Aggregator`], with no
+//! simulator and no network.
 
 mod common;
 
--- a/crates/fanout-policy/tests/policy/outlier_detection.rs
+++ b/crates/fanout-policy/tests/policy/outlier_detection.rs
@@ -1,12 +1,14 @@
-//! Ejection of servers that fail or do not answer.
+//! Outlier detection: the ejection of servers that fail or don't answer, and of no others.
 
 use crate::common::{
     Harness, SentAttempt, all_ended, attempt_ended, class, complete_answer, endpoint,
-    final_responses, one_cell, ring, sent_attempts, served, servers_of, sets,
+    final_responses, one_cell, ring, sent_attempts, served, servers_of, two_cells,
 };
 use fanout_policy::api::{Endpoint, Event, ListUpdate, Outcome, Settings};
 use std::collections::{BTreeMap, BTreeSet};
 
+/// Guards against a server that hangs and still receives parts until the first attempt there times
+/// out.
 #[test]
 fn silent_server_is_avoided_before_any_timeout() {
     let mut policy = Harness::new(ring(), 1);
@@ -19,7 +21,7 @@
         let sent = policy.attempts_for(&format!("n{k}"), &[0]);
         assert!(
             sent.iter().all(|attempt| attempt.node != silent),
-            "{silent} has not answered for long"
+            "{silent} has left an attempt unanswered for more than 800 ms: {sent:?}"
         );
         policy.advance(40.0, served(&sent, 0, 40.0));
     }
@@ -31,7 +33,7 @@
     let first = policy.run_traffic(60, &["c1n0"], Outcome::Error)["c1n0"];
     assert!(
         first < 20,
-        "{first} attempts of 60 queries at the failing server"
+        "{first} attempts for 60 queries at the failing server, expected fewer than 20"
     );
     for _ in 0..100 {
         policy.advance(100.0, vec![]);
@@ -39,13 +41,16 @@
     let later = policy.run_traffic(60, &[], Outcome::Served);
     assert!(
         later.get("c1n0").is_some_and(|n| *n > 3),
-        "the recovered server is used again: {later:?}"
+        "the recovered server c1n0 must receive more than 3 attempts: {later:?}"
     );
 }
 
+/// Guards against ejections for a fault of the aggregator itself: while its process is paused, it
+/// receives no answers, and all its attempts time out.
 #[test]
 fn pause_of_the_aggregator_ejects_no_server() {
-    // The same outcomes, received in time or after a pause of the aggregator.
+    // Returns how many of 12 queries use a server whose attempt has timed out. `receive` delivers
+    // the timeouts, either on time or after a pause of the aggregator.
     let attempts_after = |receive: fn(&mut Harness, Vec<Event>)| {
         let mut policy = Harness::new(ring(), 1);
         policy.answer_queries(10, 4000.0);
@@ -60,17 +65,25 @@
     let after_pause = attempts_after(|policy, timeouts| {
         policy.run_batch(policy.now + 900.0, timeouts);
     });
-    assert!(after_pause > 0, "the aggregator paused, not the server");
+    assert!(
+        after_pause > 0,
+        "the server must not be avoided, since the aggregator was paused and not the server"
+    );
     let in_time = attempts_after(|policy, timeouts| {
         policy.advance(900.0, timeouts);
     });
-    assert_eq!(in_time, 0);
+    assert_eq!(
+        in_time, 0,
+        "queries at a server that timed out while the aggregator was running"
+    );
 }
 
+/// Guards against an aggregator that has to try each server of a zone that a network partition has
+/// cut off.
 #[test]
-fn unreachable_zone_is_contacted_at_few_servers_only() {
+fn unreachable_zone_receives_fewer_attempts_when_zones_are_known() {
     // Each shard has two replicas: one in the unreachable zone, one in the other.
-    let attempts_there = |zone_here: Option<usize>, zone_there: Option<usize>| {
+    let unreachable_attempts = |reachable_zone: Option<usize>, unreachable_zone: Option<usize>| {
         let settings = Settings {
             cells: 12,
             replica_cells: 1,
@@ -84,17 +97,17 @@
         };
         let pair = |cell| {
             [
-                in_zone(zone_here, "here", cell),
-                in_zone(zone_there, "there", cell),
+                in_zone(reachable_zone, "here", cell),
+                in_zone(unreachable_zone, "there", cell),
             ]
         };
         policy.update_list(ListUpdate::Snapshot, (0..12).flat_map(pair).collect());
         let mut count = 0;
         for k in 0..12 {
             let sent = policy.attempts_for(&format!("q{k}"), &[k]);
-            let there = sent[0].node.starts_with("there");
-            count += usize::from(there);
-            let outcome = if there {
+            let is_unreachable = sent[0].node.starts_with("there");
+            count += usize::from(is_unreachable);
+            let outcome = if is_unreachable {
                 Outcome::Unreachable
             } else {
                 Outcome::Served
@@ -104,14 +117,16 @@
         }
         count
     };
-    let with_zones = attempts_there(Some(0), Some(1));
-    let without_zones = attempts_there(None, None);
+    let with_zones = unreachable_attempts(Some(0), Some(1));
+    let without_zones = unreachable_attempts(None, None);
     assert!(
         with_zones < without_zones,
-        "{with_zones} and {without_zones}"
+        "{with_zones} attempts at unreachable servers with known zones, {without_zones} without"
     );
 }
 
+/// Guards against a server that is ejected for all classes, or for none, when only parts of one
+/// class fail there.
 #[test]
 fn server_that_fails_one_class_is_avoided_by_that_class_only() {
     let settings = Settings {
@@ -127,8 +142,8 @@
         let sent = policy.attempts_after(5.0, events);
         let is_faulty = sent[0].node == faulty;
         attempts_by_class[k % 2] += usize::from(is_faulty && k > 40);
-        // Half of one class's parts fail there; all others are served, so that it never fails twice
-        // in a row.
+        // At the faulty server half of the first class's parts fail. All other parts are served, so
+        // that the server never fails twice in a row and is not ejected for all classes.
         let outcome = if is_faulty && k % 4 == 0 {
             Outcome::Error
         } else {
@@ -140,10 +155,11 @@
     let [failing, other] = attempts_by_class;
     assert!(
         other > 10 && failing * 2 < other,
-        "{failing} of the failing class, {other} of the other"
+        "parts at {faulty}: {failing} of the class that fails there, {other} of the other"
     );
 }
 
+/// Guards against the ejection of a healthy server that leaves a single part unanswered.
 #[test]
 fn single_lost_part_does_not_eject_its_server() {
     let settings = Settings {
@@ -151,7 +167,7 @@
         ..one_cell()
     };
     let mut policy = Harness::new(settings, 2);
-    // Each of the two servers leaves one part unanswered and answers all others.
+    // Each of the two servers leaves its first part unanswered and serves all others.
     let mut servers_with_lost_part = BTreeSet::new();
     for k in 0..60 {
         let sent = policy.attempts_for(&format!("q{k}"), &[0]);
@@ -162,20 +178,21 @@
     }
 }
 
-/// Servers close single connections at any time. A server that continues to answer is not avoided
-/// for that, and a query with two lost connections is retried.
+/// Guards against healthy servers and queries that count as faulty because of a few lost
+/// connections. Servers close single connections at any time. A server that continues to answer
+/// must not be ejected, and a query that has lost two connections must be retried.
 #[test]
-fn lost_connection_beside_answers_neither_ejects_the_server_nor_ends_the_query() {
+fn lost_connection_among_answers_neither_ejects_the_server_nor_ends_the_query() {
     let settings = Settings {
         hedging: false,
-        ..sets()
+        ..two_cells()
     };
     let mut policy = Harness::new(settings, 1);
     let mut retries_by_server = BTreeMap::new();
     for n in 0..40 {
-        let beside = policy.attempts_for(&format!("b{n}"), &[0, 1, 2, 3]);
+        let answered = policy.attempts_for(&format!("b{n}"), &[0, 1, 2, 3]);
         let lost = policy.attempts_for(&format!("q{n}"), &[0, 1]);
-        let mut events = served(&beside, 0, 10.0);
+        let mut events = served(&answered, 0, 10.0);
         events.extend(all_ended(&lost, 0, Outcome::ConnectionLost, 5.0));
         let actions = policy.advance(5.0, events);
         let expected = complete_answer(&format!("b{n}"));
@@ -183,7 +200,7 @@
             final_responses(&actions)
                 .iter()
                 .all(|response| *response == expected),
-            "{actions:?}"
+            "expected no final response but {expected:?}: {actions:?}"
         );
         let mut retries = sent_attempts(&actions);
         retries.extend(policy.attempts_after(20.0, vec![]));
@@ -195,6 +212,6 @@
     assert_eq!(
         retries_by_server.values().sum::<i32>(),
         80,
-        "{retries_by_server:?}"
+        "both parts of all 40 queries must be retried: {retries_by_server:?}"
     );
 }
--- a/crates/fanout-policy/tests/policy/replica_selection.rs
+++ b/crates/fanout-policy/tests/policy/replica_selection.rs
@@ -1,8 +1,8 @@
-//! Selection of replica rows and servers.
+//! Selection of the replica rows of a query and of the server for each part.
 
 use crate::common::{
     Harness, SentAttempt, attempt_ended, endpoint, final_responses, one_cell, rejected, ring,
-    sent_attempts, servers_of, sets,
+    sent_attempts, servers_of, two_cells,
 };
 use fanout_policy::api::{Endpoint, Event, ListUpdate, Ms, Outcome, ServingState, Settings};
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,33 +22,37 @@
         let cell: usize = node[1..2].parse().unwrap();
         assert!(
             (cell + 6 - shard) % 6 < 3,
-            "{part} went to {node}, which does not hold it"
+            "{part} was sent to {node}, which doesn't hold its shard"
         );
     }
     assert!(
         servers_of(&actions).len() <= 3,
-        "each of three rows of adjacent cells batches its parts into one call"
+        "the parts of each of three rows must share a call to one server: {sent:?}"
     );
 }
 
 #[test]
-fn one_server_receives_all_parts_of_a_cell_in_a_set() {
+fn one_server_receives_all_parts_of_a_cell() {
     let settings = Settings {
         call_cost: 10.0,
-        ..sets()
+        ..two_cells()
     };
     let mut policy = Harness::new(settings, 3);
     let sent = policy.attempts_for("q", &[0, 1, 2, 3, 4, 5]);
     for cell in ["c0", "c1"] {
         let nodes = sent.iter().map(|attempt| &attempt.node);
         let nodes_of_cell: BTreeSet<_> = nodes.filter(|node| node.starts_with(cell)).collect();
-        assert_eq!(nodes_of_cell.len(), 1, "one server of {cell}");
+        assert_eq!(
+            nodes_of_cell.len(),
+            1,
+            "all parts for {cell} must go to one of its servers: {sent:?}"
+        );
     }
 }
 
 #[test]
 fn rows_are_selected_at_random() {
-    let mut policy = Harness::new(sets(), 3);
+    let mut policy = Harness::new(two_cells(), 3);
     let mut nodes = BTreeSet::new();
     for k in 0..30 {
         nodes.insert(policy.serve_part(&format!("q{k}"), 0, 5.0));
@@ -76,12 +80,13 @@
     );
 }
 
-/// Six adjacent shards. The number of servers that they are sent to shows the width: 6 servers mean
-/// one row.
+/// Adjacent shards of a query that makes the fan-out width visible: its parts go to six servers
+/// when the query contacts one replica row, and to fewer servers when it contacts more rows.
 const ADJACENT_SHARDS: [usize; 6] = [0, 1, 2, 3, 4, 5];
 
-/// Submits one-part queries, each of which ends with this outcome, and one every `interval`.
-fn end_queries(policy: &mut Harness, outcome: Outcome, interval: Ms) {
+/// Submits a one-part query every `interval` milliseconds, twelve in all, and ends the attempt of
+/// each with `outcome`.
+fn submit_queries_with_outcome(policy: &mut Harness, outcome: Outcome, interval: Ms) {
     for k in 0..12 {
         let sent = policy.attempts_for(&format!("f{k}"), &[0]);
         let end = attempt_ended(&sent[0].part, 0, outcome, 5.0);
@@ -98,24 +103,30 @@
     };
     let mut overloaded = Harness::new(settings.clone(), 1);
     let wide = servers_of(&overloaded.submit("before", &ADJACENT_SHARDS)).len();
-    end_queries(&mut overloaded, Outcome::Overloaded, 6000.0);
+    submit_queries_with_outcome(&mut overloaded, Outcome::Overloaded, 6000.0);
     overloaded.advance(2000.0, vec![]);
     let narrow = servers_of(&overloaded.submit("after", &ADJACENT_SHARDS)).len();
-    assert!(narrow > wide, "narrow {narrow}, wide {wide}");
+    assert!(
+        narrow > wide,
+        "servers contacted by a query: {narrow} after overload, {wide} before"
+    );
 
     let mut healthy = Harness::new(settings, 1);
-    end_queries(&mut healthy, Outcome::Served, 500.0);
+    submit_queries_with_outcome(&mut healthy, Outcome::Served, 500.0);
     let still_wide = servers_of(&healthy.submit("after", &ADJACENT_SHARDS)).len();
-    assert!(still_wide <= 3, "still wide: {still_wide}");
+    assert!(
+        still_wide <= 3,
+        "{still_wide} servers contacted by a query after answers, expected at most 3"
+    );
 }
 
-/// Traffic across zones has a cost, so that parts leave a replica in another zone sooner. Rows are
-/// still selected at random: a replica in another zone that is not slower keeps its parts.
+/// Traffic across zones has a cost, which counts like a higher latency when replicas are compared.
+/// Rows are selected at random nevertheless: a replica in another zone receives its share of the
+/// parts as long as it is not slower.
 #[test]
 fn same_zone_replica_is_preferred_when_it_is_not_slower() {
     let settings = Settings {
         zone: Some(1),
-
         max_parts_per_call: 1,
         ..one_cell()
     };
@@ -127,9 +138,12 @@
     let endpoints = (0..3).map(in_zone).collect();
     policy.update_list(ListUpdate::Snapshot, endpoints);
     let even = policy.run_traffic(90, &[], Outcome::Served);
-    assert!(even.values().all(|n| *n > 15), "{even:?}");
-    // Other zones are slower, by less than what would move parts away from a replica in the same
-    // zone.
+    assert!(
+        even.values().all(|n| *n > 15),
+        "attempts by server at equal latency: {even:?}"
+    );
+    // Replicas in other zones are now slower, by a difference that would not move parts between two
+    // replicas of the same zone.
     let mut attempts_by_server = BTreeMap::new();
     for n in 0..90 {
         for SentAttempt { part, node, .. } in policy.attempts_for(&format!("u{n}"), &[0]) {
@@ -141,9 +155,14 @@
             );
         }
     }
-    assert!(attempts_by_server["z1"] > 45, "{attempts_by_server:?}");
+    assert!(
+        attempts_by_server["z1"] > 45,
+        "attempts by server when other zones are slower: {attempts_by_server:?}"
+    );
 }
 
+/// Guards against a cost hint that is far too large and makes the forecast exceed the admission
+/// limit.
 #[test]
 fn absurd_cost_hint_does_not_reject_the_query() {
     let mut policy = Harness::new(ring(), 1);
@@ -164,6 +183,7 @@
     assert_eq!(policy.responses_to("q", &[0]), vec![rejected("q")]);
 }
 
+/// Guards against a shard that becomes unavailable because its only replica is ejected.
 #[test]
 fn last_replica_is_used_even_after_errors() {
     let settings = Settings {
@@ -171,7 +191,7 @@
         ..ring()
     };
     let mut policy = Harness::new(settings, 1);
-    // Three attempts, which are enough for an ejection.
+    // The only replica fails three attempts, which is enough for an ejection.
     policy.run_traffic(1, &["c0n0"], Outcome::Error);
     assert_eq!(
         servers_of(&policy.submit("q", &[0])),
@@ -179,6 +199,7 @@
     );
 }
 
+/// Guards against a slow server that keeps receiving parts until several of its answers were slow.
 #[test]
 fn single_very_slow_answer_moves_parts_to_other_replicas() {
     let mut policy = Harness::new(ring(), 1);
--- a/crates/fanout-policy/tests/policy/retries.rs
+++ b/crates/fanout-policy/tests/policy/retries.rs
@@ -1,4 +1,4 @@
-//! Retries: their limits, the retry budget and queries that break servers.
+//! Retries: the maximum number of attempts, the retry budget, and poison queries.
 
 use crate::common::{
     Harness, SentAttempt, all_ended, attempt_ended, final_responses, rejected, ring, sent_attempts,
@@ -39,7 +39,7 @@
     let mut attempts = BTreeMap::<String, u32>::new();
     for k in 0..400 {
         let actions = if k % 4 == 0 {
-            // The query and its part.
+            // The query and its part each count as a request.
             request_times.extend([policy.now + 5.0; 2]);
             policy.submit(&format!("q{k}"), &[k % 6])
         } else {
@@ -63,27 +63,33 @@
             let budget = retry_budget.free_attempts + retry_budget.per_request * requests as f64;
             assert!(
                 retries as f64 <= budget,
-                "{retries} retries, budget for {budget}"
+                "{retries} retries in a window, budget {budget}"
             );
         }
     }
-    assert!(retry_times.len() > 5, "the budget must be used");
+    assert!(
+        retry_times.len() > 5,
+        "expected more than 5 retries within the budget, found {}",
+        retry_times.len()
+    );
 }
 
+/// Guards against a poison query that crashes one server after the other: each retry would crash
+/// one more.
 #[test]
-fn query_that_breaks_connections_is_not_retried() {
+fn poison_query_is_rejected_and_not_retried() {
     let mut policy = Harness::new(ring(), 1);
     let sent = policy.attempts_for("bad", &[0, 1, 2, 3]);
     let lost = all_ended(&sent[..2], 0, Outcome::ConnectionLost, 20.0);
     let first = policy.advance(20.0, lost);
     assert!(
         sent_attempts(&first).is_empty(),
-        "each retry may crash one more server"
+        "no part of a poison query may be retried: {first:?}"
     );
     assert_eq!(
         final_responses(&first),
         vec![rejected("bad")],
-        "it ends immediately"
+        "a poison query must be rejected at once"
     );
     let cancelled = first
         .iter()
@@ -91,7 +97,7 @@
         .count();
     assert_eq!(
         cancelled, 2,
-        "the attempts that are still in flight are cancelled"
+        "both attempts that are still in flight must be cancelled"
     );
 }
 
@@ -104,8 +110,8 @@
     assert_eq!(policy.attempts_after(20.0, events).len(), 2);
 }
 
-/// Three attempts at overloaded servers within six milliseconds failed a query of 18 parts, 17 of
-/// them in flight.
+/// Guards against a part that uses up its attempts at overloaded servers within moments: three
+/// attempts within six milliseconds failed a query of 18 parts while the other 17 were in flight.
 #[test]
 fn part_rejected_by_all_replicas_is_not_retried_immediately() {
     let settings = Settings {
--- a/crates/fanout-policy/tests/policy/robustness.rs
+++ b/crates/fanout-policy/tests/policy/robustness.rs
@@ -1,4 +1,4 @@
-//! Unexpected events, repeatability, and the size of the decision files.
+//! Unexpected events, determinism, and the list and size of the policy files.
 
 use crate::common::{
     Harness, all_ended, attempt_ended, final_responses, part_id, query_id, ring, sent_attempts,
@@ -10,6 +10,7 @@
 #[test]
 fn unexpected_events_are_ignored_and_empty_query_is_ended() {
     let mut policy = Harness::new(ring(), 1);
+    // Events about queries and parts that don't exist, with values that are not finite.
     let stray = vec![
         attempt_ended("nobody", 7, Outcome::Served, f64::NAN),
         Event::ClientDisconnected(query_id("nobody")),
@@ -28,7 +29,7 @@
     assert_eq!(
         final_responses(&last).len(),
         1,
-        "a query without parts is ended too"
+        "a query without parts must get exactly one final response"
     );
 }
 
@@ -53,13 +54,16 @@
     assert_eq!(run(), run());
 }
 
-/// Paths of the policy files, relative to the workspace, as `deploy/balancer.toml` lists them.
+/// Returns the paths of the policy files, relative to the workspace, that `deploy/balancer.toml`
+/// lists.
 fn listed_policy_files() -> Vec<String> {
     let text = include_str!("../../../../deploy/balancer.toml");
     let (_, list) = text
         .split_once("\npolicy = [")
-        .expect("the deployment lists the policy files");
-    let (list, _) = list.split_once(']').expect("the list is closed");
+        .expect("deploy/balancer.toml must have a line that starts with `policy = [`");
+    let (list, _) = list
+        .split_once(']')
+        .expect("the `policy` list of deploy/balancer.toml must end with `]`");
     list.split('"')
         .skip(1)
         .step_by(2)
@@ -67,9 +71,10 @@
         .collect()
 }
 
-/// Longest policy file, in lines: a module with one job is shorter.
+/// Maximum length of a policy file, in lines: a module with one responsibility is shorter.
 const MAX_POLICY_FILE_LINES: usize = 400;
-/// Widest line of a policy file, in columns: the default of rustfmt, for comments as well.
+/// Maximum width of a line of a policy file, in columns: rustfmt's default, here for comments as
+/// well.
 const MAX_POLICY_LINE_COLUMNS: usize = 100;
 
 #[test]
@@ -78,11 +83,14 @@
     for file in listed_policy_files() {
         let text = fs::read_to_string(workspace.join(&file)).unwrap();
         let lines = text.lines().count();
-        assert!(lines <= MAX_POLICY_FILE_LINES, "{file}: {lines} lines");
+        assert!(
+            lines <= MAX_POLICY_FILE_LINES,
+            "{file}: {lines} lines, maximum {MAX_POLICY_FILE_LINES}"
+        );
         for (index, line) in text.lines().enumerate() {
             assert!(
                 line.chars().count() <= MAX_POLICY_LINE_COLUMNS,
-                "{file}: line {} is too wide",
+                "{file}: line {} is wider than {MAX_POLICY_LINE_COLUMNS} columns",
                 index + 1
             );
         }
--- a/crates/fanout-policy/tests/policy/server_views.rs
+++ b/crates/fanout-policy/tests/policy/server_views.rs
@@ -1,13 +1,15 @@
-//! Views of servers, and load reports from others.
+//! The aggregator's views of servers, and load reports of other observers that update them.
 
 use crate::common::{endpoint, list_event, ring};
 use fanout_policy::Aggregator;
 use fanout_policy::api::{ClassIndex, Endpoint, ListUpdate, Ms, NodeId, ServingState, Settings};
 use fanout_policy::view::LoadReport;
 
-/// Time of the endpoint list.
+/// Time at which the endpoint list arrives, in milliseconds.
 const START: Ms = 200.0;
 
+/// Creates the endpoint list entry of the server `s{number}`, in one of two cells and in a zone of
+/// its own.
 fn server(number: usize, state: ServingState, started: Option<Ms>) -> Endpoint {
     Endpoint {
         state,
@@ -17,8 +19,8 @@
     }
 }
 
-/// An aggregator that knows a long-running server, one that is warming up, one that drains and one
-/// removed.
+/// Creates an aggregator whose endpoint list has four servers: one that has long been running, one
+/// that is warming up, one that is draining and one that is removed.
 fn aggregator() -> Aggregator {
     let settings = Settings {
         aggregators: 1,
@@ -43,6 +45,7 @@
     aggregator
 }
 
+/// Creates a report about the server `s{number}` with these numbers of attempts by outcome.
 fn report(number: usize, served: u64, errors: u64, connection_failures: u64) -> LoadReport {
     LoadReport {
         node: NodeId(format!("s{number}").into()),
@@ -70,7 +73,7 @@
     assert_eq!(
         aggregator.server_views(10_100.0)[1].warming_since,
         None,
-        "it has warmed up"
+        "the server has warmed up 10 s after its start"
     );
 }
 
@@ -81,6 +84,7 @@
     let reports = [
         report(0, 0, 500, 0),
         report(1, 500, 1, 0),
+        // A server that the aggregator doesn't know.
         report(9, 0, 5, 0),
     ];
     aggregator.apply_load_reports(1000.0, class, &reports);
@@ -95,5 +99,6 @@
     );
     aggregator.apply_load_reports(9000.0, class, &[report(0, 500, 0, 0)]);
     assert!(aggregator.server_views(9001.0)[0].error_rate < 0.2);
+    // A report for a class that doesn't exist is ignored.
     aggregator.apply_load_reports(9002.0, ClassIndex(7), &[report(0, 1, 1, 1)]);
 }
--- a/crates/fanout-policy/tests/policy/settings.rs
+++ b/crates/fanout-policy/tests/policy/settings.rs
@@ -1,4 +1,5 @@
-//! Decoding of the settings object.
+//! Tests of [`fanout_policy::settings::decode`], which decodes the settings object that the broker
+//! receives as JSON.
 
 mod decoded_values;
 mod fixture;
--- a/crates/fanout-policy/tests/policy/settings/decoded_values.rs
+++ b/crates/fanout-policy/tests/policy/settings/decoded_values.rs
@@ -1,6 +1,6 @@
-//! The values that valid settings are decoded to.
+//! The values that valid settings decode to, defaults included.
 
-use super::fixture::{accept, decode_value, settings, settings_with};
+use super::fixture::{decode_valid, decode_value, settings, settings_with};
 use fanout_policy::api::{EndpointListSource, RetrySafety};
 use serde_json::{Value, json};
 
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn whole_number_is_accepted_up_to_the_largest() {
+fn whole_number_is_accepted_up_to_the_maximum_u64() {
     for (value, expected) in [
         (json!(0), 0),
         (json!(-0.0), 0),
@@ -97,13 +97,13 @@
         (json!(u64::MAX), u64::MAX),
         (json!(9.2e18), 9_200_000_000_000_000_000),
     ] {
-        let site = accept(&settings_with("/Allowed/MaxOpen", value.clone()));
+        let site = decode_valid(&settings_with("/Allowed/MaxOpen", value.clone()));
         assert_eq!(site.max_in_flight, Some(expected), "{value}");
-        let site = accept(&settings_with("/PeersTotal", value));
+        let site = decode_valid(&settings_with("/PeersTotal", value));
         assert_eq!(site.settings.aggregators as u64, expected);
     }
-    // A larger number of attempts keeps its low 32 bits.
-    let site = accept(&settings_with("/Allowed/SendCap", json!((1_u64 << 32) + 1)));
+    // The maximum number of attempts is 32 bits wide: of a larger number the low 32 bits are used.
+    let site = decode_valid(&settings_with("/Allowed/SendCap", json!((1_u64 << 32) + 1)));
     assert_eq!(site.settings.max_attempts, 1);
 }
 
@@ -115,27 +115,27 @@
         (json!(1e300), 1e300),
         (json!(u64::MAX), u64::MAX as f64),
     ] {
-        let site = accept(&settings_with("/Tick", value.clone()));
+        let site = decode_valid(&settings_with("/Tick", value.clone()));
         assert_eq!(site.settings.tick, expected);
-        let site = accept(&settings_with("/Services/0/Aim", value));
+        let site = decode_valid(&settings_with("/Services/0/Aim", value));
         assert_eq!(site.settings.classes[0].latency_objective, expected);
     }
 }
 
 #[test]
-fn name_that_is_not_a_string_is_empty() {
+fn name_that_is_not_a_string_is_decoded_as_empty() {
     for name in [json!(1), json!(true), json!(["x"]), json!({}), Value::Null] {
-        let site = accept(&settings_with("/Services/0/Name", name.clone()));
+        let site = decode_valid(&settings_with("/Services/0/Name", name.clone()));
         assert_eq!(site.class_names, [""]);
-        let site = accept(&settings_with("/Projects/0/Name", name.clone()));
+        let site = decode_valid(&settings_with("/Projects/0/Name", name.clone()));
         assert_eq!(site.tenant_names, [""]);
-        let site = accept(&settings_with("/Zones/0", name));
+        let site = decode_valid(&settings_with("/Zones/0", name));
         assert_eq!(site.zone_names, ["", "far"]);
     }
 }
 
 #[test]
-fn priority_weight_is_by_request_unless_the_settings_say_by_work() {
+fn priority_weight_is_per_request_unless_worth_by_is_work() {
     for value in [
         json!("request"),
         json!(1),
@@ -143,7 +143,7 @@
         json!({"work": null}),
         Value::Null,
     ] {
-        let site = accept(&settings_with("/WorthBy", value));
+        let site = decode_valid(&settings_with("/WorthBy", value));
         assert!(!site.settings.weight_by_work);
     }
 }
--- a/crates/fanout-policy/tests/policy/settings/fixture.rs
+++ b/crates/fanout-policy/tests/policy/settings/fixture.rs
@@ -1,10 +1,11 @@
-//! Settings with all fields, changed ones, and their decoding.
+//! A settings object with all fields, functions that change one field of it, and functions that
+//! decode the result. `pointer` is a JSON pointer to a field, such as `/Rules/Cold`.
 
 use fanout_policy::settings::{SiteSettings, decode};
 use serde_json::{Value, json};
 use wire_fields::FieldError;
 
-/// Settings with one class, one tenant and the optional fields.
+/// Creates valid settings with one class, one tenant and the optional fields.
 pub fn settings() -> Value {
     json!({
         "Allowed": {
@@ -36,7 +37,7 @@
     })
 }
 
-/// The settings with one field replaced, or added where the object does not have it.
+/// Creates the settings with one field replaced, or added if its object doesn't have it.
 pub fn settings_with(pointer: &str, replacement: Value) -> Value {
     let mut value = settings();
     let (object, field) = pointer.rsplit_once('/').unwrap();
@@ -48,7 +49,7 @@
     value
 }
 
-/// The settings without one field.
+/// Creates the settings without one field.
 pub fn settings_without(pointer: &str) -> Value {
     let mut value = settings();
     let (object, field) = pointer.rsplit_once('/').unwrap();
@@ -57,8 +58,8 @@
     value
 }
 
-/// The settings read from a text in which a field of the outer object stands twice, last with this
-/// value.
+/// Creates the settings from a JSON text in which a field of the outermost object occurs twice,
+/// with the value `first` and then with the value `last`.
 pub fn settings_with_duplicate(field: &str, first: &str, last: &str) -> Value {
     let mut fields = settings();
     fields.as_object_mut().unwrap().remove(field).expect(field);
@@ -67,15 +68,18 @@
     serde_json::from_str(&others.replacen('{', &duplicates, 1)).unwrap()
 }
 
+/// Decodes settings. Errors call the outermost object `Env`.
 pub fn decode_value(value: &Value) -> Result<SiteSettings, FieldError> {
     decode("Env", value.as_object().unwrap())
 }
 
-pub fn accept(value: &Value) -> SiteSettings {
+/// Decodes settings that are expected to be valid; panics with the decoder's error otherwise.
+pub fn decode_valid(value: &Value) -> SiteSettings {
     decode_value(value).unwrap_or_else(|error| panic!("{error}"))
 }
 
-/// The error text of the settings with this field replaced.
+/// Returns the error text of the settings with one existing field replaced; panics if they are
+/// valid.
 pub fn error_with(pointer: &str, replacement: Value) -> String {
     let mut value = settings();
     *value.pointer_mut(pointer).expect(pointer) = replacement;
--- a/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
+++ b/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
@@ -1,7 +1,9 @@
-//! Objects with unknown, duplicate, deeply nested or several faulty fields, and the texts of
+//! Objects with unknown, duplicate, deeply nested or several faulty fields, and the texts of the
 //! errors.
 
-use super::fixture::{accept, decode_value, error_with, settings_with, settings_with_duplicate};
+use super::fixture::{
+    decode_valid, decode_value, error_with, settings_with, settings_with_duplicate,
+};
 use serde_json::{Value, json};
 
 #[test]
@@ -36,7 +38,8 @@
     );
 }
 
-/// Of several faults one is reported, whichever it is, with its object and field.
+/// An operator needs the place of a fault to mend it. Where several fields are faulty, the error
+/// may report any one of them, but has to give that field, its object and its problem.
 #[test]
 fn error_among_several_names_one_of_them() {
     let mut value = settings_with("/Tick", json!("x"));
@@ -62,29 +65,29 @@
         "/Services/0/Unknown",
         "/Projects/0/Unknown",
     ] {
-        accept(&settings_with(pointer, json!({"x": [null, 1.5]})));
+        decode_valid(&settings_with(pointer, json!({"x": [null, 1.5]})));
     }
-    accept(&settings_with("/FamilyInfo/ClassNeed", json!([0.9, 0.8])));
+    decode_valid(&settings_with("/FamilyInfo/ClassNeed", json!([0.9, 0.8])));
 }
 
 #[test]
-fn last_of_duplicate_fields_counts() {
+fn last_of_duplicate_fields_is_decoded() {
     let value = settings_with_duplicate("PeersTotal", "\"x\"", "9");
-    assert_eq!(accept(&value).settings.aggregators, 9);
+    assert_eq!(decode_valid(&value).settings.aggregators, 9);
     let value = settings_with_duplicate("PeersTotal", "9", "\"x\"");
     let error = decode_value(&value).unwrap_err().to_string();
     assert_eq!(error, "Env: field PeersTotal is not a whole number");
 }
 
 #[test]
-fn deeply_nested_value_is_ignored_or_refused_without_a_panic() {
+fn deeply_nested_value_is_ignored_or_rejected_without_a_panic() {
     let nested = (0..100).fold(json!(1), |inner, depth| match depth % 2 {
         0 => json!([inner]),
         _ => json!({"x": inner}),
     });
-    accept(&settings_with("/Unknown", nested.clone()));
-    accept(&settings_with("/WorthBy", nested.clone()));
-    accept(&settings_with("/Services/0/Name", nested.clone()));
+    decode_valid(&settings_with("/Unknown", nested.clone()));
+    decode_valid(&settings_with("/WorthBy", nested.clone()));
+    decode_valid(&settings_with("/Services/0/Name", nested.clone()));
     let expected = "Env: field Tick is not a number";
     assert_eq!(error_with("/Tick", nested.clone()), expected);
     let expected = "Clients: field MarksRetry is not true or false";
--- a/crates/fanout-policy/tests/policy/settings/missing_fields.rs
+++ b/crates/fanout-policy/tests/policy/settings/missing_fields.rs
@@ -1,10 +1,10 @@
-//! Fields that are missing or null, and fields that depend on others.
+//! Fields that are absent or null, and fields that are required only together with others.
 
-use super::fixture::{accept, decode_value, error_with, settings_with, settings_without};
+use super::fixture::{decode_valid, decode_value, error_with, settings_with, settings_without};
 use fanout_policy::api::RetrySafety;
 use serde_json::{Value, json};
 
-/// Each required field with the object that errors name.
+/// Each required field, with the object that its error text names.
 const REQUIRED: [(&str, &str); 29] = [
     ("/Allowed", "Env"),
     ("/FamilyInfo", "Env"),
@@ -28,13 +28,13 @@
     ("/Rules/ColdFrom", "Rules"),
     ("/Rules/Fall", "Rules"),
     ("/Rules/FallMultiple", "Rules"),
-    // Required because another field of the retry budget is present.
+    // Required because the settings have another field of the retry budget, `ExtraRatio`.
     ("/Rules/RatioSpan", "Rules"),
     ("/Services/0/Aim", "Services"),
     ("/Services/0/Gain", "Services"),
     ("/Services/0/GiveUp", "Services"),
     ("/Services/0/LateWorth", "Services"),
-    // Required because repeats are deduplicated by a key.
+    // Required because `Semantics` is `by_key`: servers remember the keys for this time.
     ("/Services/0/MemorySpan", "Services"),
     ("/Services/0/Semantics", "Services"),
 ];
@@ -74,39 +74,42 @@
         "/WorthBy",
         "/Zones",
     ] {
-        accept(&settings_without(pointer));
-        accept(&settings_with(pointer, Value::Null));
+        decode_valid(&settings_without(pointer));
+        decode_valid(&settings_with(pointer, Value::Null));
     }
-    let site = accept(&settings_with("/Rules/SpareAttempts", Value::Null));
+    let site = decode_valid(&settings_with("/Rules/SpareAttempts", Value::Null));
     assert_eq!(site.settings.retry_budget.unwrap().free_attempts, 0.0);
 }
 
 #[test]
-fn retry_budget_needs_its_window_and_no_other_field() {
+fn retry_budget_requires_its_window_and_no_other_field() {
     let mut value = settings_without("/Rules/ExtraRatio");
-    let budget = accept(&value).settings.retry_budget.unwrap();
+    let budget = decode_valid(&value).settings.retry_budget.unwrap();
     let fields = (budget.free_attempts, budget.per_request, budget.window);
     assert_eq!(fields, (0.0, 0.0, 500.0));
     value["Rules"]["RatioSpan"] = Value::Null;
-    assert!(accept(&value).settings.retry_budget.is_none());
+    assert!(decode_valid(&value).settings.retry_budget.is_none());
     value["Rules"]["SpareAttempts"] = json!(1);
     let error = decode_value(&value).unwrap_err().to_string();
     assert_eq!(error, "Rules: field RatioSpan is missing");
 }
 
 #[test]
-fn field_that_is_not_needed_is_not_checked() {
+fn field_is_not_checked_where_another_field_makes_it_unused() {
     for (semantics, safety) in [
         ("repeatable", RetrySafety::Idempotent),
         ("once", RetrySafety::NotIdempotent),
     ] {
         let mut value = settings_with("/Services/0/Semantics", json!(semantics));
         value["Services"][0]["MemorySpan"] = json!("x");
-        assert_eq!(accept(&value).settings.classes[0].retry_safety, safety);
+        assert_eq!(
+            decode_valid(&value).settings.classes[0].retry_safety,
+            safety
+        );
     }
     let mut value = settings_with("/Allowed/MaxRetryAfter", json!("x"));
     for flag in [json!(false), Value::Null] {
         value["Allowed"]["RetryAfter"] = flag;
-        assert_eq!(accept(&value).settings.max_retry_after, None);
+        assert_eq!(decode_valid(&value).settings.max_retry_after, None);
     }
 }
--- a/crates/fanout-policy/tests/policy/settings/wrong_types.rs
+++ b/crates/fanout-policy/tests/policy/settings/wrong_types.rs
@@ -1,4 +1,4 @@
-//! Fields of a wrong type.
+//! Fields whose value has the wrong type, is out of range, or is none of the allowed texts.
 
 use super::fixture::{decode_value, settings_with};
 use serde_json::{Value, json};
@@ -53,8 +53,9 @@
     "/FamilyInfo/FetchParts",
 ];
 
-/// Checks that each of the fields with each of the values is refused with this problem.
-fn refuse(pointers: &[&str], problem: &str, values: &[Value]) {
+/// Checks that each of the values makes each of the fields invalid, with an error text that names
+/// the object and the field and ends with `problem`.
+fn assert_rejected(pointers: &[&str], problem: &str, values: &[Value]) {
     for pointer in pointers {
         let (path, field) = pointer.rsplit_once('/').unwrap();
         let object = path.split('/').find(|key| !key.is_empty()).unwrap_or("Env");
@@ -68,7 +69,7 @@
 }
 
 #[test]
-fn scalar_field_of_a_wrong_type_is_refused() {
+fn scalar_field_of_a_wrong_type_is_rejected() {
     let not_whole = [
         json!("3"),
         json!(true),
@@ -80,46 +81,46 @@
         json!(1e19),
         json!(1e300),
     ];
-    refuse(&WHOLE_NUMBERS, "is not a whole number", &not_whole);
+    assert_rejected(&WHOLE_NUMBERS, "is not a whole number", &not_whole);
     let not_numbers = [json!("3"), json!(false), json!([3]), json!({})];
-    refuse(&NUMBERS, "is not a number", &not_numbers);
+    assert_rejected(&NUMBERS, "is not a number", &not_numbers);
     let not_flags = [json!("true"), json!(1), json!([]), json!({})];
-    refuse(&FLAGS, "is not true or false", &not_flags);
+    assert_rejected(&FLAGS, "is not true or false", &not_flags);
     let not_texts = [
         json!(1),
         json!(true),
         json!(["once"]),
         json!({"once": null}),
     ];
-    refuse(&CHOICES, "is not a string", &not_texts);
+    assert_rejected(&CHOICES, "is not a string", &not_texts);
     let unknown = [json!(""), json!("x"), json!("Pushed"), json!("by_key ")];
-    refuse(&CHOICES, "is unknown", &unknown);
+    assert_rejected(&CHOICES, "is unknown", &unknown);
 }
 
 #[test]
-fn object_or_list_of_a_wrong_type_is_refused() {
+fn object_or_list_of_a_wrong_type_is_rejected() {
     let scalars = [json!("x"), json!(1), json!(1.5), json!(true), json!(-1)];
-    refuse(&OBJECTS, "is not an object", &scalars);
-    refuse(&OBJECTS, "is not an object", &[json!([])]);
+    assert_rejected(&OBJECTS, "is not an object", &scalars);
+    assert_rejected(&OBJECTS, "is not an object", &[json!([])]);
     let lists = ["/Zones"]
         .into_iter()
         .chain(LISTS_OF_OBJECTS)
         .chain(LISTS_OF_NUMBERS);
     let lists: Vec<&str> = lists.collect();
-    refuse(&lists, "is not a list", &scalars);
-    refuse(&lists, "is not a list", &[json!({})]);
+    assert_rejected(&lists, "is not a list", &scalars);
+    assert_rejected(&lists, "is not a list", &[json!({})]);
     let without_numbers = [
         json!(["x"]),
         json!([1, null]),
         json!([[1]]),
         json!([1, true]),
     ];
-    refuse(
+    assert_rejected(
         &LISTS_OF_NUMBERS,
         "is not a list of numbers",
         &without_numbers,
     );
     let without_objects = [json!([1]), json!([null]), json!(["x"]), json!([[]])];
     let problem = "holds something that is not an object";
-    refuse(&LISTS_OF_OBJECTS, problem, &without_objects);
+    assert_rejected(&LISTS_OF_OBJECTS, problem, &without_objects);
 }
--- a/crates/fanout-policy/tests/policy/warm_up.rs
+++ b/crates/fanout-policy/tests/policy/warm_up.rs
@@ -1,4 +1,7 @@
-//! Servers that have just started.
+//! Slow start: how much work servers receive after they have started.
+//!
+//! A server that is warming up fails if the aggregators together send it more than the overload
+//! factor times its current capacity for the length of the overload window.
 
 use crate::common::{
     Harness, SentAttempt, attempt_ended, endpoint, one_cell, ring, served, started_endpoint,
@@ -6,10 +9,11 @@
 use fanout_policy::Aggregator;
 use fanout_policy::api::{ListUpdate, Ms, Outcome, Settings};
 
-/// Cost of a part in milliseconds before any has been served: twice the cost of a call.
+/// Cost of a part that the policy assumes before any part has been served, in milliseconds: twice
+/// the cost of a call.
 const INITIAL_PART_COST: f64 = 40.0;
 
-/// Number of parts that were sent to this server.
+/// Returns the number of attempts that were sent to the server `node`.
 fn parts_at(sent: &[SentAttempt], node: &str) -> usize {
     sent.iter().filter(|attempt| attempt.node == node).count()
 }
@@ -19,7 +23,7 @@
     let mut policy = Harness::new(ring(), 1);
     let started = started_endpoint("c1n0", 1, policy.now);
     policy.update_list(ListUpdate::Delta, vec![started]);
-    // Initial capacity of one core, times the overload factor and window, for one of two
+    // The initial capacity, times the overload factor and window, divided by the number of
     // aggregators.
     let allowance = 0.2 * 2.0 * 2000.0 / 2.0;
     let mut work = 0.0;
@@ -28,12 +32,18 @@
         work += parts_at(&sent, "c1n0") as f64 * INITIAL_PART_COST;
         policy.advance(10.0, served(&sent, 0, 40.0));
     }
-    assert!(work > 0.0, "it must be used");
-    assert!(work <= allowance, "{work} of {allowance}");
+    assert!(
+        work > 0.0,
+        "no part was sent to the server that is warming up"
+    );
+    assert!(
+        work <= allowance,
+        "sent {work} ms of work, allowance {allowance} ms"
+    );
 }
 
-/// Number of parts, of ten queries with two parts each, that the only replica receives after
-/// silence of this length.
+/// Lets six attempts at the only replica time out after `silence`, then serves a part, and returns
+/// how many of 20 further parts, of ten queries with two parts each, the replica receives.
 fn parts_sent_after_silence(silence: Ms) -> usize {
     let settings = Settings {
         max_attempts: 1,
@@ -58,27 +68,30 @@
 }
 
 #[test]
-fn long_silence_counts_as_a_restart_and_a_short_one_does_not() {
+fn server_warms_up_again_after_a_long_silence_and_not_after_a_short_one() {
     assert_eq!(
         parts_sent_after_silence(1000.0),
         20,
-        "a pause is no restart"
+        "after a short silence the server must receive all 20 parts"
     );
     let parts = parts_sent_after_silence(3900.0);
     assert!(
         parts < 20,
-        "after a restart the server receives its warm-up allowance: {parts}"
+        "after a long silence it may receive its warm-up allowance only: {parts} of 20 parts"
     );
 }
 
-/// Work that aggregators together send to a server that warms up, in one overload window.
+/// Work that all aggregators together send to a server in the first overload window after its
+/// start, in milliseconds.
 struct WarmUpLoad {
     work: f64,
+    /// Work above which the server fails.
     limit: f64,
 }
 
-/// The load of a server that has just started. Each aggregator submits a query every `interval`,
-/// and has done so for `warm_time` before the server starts.
+/// Measures the load of a server that has just started, beside one that is warm. Each aggregator
+/// submits a query every `interval`, and has done so for `warm_time` before the server starts.
+/// Without such a `warm_time` no query is answered.
 fn warm_up_load(aggregators: usize, interval: Ms, warm_time: Ms) -> WarmUpLoad {
     let settings = Settings {
         aggregators,
@@ -96,7 +109,7 @@
             while policy.now < end {
                 let sent = policy.attempts_for(&format!("q{}", policy.now), &[0]);
                 work += parts_at(&sent, "started") as f64 * INITIAL_PART_COST;
-                // An overloaded server answers nothing.
+                // An overloaded fleet answers nothing.
                 let answers = if warm_time > 0.0 {
                     served(&sent, 0, 40.0)
                 } else {
@@ -111,33 +124,38 @@
         policy.update_list(ListUpdate::Delta, vec![started]);
         submit_for(&mut policy, 1900.0);
     }
-    // Overload factor and window, times the capacity of one core at the end of the window.
+    // The overload factor and window, times the capacity at the end of the window.
     WarmUpLoad {
         work,
         limit: 2.0 * (0.2 + 0.8 * 0.2) * 2000.0,
     }
 }
 
+/// Guards against an overload of a starting server by many aggregators, each of which sends it an
+/// amount of work that would be harmless alone.
 #[test]
 fn many_aggregators_together_stay_below_the_overload_factor() {
     for aggregators in [1, 2, 10, 60, 120] {
-        // All have just started and submit far more than can be served, or all have long submitted
-        // what loads one core.
+        // Either the aggregators have just started and submit far more than the servers can serve,
+        // or they have long submitted what loads one core.
         for (interval, warm_time) in [(100.0, 0.0), (50.0 * aggregators as f64, 20_000.0)] {
             let WarmUpLoad { work, limit } = warm_up_load(aggregators, interval, warm_time);
             assert!(
                 work <= limit,
-                "{aggregators} aggregators sent {work} of {limit}"
+                "{aggregators} aggregators sent {work} ms of work, limit {limit} ms"
+            );
+            assert!(
+                work > 0.0,
+                "{aggregators} aggregators sent nothing to the started server"
             );
-            assert!(work > 0.0, "{aggregators} aggregators send nothing");
         }
     }
 }
 
 #[test]
 fn busiest_aggregator_loads_a_warming_up_server_in_proportion_to_warm_ones() {
-    // One of sixty aggregators has nearly all the traffic: by an equal share it would send one part
-    // in ten seconds.
+    // One of sixty aggregators has nearly all the traffic. With an equal share of the server's
+    // allowance it would send that server one part in ten seconds.
     let settings = Settings {
         aggregators: 60,
         ..one_cell()
@@ -151,25 +169,25 @@
     let PartCounts { started, all } = submit_queries(&mut policy, 2);
     assert!(
         started >= 4,
-        "{started} of {all} parts went to the server that warms up"
+        "{started} of {all} parts went to the server that is warming up, expected at least 4"
     );
-    // The overload factor, 2, times the capacity by then, 0.36, of the parts of one of three warm
-    // servers.
+    // Each of three warm servers receives a third of the parts. The limit is that number times the
+    // overload factor, 2, and the capacity share of the started server after 2 s, 0.36.
     assert!(
         (started as f64) < 2.0 * 0.36 * all as f64 / 3.0,
-        "{started} of {all}"
+        "{started} of {all} parts went to the server that is warming up, more than its limit"
     );
 }
 
-/// Parts sent in a period.
+/// Numbers of parts that were sent in a period.
 struct PartCounts {
-    /// To the server `started`.
+    /// Parts sent to the server `started`.
     started: usize,
-    /// To all servers.
+    /// Parts sent to all servers.
     all: usize,
 }
 
-/// Submits 40 queries a second, which are all answered, and counts their parts.
+/// Submits 40 one-part queries a second, serves them all, and returns the numbers of their parts.
 fn submit_queries(policy: &mut Harness, seconds: usize) -> PartCounts {
     let mut counts = PartCounts { started: 0, all: 0 };
     for k in 0..seconds * 40 {
