--- a/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
+++ b/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
@@ -1,6 +1,6 @@
-//! Which reports eject a server, and for how long.
+//! Ejections by a quorum: which reports of proxies eject a server, and for how long.
 
-use crate::figures::at;
+use crate::parameters::at_micros;
 use broker_types::server::NodeId;
 use broker_types::time::Timestamp;
 use endpoint_control::ProxyName;
@@ -47,7 +47,8 @@
     format!("p{number}").into()
 }
 
-/// Four servers of one cell, two in each zone.
+/// Returns the locations of four servers of one cell, `s0` and `s1` in zone 0, `s2` and `s3` in
+/// zone 1.
 fn locations() -> Vec<ServerLocation> {
     (0..4)
         .map(|number| ServerLocation {
@@ -58,15 +59,17 @@
         .collect()
 }
 
-/// The same report of a server from several proxies.
+/// The same report about one server, sent by several proxies.
 struct SharedReport {
-    /// Number of the proxies, which are numbered from 0.
+    /// How many proxies send the report: those with the numbers from 0.
     proxies: usize,
+    /// Number of the server.
     server: usize,
     report: ServerReport,
 }
 
 impl SharedReport {
+    /// Delivers the report of each proxy to the quorum.
     fn send(&self, quorum: &mut EjectionQuorum, now: Timestamp) {
         for number in 0..self.proxies {
             quorum.on_report(now, &proxy(number), &server(self.server), self.report);
@@ -82,6 +85,7 @@
     }
 }
 
+/// Evaluates the quorum and returns the servers that are ejected.
 fn ejected(quorum: &mut EjectionQuorum, now: Timestamp) -> Vec<NodeId> {
     quorum
         .evaluate(now, &locations(), CONNECTED_PROXIES)
@@ -89,85 +93,94 @@
         .collect()
 }
 
+/// Guards against the ejection of a healthy server because of a fault of one proxy, such as a
+/// network link that is cut.
 #[test]
 fn one_vote_ejects_no_server_unless_it_is_from_the_only_proxy() {
     let mut quorum = EjectionQuorum::new(RULE);
-    quorum.on_report(at(0), &proxy(0), &server(0), FAILING);
+    quorum.on_report(at_micros(0), &proxy(0), &server(0), FAILING);
     for number in 1..4 {
-        quorum.on_report(at(0), &proxy(number), &server(0), HEALTHY);
+        quorum.on_report(at_micros(0), &proxy(number), &server(0), HEALTHY);
     }
-    assert_eq!(ejected(&mut quorum, at(1)), []);
-    quorum.on_report(at(2), &proxy(1), &server(0), FAILING);
-    assert_eq!(ejected(&mut quorum, at(3)), [server(0)]);
+    assert_eq!(ejected(&mut quorum, at_micros(1)), []);
+    quorum.on_report(at_micros(2), &proxy(1), &server(0), FAILING);
+    assert_eq!(ejected(&mut quorum, at_micros(3)), [server(0)]);
     let mut single_report = EjectionQuorum::new(RULE);
-    single_report.on_report(at(0), &proxy(0), &server(0), FAILING);
+    single_report.on_report(at_micros(0), &proxy(0), &server(0), FAILING);
     assert_eq!(
-        ejected(&mut single_report, at(1)),
+        ejected(&mut single_report, at_micros(1)),
         [],
-        "other proxies are connected, though they send nothing to this server"
+        "other proxies are connected, so that one vote is not enough, although they send no reports"
     );
     assert_eq!(
-        single_report.evaluate(at(2), &locations(), 1).len(),
+        single_report.evaluate(at_micros(2), &locations(), 1).len(),
         1,
-        "it is the only proxy"
+        "the vote of the only connected proxy must eject the server"
     );
 }
 
+/// Guards against the overload of the servers that remain in a cell when too many others are
+/// ejected.
 #[test]
 fn ejections_stop_at_the_cap_of_the_cell() {
     let mut quorum = EjectionQuorum::new(RULE);
     for number in 0..4 {
-        report_from(3, number, FAILING).send(&mut quorum, at(0));
+        report_from(3, number, FAILING).send(&mut quorum, at_micros(0));
     }
-    assert_eq!(ejected(&mut quorum, at(1)).len(), 2);
+    assert_eq!(ejected(&mut quorum, at_micros(1)).len(), 2);
 }
 
 #[test]
 fn servers_of_a_partitioned_zone_are_not_ejected_as_unreachable() {
     let mut quorum = EjectionQuorum::new(RULE);
     for number in 0..2 {
-        report_from(3, number, UNREACHABLE).send(&mut quorum, at(0));
+        report_from(3, number, UNREACHABLE).send(&mut quorum, at_micros(0));
     }
     for number in 2..4 {
-        report_from(3, number, HEALTHY).send(&mut quorum, at(0));
+        report_from(3, number, HEALTHY).send(&mut quorum, at_micros(0));
     }
-    assert_eq!(ejected(&mut quorum, at(1)), []);
-    // One unreachable server beside a healthy one of its zone has failed.
-    report_from(3, 1, HEALTHY).send(&mut quorum, at(2));
-    assert_eq!(ejected(&mut quorum, at(3)), [server(0)]);
+    assert_eq!(ejected(&mut quorum, at_micros(1)), []);
+    // An unreachable server in a zone with a healthy server has failed; the zone is not
+    // partitioned.
+    report_from(3, 1, HEALTHY).send(&mut quorum, at_micros(2));
+    assert_eq!(ejected(&mut quorum, at_micros(3)), [server(0)]);
 }
 
 #[test]
 fn repeated_ejections_last_longer_and_outdated_reports_are_dropped() {
     let mut quorum = EjectionQuorum::new(RULE);
     let mut durations_s = Vec::new();
-    let mut now = at(0);
+    let mut now = at_micros(0);
     for _ in 0..4 {
         report_from(2, 0, FAILING).send(&mut quorum, now);
         let ends_at = quorum.evaluate(now, &locations(), CONNECTED_PROXIES)[&server(0)];
         durations_s.push(ends_at.saturating_since(now).as_secs_f64());
         now = ends_at;
-        assert_eq!(ejected(&mut quorum, now), [], "the server is readmitted");
+        assert_eq!(
+            ejected(&mut quorum, now),
+            [],
+            "the server must be readmitted when its ejection ends"
+        );
     }
     assert_eq!(durations_s, [2.0, 4.0, 8.0, 16.0]);
     report_from(2, 1, FAILING).send(&mut quorum, now);
     assert_eq!(ejected(&mut quorum, now + RULE.report_lifetime), []);
 }
 
-/// A report of any content about one of the four servers.
+/// A generated report with arbitrary counts about one of the four servers.
 #[derive(Clone, Debug)]
-struct AnyReport {
+struct ArbitraryReport {
     proxy: usize,
     server: usize,
     report: ServerReport,
-    /// Time since the report before.
+    /// Time since the preceding report.
     delay: Duration,
 }
 
-fn any_report() -> impl Strategy<Value = AnyReport> {
+fn arbitrary_report() -> impl Strategy<Value = ArbitraryReport> {
     let counts = (0u64..20, 0u64..20, 0u64..20);
     (0usize..5, 0usize..4, counts, 0u64..3_000_000).prop_map(
-        |(proxy, server, (succeeded, failed, unanswered), delay)| AnyReport {
+        |(proxy, server, (succeeded, failed, unanswered), delay)| ArbitraryReport {
             proxy,
             server,
             report: ServerReport {
@@ -180,8 +193,8 @@
     )
 }
 
-/// A report without a success about one of the four servers.
-fn false_report() -> impl Strategy<Value = (usize, ServerReport)> {
+/// Generates the number of one of the four servers and a report about it without any success.
+fn report_without_success() -> impl Strategy<Value = (usize, ServerReport)> {
     (0usize..4, 0u64..50, 0u64..50).prop_map(|(server, failed, unanswered)| {
         let report = ServerReport {
             succeeded: 0,
@@ -193,14 +206,16 @@
 }
 
 proptest! {
+    /// Guards against ejections beyond the cap of the cell, whatever is reported, and against the
+    /// ejection of healthy servers by a single proxy that reports falsely.
     #[test]
-    fn any_reports_keep_the_cap_and_one_false_reporter_ejects_nothing(
-        reports in prop::collection::vec(any_report(), 0..80),
-        false_reports in prop::collection::vec(false_report(), 0..20),
+    fn arbitrary_reports_respect_the_cap_and_one_false_reporter_ejects_nothing(
+        reports in prop::collection::vec(arbitrary_report(), 0..80),
+        false_reports in prop::collection::vec(report_without_success(), 0..20),
     ) {
         let mut quorum = EjectionQuorum::new(RULE);
-        let mut now = at(0);
-        for AnyReport { proxy: from, server: about, report, delay } in reports {
+        let mut now = at_micros(0);
+        for ArbitraryReport { proxy: from, server: about, report, delay } in reports {
             now = now + delay;
             quorum.on_report(now, &proxy(from), &server(about), report);
             prop_assert!(ejected(&mut quorum, now).len() <= 2);
@@ -208,12 +223,12 @@
         let mut healthy = EjectionQuorum::new(RULE);
         for about in 0..4 {
             for from in 1..4 {
-                healthy.on_report(at(0), &proxy(from), &server(about), HEALTHY);
+                healthy.on_report(at_micros(0), &proxy(from), &server(about), HEALTHY);
             }
         }
         for (about, report) in false_reports {
-            healthy.on_report(at(1), &proxy(0), &server(about), report);
-            prop_assert_eq!(ejected(&mut healthy, at(2)), []);
+            healthy.on_report(at_micros(1), &proxy(0), &server(about), report);
+            prop_assert_eq!(ejected(&mut healthy, at_micros(2)), []);
         }
     }
 }
--- a/crates/endpoint-control/tests/endpoint_control/leases.rs
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -1,6 +1,6 @@
-//! How long the units of a lease stay reserved.
+//! Leases: how many units are granted, and how long they stay reserved.
 
-use crate::figures::{LEASE_TIMES, at, seconds};
+use crate::parameters::{LEASE_TIMES, at_micros, at_seconds};
 use broker_types::server::NodeId;
 use broker_types::time::Timestamp;
 use endpoint_control::ProxyName;
@@ -14,18 +14,20 @@
     format!("p{number}").into()
 }
 
-/// The units that a proxy requests at the server.
+/// A proxy's request for units at the server.
 #[derive(Clone, Copy)]
-struct Wanted {
+struct GrantRequest {
+    /// Number of the proxy.
     holder: usize,
     units: u32,
+    /// Units that may be granted at the server to all proxies together.
     server_limit: u32,
 }
 
-impl Wanted {
-    /// All units of a server with this limit.
-    fn all(holder: usize, server_limit: u32) -> Self {
-        Wanted {
+impl GrantRequest {
+    /// Creates a request for all units of a server.
+    fn all_units(holder: usize, server_limit: u32) -> Self {
+        GrantRequest {
             holder,
             units: server_limit,
             server_limit,
@@ -33,89 +35,137 @@
     }
 }
 
-/// Requests a lease and returns the granted units.
-fn grant(leases: &mut LeaseTable, now: Timestamp, wanted: Wanted) -> u32 {
-    let request = LeaseRequest {
+/// Requests a lease and returns the units that the proxy may use from now on.
+fn grant(leases: &mut LeaseTable, now: Timestamp, request: GrantRequest) -> u32 {
+    let lease_request = LeaseRequest {
         server: &server(),
-        holder: &proxy(wanted.holder),
-        wanted_units: wanted.units,
-        server_limit: wanted.server_limit,
+        holder: &proxy(request.holder),
+        wanted_units: request.units,
+        server_limit: request.server_limit,
     };
-    leases.grant(now, request)
+    leases.grant(now, lease_request)
 }
 
 #[test]
 fn grants_never_exceed_the_limit_of_the_server() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    let two_units = |holder, server_limit| Wanted {
+    let two_units = |holder, server_limit| GrantRequest {
         holder,
         units: 2,
         server_limit,
     };
     let granted: Vec<u32> = (0..5)
-        .map(|holder| grant(&mut leases, at(0), two_units(holder, 5)))
+        .map(|holder| grant(&mut leases, at_micros(0), two_units(holder, 5)))
         .collect();
     assert_eq!(granted, [2, 2, 1, 0, 0]);
     assert_eq!(leases.reserved_units(&server()), 5);
     assert_eq!(
-        grant(&mut leases, at(0), two_units(2, 6)),
+        grant(&mut leases, at_micros(0), two_units(2, 6)),
         2,
-        "a lease grows with the limit"
+        "the lease of one unit must grow to two once the limit allows it"
     );
 }
 
-/// A proxy that is cut off uses its lease until the end of the time to live, and its last request
-/// lasts longer.
+/// Guards against units that are granted twice. A proxy whose stream is interrupted uses its lease
+/// until the time to live ends, and a request that it sends just before that is in flight for
+/// longer still.
 #[test]
 fn lease_stays_reserved_until_its_holder_cannot_use_it() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    grant(&mut leases, at(0), Wanted::all(0, 3));
-    leases.on_acknowledged(seconds(1), &proxy(0));
+    grant(&mut leases, at_micros(0), GrantRequest::all_units(0, 3));
+    leases.on_acknowledged(at_seconds(1), &proxy(0));
     assert_eq!(
-        grant(&mut leases, seconds(3), Wanted::all(1, 3)),
+        grant(&mut leases, at_seconds(3), GrantRequest::all_units(1, 3)),
         0,
-        "the time to live has just ended"
+        "the time to live has ended, the requests sent before have not"
     );
     assert_eq!(
-        grant(&mut leases, at(6_999_999), Wanted::all(1, 3)),
+        grant(
+            &mut leases,
+            at_micros(6_999_999),
+            GrantRequest::all_units(1, 3)
+        ),
         0,
-        "the last request may be in flight"
+        "the last request may be in flight for one more microsecond"
+    );
+    assert_eq!(
+        grant(&mut leases, at_seconds(7), GrantRequest::all_units(1, 3)),
+        3
+    );
+    leases.on_released(at_seconds(8), &server(), &proxy(1));
+    assert_eq!(
+        grant(
+            &mut leases,
+            at_micros(11_999_999),
+            GrantRequest::all_units(0, 3)
+        ),
+        0
+    );
+    assert_eq!(
+        grant(&mut leases, at_seconds(12), GrantRequest::all_units(0, 3)),
+        3
     );
-    assert_eq!(grant(&mut leases, seconds(7), Wanted::all(1, 3)), 3);
-    leases.on_released(seconds(8), &server(), &proxy(1));
-    assert_eq!(grant(&mut leases, at(11_999_999), Wanted::all(0, 3)), 0);
-    assert_eq!(grant(&mut leases, seconds(12), Wanted::all(0, 3)), 3);
 }
 
-/// A message that is not acknowledged may be read late: until the longest pause of a proxy after
-/// the end of its stream.
+/// Guards against units that are granted again while a proxy may still read an old message about
+/// them. A message that is not acknowledged may be read until the maximum pause of a proxy after
+/// the end of its stream, and only then does the time to live begin.
 #[test]
 fn unacknowledged_lease_stays_reserved_until_its_stream_has_ended() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    grant(&mut leases, at(0), Wanted::all(0, 3));
-    assert_eq!(grant(&mut leases, seconds(1000), Wanted::all(1, 3)), 0);
-    leases.on_stream_ended(seconds(1000), &proxy(0));
-    assert_eq!(grant(&mut leases, at(1_015_999_999), Wanted::all(1, 3)), 0);
-    assert_eq!(grant(&mut leases, seconds(1016), Wanted::all(1, 3)), 3);
+    grant(&mut leases, at_micros(0), GrantRequest::all_units(0, 3));
+    assert_eq!(
+        grant(&mut leases, at_seconds(1000), GrantRequest::all_units(1, 3)),
+        0
+    );
+    leases.on_stream_ended(at_seconds(1000), &proxy(0));
+    assert_eq!(
+        grant(
+            &mut leases,
+            at_micros(1_015_999_999),
+            GrantRequest::all_units(1, 3)
+        ),
+        0
+    );
+    assert_eq!(
+        grant(&mut leases, at_seconds(1016), GrantRequest::all_units(1, 3)),
+        3
+    );
 }
 
 #[test]
 fn renewed_lease_continues_and_draining_lease_is_not_renewed() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
     for second in 0..10 {
-        assert_eq!(grant(&mut leases, seconds(second), Wanted::all(0, 1)), 1);
-        leases.on_acknowledged(seconds(second), &proxy(0));
+        assert_eq!(
+            grant(
+                &mut leases,
+                at_seconds(second),
+                GrantRequest::all_units(0, 1)
+            ),
+            1
+        );
+        leases.on_acknowledged(at_seconds(second), &proxy(0));
     }
-    leases.on_released(seconds(10), &server(), &proxy(0));
-    assert_eq!(grant(&mut leases, seconds(11), Wanted::all(0, 1)), 0);
+    leases.on_released(at_seconds(10), &server(), &proxy(0));
+    assert_eq!(
+        grant(&mut leases, at_seconds(11), GrantRequest::all_units(0, 1)),
+        0
+    );
 }
 
 #[test]
 fn units_of_a_removed_server_are_free_again() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
-    grant(&mut leases, at(0), Wanted::all(0, 3));
-    assert_eq!(grant(&mut leases, at(0), Wanted::all(1, 3)), 0);
+    grant(&mut leases, at_micros(0), GrantRequest::all_units(0, 3));
+    assert_eq!(
+        grant(&mut leases, at_micros(0), GrantRequest::all_units(1, 3)),
+        0
+    );
     leases.remove_server(&server());
     assert_eq!(leases.reserved_units(&server()), 0);
-    assert_eq!(grant(&mut leases, at(0), Wanted::all(1, 3)), 3);
+    assert_eq!(
+        grant(&mut leases, at_micros(0), GrantRequest::all_units(1, 3)),
+        3
+    );
 }
--- a/crates/endpoint-control/tests/endpoint_control/figures.rs
+++ b/crates/endpoint-control/tests/endpoint_control/parameters.rs
@@ -1,11 +1,12 @@
-//! The figures of the deployment that the tests use.
+//! Parameters of the deployment that the tests use, and builders of timestamps.
 
 use broker_types::time::Timestamp;
 use endpoint_control::leases::LeaseTimes;
 use endpoint_control::slow_start::SlowStartRule;
 use std::time::Duration;
 
-/// Two cores, parts of 90 ms and calls of 36 ms, and the public figures of overload.
+/// Servers with two cores, requests of one part (90 ms of work) and its call (36 ms of work), and
+/// the published parameters of overload.
 pub(crate) const SLOW_START_RULE: SlowStartRule = SlowStartRule {
     initial_share: 0.18,
     warm_up_duration: Duration::from_secs(16),
@@ -21,12 +22,12 @@
     max_pause: Duration::from_secs(10),
 };
 
-/// The time so many microseconds after the origin.
-pub(crate) const fn at(micros: u64) -> Timestamp {
+/// Returns the time `micros` microseconds after the origin.
+pub(crate) const fn at_micros(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
 
-/// The time so many seconds after the origin.
-pub(crate) const fn seconds(number: u64) -> Timestamp {
-    at(number * 1_000_000)
+/// Returns the time `number` seconds after the origin.
+pub(crate) const fn at_seconds(number: u64) -> Timestamp {
+    at_micros(number * 1_000_000)
 }
--- a/crates/endpoint-control/tests/endpoint_control/slow_start.rs
+++ b/crates/endpoint-control/tests/endpoint_control/slow_start.rs
@@ -1,6 +1,7 @@
-//! The limit of requests in flight at a server that is warming up.
+//! Slow start: the limit of requests in flight at a server that is warming up, and its division
+//! among control instances.
 
-use crate::figures::SLOW_START_RULE;
+use crate::parameters::SLOW_START_RULE;
 use endpoint_control::slow_start::ControlInstance;
 use proptest::prelude::*;
 use std::time::Duration;
@@ -16,13 +17,15 @@
 
 /// A request that was sent to the server.
 struct SentRequest {
-    /// Age of the server.
-    at: Duration,
+    /// Age of the server when the request was sent.
+    server_age: Duration,
+    /// Work of the request in microseconds.
     work: f64,
 }
 
-/// Clients that always have as many requests in flight as the limit allows, which is the worst
-/// case, and a server that does as much as its present capacity allows.
+/// Simulates a server during its warm-up and returns the requests that were sent to it. The clients
+/// always have as many requests in flight as the limit allows, which is the worst case. The server
+/// completes as much work as its current capacity allows.
 fn requests_of_saturating_clients() -> Vec<SentRequest> {
     const STEP: Duration = Duration::from_millis(1);
     let rule = SLOW_START_RULE;
@@ -33,7 +36,7 @@
     while now < rule.warm_up_duration {
         while in_flight < rule.max_in_flight(now) {
             requests.push(SentRequest {
-                at: now,
+                server_age: now,
                 work: rule.request_work,
             });
             in_flight += 1;
@@ -53,26 +56,33 @@
     let rule = SLOW_START_RULE;
     let requests = requests_of_saturating_clients();
     for first in &requests {
-        let window_end = first.at + rule.overload_window;
+        let window_end = first.server_age + rule.overload_window;
         let sent_work: f64 = requests
             .iter()
-            .filter(|request| request.at >= first.at && request.at < window_end)
+            .filter(|request| {
+                request.server_age >= first.server_age && request.server_age < window_end
+            })
             .map(|request| request.work)
             .sum();
-        let capacity = rule.capacity * rule.capacity_share(first.at);
+        let capacity = rule.capacity * rule.capacity_share(first.server_age);
         let max_work = rule.overload_multiple * capacity * rule.overload_window.as_secs_f64();
         assert!(
             sent_work <= max_work,
-            "{sent_work} of {max_work} from {:?}",
-            first.at
+            "{sent_work} of at most {max_work} us of work in the window from age {:?}",
+            first.server_age
         );
     }
-    assert!(requests.len() > 100);
+    assert!(
+        requests.len() > 100,
+        "only {} requests were sent",
+        requests.len()
+    );
 }
 
-/// A limit of one request goes to the instance whose number and the hash of the server's name add
-/// up to the number of instances. Control instances of different builds divide a limit only if
-/// their hashes agree.
+/// Guards against a change of the hash of server names. Control instances divide a limit without
+/// communication, so that the shares of instances of different builds add up to the limit only if
+/// their hashes agree. A limit of one request goes to the instance whose number and the hash of the
+/// server's name add up to the number of instances, which shows the hash.
 #[test]
 fn remainder_of_the_limit_goes_by_the_fnv1a_hash_of_the_server_name() {
     const COUNT: u32 = u32::MAX;
--- a/crates/endpoint-control/tests/lease_model/main.rs
+++ b/crates/endpoint-control/tests/lease_model/main.rs
@@ -1,15 +1,16 @@
-//! A model of two proxies and one server that is warming up, checked for all orders of events:
-//! messages that are read late, streams that end, and proxies that connect again. The requests that
-//! the proxies together may have in flight never exceed the limit of the server.
+//! A model of one control instance, two proxies and one server that is warming up. The model
+//! checker goes through all orders of events: messages that are read late, streams that end, and
+//! proxies that connect again. In each of them the requests that the proxies together may have in
+//! flight must stay within the limit of the server.
 
-mod figures;
 mod model;
+mod parameters;
 mod proxy;
 
 use model::{LIMIT_IS_KEPT, LeaseModel};
 use stateright::{Checker, Model};
 
-/// Goes through all states of the model.
+/// Explores all states of the model.
 fn check(model: LeaseModel) -> impl Checker<LeaseModel> {
     model.checker().threads(2).spawn_bfs().join()
 }
@@ -22,11 +23,15 @@
     checker.assert_properties();
     let states = checker.unique_state_count();
     eprintln!("{states} states");
-    assert!(states > 10_000, "{states} states");
+    assert!(
+        states > 10_000,
+        "the model has only {states} states, so that the check explores too little"
+    );
 }
 
-/// The check finds the fault that it is made for: a time to live that is counted from when the
-/// message was sent.
+/// Guards against a check that finds nothing. In this model the control instance counts the time to
+/// live from when a message was sent, which frees units that a late reader still uses; the check
+/// must find a state with too many requests in flight.
 #[test]
 fn time_to_live_counted_from_sending_breaks_the_limit() {
     let checker = check(LeaseModel {
--- a/crates/endpoint-control/tests/lease_model/model.rs
+++ b/crates/endpoint-control/tests/lease_model/model.rs
@@ -1,6 +1,6 @@
 //! The states of the model and the events between them.
 
-use crate::figures::{LAST_STEP, PROXIES, SERVER_LIMIT, STEP, TIMES};
+use crate::parameters::{LAST_STEP, PROXIES, SERVER_LIMIT, STEP, TIMES};
 use crate::proxy::{ProxyState, SentMessage};
 use broker_types::server::NodeId;
 use broker_types::time::Timestamp;
@@ -8,10 +8,11 @@
 use endpoint_control::leases::{LeaseRequest, LeaseTable};
 use stateright::{Model, Property};
 
-pub(crate) const LIMIT_IS_KEPT: &str = "no more is in flight than the limit";
-const LIMIT_IS_USED: &str = "the whole limit is used";
-const LEASE_MOVES: &str = "a lease moves to the other proxy";
+pub(crate) const LIMIT_IS_KEPT: &str = "requests in flight never exceed the server limit";
+const LIMIT_IS_USED: &str = "the whole server limit is used";
+const LEASE_MOVES: &str = "the whole server limit moves from one proxy to the other";
 
+/// A state of the model: the time, the leases of the control instance, and the proxies.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct State {
     now: Timestamp,
@@ -19,18 +20,18 @@
     proxies: Vec<ProxyState>,
 }
 
-/// What can happen next. Proxies are given by number.
+/// An event of the model. Proxies are given by number.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Action {
-    /// Time passes.
+    /// Time advances by one step.
     Step,
     /// The control instance grants or renews a lease.
     Grant(usize),
-    /// The control instance takes a lease back.
+    /// The control instance sends the message that revokes a lease.
     Revoke(usize),
-    /// The proxy reads a message.
+    /// The proxy reads the next message.
     Read(usize),
-    /// The proxy's acknowledgement arrives.
+    /// The proxy's acknowledgement arrives at the control instance.
     Acknowledge(usize),
     /// The proxy's stream ends.
     Disconnect(usize),
@@ -40,7 +41,8 @@
 
 /// The control instance, two proxies and one server that is warming up.
 pub(crate) struct LeaseModel {
-    /// A fault that the check has to find: leases count as acknowledged once they are sent.
+    /// Whether the control instance has a fault that the check must find: it treats a lease as
+    /// acknowledged as soon as the lease is sent.
     pub(crate) acknowledges_when_sent: bool,
 }
 
@@ -53,7 +55,7 @@
 }
 
 impl LeaseModel {
-    /// Grants or renews a lease; false if no units are granted.
+    /// Grants or renews a lease and sends it to the proxy. Returns false if no units are granted.
     fn grant(&self, state: &mut State, number: usize) -> bool {
         let holder = proxy_name(number);
         let request = LeaseRequest {
@@ -102,12 +104,13 @@
         proxy.unacknowledged = Some(SentMessage::Release);
     }
 
-    /// Requests that all proxies together may have in flight.
+    /// Returns the number of requests that all proxies together may have in flight.
     fn max_in_flight(&self) -> u32 {
         let limits = self.proxies.iter().map(|p| p.max_in_flight(self.now));
         limits.sum()
     }
 
+    /// Returns whether the proxies use the whole limit, either half each or the first proxy alone.
     fn whole_limit_is_used(&self) -> bool {
         let used = |number: usize| self.proxies[number].max_in_flight(self.now);
         (0..PROXIES).all(|number| used(number) == SERVER_LIMIT / 2) || used(0) == SERVER_LIMIT
--- a/crates/endpoint-control/tests/lease_model/proxy.rs
+++ b/crates/endpoint-control/tests/lease_model/proxy.rs
@@ -1,20 +1,24 @@
-//! A proxy of the model: the limits that it reads, and the requests that it may have in flight.
+//! A proxy of the model: the limits that it reads, and the requests that it may have in flight
+//! under them.
 
-use crate::figures::{SERVER_LIMIT, TIMES};
+use crate::parameters::{SERVER_LIMIT, TIMES};
 use broker_types::time::Timestamp;
 use std::collections::VecDeque;
 
 /// A message of the control instance that the proxy has not acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum SentMessage {
+    /// Grants or renews a lease.
     Lease,
+    /// Revokes a lease.
     Release,
 }
 
-/// Requests under an earlier limit that may still be in flight.
+/// Requests that were sent under an earlier limit and may still be in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct RemainingRequests {
     units: u32,
+    /// When the last of the requests has ended.
     until: Timestamp,
 }
 
@@ -22,24 +26,26 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ProxyState {
     pub(crate) connected: bool,
-    /// Limits that were sent to the proxy and not read, in order.
+    /// Limits that were sent to the proxy and not yet read, in order of sending.
     pub(crate) unread_limits: VecDeque<u32>,
-    /// When its last stream ended. It reads what was sent before within the longest pause, or
-    /// never.
+    /// When the last stream ended; `None` while a stream is open. The proxy can read what was sent
+    /// before that for the maximum pause of a proxy; after that, it never reads it.
     stream_ended_at: Option<Timestamp>,
-    /// The limit that it uses.
+    /// The limit that the proxy uses now.
     pub(crate) limit: u32,
-    /// Until when it uses the limit.
+    /// When the time to live of the limit ends.
     limit_until: Timestamp,
     remaining_requests: Vec<RemainingRequests>,
-    /// Whether an acknowledgement is on its way to the control instance.
+    /// Whether an acknowledgement has been sent to the control instance and has not arrived.
     pub(crate) acknowledgement_sent: bool,
+    /// The last message that the proxy has not acknowledged.
     pub(crate) unacknowledged: Option<SentMessage>,
-    /// Whether it ever held the whole limit.
+    /// Whether the proxy ever held the whole limit of the server.
     pub(crate) held_whole_limit: bool,
 }
 
 impl ProxyState {
+    /// Creates a proxy that is connected and holds no lease.
     pub(crate) fn connected() -> Self {
         ProxyState {
             connected: true,
@@ -54,15 +60,15 @@
         }
     }
 
-    /// The largest number of requests that it may have in flight at this moment.
+    /// Returns the maximum number of requests that the proxy may have in flight now.
     pub(crate) fn max_in_flight(&self, now: Timestamp) -> u32 {
         let current = if now < self.limit_until {
             self.limit
         } else {
             0
         };
-        // One limit holds for all requests in flight: a larger earlier one is not added to the
-        // current one.
+        // The limit applies to all requests in flight, those under earlier limits included. So the
+        // maximum is the largest of the limits and not their sum.
         self.remaining_requests
             .iter()
             .filter(|remaining| now < remaining.until)
@@ -72,12 +78,14 @@
             .max(current)
     }
 
+    /// Returns whether the proxy can read a message now.
     pub(crate) fn can_read(&self, now: Timestamp) -> bool {
         let is_readable = |ended_at: Timestamp| now <= ended_at + TIMES.max_pause;
         !self.unread_limits.is_empty() && self.stream_ended_at.is_none_or(is_readable)
     }
 
-    /// Reads the next limit and uses it in place of its current one.
+    /// Reads the next limit, uses it in place of the current one, and sends an acknowledgement if
+    /// the stream is still open.
     pub(crate) fn read(&mut self, now: Timestamp) {
         let Some(limit) = self.unread_limits.pop_front() else {
             return;
@@ -87,7 +95,7 @@
         }
         self.remaining_requests
             .retain(|remaining| now < remaining.until);
-        // States that differ only in the order of equal remaining requests are one state.
+        // Makes states equal that differ only in the order or repetition of remaining requests.
         self.remaining_requests.sort_unstable();
         self.remaining_requests.dedup();
         self.limit = limit;
@@ -102,6 +110,7 @@
         }
     }
 
+    /// Records that requests under the current limit may have been sent until `stopped_at`.
     fn stop_using_limit(&mut self, stopped_at: Timestamp) {
         self.remaining_requests.push(RemainingRequests {
             units: self.limit,
@@ -109,6 +118,7 @@
         });
     }
 
+    /// Ends what has expired by the time `now`: the limit, remaining requests and unread messages.
     pub(crate) fn on_step(&mut self, now: Timestamp) {
         if self.limit > 0 && self.limit_until <= now {
             self.stop_using_limit(self.limit_until);
@@ -119,11 +129,13 @@
         let is_lost = |ended_at: Timestamp| now > ended_at + TIMES.max_pause;
         if self.stream_ended_at.is_some_and(is_lost) {
             self.unread_limits.clear();
-            // When it ended no longer matters: such states are one state.
+            // The time at which the stream ended no longer matters. One fixed value makes states
+            // equal that differ only in it.
             self.stream_ended_at = Some(Timestamp::ORIGIN);
         }
     }
 
+    /// Ends the stream. Messages that were not read stay readable for the maximum pause.
     pub(crate) fn disconnect(&mut self, now: Timestamp) {
         self.connected = false;
         self.stream_ended_at = Some(now);
@@ -131,7 +143,7 @@
         self.unacknowledged = None;
     }
 
-    /// Begins a new stream; what was not read from the last one is dropped with it.
+    /// Begins a new stream and drops the messages that were not read from the last one.
     pub(crate) fn connect(&mut self) {
         self.connected = true;
         self.stream_ended_at = None;
