--- a/crates/fanout-policy/tests/policy/endpoint_list.rs
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -81,9 +81,9 @@
         policy.run_traffic(1, &[], Outcome::Served);
     }
     assert!(
-        policy.aggregator.servers_known() < 15,
-        "{} servers are known after 102 were listed, two at a time",
-        policy.aggregator.servers_known()
+        policy.aggregator.server_record_count() < 15,
+        "{} servers have a record after 102 were listed, two at a time",
+        policy.aggregator.server_record_count()
     );
     // Servers with attempts in flight are kept, so that the late ends of these attempts are
     // attributed to the right server.
