--- a/crates/platform-config/src/environment.rs
+++ b/crates/platform-config/src/environment.rs
@@ -1,15 +1,16 @@
-//! The environment variables of the program.
+//! Environment variables that locate the configuration file or override its fields.
 
-/// Path of the configuration file, by which errors call the file.
+/// Holds the path of the configuration file. Error messages refer to the file by this name.
 pub(crate) const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Overrides the broker's name.
+/// Overrides the field `name`, the broker's name.
 pub(crate) const NAME_VARIABLE: &str = "RELAY_NAME";
-/// Overrides the address where clients connect.
+/// Overrides the field `listen`, the address on which the broker accepts client connections.
 pub(crate) const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
-/// Overrides the address of discovery.
+/// Overrides the field `discovery`, the address of the discovery service.
 pub(crate) const DISCOVERY_VARIABLE: &str = "RELAY_DISCOVERY";
 
-/// A variable of the program's environment; an empty one counts as not set.
+/// Returns the value of an environment variable of this process, or `None` if it is not set, empty
+/// or not valid Unicode.
 #[must_use]
 pub fn environment(variable: &str) -> Option<String> {
     std::env::var(variable)
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -1,12 +1,12 @@
 //! The platform's configuration: environment variables and a JSON file, checked and completed with
 //! defaults.
 //!
-//! The file's path is in the environment variable `RELAY_CONFIG`. Its name, listen address and
-//! discovery address can be overridden by `RELAY_NAME`, `RELAY_LISTEN` and `RELAY_DISCOVERY`.
+//! The environment variable `RELAY_CONFIG` holds the file's path. `RELAY_NAME`, `RELAY_LISTEN` and
+//! `RELAY_DISCOVERY` override the broker's name, its listen address and the address of discovery.
 //!
-//! [`load`] gives the [`Config`] of the program at its start, [`reload`] that on SIGHUP, and
-//! [`from_json`] checks one that is already in memory. A [`ConfigError`] is one line that names the
-//! faulty key:
+//! [`load`] returns the [`Config`] when the program starts, [`reload`] returns it on SIGHUP, and
+//! [`from_json`] checks a configuration that is already in memory. The text of a [`ConfigError`]
+//! is one line that names the invalid field:
 //!
 //! ```
 //! let file = serde_json::json!({
@@ -40,31 +40,31 @@
 use std::net::SocketAddr;
 use wire::PlatformFile;
 
-/// Most queries and parts in flight where the settings name no limit.
+/// Maximum number of queries and parts in flight, counted together, if the settings have no limit.
 const DEFAULT_MAX_IN_FLIGHT: u64 = 256;
 
-/// The whole configuration of the program, checked.
+/// The platform's configuration, checked and completed with defaults.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// Name of the broker.
     pub name: String,
-    /// Address where clients connect.
+    /// Address on which the broker accepts client connections.
     pub listen: SocketAddr,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
     /// Seed of the random number generator.
     pub seed: u64,
     /// Settings of the policy.
     pub settings: Settings,
-    /// Names that requests use.
+    /// Names by which requests and endpoint lists refer to classes, tenants and zones.
     pub names: Names,
-    /// The endpoint list that was last received.
+    /// Endpoint list that the broker uses until discovery sends one.
     pub cached_endpoints: EndpointList,
-    /// Largest number of queries and parts in flight.
+    /// Maximum number of queries and parts in flight, counted together.
     pub max_in_flight: usize,
     /// Resources that client connections may use.
     pub clients: ClientResources,
-    /// Limits of connections to data servers.
+    /// Limits on connections to data servers.
     pub pool: PoolLimits,
 }
 
@@ -72,8 +72,8 @@
 ///
 /// # Errors
 ///
-/// The path of the file is not set, or the file cannot be read, is not JSON or does not pass the
-/// checks.
+/// Returns a [`ConfigError`] if `RELAY_CONFIG` is not set, if the file cannot be read or is not
+/// JSON, or for the reasons of [`from_json`].
 pub fn load(environment: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     let path = environment(CONFIG_VARIABLE).ok_or(ConfigError::NotSet)?;
     let text = match std::fs::read(&path) {
@@ -86,12 +86,15 @@
     }
 }
 
-/// Loads the configuration again on SIGHUP. The file was written later than the environment, so
-/// that its address of discovery is not overridden.
+/// Loads the configuration again on SIGHUP.
+///
+/// `RELAY_DISCOVERY` is ignored, so that the address of discovery always comes from the file. A
+/// running process keeps the environment that it was started with, whereas the file may have been
+/// written since: the file's address is the newer one.
 ///
 /// # Errors
 ///
-/// The same as those of [`load`].
+/// Returns a [`ConfigError`] for the same reasons as [`load`].
 pub fn reload(environment: impl Fn(&str) -> Option<String>) -> Result<Config, ConfigError> {
     load(|variable| {
         if variable == DISCOVERY_VARIABLE {
@@ -102,11 +105,13 @@
     })
 }
 
-/// Checks a configuration. Environment variables override fields of the file.
+/// Builds a configuration from `value`, the JSON of a configuration file, and checks it. The
+/// variables that `environment` returns override fields of the file.
 ///
 /// # Errors
 ///
-/// One of the fields that are missing, have a wrong type or do not pass their checks.
+/// Returns a [`ConfigError`] for the first field found that is missing, has a wrong type or fails a
+/// check.
 pub fn from_json(
     value: &Value,
     environment: impl Fn(&str) -> Option<String>,
--- a/crates/platform-config/src/overridable.rs
+++ b/crates/platform-config/src/overridable.rs
@@ -1,12 +1,12 @@
-//! Fields of the configuration file that environment variables override.
+//! Fields of the configuration file that environment variables can override.
 
 use crate::ConfigError;
 use crate::environment::CONFIG_VARIABLE;
 use std::net::SocketAddr;
 use wire_fields::Deferred;
 
-/// A string from an environment variable, or from a field of the file where the variable is not
-/// set. The field is checked only then.
+/// A string that comes from an environment variable or, if the variable is not set, from a field of
+/// the file. If the variable is set, the field may be missing or have a wrong type.
 pub(crate) struct OverridableText {
     variable: &'static str,
     field: &'static str,
@@ -14,7 +14,8 @@
 }
 
 impl OverridableText {
-    /// A field that a variable overrides.
+    /// Creates the string from `text`, the content of the file's field `field`, which the
+    /// environment variable `variable` overrides.
     pub(crate) fn new(variable: &'static str, field: &'static str, text: Deferred<String>) -> Self {
         OverridableText {
             variable,
@@ -23,7 +24,11 @@
         }
     }
 
-    /// The string.
+    /// Returns the string.
+    ///
+    /// # Errors
+    ///
+    /// The variable is not set, and the field is missing or not a string.
     pub(crate) fn text(
         self,
         environment: impl Fn(&str) -> Option<String>,
@@ -34,7 +39,11 @@
         }
     }
 
-    /// The string as a socket address.
+    /// Returns the string parsed as a socket address.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`OverridableText::text`], and [`ConfigError::InvalidAddress`].
     pub(crate) fn address(
         self,
         environment: impl Fn(&str) -> Option<String>,
--- a/crates/platform-config/src/resources.rs
+++ b/crates/platform-config/src/resources.rs
@@ -1,4 +1,5 @@
-//! Divides the platform's limits on descriptors and memory between clients and data servers.
+//! Divides the platform's limits on file descriptors and memory between client connections and
+//! connections to data servers.
 
 use crate::ConfigError;
 use admission::resource_limits::ClientResources;
@@ -6,51 +7,62 @@
 use broker_types::time::millis;
 use fanout_policy::settings::SiteSettings;
 
-/// Most descriptors that are used, and those that are assumed where the configuration names no
-/// limit.
+/// Maximum number of descriptors that the broker uses, even if the configuration allows more. Also
+/// the limit if the configuration has none.
 pub(crate) const MAX_DESCRIPTORS: u64 = 1024;
-/// Least limit on descriptors to serve with.
+/// Minimum of the limit on descriptors.
 const MIN_DESCRIPTORS: u64 = 64;
-/// Most descriptors that are neither a client's nor a data server's connection: listener,
-/// discovery, the event queue, signals, standard streams, and connections that are being rejected.
+/// Descriptors reserved for everything that is neither a client connection nor a connection to a
+/// data server: the listener, discovery, the event queue, signals, standard streams, and
+/// connections that are being rejected.
 const RESERVED_DESCRIPTORS: u64 = 32;
 
-/// Bytes of a mebibyte, the unit of the memory limit.
+/// Bytes in a mebibyte, the unit of the memory limit.
 const MEBIBYTE: u64 = 1 << 20;
-/// Client connections may fill this fraction of the memory limit: numerator.
+/// Numerator of the fraction of the memory limit that client connections may use.
 const CLIENT_MEMORY_NUMERATOR: u64 = 3;
-/// Client connections may fill this fraction of the memory limit: denominator.
+/// Denominator of the fraction of the memory limit that client connections may use.
 const CLIENT_MEMORY_DENOMINATOR: u64 = 5;
-/// Most memory of an HTTP/1.1 connection while it sends a request, in bytes.
+/// Maximum memory of an HTTP/1.1 client connection while a request arrives on it, in bytes.
 const HTTP1_CONNECTION_BYTES: u64 = 128 * 1024;
+/// Minimum of the memory limit, in mebibytes: the fraction for client connections must suffice for
+/// one of them.
+const MIN_MEMORY_MEBIBYTES: u64 = (HTTP1_CONNECTION_BYTES * CLIENT_MEMORY_DENOMINATOR)
+    .div_ceil(CLIENT_MEMORY_NUMERATOR * MEBIBYTE);
 
-/// Time to establish a connection to a data server where the settings name none, in milliseconds.
+/// Time within which a connection to a data server must be established, in milliseconds, if the
+/// settings have no `DialTimeout`.
 const DEFAULT_DIAL_TIMEOUT_MS: f64 = 250.0;
-/// Idle time after which a data server closes a connection where the settings name none, in
-/// milliseconds.
+/// Idle time after which a data server closes a connection, in milliseconds, if the settings have
+/// no `Keepalive`.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
-/// Most parts on one connection at once where the settings name no limit.
+/// Maximum number of parts in flight on one connection to a data server if the settings have no
+/// limit.
 const DEFAULT_PARTS_PER_CONNECTION: u64 = 100;
 
-/// The platform's limits on the process; absent where the configuration names none.
+/// The platform's limits on the process. A field is `None` if the configuration has no such limit.
 #[derive(Default)]
 pub(crate) struct PlatformLimits {
-    /// File descriptors.
+    /// Maximum number of file descriptors.
     pub(crate) descriptors: Option<u64>,
-    /// Memory.
+    /// Maximum memory, in mebibytes.
     pub(crate) memory_mebibytes: Option<u64>,
 }
 
-/// The limits on connections that follow from those on the process.
+/// Resources for connections, derived from the platform's limits on the process.
 pub(crate) struct ResourceLimits {
-    /// Descriptors for connections of clients and data servers together.
+    /// Number of descriptors for client connections and connections to data servers together.
     connection_descriptors: u64,
-    /// Memory for client connections in bytes, where it is limited.
+    /// Memory for client connections, in bytes; `None` if memory is not limited.
     client_memory: Option<u64>,
 }
 
 impl ResourceLimits {
-    /// Divides the platform's limits.
+    /// Derives the resources for connections from the platform's limits.
+    ///
+    /// # Errors
+    ///
+    /// [`ConfigError::LimitTooSmall`] for a limit below its minimum.
     pub(crate) fn new(limits: PlatformLimits) -> Result<Self, ConfigError> {
         Ok(ResourceLimits {
             connection_descriptors: connection_descriptors(limits.descriptors)?,
@@ -58,8 +70,8 @@
         })
     }
 
-    /// What client connections may use: two thirds of the descriptors, and their fraction of the
-    /// memory.
+    /// Returns the resources for client connections: two thirds of the descriptors, and the memory
+    /// for client connections.
     pub(crate) fn clients(&self) -> ClientResources {
         ClientResources {
             descriptors: self.connection_descriptors * 2 / 3,
@@ -68,7 +80,8 @@
         }
     }
 
-    /// What connections to data servers may use: a third of the descriptors.
+    /// Returns the limits on connections to data servers, which may use a third of the descriptors.
+    /// A connection takes at least the parts of one call, even if the settings allow fewer.
     pub(crate) fn pool(&self, site: &SiteSettings) -> PoolLimits {
         let max_parts_per_call = site.settings.max_parts_per_call;
         let max_parts_per_connection =
@@ -84,16 +97,23 @@
     }
 }
 
+/// Returns the number of descriptors for connections, given the platform's limit on descriptors.
 fn connection_descriptors(limit: Option<u64>) -> Result<u64, ConfigError> {
     let descriptors = limit.unwrap_or(MAX_DESCRIPTORS);
     if descriptors < MIN_DESCRIPTORS {
-        return Err(ConfigError::LimitTooSmall { field: "sockets" });
+        return Err(ConfigError::LimitTooSmall {
+            field: "sockets",
+            found: descriptors,
+            min: MIN_DESCRIPTORS,
+        });
     }
     Ok(descriptors.min(MAX_DESCRIPTORS) - RESERVED_DESCRIPTORS)
 }
 
-/// The memory for client connections, in bytes. Without it, the limit on descriptors alone would
-/// let requests that are received in part fill the memory of a small machine.
+/// Returns the memory for client connections in bytes, given the platform's limit in mebibytes.
+///
+/// The limit on descriptors does not suffice: on a machine with little memory, as many connections
+/// as there are descriptors, each with a partly received request, would exhaust the memory.
 fn client_memory(limit: Option<u64>) -> Result<Option<u64>, ConfigError> {
     let Some(mebibytes) = limit else {
         return Ok(None);
@@ -101,7 +121,11 @@
     let bytes =
         mebibytes.saturating_mul(MEBIBYTE) / CLIENT_MEMORY_DENOMINATOR * CLIENT_MEMORY_NUMERATOR;
     if bytes < HTTP1_CONNECTION_BYTES {
-        return Err(ConfigError::LimitTooSmall { field: "memory_mb" });
+        return Err(ConfigError::LimitTooSmall {
+            field: "memory_mb",
+            found: mebibytes,
+            min: MIN_MEMORY_MEBIBYTES,
+        });
     }
     Ok(Some(bytes))
 }
--- a/crates/platform-config/src/site_checks.rs
+++ b/crates/platform-config/src/site_checks.rs
@@ -1,15 +1,16 @@
-//! Checks that the broker can serve with the settings of the site.
+//! Checks of the site settings that decoding does not make: the broker cannot serve with settings
+//! that fail them.
 
 use crate::ConfigError;
 use fanout_policy::settings::SiteSettings;
 use std::ops::RangeInclusive;
 
-/// Bounds of the numbers that describe how data is laid out.
+/// Bounds of the number of cells, the number of shards and the number of parts in a call.
 const LAYOUT_BOUNDS: RangeInclusive<usize> = 1..=1_000_000;
-/// Longest time between two batches, in milliseconds.
+/// Maximum tick interval, in milliseconds.
 const MAX_TICK_MS: f64 = 1000.0;
 
-/// Checks that the broker can serve with these settings.
+/// Checks the classes, the data layout and the tick interval of `site`. Returns the first error.
 pub(crate) fn check_site(site: &SiteSettings) -> Result<(), ConfigError> {
     check_classes(site)?;
     check_layout(site)?;
@@ -36,8 +37,16 @@
     if LAYOUT_BOUNDS.contains(&number) {
         Ok(())
     } else {
-        let object = "FamilyInfo";
-        Err(ConfigError::OutOfBounds { object, field })
+        Err(ConfigError::OutOfBounds {
+            object: "FamilyInfo",
+            field,
+            found: number.to_string(),
+            expected: format!(
+                "a number from {} to {}",
+                LAYOUT_BOUNDS.start(),
+                LAYOUT_BOUNDS.end()
+            ),
+        })
     }
 }
 
@@ -49,6 +58,8 @@
         Err(ConfigError::OutOfBounds {
             object: "settings",
             field: "Tick",
+            found: tick.to_string(),
+            expected: format!("more than 0 and at most {MAX_TICK_MS} milliseconds"),
         })
     }
 }
--- a/crates/platform-config/src/tests.rs
+++ b/crates/platform-config/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the configuration's checks, defaults and errors.
+//! Tests of the checks, defaults, environment overrides and errors of the platform's configuration.
 
 mod errors;
 mod fields;
--- a/crates/platform-config/src/tests/errors.rs
+++ b/crates/platform-config/src/tests/errors.rs
@@ -1,11 +1,11 @@
-//! The errors of invalid configurations.
+//! Error texts of invalid configurations.
 
 use super::fixture::{config, config_with, error_of};
 use crate::{from_json, load};
 use serde_json::json;
 
 #[test]
-fn error_names_the_faulty_key() {
+fn error_names_the_invalid_field() {
     for (pointer, value, name) in [
         ("/seed", json!("xyz"), "seed"),
         ("/listen", json!("nowhere"), "listen"),
@@ -33,20 +33,20 @@
     assert!(error.contains("RELAY_CONFIG"));
 }
 
-/// The text is what the operator sees in the log.
+/// Pins whole error texts, because the operator has only the logged text to find the error with.
 #[test]
-fn error_text_says_what_is_wrong() {
+fn error_text_names_place_and_problem() {
     for (pointer, value, text) in [
         (
             "/seed",
             json!("xyz"),
-            "RELAY_CONFIG: field seed is not 16 hex digits",
+            "RELAY_CONFIG: field seed: \"xyz\" is not a hexadecimal number of at most 64 bits",
         ),
         ("/name", json!(null), "RELAY_CONFIG: field name is missing"),
         (
             "/listen",
             json!("nowhere"),
-            "RELAY_LISTEN (field listen): \"nowhere\" is not an address with a port",
+            "RELAY_LISTEN (field listen): \"nowhere\" is not an IP address with a port, such as 127.0.0.1:8080",
         ),
         (
             "/known",
@@ -56,32 +56,32 @@
         (
             "/limits/sockets",
             json!(10),
-            "limits: field sockets is too small to serve with",
+            "limits: field sockets is 10, expected at least 64",
         ),
         (
             "/limits/memory_mb",
             json!(0),
-            "limits: field memory_mb is too small to serve with",
+            "limits: field memory_mb is 0, expected at least 1",
         ),
         (
             "/settings/Tick",
             json!(0),
-            "settings: field Tick is out of bounds",
+            "settings: field Tick is 0, expected more than 0 and at most 1000 milliseconds",
         ),
         (
             "/settings/FamilyInfo/Shards",
             json!(0),
-            "FamilyInfo: field Shards is out of bounds",
+            "FamilyInfo: field Shards is 0, expected a number from 1 to 1000000",
         ),
         (
             "/settings/FamilyInfo/FetchParts",
             json!([0, 2, 0]),
-            "settings: field FamilyInfo asks for a second step (FetchParts), which the protocol cannot carry",
+            "settings: field FamilyInfo requests a second step (FetchParts), which the protocol does not support",
         ),
         (
             "/settings/Services/0/Name",
             json!(null),
-            "settings: field Services is empty or holds a class without a name",
+            "settings: field Services is empty or contains a class without a name",
         ),
     ] {
         let mut config = config();
@@ -91,7 +91,7 @@
     }
     assert_eq!(
         load(|_| None).unwrap_err().to_string(),
-        "RELAY_CONFIG is not set"
+        "RELAY_CONFIG is not set; expected the path of the configuration file"
     );
     let missing_file = load(|_| Some("/nonexistent/config".to_owned())).unwrap_err();
     let expected = "RELAY_CONFIG: /nonexistent/config cannot be read: ";
@@ -100,11 +100,14 @@
         "{missing_file}"
     );
     let list = from_json(&json!([]), |_| None).unwrap_err();
-    assert_eq!(list.to_string(), "RELAY_CONFIG: it is not an object");
+    assert_eq!(
+        list.to_string(),
+        "RELAY_CONFIG: expected a JSON object, found another JSON value"
+    );
 }
 
 #[test]
-fn error_of_the_settings_names_their_object() {
+fn error_in_settings_names_the_object_with_the_field() {
     for (object, field, value, text) in [
         (
             "/settings",
@@ -130,7 +133,7 @@
 }
 
 #[test]
-fn malformed_endpoint_list_is_called_by_its_field() {
+fn error_of_a_malformed_endpoint_list_names_field_known() {
     for (list, problem) in [
         (
             json!([]),
@@ -154,3 +157,11 @@
         assert_eq!(error, format!("RELAY_CONFIG: field known: {problem}"));
     }
 }
+
+/// Error texts name these minimums, which therefore have to be accepted.
+#[test]
+fn minimum_limits_are_accepted() {
+    for (field, min) in [("sockets", 64), ("memory_mb", 1)] {
+        from_json(&config_with("/limits", field, Some(&json!(min))), |_| None).expect(field);
+    }
+}
--- a/crates/platform-config/src/tests/fields.rs
+++ b/crates/platform-config/src/tests/fields.rs
@@ -1,11 +1,11 @@
-//! Which fields are needed, and which values they may have.
+//! Required fields of the configuration file, and the values that fields may have.
 
 use super::fixture::{config, config_with, error_of};
 use crate::from_json;
 use serde_json::{Value, json};
 
 #[test]
-fn field_that_is_missing_null_or_of_a_wrong_type_is_named() {
+fn error_names_the_field_that_is_missing_null_or_of_a_wrong_type() {
     for (field, problem, wrong) in [
         ("name", "is not a string", json!(1)),
         ("listen", "is not a string", json!(["127.0.0.1:1"])),
@@ -55,9 +55,9 @@
     }
 }
 
-/// Of duplicate fields the last counts, also in the endpoint list.
+/// The last of several fields with the same name applies, also in the endpoint list.
 #[test]
-fn file_with_duplicate_fields_is_read() {
+fn last_of_duplicate_fields_applies() {
     let text = config().to_string();
     let text = text.replacen('{', r#"{"name":1,"#, 1);
     let text = text.replacen(r#""all":true"#, r#""all":1,"all":true"#, 1);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn seed_that_is_not_a_hexadecimal_number_of_64_bits_is_refused() {
+fn seed_that_is_not_a_hexadecimal_number_of_at_most_64_bits_is_rejected() {
     let seed_of = |text: &str| {
         let config = config_with("", "seed", Some(&json!(text)));
         from_json(&config, |_| None).map(|config| config.seed)
@@ -75,6 +75,9 @@
     assert_eq!(seed_of("+f").unwrap(), 15);
     for text in ["", "-1", "0x1", " 1", "8c1f30d27a5be9640"] {
         let error = seed_of(text).expect_err(text).to_string();
-        assert_eq!(error, "RELAY_CONFIG: field seed is not 16 hex digits");
+        let expected = format!(
+            "RELAY_CONFIG: field seed: {text:?} is not a hexadecimal number of at most 64 bits"
+        );
+        assert_eq!(error, expected);
     }
 }
--- a/crates/platform-config/src/tests/fixture.rs
+++ b/crates/platform-config/src/tests/fixture.rs
@@ -1,8 +1,9 @@
-//! A valid configuration, changed ones, and their errors.
+//! A valid configuration, and helpers that change it or return the error of a changed one.
 
 use crate::from_json;
 use serde_json::{Value, json};
 
+/// Returns a valid configuration.
 pub(super) fn config() -> Value {
     let settings: Value =
         serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
@@ -17,7 +18,8 @@
     })
 }
 
-/// The configuration with a field of an object replaced or, without a value, removed.
+/// Returns the valid configuration with one field changed: `field` of the object at the JSON
+/// pointer `object` gets the value, or is removed if there is none.
 pub(super) fn config_with(object: &str, field: &str, value: Option<&Value>) -> Value {
     let mut config = config();
     let fields = config.pointer_mut(object).expect(object);
@@ -28,6 +30,7 @@
     config
 }
 
+/// Returns the error text of an invalid configuration without environment variables.
 pub(super) fn error_of(config: &Value) -> String {
     from_json(config, |_| None)
         .expect_err("an error")
--- a/crates/platform-config/src/tests/overrides_and_defaults.rs
+++ b/crates/platform-config/src/tests/overrides_and_defaults.rs
@@ -1,4 +1,5 @@
-//! Environment variables in place of fields, defaults, and the memory that the limits leave.
+//! Environment variables that override fields, defaults of absent fields, and the connections that
+//! the resource limits allow.
 
 use super::fixture::{config, config_with};
 use crate::from_json;
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn limits_may_be_missing_null_or_written_with_a_fraction_of_zero() {
+fn limits_may_be_missing_null_or_have_a_zero_fraction() {
     for (object, field) in [
         ("", "limits"),
         ("/limits", "sockets"),
@@ -65,8 +66,8 @@
     assert_eq!(huge.clients.memory_bytes, Some(u64::MAX / 5 * 3));
 }
 
-/// As many clients as there are slots for, each in the middle of the longest request, must fit the
-/// memory.
+/// Guards against running out of memory: the number of client connections is limited so that all of
+/// them, each with a partly received request of the maximum size, fit into the memory limit.
 #[test]
 fn client_connections_fit_memory_limit() {
     let mut config = config();
--- a/crates/platform-config/src/wire.rs
+++ b/crates/platform-config/src/wire.rs
@@ -1,4 +1,4 @@
-//! The configuration file on the wire: the only place with the names of its fields.
+//! Decoding of the configuration file's JSON fields into typed fields.
 
 use crate::ConfigError;
 use crate::environment::{CONFIG_VARIABLE, DISCOVERY_VARIABLE, LISTEN_VARIABLE, NAME_VARIABLE};
@@ -13,26 +13,32 @@
     optional_whole_number, text,
 };
 
-/// The configuration file, with fields of the right types that are not checked further.
+/// The decoded configuration file. Its fields have the right types; their values are checked when
+/// [`Config`](crate::Config) is built.
 pub(crate) struct PlatformFile {
     /// Name of the broker.
     pub(crate) name: OverridableText,
-    /// Address where clients connect.
+    /// Address on which the broker accepts client connections.
     pub(crate) listen: OverridableText,
-    /// Address of discovery.
+    /// Address of the discovery service.
     pub(crate) discovery: OverridableText,
     /// Seed of the random number generator.
     pub(crate) seed: u64,
-    /// Limits on the process.
+    /// The platform's limits on the process.
     pub(crate) limits: PlatformLimits,
-    /// The endpoint list that was last received.
+    /// Endpoint list that the broker uses until discovery sends one.
     pub(crate) cached_endpoints: EndpointList,
     /// Settings of the site.
     pub(crate) site: SiteSettings,
 }
 
 impl PlatformFile {
-    /// Decodes the file's fields.
+    /// Decodes the fields of the file's JSON object.
+    ///
+    /// # Errors
+    ///
+    /// The first field that is missing, has a wrong type or cannot be decoded. For a field that an
+    /// environment variable can override, this is checked only when the field is read.
     pub(crate) fn decode(fields: &Map<String, Value>) -> Result<Self, ConfigError> {
         wire_fields::decode::<PlatformFileWire>(CONFIG_VARIABLE, fields)?.try_into()
     }
@@ -46,12 +52,13 @@
     listen: Deferred<String>,
     #[serde(rename = "discovery", default, deserialize_with = "deferred_text")]
     discovery: Deferred<String>,
-    /// Hexadecimal digits.
+    /// A number of at most 64 bits in hexadecimal digits.
     #[serde(rename = "seed", deserialize_with = "text")]
     seed: String,
     #[serde(rename = "limits", default, deserialize_with = "optional_object")]
     limits: Option<LimitsWire>,
-    /// Decoded by itself, because its errors are those of discovery's lists.
+    /// Decoded separately as an [`EndpointList`], the type of the lists that discovery sends, whose
+    /// errors are not [`FieldError`]s.
     #[serde(rename = "known", default)]
     cached_endpoints: Option<Value>,
     #[serde(rename = "settings", deserialize_with = "object")]
@@ -78,7 +85,8 @@
     type Error = ConfigError;
 
     fn try_from(wire: PlatformFileWire) -> Result<Self, ConfigError> {
-        let seed = u64::from_str_radix(&wire.seed, 16).map_err(|_| ConfigError::InvalidSeed)?;
+        let seed = u64::from_str_radix(&wire.seed, 16)
+            .map_err(|_| ConfigError::InvalidSeed { text: wire.seed })?;
         Ok(PlatformFile {
             seed,
             site: wire.settings.try_into()?,
