--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors in an operator's file, each with its place and what is expected instead.
+//! Errors in an operator's file, each with its position and a description of what was expected.
 
 use crate::limits::MAX_FILE_BYTES;
 use crate::values::InvalidValue;
@@ -8,11 +8,11 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// Longest part of a word from the file that a message quotes, in characters.
+/// Maximum number of characters that a message quotes from a token of the file.
 const MAX_QUOTED_CHARS: usize = 64;
 
-/// Kind of an error in a file. The message quotes the word; [`ErrorKind::expected`] describes what
-/// is expected instead.
+/// Kind of an error in a file. The message quotes the invalid token, and [`ErrorKind::expected`]
+/// describes what was expected instead.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ErrorKind {
     /// The file is longer than [`MAX_FILE_BYTES`].
@@ -21,12 +21,12 @@
         /// Length of the text, in bytes.
         bytes: usize,
     },
-    /// A line starts with a word that is not a keyword.
+    /// A line starts with a token that is not a keyword.
     #[error("unknown keyword {}", quote(.keyword))]
     UnknownKeyword {
-        /// The word as written in the file.
+        /// The token as written in the file.
         keyword: String,
-        /// The keyword that was probably meant.
+        /// Keyword that was probably meant, if one is similar.
         nearest: Option<&'static str>,
     },
     /// A keyword occurs on a second line.
@@ -34,7 +34,7 @@
     RepeatedKeyword {
         /// Name of the keyword.
         keyword: &'static str,
-        /// Line of the keyword's first occurrence, from 1.
+        /// Line number of the keyword's first occurrence, counted from 1.
         first_line: usize,
     },
     /// A keyword has no argument.
@@ -45,7 +45,7 @@
         /// Description of its argument.
         argument: &'static str,
     },
-    /// A keyword has a second argument.
+    /// A keyword has more than one argument.
     #[error("unexpected second argument {} for {keyword}", quote(.surplus))]
     SurplusArgument {
         /// Name of the keyword.
@@ -55,17 +55,17 @@
         /// The second argument as written in the file.
         surplus: String,
     },
-    /// An argument is not of the keyword's type or out of its bounds.
+    /// An argument has a wrong form or is out of bounds.
     #[error("invalid argument {} for {keyword}", quote(.argument))]
     InvalidArgument {
         /// Name of the keyword.
         keyword: &'static str,
         /// The argument as written in the file.
         argument: String,
-        /// What an argument must be.
+        /// Description of valid arguments.
         expected: InvalidValue,
     },
-    /// A keyword has an effect only beside another one, which is absent.
+    /// A keyword has no effect, because the file lacks another keyword that it requires.
     #[error("{keyword} has no effect")]
     MissingRequirement {
         /// Name of the keyword.
@@ -76,11 +76,14 @@
 }
 
 impl ErrorKind {
-    /// What is expected instead, where that is known.
+    /// Returns a text that helps to correct the error, in most cases what was expected; `None` if
+    /// there is none.
     #[must_use]
     pub fn expected(&self) -> Option<String> {
         match self {
-            ErrorKind::FileTooLong { .. } => Some(format!("expected at most {MAX_FILE_BYTES}")),
+            ErrorKind::FileTooLong { .. } => {
+                Some(format!("expected at most {MAX_FILE_BYTES} bytes"))
+            }
             ErrorKind::UnknownKeyword { nearest, .. } => {
                 nearest.map(|keyword| format!("did you mean {keyword}?"))
             }
@@ -99,20 +102,20 @@
     }
 }
 
-/// One error in a file, with its place.
+/// An error in a file, with its position.
 ///
-/// Displayed as one line: file, line, column, the error and what is expected instead. As a
-/// [`Diagnostic`] it also shows the line of the file.
+/// Its text is one line: file, line, column, the error and what was expected. As a [`Diagnostic`]
+/// it also shows the line of the file.
 #[derive(Clone, Debug)]
 pub struct ConfigFileError {
     file: Arc<NamedSource<String>>,
-    /// The invalid word, as a range of bytes of the text.
+    /// Position of the invalid token, as a range of bytes of the file's text.
     pub span: Range<usize>,
-    /// Line of the word, from 1.
+    /// Line number of the token, counted from 1.
     pub line: usize,
-    /// Column of the word, in characters from 1.
+    /// Column of the token in characters, counted from 1.
     pub column: usize,
-    /// What is wrong.
+    /// Kind of the error.
     pub kind: ErrorKind,
 }
 
@@ -145,7 +148,7 @@
     }
 }
 
-/// All errors in a file, in the order of their places. Printed, it is one line an error.
+/// All errors in a file, in the order of their positions. The text has one line per error.
 #[derive(Clone, Debug)]
 pub struct ConfigFileErrors {
     /// The errors; there is at least one.
@@ -166,7 +169,7 @@
 
 impl std::error::Error for ConfigFileErrors {}
 
-/// The text of a file with its name; makes errors for its places.
+/// The name and text of a file. Creates errors that point to positions in the text.
 pub(crate) struct SourceText<'a> {
     text: &'a str,
     file: Arc<NamedSource<String>>,
@@ -180,7 +183,7 @@
         }
     }
 
-    /// The error of this kind at a range of bytes.
+    /// Creates an error of this kind at `span`, a range of bytes of the text.
     pub(crate) fn error(&self, span: &Range<usize>, kind: ErrorKind) -> ConfigFileError {
         ConfigFileError {
             file: self.file.clone(),
@@ -191,12 +194,12 @@
         }
     }
 
-    /// Line of a byte, from 1.
+    /// Returns the line number of the byte at `offset`, counted from 1.
     pub(crate) fn line(&self, offset: usize) -> usize {
         self.text[..offset].matches('\n').count() + 1
     }
 
-    /// Column of a byte, in characters from 1.
+    /// Returns the column of the byte at `offset` in characters, counted from 1.
     fn column(&self, offset: usize) -> usize {
         let before = &self.text[..offset];
         let line_start = before.rfind('\n').map_or(0, |newline| newline + 1);
@@ -204,10 +207,11 @@
     }
 }
 
-/// A word from the file in a form that is safe in a line of a log: cut short, and escaped where it
-/// is not plain.
-fn quote(word: &str) -> String {
-    let short: String = word.chars().take(MAX_QUOTED_CHARS).collect();
+/// Returns a token of the file in a form that is safe in a log line: truncated to
+/// [`MAX_QUOTED_CHARS`], and quoted with escapes if it is empty or contains a double quote or
+/// anything but printable ASCII.
+fn quote(token: &str) -> String {
+    let short: String = token.chars().take(MAX_QUOTED_CHARS).collect();
     let is_plain = short.chars().all(|c| c.is_ascii_graphic() && c != '"');
     if is_plain && !short.is_empty() {
         short
--- a/crates/operator-config/src/grammar.rs
+++ b/crates/operator-config/src/grammar.rs
@@ -1,4 +1,5 @@
-//! The grammar of a file: lines of words. What the words mean is up to the parser.
+//! The grammar of a file: lines of tokens separated by blanks. The module `parser` interprets the
+//! tokens.
 
 use std::ops::Range;
 use winnow::ascii::{line_ending, space0, till_line_ending};
@@ -10,60 +11,61 @@
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// A word and its place in the text, as a range of bytes.
+/// A sequence of characters without blanks, and its position in the file's text as a range of
+/// bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Word {
+pub(crate) struct Token {
     pub(crate) text: String,
     pub(crate) span: Range<usize>,
 }
 
-/// A line that holds words.
+/// A line that is not empty: a keyword and its arguments.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Line {
-    pub(crate) keyword: Word,
-    pub(crate) arguments: Vec<Word>,
+pub(crate) struct KeywordLine {
+    pub(crate) keyword: Token,
+    pub(crate) arguments: Vec<Token>,
 }
 
-/// The lines of a text that hold more than blanks and comments.
+/// Parses the lines of a text, without those that contain only blanks and comments.
 ///
-/// Any text is lines of words: an unexpected character is part of a word, and reading that word
-/// reports it.
-pub(crate) fn parse_lines(text: &str) -> Vec<Line> {
+/// Every text can be parsed: an unexpected character becomes part of a token, and the settings
+/// parser reports that token as an unknown keyword or an invalid argument.
+pub(crate) fn parse_lines(text: &str) -> Vec<KeywordLine> {
     let mut input = LocatingSlice::new(text);
     let mut lines = Vec::new();
     while !input.is_empty() {
-        // The line parser accepts every text, so that an error can only mean the end.
-        let Ok(words) = parse_line(&mut input) else {
+        // The line parser accepts every text. The `break` only guarantees that the loop ends.
+        let Ok(tokens) = parse_line(&mut input) else {
             break;
         };
-        let mut words = words.into_iter();
-        if let Some(keyword) = words.next() {
-            lines.push(Line {
+        let mut tokens = tokens.into_iter();
+        if let Some(keyword) = tokens.next() {
+            lines.push(KeywordLine {
                 keyword,
-                arguments: words.collect(),
+                arguments: tokens.collect(),
             });
         }
     }
     lines
 }
 
-fn parse_line(input: &mut Input<'_>) -> Result<Vec<Word>, EmptyError> {
-    let words = repeat(0.., preceded(space0, parse_word));
+fn parse_line(input: &mut Input<'_>) -> Result<Vec<Token>, EmptyError> {
+    let tokens = repeat(0.., preceded(space0, parse_token));
     let comment = preceded('#', till_line_ending);
     let end_of_line = alt((line_ending, eof, "\r"));
-    terminated(words, (space0, opt(comment), end_of_line)).parse_next(input)
+    terminated(tokens, (space0, opt(comment), end_of_line)).parse_next(input)
 }
 
-fn parse_word(input: &mut Input<'_>) -> Result<Word, EmptyError> {
+fn parse_token(input: &mut Input<'_>) -> Result<Token, EmptyError> {
     let start = input.current_token_start();
-    let text: &str = take_while(1.., is_word_char).parse_next(input)?;
-    Ok(Word {
+    let text: &str = take_while(1.., is_token_char).parse_next(input)?;
+    Ok(Token {
         text: text.to_owned(),
         span: start..start + text.len(),
     })
 }
 
-fn is_word_char(c: char) -> bool {
+fn is_token_char(c: char) -> bool {
     !matches!(c, ' ' | '\t' | '\r' | '\n' | '#')
 }
 
--- a/crates/operator-config/src/grammar/tests.rs
+++ b/crates/operator-config/src/grammar/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn words_keep_their_spans_and_comments_are_left_out() {
+fn tokens_have_their_spans_and_comments_are_skipped() {
     let text = "# all of it\n\n a  b\tc # d\r\ne#f";
     let lines: Vec<(String, Vec<String>)> = parse_lines(text)
         .into_iter()
--- a/crates/operator-config/src/keywords.rs
+++ b/crates/operator-config/src/keywords.rs
@@ -9,33 +9,36 @@
 pub(crate) const HTTP2_CONNECTION_WINDOW: &str = "http2-connection-window";
 pub(crate) const HTTP2_HEADER_LIST: &str = "http2-header-list";
 
-/// Longest word for which a similar keyword is looked for, in bytes. The cost of a comparison is
-/// the product of the lengths, and a longer word is not a misspelt keyword.
+/// Maximum length of an unknown keyword for which a similar keyword is searched, in bytes. The cost
+/// of a comparison is proportional to the product of both lengths, and a longer token is unlikely
+/// to be a misspelt keyword.
 const MAX_MISSPELT_BYTES: usize = 64;
 
 /// When a change of a keyword's argument takes effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// With the SIGHUP on which the file is read.
+    /// On the SIGHUP that makes the broker read the file again.
     Immediate,
-    /// With the SIGHUP on which the file is read, for connections that are opened afterwards.
+    /// On the SIGHUP that makes the broker read the file again, but only for connections that are
+    /// opened afterwards.
     NewConnections,
-    /// When the program is restarted.
+    /// When the broker is restarted.
     Restart,
 }
 
-/// A keyword.
+/// Description of a keyword.
 #[derive(Clone, Copy, Debug)]
 pub struct Keyword {
-    /// Its name.
+    /// Name, as written in the file.
     pub name: &'static str,
-    /// Description of its argument, for the operator.
+    /// Description of the argument, for the operator.
     pub argument: &'static str,
-    /// What it is for.
+    /// Description of the purpose, for the operator.
     pub description: &'static str,
-    /// When a change takes effect.
+    /// When a change of the argument takes effect.
     pub effect: Effect,
-    /// The keyword without which it has no effect.
+    /// Name of another keyword that the file must also contain, because this one has no effect
+    /// without it.
     pub requires: Option<&'static str>,
 }
 
@@ -58,7 +61,7 @@
     Keyword {
         name: GATHER_TIME,
         argument: "a time, 0us to 50ms",
-        description: "longest wait for parts that could share a call to a data server",
+        description: "maximum wait for parts that could share a call to a data server",
         effect: Effect::Immediate,
         requires: None,
     },
@@ -93,19 +96,19 @@
     Keyword {
         name: HTTP2_HEADER_LIST,
         argument: "a size, 1KiB to 64KiB",
-        description: "longest header list of a request",
+        description: "maximum size of a request's header list",
         effect: Effect::NewConnections,
         requires: Some(LISTEN_HTTP2),
     },
 ];
 
-/// The keyword of this name.
+/// Returns the keyword with this name.
 pub(crate) fn find(name: &str) -> Option<&'static Keyword> {
     KEYWORDS.iter().find(|keyword| keyword.name == name)
 }
 
-/// The keyword that a misspelt one probably means: the nearest by edit distance, if at most a third
-/// of it differs.
+/// Returns the keyword that the unknown keyword `name` is probably a misspelling of: the one with
+/// the smallest edit distance from it, if that distance is at most a third of the keyword's length.
 pub(crate) fn find_similar(name: &str) -> Option<&'static str> {
     if name.len() > MAX_MISSPELT_BYTES {
         return None;
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,11 +1,12 @@
-//! The operator's own file: what an installation sets beside the platform's configuration.
+//! The operator's configuration file: settings of an installation that are not part of the
+//! platform's configuration.
 //!
-//! Each line has a keyword and its argument, separated by blanks; `#` starts a comment; units are
-//! written out (`250ms`, `64KiB`). `grammar` splits the text into words and their places,
-//! `keywords` lists the keywords with their arguments and the time when a change takes effect,
-//! `values` parses arguments, and `parser` puts the typed [`Settings`] together and rejects
-//! keywords that contradict each other. All errors of a file are reported at once, each with its
-//! place.
+//! Each line has a keyword and its argument, separated by blanks; `#` starts a comment; sizes and
+//! times have a unit (`250ms`, `64KiB`). `grammar` splits the text into tokens with their
+//! positions, `keywords` lists the keywords with their arguments and the time when a change takes
+//! effect, `values` parses arguments, and `parser` builds the typed [`Settings`] and rejects
+//! keywords whose required keyword is absent. [`parse`] reports all errors of a file together, each
+//! with its position.
 //!
 //! ```
 //! let text = "listen-http2 127.0.0.1:8443\nhttp2-streams 100 # a connection\n";
--- a/crates/operator-config/src/limits.rs
+++ b/crates/operator-config/src/limits.rs
@@ -1,4 +1,4 @@
-//! The limit on the file.
+//! Limit on the length of an operator's file.
 
-/// Longest file that is read, in bytes.
+/// Maximum length of a file that is read, in bytes.
 pub const MAX_FILE_BYTES: usize = 1 << 20;
--- a/crates/operator-config/src/parser.rs
+++ b/crates/operator-config/src/parser.rs
@@ -1,7 +1,7 @@
-//! Parses the text of a file into typed settings, and collects all errors.
+//! Parsing of a file's text into typed settings. All errors are collected.
 
 use crate::error::{ConfigFileError, ConfigFileErrors, ErrorKind, SourceText};
-use crate::grammar::{Line, Word, parse_lines};
+use crate::grammar::{KeywordLine, Token, parse_lines};
 use crate::keywords::{self, KEYWORDS, Keyword};
 use crate::limits::MAX_FILE_BYTES;
 use crate::settings::{Http2Settings, LogFormat, LogLevel, LogSettings, Settings};
@@ -33,11 +33,11 @@
 /// Bounds of `http2-header-list`, in bytes.
 const HEADER_LIST_BYTES: RangeInclusive<u64> = 1 << 10..=64 << 10;
 
-/// Parses the text of a file; errors call the file `name`.
+/// Parses the text of a file. Errors refer to the file as `name`.
 ///
 /// # Errors
 ///
-/// All errors of the file, in the order of their places.
+/// Returns all errors of the file, in the order of their positions.
 pub fn parse(name: &str, text: &str) -> Result<Settings, ConfigFileErrors> {
     let source = SourceText::new(name, text);
     if text.len() > MAX_FILE_BYTES {
@@ -59,17 +59,18 @@
     Err(ConfigFileErrors { errors })
 }
 
-/// A keyword of the file with its one argument.
+/// A known keyword in the file, with its only argument.
 #[derive(Clone)]
 struct Entry {
-    keyword: Word,
-    argument: Word,
+    keyword: Token,
+    argument: Token,
 }
 
+/// Collects the keywords and the errors of a file, and converts the arguments into [`Settings`].
 struct SettingsParser<'a> {
     source: SourceText<'a>,
     errors: Vec<ConfigFileError>,
-    /// The first line of each keyword.
+    /// First line with exactly one argument for each keyword, by the keyword's name.
     entries: BTreeMap<&'static str, Entry>,
 }
 
@@ -82,13 +83,14 @@
         }
     }
 
-    fn report(&mut self, word: &Word, kind: ErrorKind) {
-        let error = self.source.error(&word.span, kind);
+    /// Adds an error at the position of `token`.
+    fn report(&mut self, token: &Token, kind: ErrorKind) {
+        let error = self.source.error(&token.span, kind);
         self.errors.push(error);
     }
 
-    /// Takes a line of the file, if its keyword is known and new.
-    fn add_line(&mut self, line: Line) {
+    /// Adds a line of the file, or reports its keyword if it is unknown or a duplicate.
+    fn add_line(&mut self, line: KeywordLine) {
         let name = &line.keyword.text;
         let Some(keyword) = keywords::find(name) else {
             let kind = ErrorKind::UnknownKeyword {
@@ -107,8 +109,9 @@
         self.add_entry(keyword, line);
     }
 
-    /// Takes a line of a known keyword, if it has exactly one argument.
-    fn add_entry(&mut self, keyword: &Keyword, line: Line) {
+    /// Adds a line with a known keyword, or reports an error if it does not have exactly one
+    /// argument.
+    fn add_entry(&mut self, keyword: &Keyword, line: KeywordLine) {
         let mut arguments = line.arguments.into_iter();
         match (arguments.next(), arguments.next()) {
             (None, _) => {
@@ -136,7 +139,8 @@
         }
     }
 
-    /// The typed value of a keyword's argument; `None` where it is absent or invalid.
+    /// Returns the typed value of a keyword's argument, or `None` if the keyword is absent or its
+    /// argument is invalid, which is reported.
     fn value<T>(
         &mut self,
         keyword: &'static str,
@@ -158,17 +162,21 @@
     }
 
     fn whole_number(&mut self, keyword: &'static str, bounds: &RangeInclusive<u64>) -> Option<u64> {
-        self.value(keyword, |word| values::parse_whole_number(word, bounds))
+        self.value(keyword, |argument| {
+            values::parse_whole_number(argument, bounds)
+        })
     }
 
     fn size(&mut self, keyword: &'static str, bounds: &RangeInclusive<u64>) -> Option<u64> {
-        self.value(keyword, |word| values::parse_size(word, bounds))
+        self.value(keyword, |argument| values::parse_size(argument, bounds))
     }
 
+    /// Converts the collected arguments into settings, and reports arguments that are invalid and
+    /// keywords that have no effect. The settings are usable only if there is no error.
     fn settings(&mut self) -> Settings {
         let log = self.log_settings();
-        let gather_time = self.value(keywords::GATHER_TIME, |word| {
-            values::parse_duration(word, &GATHER_TIME_BOUNDS)
+        let gather_time = self.value(keywords::GATHER_TIME, |argument| {
+            values::parse_duration(argument, &GATHER_TIME_BOUNDS)
         });
         let http2 = self.http2_settings();
         self.check_requirements();
@@ -181,11 +189,11 @@
     }
 
     fn log_settings(&mut self) -> LogSettings {
-        let format = self.value(keywords::LOG_FORMAT, |word| {
-            values::parse_choice(word, LOG_FORMATS)
+        let format = self.value(keywords::LOG_FORMAT, |argument| {
+            values::parse_choice(argument, LOG_FORMATS)
         });
-        let level = self.value(keywords::LOG_LEVEL, |word| {
-            values::parse_choice(word, LOG_LEVELS)
+        let level = self.value(keywords::LOG_LEVEL, |argument| {
+            values::parse_choice(argument, LOG_LEVELS)
         });
         LogSettings {
             format: format.unwrap_or_default(),
@@ -193,7 +201,9 @@
         }
     }
 
-    /// The settings of the HTTP/2 listener; all of them are checked also where there is none.
+    /// Returns the settings of the HTTP/2 listener, or `None` if the file has no valid
+    /// `listen-http2`. The other arguments are checked even then, so that their errors are reported
+    /// too.
     fn http2_settings(&mut self) -> Option<Http2Settings> {
         let listen = self.value(keywords::LISTEN_HTTP2, values::parse_address);
         let connections = self.whole_number(keywords::HTTP2_CONNECTIONS, &CONNECTIONS_BOUNDS);
@@ -210,7 +220,7 @@
         })
     }
 
-    /// Reports keywords that have no effect because one that they require is absent.
+    /// Reports keywords that have no effect because the file lacks a keyword that they require.
     fn check_requirements(&mut self) {
         for keyword in KEYWORDS {
             let Some(requires) = keyword.requires else {
@@ -229,7 +239,7 @@
         }
     }
 
-    /// The arguments as written, by keyword.
+    /// Returns the arguments as written in the file, by keyword.
     fn arguments(&self) -> BTreeMap<&'static str, String> {
         self.entries
             .iter()
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -1,31 +1,31 @@
-//! The settings of a file, and what changes when the file is read again.
+//! The settings of a file, and the comparison of settings when the file is read again.
 
 use crate::keywords::{Effect, KEYWORDS};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Form of the log's lines.
+/// Format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
     /// `key=value` pairs.
     #[default]
     Logfmt,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// Least level that is logged.
+/// Minimum level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogLevel {
-    /// Errors alone.
+    /// Errors only.
     Error,
-    /// Warnings and all above.
+    /// Warnings and errors.
     Warn,
-    /// Normal operation and all above.
+    /// Events of normal operation, and everything at a higher level.
     #[default]
     Info,
-    /// Details for debugging and all above.
+    /// Details for debugging, and everything at a higher level.
     Debug,
     /// Everything.
     Trace,
@@ -34,53 +34,53 @@
 /// Settings of the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LogSettings {
-    /// Form of the lines.
+    /// Format of the lines.
     pub format: LogFormat,
-    /// Least level that is logged.
+    /// Minimum level that is logged.
     pub level: LogLevel,
 }
 
-/// Settings of the HTTP/2 listener. What is absent is derived from the limits of the platform's
-/// configuration.
+/// Settings of the HTTP/2 listener. A limit that is `None` gets a default that depends on the
+/// resource limits of the platform's configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Http2Settings {
-    /// Address where clients connect.
+    /// Address on which the broker accepts HTTP/2 client connections.
     pub listen: SocketAddr,
-    /// Most connections.
+    /// Maximum number of connections.
     pub connections: Option<usize>,
-    /// Most concurrent streams of a connection.
+    /// Maximum number of concurrent streams on a connection.
     pub streams: Option<u32>,
     /// Flow-control window of a connection, in bytes.
     pub connection_window: Option<u32>,
-    /// Longest header list, in bytes as RFC 9113 section 6.5.2 counts them.
+    /// Maximum size of a header list in bytes, counted as in RFC 9113, section 6.5.2.
     pub header_list: Option<u32>,
 }
 
-/// The settings of a file. The default is that of an empty file.
+/// The settings of a file. The default value is that of an empty file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Settings {
-    /// The log.
+    /// Settings of the log.
     pub log: LogSettings,
-    /// The HTTP/2 listener, if the file configures one.
+    /// Settings of the HTTP/2 listener; `None` if the file configures no such listener.
     pub http2: Option<Http2Settings>,
-    /// Longest wait for parts that could share a batch; `None` means the tick interval of the
-    /// platform's settings.
+    /// Maximum time that a part waits for further parts that could share its batch; `None` means
+    /// the tick interval of the platform's settings.
     pub gather_time: Option<Duration>,
-    /// The arguments as written in the file, by keyword.
+    /// Arguments as written in the file, by keyword. [`Settings::changes`] compares them.
     pub(crate) arguments: BTreeMap<&'static str, String>,
 }
 
-/// The keywords whose arguments differ between two files.
+/// Keywords whose arguments differ between the settings in effect and those of a new file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Changes {
-    /// Keywords whose change takes effect while the program runs.
+    /// Keywords whose change takes effect without a restart.
     pub effective: Vec<&'static str>,
-    /// Keywords whose change takes effect at the next start.
+    /// Keywords whose change takes effect only when the broker is restarted.
     pub restart_required: Vec<&'static str>,
 }
 
 impl Settings {
-    /// What changes from these settings to those of a new file.
+    /// Returns the keywords whose arguments differ between these settings and those of a new file.
     #[must_use]
     pub fn changes(&self, new: &Settings) -> Changes {
         let mut changes = Changes::default();
@@ -96,8 +96,8 @@
         changes
     }
 
-    /// The settings in effect once a running program has read a new file: those that need a restart
-    /// stay.
+    /// Returns the settings in effect after a running broker has read the file again. They are
+    /// those of `new`, except that settings which need a restart keep the values of `self`.
     #[must_use]
     pub fn adopt(&self, new: &Settings) -> Settings {
         Settings {
@@ -114,13 +114,14 @@
                 connections: old.connections,
                 ..new
             }),
-            // Opening or closing the listener takes a restart.
+            // Opening or closing the listener needs a restart.
             (old, _) => old,
         }
     }
 
-    /// The arguments in effect. Those that need a restart stay, so that they are reported as
-    /// changed each time that the file is read until then.
+    /// Returns the arguments in effect. Arguments that need a restart keep their old values, so
+    /// that [`Settings::changes`] reports them each time the file is read until the broker is
+    /// restarted.
     fn adopt_arguments(&self, new: &Settings) -> BTreeMap<&'static str, String> {
         let mut arguments = new.arguments.clone();
         for keyword in KEYWORDS {
--- a/crates/operator-config/src/values/tests.rs
+++ b/crates/operator-config/src/values/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the arguments' parsers.
+//! Tests of the parsers of arguments.
 
 use super::*;
 
@@ -11,7 +11,7 @@
         Ok(Duration::from_millis(250))
     );
     assert_eq!(parse_size("64KiB", &(0..=1 << 20)), Ok(65_536));
-    for word in [
+    for argument in [
         "250",
         "ms",
         "-1ms",
@@ -22,8 +22,9 @@
         "18446744073709551615s",
     ] {
         let expected = "expected a time from 1us to 1s with its unit (us, ms, s, min)";
-        let error = parse_duration(word, &(Duration::from_micros(1)..=SECOND)).expect_err(word);
-        assert_eq!(error.to_string(), expected, "{word}");
+        let error =
+            parse_duration(argument, &(Duration::from_micros(1)..=SECOND)).expect_err(argument);
+        assert_eq!(error.to_string(), expected, "{argument}");
     }
     let error = parse_size("1kb", &(1..=3 << 20)).unwrap_err();
     assert_eq!(
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -1,4 +1,4 @@
-//! Tests of whole files: their settings, and the errors that they are rejected with.
+//! Parsing of whole files: the settings of valid files, and the errors of invalid ones.
 
 use operator_config::{Effect, KEYWORDS, LogFormat, LogLevel, Settings, parse};
 use proptest::prelude::*;
@@ -49,9 +49,9 @@
     assert_eq!(parse("f", "").unwrap(), Settings::default());
 }
 
-/// A faulty file gets all its errors at once: each round of correction costs the operator's time.
+/// All errors of a file are reported together, so that the operator can correct them in one edit.
 #[test]
-fn every_error_has_its_place_and_expected_value() {
+fn all_errors_are_reported_with_position_and_expected_value() {
     let text = "log-levle info\nlog-level loud\nlog-format json json\nhttp2-streams 0\nlog-level info\ngather-time\nx\u{e9}\"y 1\n";
     assert_eq!(
         errors(text),
@@ -87,16 +87,17 @@
         (http2.listen.port(), http2.streams, adopted.log.level),
         (8081, Some(100), LogLevel::Info)
     );
-    // A change that needs a restart is reported again with each file until then.
+    // A change that needs a restart is reported each time the file is read until the restart.
     assert_eq!(adopted.changes(&new).restart_required, ["listen-http2"]);
     assert_eq!(old.adopt(&parse("f", "").unwrap()).http2, old.http2);
     assert!(KEYWORDS.iter().any(|k| k.effect == Effect::NewConnections));
 }
 
 proptest! {
-    /// Whatever the text is: it gives settings or errors, each within the text, and no panic.
+    /// Guards against panics and invalid positions: arbitrary text is parsed into settings or into
+    /// one-line errors whose spans lie within the text.
     #[test]
-    fn any_text_gives_settings_or_errors_within_the_text(text in "(log-level|listen-http2|http2-connection-window|[a-z-]{0,12}|\\PC{0,6}|#| |\t|\r|\n|7|64KiB|127.0.0.1:1){0,40}") {
+    fn arbitrary_text_yields_settings_or_errors_within_the_text(text in "(log-level|listen-http2|http2-connection-window|[a-z-]{0,12}|\\PC{0,6}|#| |\t|\r|\n|7|64KiB|127.0.0.1:1){0,40}") {
         match parse("f", &text) {
             Ok(settings) => prop_assert_eq!(settings.changes(&settings), Default::default()),
             Err(errors) => for error in errors.errors {
