--- a/crates/query-api/src/deadline.rs
+++ b/crates/query-api/src/deadline.rs
@@ -1,4 +1,4 @@
-//! The `X-Deadline` header: how long a client waits.
+//! Parsing of the `X-Deadline` header, the time that a client waits for the response.
 
 use crate::limits::MAX_CLIENT_TIMEOUT;
 use std::time::Duration;
@@ -6,8 +6,9 @@
 /// Microseconds in a millisecond.
 const MICROS_PER_MILLISECOND: f64 = 1000.0;
 
-/// Parses a time span such as `480m`, in milliseconds, or `1500u`, in microseconds. Returns `None`
-/// where it has no such form or exceeds [`MAX_CLIENT_TIMEOUT`].
+/// Parses a duration: a decimal number with the unit `m` for milliseconds, such as `480m`, or `u`
+/// for microseconds, such as `1500u`. Returns `None` if the text has another form or the duration
+/// exceeds [`MAX_CLIENT_TIMEOUT`].
 pub(crate) fn parse_deadline(text: &str) -> Option<Duration> {
     let unit_position = text.len().checked_sub(1)?;
     let (number, unit) = text.split_at_checked(unit_position)?;
@@ -16,7 +17,7 @@
         "u" => 1.0,
         _ => return None,
     };
-    // The standard library's parser alone would accept signs, exponents and words such as "inf".
+    // The standard library's parser would also accept signs, exponents and words such as "inf".
     let is_decimal = number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
     if !is_decimal {
         return None;
--- a/crates/query-api/src/deadline/tests.rs
+++ b/crates/query-api/src/deadline/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the parser of `X-Deadline`.
+
 use super::*;
 
 #[test]
@@ -9,7 +11,7 @@
 }
 
 #[test]
-fn deadline_of_any_other_form_is_refused() {
+fn deadline_of_another_form_is_rejected() {
     for text in [
         "",
         "m",
--- a/crates/query-api/src/decode.rs
+++ b/crates/query-api/src/decode.rs
@@ -11,8 +11,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest request id and longest idempotency key, in bytes: both are part of each frame to a
-/// server.
+/// Maximum length of a request id and of an idempotency key, in bytes. Both are part of the frames
+/// to data servers.
 const MAX_TOKEN_BYTES: usize = 256;
 
 const CLASS_HEADER: &str = "x-class";
@@ -22,11 +22,11 @@
 const REQUEST_ID_HEADER: &str = "x-request-id";
 const IDEMPOTENCY_KEY_HEADER: &str = "idempotency-key";
 
-/// Decodes a query.
+/// Decodes a query from an HTTP request.
 ///
 /// # Errors
 ///
-/// [`InvalidRequest`] where the request is not a valid query of one of the classes.
+/// Returns an [`InvalidRequest`] if the request is not a valid query of one of the classes.
 pub fn decode(
     request: &Request<Vec<u8>>,
     names: &Names,
@@ -55,7 +55,7 @@
     })
 }
 
-/// The class that the first segment of the path names.
+/// Returns the class whose name is the first segment of the path.
 fn class_index(uri: &Uri, names: &Names) -> Result<ClassIndex, InvalidRequest> {
     let path = uri.path().trim_start_matches('/');
     let segment = path.split('/').next().unwrap_or_default();
@@ -67,6 +67,7 @@
         .ok_or(InvalidRequest::UnknownClass)
 }
 
+/// Checks that the method is POST.
 fn check_method(method: &Method) -> Result<(), InvalidRequest> {
     if method == Method::POST {
         Ok(())
@@ -77,7 +78,7 @@
     }
 }
 
-/// Checks that the header, if there is one, names the class of the path.
+/// Checks that `X-Class`, if present, names the class of the path.
 fn check_class_header(headers: &HeaderMap, class: &str) -> Result<(), InvalidRequest> {
     match headers.get(CLASS_HEADER) {
         Some(value) if value.as_bytes() != class.as_bytes() => Err(InvalidRequest::ClassMismatch),
@@ -85,7 +86,8 @@
     }
 }
 
-/// The tenant that the header names; 0 where the deployment has no tenants.
+/// Returns the tenant that `X-Tenant` names. All queries of a deployment without tenants belong to
+/// tenant 0.
 fn tenant_index(headers: &HeaderMap, names: &Names) -> Result<TenantIndex, InvalidRequest> {
     if names.tenants.is_empty() {
         return Ok(TenantIndex(0));
@@ -101,8 +103,9 @@
         .ok_or(InvalidRequest::UnknownTenant)
 }
 
-/// The idempotency key. It is required where the class uses them, and ignored where retries are
-/// harmless anyway.
+/// Returns the idempotency key of a query. Depending on the class, the header is required,
+/// optional, or ignored because queries of the class can be repeated without a key. A malformed key
+/// is always an error.
 fn idempotency_key(
     headers: &HeaderMap,
     retry_safety: RetrySafety,
@@ -117,7 +120,8 @@
     }
 }
 
-/// The time that the client waits: what the header says, up to the class's own limit.
+/// Returns the time that the client waits for the response: the value of `X-Deadline`, limited to
+/// `max_timeout`, which is also the default.
 fn client_timeout(headers: &HeaderMap, max_timeout: Duration) -> Result<Duration, InvalidRequest> {
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(max_timeout);
@@ -127,14 +131,16 @@
     Ok(requested.min(max_timeout))
 }
 
-/// A header whose value becomes part of frames: a space, a comma or a line break in it would forge
-/// another field there.
+/// Returns the value of a header that is sent on in frames to data servers. A space, a comma or a
+/// line break in the value would be read as the start of another field of the frame, so a value
+/// with such characters is rejected.
 fn token(headers: &HeaderMap, header: &'static str) -> Result<Option<Rc<str>>, InvalidRequest> {
     let mut values = headers.get_all(header).iter();
     let Some(value) = values.next() else {
         return Ok(None);
     };
-    // Where there are two values, a proxy in front of the broker may have taken the other one.
+    // A header with two values is rejected, because a proxy in front of the broker may have used
+    // the one that the broker would not use.
     let is_repeated = values.next().is_some();
     let token = value.to_str().ok().filter(|token| is_plain_token(token));
     match token {
@@ -143,6 +149,8 @@
     }
 }
 
+/// Returns whether a value consists of 1 to [`MAX_TOKEN_BYTES`] visible ASCII characters without
+/// commas.
 fn is_plain_token(token: &str) -> bool {
     let is_plain = |b: u8| b.is_ascii_graphic() && b != b',';
     (1..=MAX_TOKEN_BYTES).contains(&token.len()) && token.bytes().all(is_plain)
--- a/crates/query-api/src/invalid_request.rs
+++ b/crates/query-api/src/invalid_request.rs
@@ -3,43 +3,44 @@
 use broker_types::query::FinalResponse;
 use thiserror::Error;
 
-/// Why a request is not a valid query. The text goes into the response.
+/// Reason why a request is not a valid query. The text is the body of the response.
 #[derive(Debug, Error)]
 pub enum InvalidRequest {
     /// The first segment of the path is not the name of a class.
     #[error("the path names no class")]
     UnknownClass,
-    /// The method is defined for HTTP, but not for queries.
+    /// The method is a standard HTTP method other than POST.
     #[error("a query is a POST")]
     MethodNotAllowed,
-    /// The method is not defined for HTTP.
+    /// The method is not a standard HTTP method.
     #[error("a query is a POST")]
     MethodNotImplemented,
-    /// The header and the path name different classes.
+    /// `X-Class` and the path name different classes.
     #[error("X-Class is not the path's class")]
     ClassMismatch,
-    /// The header is missing.
+    /// `X-Request-Id` is missing.
     #[error("X-Request-Id is missing")]
     RequestIdMissing,
-    /// The header is missing, and the deployment has tenants.
+    /// `X-Tenant` is missing, and the deployment has tenants.
     #[error("X-Tenant is missing")]
     TenantMissing,
-    /// The header is not the name of a tenant.
+    /// `X-Tenant` is not the name of a tenant.
     #[error("X-Tenant names no tenant")]
     UnknownTenant,
-    /// The header is missing, and the class uses idempotency keys.
+    /// `Idempotency-Key` is missing, and the class requires it.
     #[error("Idempotency-Key is missing")]
     IdempotencyKeyMissing,
-    /// The header cannot be parsed or is out of bounds.
+    /// `X-Deadline` cannot be parsed or exceeds the maximum.
     #[error("X-Deadline is not a number with the unit m or u")]
     MalformedDeadline,
-    /// The header occurs twice, is empty or too long, or holds characters that cannot be sent on.
+    /// A header occurs twice, is empty or too long, or contains characters that cannot be forwarded
+    /// to data servers.
     #[error("{header} is malformed")]
     MalformedToken {
         /// Name of the header.
         header: &'static str,
     },
-    /// The body is not JSON of the right form.
+    /// The body is not JSON, or lacks a field, or has a field of a wrong type.
     #[error("the body is malformed: {0}")]
     MalformedBody(#[from] serde_json::Error),
     /// The query has no parts.
@@ -63,7 +64,7 @@
 }
 
 impl InvalidRequest {
-    /// The HTTP status code of the response.
+    /// Returns the HTTP status code of the response.
     #[must_use]
     pub fn status(&self) -> u16 {
         match self {
--- a/crates/query-api/src/lib.rs
+++ b/crates/query-api/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP semantics of the broker (RFC 9110), whatever the version of HTTP: which requests there are,
-//! how a query is decoded from one, and how its final response is encoded.
+//! HTTP semantics of the broker (RFC 9110) for all versions of HTTP: routing of requests, decoding
+//! of queries and encoding of final responses.
 //!
-//! How messages are framed on a connection is the job of other packages. Each listener decodes its
-//! requests with [`route`] and encodes final responses with [`encode_final_response`].
+//! Other packages frame messages on connections. Each listener decodes its requests with [`route`]
+//! and encodes final responses with [`encode_final_response`].
 
 mod deadline;
 mod decode;
--- a/crates/query-api/src/limits.rs
+++ b/crates/query-api/src/limits.rs
@@ -1,11 +1,11 @@
-//! Limits on what a request may contain.
+//! Limits on requests.
 
 use std::time::Duration;
 
-/// Longest body of a request, in bytes.
+/// Maximum length of a request's body, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Longest head of a request, in bytes: of the text in HTTP/1.1, of the header list as RFC 9113,
-/// section 6.5.2, counts it in HTTP/2.
+/// Maximum size of a request's head, in bytes. In HTTP/1.1 the size is the length of the text, in
+/// HTTP/2 that of the header list as defined in RFC 9113, section 6.5.2.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Longest time that a client may ask the broker to take: one hour.
+/// Maximum time that `X-Deadline` may give for a query: one hour.
 pub(crate) const MAX_CLIENT_TIMEOUT: Duration = Duration::from_secs(3600);
--- a/crates/query-api/src/method.rs
+++ b/crates/query-api/src/method.rs
@@ -1,8 +1,9 @@
-//! Methods of HTTP.
+//! Standard HTTP methods.
 
 use http::Method;
 
-/// Whether RFC 9110, section 9, or RFC 5789 defines the method; any other is not implemented.
+/// Returns whether RFC 9110, section 9, or RFC 5789 defines the method. A request with any other
+/// method has the status 501 (not implemented).
 pub(crate) fn is_standard_method(method: &Method) -> bool {
     [
         Method::GET,
--- a/crates/query-api/src/parts.rs
+++ b/crates/query-api/src/parts.rs
@@ -1,4 +1,4 @@
-//! The body of a query and its parts.
+//! Decoding of a query's body into its parts.
 
 use crate::invalid_request::InvalidRequest;
 use crate::limits::MAX_CLIENT_TIMEOUT;
@@ -6,14 +6,14 @@
 use serde::Deserialize;
 use std::time::Duration;
 
-/// Largest estimate of the work in a part.
+/// Maximum estimate of the work in a part that a client may give.
 const MAX_WORK_HINT: Duration = MAX_CLIENT_TIMEOUT;
-/// Largest difference between 1 and the sum of a query's weights: clients round them, and there may
-/// be a hundred.
+/// Maximum difference between 1 and the sum of a query's weights. Clients round the weights, and
+/// the rounding errors of a hundred parts add up.
 const WEIGHT_SUM_TOLERANCE: f64 = 0.01;
 
-/// The body of a query. The JSON library's messages, which reach clients, contain the names of this
-/// type and the next.
+/// Body of a query. The names of this type and of [`RangeBody`] must not change: they are part of
+/// the JSON library's error messages, which clients receive.
 #[derive(Deserialize)]
 pub(crate) struct Body {
     #[serde(rename = "ranges")]
@@ -21,19 +21,21 @@
     pub(crate) predicate: String,
 }
 
-/// One part in the body of a query.
+/// A part in the body of a query.
 #[derive(Deserialize)]
 pub(crate) struct RangeBody {
     #[serde(rename = "range")]
     shard: usize,
     #[serde(rename = "portion")]
     weight: f64,
-    /// In microseconds.
+    /// Estimate of the work in the part, in microseconds.
     #[serde(rename = "price")]
     work_hint: Option<f64>,
 }
 
 impl RangeBody {
+    /// Checks the weight and the estimated work. An estimate of less than a microsecond counts as
+    /// no estimate.
     fn check(self) -> Result<PartSpec, InvalidRequest> {
         if !(0.0..=1.0).contains(&self.weight) {
             return Err(InvalidRequest::WeightOutOfBounds);
@@ -53,7 +55,7 @@
     }
 }
 
-/// Checks the parts of a query for one of `shards` shards each.
+/// Checks the parts of a query in a deployment with `shards` shards.
 pub(crate) fn check_parts(
     parts: Vec<RangeBody>,
     shards: usize,
@@ -61,14 +63,14 @@
     if parts.is_empty() {
         return Err(InvalidRequest::NoParts);
     }
-    let mut is_taken = vec![false; shards];
+    let mut is_requested = vec![false; shards];
     let mut checked = Vec::with_capacity(parts.len());
     for part in parts {
-        take_shard(&mut is_taken, part.shard)?;
+        mark_requested(&mut is_requested, part.shard)?;
         checked.push(part.check()?);
     }
-    // Whether an answer is complete is judged by the weights: a query whose weights do not add up
-    // to a whole has no right answer.
+    // Whether an answer is complete depends on the sum of the weights of the answered parts. This
+    // sum has no meaning if the weights of all parts do not add up to 1.
     let sum: f64 = checked.iter().map(|part| part.weight).sum();
     if (sum - 1.0).abs() > WEIGHT_SUM_TOLERANCE {
         return Err(InvalidRequest::WeightsDoNotAddUp);
@@ -76,13 +78,13 @@
     Ok(checked)
 }
 
-/// Marks a shard as taken. The id of a part contains its shard, so that no two parts may be for the
-/// same one.
-fn take_shard(is_taken: &mut [bool], shard: usize) -> Result<(), InvalidRequest> {
-    match is_taken.get_mut(shard) {
-        Some(is_taken) if *is_taken => Err(InvalidRequest::DuplicateShard),
-        Some(is_taken) => {
-            *is_taken = true;
+/// Marks a shard as requested by a part of the query. A second part for the same shard is invalid,
+/// because data servers identify a part by the request id and the shard.
+fn mark_requested(is_requested: &mut [bool], shard: usize) -> Result<(), InvalidRequest> {
+    match is_requested.get_mut(shard) {
+        Some(is_requested) if *is_requested => Err(InvalidRequest::DuplicateShard),
+        Some(is_requested) => {
+            *is_requested = true;
             Ok(())
         }
         None => Err(InvalidRequest::ShardOutOfBounds),
--- a/crates/query-api/src/response.rs
+++ b/crates/query-api/src/response.rs
@@ -8,22 +8,23 @@
 use serde::Serialize;
 use std::time::{Duration, SystemTime};
 
-/// Retry-after advice for a client whose connection is rejected: by then the idle connections and
-/// the incomplete requests of others have been ended.
+/// Maximum of the `Retry-After` header for a client whose connection is rejected. Within this time
+/// the broker closes idle connections and aborts incomplete requests of other clients, which frees
+/// connections.
 const CONNECTION_RETRY_AFTER: Duration = Duration::from_secs(2);
 
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// Methods of the broker as a whole, for `OPTIONS *`.
+/// Methods in the response to `OPTIONS *`: those of all resources together.
 const ALL_METHODS: &str = "GET, HEAD, OPTIONS, POST";
-/// Method of a query.
+/// Methods allowed for queries.
 const QUERY_METHOD: &str = "POST";
 
 /// A response with its complete body.
 pub type Response = http::Response<Vec<u8>>;
 
-/// The body of an answer.
+/// Body of the response to an answered query.
 #[derive(Serialize)]
 struct AnswerBody<'a> {
     #[serde(rename = "total")]
@@ -32,7 +33,7 @@
     values: Vec<ValueBody<'a>>,
 }
 
-/// The value of one shard in the body of an answer.
+/// Value of a shard in [`AnswerBody`].
 #[derive(Serialize)]
 struct ValueBody<'a> {
     #[serde(rename = "range")]
@@ -67,31 +68,31 @@
     }
 }
 
-/// The response to a client whose connection is rejected because there are too many.
+/// Creates the response to a client whose connection is rejected because too many are open.
 #[must_use]
 pub fn connection_rejected(settings: &Settings) -> Response {
     let max_retry_after = settings.max_retry_after.map(millis);
     rejected_response(max_retry_after.map(|max| max.min(CONNECTION_RETRY_AFTER)))
 }
 
-/// The value of a `Date` header at this time (RFC 9110, section 5.6.7).
+/// Returns the value of a `Date` header for the time `now` (RFC 9110, section 5.6.7).
 #[must_use]
 pub fn date_header_value(now: SystemTime) -> HeaderValue {
     HeaderValue::try_from(httpdate::fmt_http_date(now)).unwrap_or(HeaderValue::from_static(""))
 }
 
-/// The response to `OPTIONS *`, which asks about the broker as a whole.
+/// Creates the response to `OPTIONS *`, a request about the broker as a whole.
 pub(crate) fn options_response() -> Response {
     error_response(204, ALL_METHODS, "")
 }
 
-/// A response without a body.
+/// Creates a response without a body.
 pub(crate) fn empty_response(status: StatusCode) -> Response {
     response(status.as_u16(), Vec::new())
 }
 
-/// A response with a reason as its body, and with the methods that are allowed instead; both may be
-/// empty.
+/// Creates a response with the text `reason` as its body and `allowed_methods` in its `Allow`
+/// header. If either is empty, it is left out.
 pub(crate) fn error_response(status: u16, allowed_methods: &'static str, reason: &str) -> Response {
     let body = if reason.is_empty() {
         Vec::new()
@@ -111,7 +112,9 @@
         is_complete,
         values: values.iter().map(ValueBody::from).collect(),
     };
-    let body = serde_json::to_vec(&body).expect("an answer's body has no map and cannot fail");
+    let body = serde_json::to_vec(&body).expect(
+        "AnswerBody contains only booleans, numbers, strings and lists, which always serialize",
+    );
     let mut response = response(200, body);
     let json = HeaderValue::from_static("application/json");
     response.headers_mut().insert(CONTENT_TYPE, json);
@@ -126,8 +129,8 @@
     response
 }
 
-/// Inserts the `Retry-After` header. It is in seconds with three decimals: clients of this protocol
-/// take fractions.
+/// Inserts the `Retry-After` header, in seconds with three decimals. RFC 9110 allows only whole
+/// seconds, but clients of this protocol accept fractions.
 fn insert_retry_after(headers: &mut HeaderMap, retry_after: Duration) {
     let seconds = format!("{:.3}", retry_after.as_micros() as f64 / MICROS_PER_SECOND);
     if let Ok(value) = HeaderValue::try_from(seconds) {
--- a/crates/query-api/src/route.rs
+++ b/crates/query-api/src/route.rs
@@ -1,4 +1,4 @@
-//! What a request asks for: a query, or something that is answered at once.
+//! Routing of requests: a request is a query or gets an immediate response.
 
 use crate::decode::decode;
 use crate::method::is_standard_method;
@@ -9,35 +9,37 @@
 use fanout_policy::api::Settings;
 use http::{Method, Request, StatusCode};
 
-/// Path at which the platform asks whether the broker accepts queries.
+/// Path that the platform polls to find out whether the broker accepts queries.
 const READINESS_PATH: &str = "/-/ready";
-/// Methods of [`READINESS_PATH`].
+/// Methods allowed for [`READINESS_PATH`].
 const READINESS_METHODS: &str = "GET, HEAD";
 
 /// Whether the broker accepts queries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Readiness {
-    /// It accepts queries.
+    /// The broker accepts queries.
     Ready,
-    /// It is shutting down.
+    /// The broker is shutting down.
     NotReady,
 }
 
-/// A request with what it asks for.
+/// Result of routing a request.
 #[derive(Debug)]
 pub enum Routed {
     /// The request is a query.
     Query(QueryRequest),
-    /// The request is answered without a query.
+    /// The request gets an immediate response, without running a query.
     Immediate {
         /// The response.
         response: Response,
-        /// Whether the request is valid: one that a well-behaved client sends.
+        /// Whether the request is valid. Listeners close an idle connection sooner, and evict it
+        /// earlier, if it has not had a valid request.
         is_valid_request: bool,
     },
 }
 
 impl Routed {
+    /// Creates the result for a valid request with an immediate response.
     fn valid(response: Response) -> Self {
         Routed::Immediate {
             response,
@@ -45,6 +47,7 @@
         }
     }
 
+    /// Creates the result for an invalid request.
     fn invalid(response: Response) -> Self {
         Routed::Immediate {
             response,
@@ -53,7 +56,8 @@
     }
 }
 
-/// Finds out what a request asks for.
+/// Decodes a query from a request, or creates the immediate response to another or an invalid
+/// request.
 #[must_use]
 pub fn route(
     request: &Request<Vec<u8>>,
@@ -73,6 +77,7 @@
     }
 }
 
+/// Creates the response to a request for [`READINESS_PATH`].
 fn route_readiness(method: &Method, readiness: Readiness) -> Routed {
     if [Method::GET, Method::HEAD].contains(method) {
         let status = match readiness {
--- a/crates/query-api/tests/invalid_request.rs
+++ b/crates/query-api/tests/invalid_request.rs
@@ -1,4 +1,4 @@
-//! Texts and status codes of invalid requests, which clients see.
+//! Status codes and response texts of invalid requests. Both are part of the protocol.
 
 use broker_types::query::{ClassIndex, FinalResponse, Names, QueryRequest, TenantIndex};
 use fanout_policy::settings::decode as decode_settings;
@@ -8,6 +8,7 @@
 
 const BODY: &str = r#"{"ranges":[{"range":0,"portion":1}],"predicate":"p"}"#;
 
+/// Decodes a request for a site with the settings of the test file.
 fn decode_request(request: &Request<Vec<u8>>) -> Result<QueryRequest, InvalidRequest> {
     let settings: Value =
         serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
@@ -21,6 +22,7 @@
     decode(request, &names, &site.settings)
 }
 
+/// Creates a POST request.
 fn request(path: &str, headers: &[(&str, &str)], body: &str) -> Request<Vec<u8>> {
     let mut request = Request::post(path);
     for (name, value) in headers {
@@ -29,8 +31,10 @@
     request.body(body.as_bytes().to_vec()).unwrap()
 }
 
+/// Headers that the settings require for every class.
 const HEADERS: [(&str, &str); 2] = [("x-request-id", "r1"), ("x-tenant", "acme")];
 
+/// Asserts that a request is rejected with this status and response text.
 #[track_caller]
 fn assert_invalid(request: &Request<Vec<u8>>, status: u16, reason: &str) {
     let error = decode_request(request).unwrap_err();
@@ -50,7 +54,7 @@
 }
 
 #[test]
-fn request_with_an_invalid_path_or_method_is_refused() {
+fn request_with_an_invalid_path_or_method_is_rejected() {
     assert_invalid(
         &request("/none", &HEADERS, BODY),
         404,
@@ -64,7 +68,7 @@
 }
 
 #[test]
-fn request_with_an_invalid_header_is_refused() {
+fn request_with_an_invalid_header_is_rejected() {
     let id = HEADERS[0];
     let tenant = HEADERS[1];
     for (path, headers, reason) in [
@@ -98,7 +102,7 @@
 }
 
 #[test]
-fn request_with_an_invalid_body_is_refused() {
+fn request_with_an_invalid_body_is_rejected() {
     for (body, reason) in [
         (r#"{"ranges":[],"predicate":""}"#, "ranges is empty"),
         (
--- a/crates/query-api/tests/response.rs
+++ b/crates/query-api/tests/response.rs
@@ -1,4 +1,4 @@
-//! Encoding of final responses.
+//! Headers of encoded responses.
 
 use broker_types::query::FinalResponse;
 use query_api::{date_header_value, encode_final_response};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn method_that_is_not_allowed_is_answered_with_the_one_that_is() {
+fn response_with_status_405_names_the_allowed_method() {
     let response = encode_final_response(&FinalResponse::Invalid {
         status: 405,
         reason: "a query is a POST".into(),
