--- a/crates/http1-codec/src/body.rs
+++ b/crates/http1-codec/src/body.rs
@@ -2,22 +2,24 @@
 
 use crate::error::ParseError;
 
-/// Longest line that starts a chunk, in bytes: its size and extensions, which are ignored.
+/// Maximum length of the line that starts a chunk, in bytes. The line contains the size of the
+/// chunk and extensions, which are ignored.
 const MAX_CHUNK_LINE_BYTES: usize = 256;
-/// Longest trailer section, in bytes.
+/// Maximum length of a trailer section, in bytes.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
-/// Most bytes of chunk lines, as a multiple of the longest body. A body sent one byte a chunk needs
-/// six bytes of chunk lines a byte; extensions without end are thereby bounded.
+/// Maximum number of bytes in chunk framing, as a multiple of the maximum body length. A body sent
+/// in chunks of one byte takes six bytes on the wire per byte of data, which the limit allows. It
+/// bounds chunk extensions, which a client could otherwise send without end.
 const MAX_CHUNK_OVERHEAD_RATIO: usize = 8;
-/// Most fields in a trailer section.
+/// Maximum number of fields in a trailer section.
 const MAX_TRAILER_FIELDS: usize = 32;
-/// Smallest step, in bytes, by which the memory of a body grows. Memory is reserved as data
-/// arrives, because a declared length alone must not claim any.
+/// Minimum number of bytes by which the buffer of a body grows. The buffer grows only as data
+/// arrives: a client must not be able to make the broker reserve memory by declaring a length.
 const MIN_GROWTH_BYTES: usize = 4 * 1024;
-/// Bytes of a chunk's framing beside its first line's content: the line ends after that line and
-/// after its data.
+/// Bytes of a chunk's framing in addition to the content of its first line: the line ends after
+/// that line and after the chunk's data.
 const CHUNK_LINE_ENDS_BYTES: usize = 4;
-/// The line end of HTTP/1.1.
+/// Line end of HTTP/1.1.
 const CRLF: &[u8; 2] = b"\r\n";
 
 /// How the body of a message is delimited (RFC 9112, section 6.3).
@@ -27,56 +29,65 @@
     ContentLength(u64),
     /// By the chunked transfer coding.
     Chunked,
-    /// By the end of the connection, which is possible for responses alone.
+    /// By the end of the connection. Only responses can be delimited in this way.
     ConnectionClose,
 }
 
-/// Decoder of one body, which collects its data.
+/// Decoder of one body. It collects the body's data.
 #[derive(Debug)]
 pub(crate) struct BodyDecoder {
     state: State,
     max_bytes: usize,
-    /// Bytes of chunk lines so far.
+    /// Bytes of chunk framing decoded so far.
     chunk_overhead_bytes: usize,
-    /// The data decoded so far.
+    /// Data decoded so far.
     data: Vec<u8>,
 }
 
-/// The element of the body that comes next.
+/// Element of the body that is decoded next.
 #[derive(Debug)]
 enum State {
-    /// This number of bytes remains of a body with `Content-Length`.
+    /// Data of a body with `Content-Length`, with the number of bytes that are still missing.
     ContentLength(usize),
+    /// The line that starts a chunk.
     ChunkLine,
-    /// This number of bytes remains of the chunk's data.
+    /// Data of a chunk, with the number of bytes that are still missing.
     ChunkData(usize),
     /// The line end after a chunk's data.
     ChunkDataEnd,
+    /// The trailer section.
     Trailer,
+    /// Data up to the end of the connection.
     UntilConnectionClose,
+    /// None: the body is complete.
     Complete,
 }
 
-/// Result of one call of [`BodyDecoder::decode`].
+/// Result of a call of [`BodyDecoder::decode`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct BodyProgress {
-    /// Bytes of the input that were used.
+    /// Number of bytes of the input that were decoded.
     pub(crate) consumed: usize,
     /// Whether the body is complete.
     pub(crate) is_complete: bool,
 }
 
-/// Result of one element.
-enum Advance {
-    /// The element is complete, and used this number of bytes.
-    ElementComplete(usize),
-    /// This number of bytes was used, and more is needed.
-    NeedsMore(usize),
-    /// Nothing of the body remains.
+/// Result of decoding one element of the body.
+enum ElementProgress {
+    /// The element is complete. It ended after this number of bytes.
+    Complete(usize),
+    /// The element is incomplete. This number of bytes was decoded.
+    Incomplete(usize),
+    /// The body is already complete, so there is no further element.
     BodyComplete,
 }
 
 impl BodyDecoder {
+    /// Creates a decoder of a body of at most `max_bytes` bytes.
+    ///
+    /// # Errors
+    ///
+    /// [`ParseError::BodyTooLong`] if the declared length exceeds `max_bytes`.
     pub(crate) fn new(framing: BodyFraming, max_bytes: usize) -> Result<Self, ParseError> {
         let state = match framing {
             BodyFraming::ContentLength(length) if length > max_bytes as u64 => {
@@ -94,17 +105,17 @@
         })
     }
 
-    /// Decodes as much as possible from the front of `input`.
+    /// Decodes as much as possible from the start of `input`.
     pub(crate) fn decode(&mut self, input: &[u8]) -> Result<BodyProgress, ParseError> {
         let mut consumed = 0;
         loop {
-            let (used, is_complete) = match self.advance(&input[consumed..])? {
-                Advance::ElementComplete(used) => {
+            let (used, is_complete) = match self.decode_element(&input[consumed..])? {
+                ElementProgress::Complete(used) => {
                     consumed += used;
                     continue;
                 }
-                Advance::NeedsMore(used) => (used, false),
-                Advance::BodyComplete => (0, true),
+                ElementProgress::Incomplete(used) => (used, false),
+                ElementProgress::BodyComplete => (0, true),
             };
             return Ok(BodyProgress {
                 consumed: consumed + used,
@@ -113,23 +124,23 @@
         }
     }
 
-    /// Whether any data has been decoded.
+    /// Returns whether any data has been decoded.
     pub(crate) fn has_data(&self) -> bool {
         !self.data.is_empty()
     }
 
-    /// The data decoded so far.
+    /// Returns the data decoded so far.
     pub(crate) fn into_data(self) -> Vec<u8> {
         self.data
     }
 
-    /// Whether the end of the connection completes this body.
+    /// Returns whether the end of the connection completes this body.
     pub(crate) fn ends_with_connection(&self) -> bool {
         matches!(self.state, State::UntilConnectionClose)
     }
 
-    /// Decodes one element from the front of `rest`.
-    fn advance(&mut self, rest: &[u8]) -> Result<Advance, ParseError> {
+    /// Decodes one element from the start of `rest`.
+    fn decode_element(&mut self, rest: &[u8]) -> Result<ElementProgress, ParseError> {
         match self.state {
             State::ContentLength(remaining) => {
                 Ok(self.append_data(rest, remaining, State::ContentLength, State::Complete))
@@ -145,32 +156,34 @@
                     return Err(ParseError::BodyTooLong);
                 }
                 self.append(rest);
-                Ok(Advance::NeedsMore(rest.len()))
+                Ok(ElementProgress::Incomplete(rest.len()))
             }
-            State::Complete => Ok(Advance::BodyComplete),
+            State::Complete => Ok(ElementProgress::BodyComplete),
         }
     }
 
-    /// Appends up to `remaining` bytes of data. The state becomes `next` after the last of them,
-    /// and `current(remaining)` before that.
+    /// Appends up to `remaining` bytes from the start of `rest` to the data. If this completes the
+    /// element, the state becomes `next`; otherwise it becomes `current` with the number of bytes
+    /// still missing.
     fn append_data(
         &mut self,
         rest: &[u8],
         remaining: usize,
         current: fn(usize) -> State,
         next: State,
-    ) -> Advance {
+    ) -> ElementProgress {
         let used = remaining.min(rest.len());
         self.append(&rest[..used]);
         if used < remaining {
             self.state = current(remaining - used);
-            Advance::NeedsMore(used)
+            ElementProgress::Incomplete(used)
         } else {
             self.state = next;
-            Advance::ElementComplete(used)
+            ElementProgress::Complete(used)
         }
     }
 
+    /// Appends bytes to the data.
     fn append(&mut self, bytes: &[u8]) {
         if self.data.capacity() - self.data.len() < bytes.len() {
             self.data.reserve_exact(bytes.len().max(MIN_GROWTH_BYTES));
@@ -179,12 +192,12 @@
     }
 
     /// Decodes the line that starts a chunk (RFC 9112, section 7.1).
-    fn chunk_line(&mut self, rest: &[u8]) -> Result<Advance, ParseError> {
+    fn chunk_line(&mut self, rest: &[u8]) -> Result<ElementProgress, ParseError> {
         let Some(line_length) = rest.windows(CRLF.len()).position(|w| w == CRLF) else {
             return if rest.len() > MAX_CHUNK_LINE_BYTES {
                 Err(ParseError::MalformedChunk)
             } else {
-                Ok(Advance::NeedsMore(0))
+                Ok(ElementProgress::Incomplete(0))
             };
         };
         if line_length > MAX_CHUNK_LINE_BYTES {
@@ -201,41 +214,42 @@
             0 => State::Trailer,
             size => State::ChunkData(size as usize),
         };
-        Ok(Advance::ElementComplete(line_length + CRLF.len()))
+        Ok(ElementProgress::Complete(line_length + CRLF.len()))
     }
 
     /// Decodes the line end after a chunk's data.
-    fn chunk_data_end(&mut self, rest: &[u8]) -> Result<Advance, ParseError> {
+    fn chunk_data_end(&mut self, rest: &[u8]) -> Result<ElementProgress, ParseError> {
         match rest {
             [b'\r', b'\n', ..] => {
                 self.state = State::ChunkLine;
-                Ok(Advance::ElementComplete(CRLF.len()))
+                Ok(ElementProgress::Complete(CRLF.len()))
             }
-            [] | [b'\r'] => Ok(Advance::NeedsMore(0)),
+            [] | [b'\r'] => Ok(ElementProgress::Incomplete(0)),
             _ => Err(ParseError::MalformedChunk),
         }
     }
 
-    /// Discards the trailer section (RFC 9112, section 7.1.2).
-    fn trailer(&mut self, rest: &[u8]) -> Result<Advance, ParseError> {
+    /// Decodes the trailer section and discards its fields (RFC 9112, section 7.1.2).
+    fn trailer(&mut self, rest: &[u8]) -> Result<ElementProgress, ParseError> {
         let mut fields = [httparse::EMPTY_HEADER; MAX_TRAILER_FIELDS];
         match httparse::parse_headers(rest, &mut fields) {
             Ok(httparse::Status::Complete((used, _))) if used <= MAX_TRAILER_BYTES => {
                 self.state = State::Complete;
-                Ok(Advance::ElementComplete(used))
+                Ok(ElementProgress::Complete(used))
             }
             Ok(httparse::Status::Partial) if rest.len() <= MAX_TRAILER_BYTES => {
-                Ok(Advance::NeedsMore(0))
+                Ok(ElementProgress::Incomplete(0))
             }
             _ => Err(ParseError::MalformedTrailer),
         }
     }
 }
 
-/// The size that a chunk's first line, without its line end, declares. Extensions are ignored.
+/// Parses the chunk size in a chunk's first line, given without its line end. Extensions are
+/// ignored.
 fn chunk_size(line: &[u8]) -> Result<u64, ParseError> {
-    // Implementations disagree on a bare line end within an extension, which allows request
-    // smuggling.
+    // Implementations disagree on whether a bare CR or LF in an extension ends the line, which
+    // allows request smuggling.
     if line.iter().any(|b| b.is_ascii_control() && *b != b'\t') {
         return Err(ParseError::MalformedChunk);
     }
--- a/crates/http1-codec/src/decode.rs
+++ b/crates/http1-codec/src/decode.rs
@@ -3,7 +3,7 @@
 use crate::error::ParseError;
 use crate::head::{parse_request_head, parse_response_head};
 use crate::limits::Limits;
-use crate::partial_message::{BodyState, HasBody, MessageHead, PartialMessage};
+use crate::partial_message::{BodyState, MessageBody, MessageHead, PartialMessage};
 use http::{Request, Response};
 
 /// A complete message.
@@ -23,12 +23,12 @@
         /// Whether the peer waits for `100 Continue` before it sends the body.
         awaits_continue: bool,
     },
-    /// The message is complete. Bytes after its end are still in the input.
+    /// The message is complete. The input still contains the bytes after its end.
     Complete(Message<T>),
 }
 
 impl<T> Progress<T> {
-    /// A message of which more has to arrive, without any action on this side.
+    /// Returns the progress of an incomplete message whose sender does not wait for a response.
     fn incomplete() -> Self {
         Progress::Incomplete {
             awaits_continue: false,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Decodes as much as possible of one request, and removes the used bytes from `input`.
+    /// Decodes as much as possible of one request, and removes the decoded bytes from `input`.
     ///
     /// # Errors
     ///
@@ -83,8 +83,8 @@
     input.drain(..2 * empty_lines);
 }
 
-/// Decodes the consecutive responses of one connection, the last of which may end with the
-/// connection.
+/// Decodes the consecutive responses of one connection. The end of the connection may delimit the
+/// body of the last one.
 #[derive(Debug)]
 pub struct ResponseDecoder {
     limits: Limits,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Decodes as much as possible of one response, and removes the used bytes from `input`.
+    /// Decodes as much as possible of one response, and removes the decoded bytes from `input`.
     /// Interim responses (RFC 9110, section 15.2) are skipped.
     ///
     /// # Errors
@@ -125,8 +125,8 @@
         decode_body(&mut self.current, input)
     }
 
-    /// Handles the orderly end of the connection (not a reset): returns the response that this end
-    /// completes, if any (RFC 9112, section 6.3).
+    /// Handles the orderly end of the connection; must not be called for a reset. Returns the
+    /// response that the end completes, if any (RFC 9112, section 6.3).
     pub fn finish(&mut self) -> Option<Message<Response<Vec<u8>>>> {
         let response = self
             .current
@@ -139,8 +139,9 @@
     }
 }
 
-/// Continues the body of the current message, and takes the message out once it is complete.
-fn decode_body<T: HasBody>(
+/// Continues to decode the body of the current message. Returns the message and clears `current`
+/// when the body is complete.
+fn decode_body<T: MessageBody>(
     current: &mut Option<PartialMessage<T>>,
     input: &mut Vec<u8>,
 ) -> Result<Progress<T>, ParseError> {
--- a/crates/http1-codec/src/encode.rs
+++ b/crates/http1-codec/src/encode.rs
@@ -3,17 +3,18 @@
 use http::{Response, Version};
 use std::io::Write;
 
-/// Initial capacity for the head of a response, in bytes: enough for the fields that this project
-/// sends.
+/// Initial capacity for the head of a response, in bytes. It suffices for the fields that the
+/// broker sends.
 const HEAD_CAPACITY_BYTES: usize = 256;
 
 /// Properties of the request and its connection that affect the framing of the response.
 #[derive(Clone, Copy, Debug)]
 pub struct ResponseOptions {
-    /// Version of the request. A client with HTTP/1.0 has to be notified that the connection stays
-    /// open (RFC 9112, section 9.3).
+    /// HTTP version of the request. A response to an HTTP/1.0 request has to say that the
+    /// connection stays open (RFC 9112, section 9.3).
     pub version: Version,
-    /// Whether the method was HEAD, so that the body is left out (RFC 9110, section 9.3.2).
+    /// Whether the method of the request is HEAD. The response then has no body (RFC 9110, section
+    /// 9.3.2).
     pub head_only: bool,
     /// Whether the connection may carry another request.
     pub keep_alive: bool,
@@ -21,8 +22,7 @@
 
 /// Encodes a response with a complete body.
 ///
-/// `Content-Length` and `Connection` are added here and must not be among the response's own
-/// fields.
+/// Adds `Content-Length` and `Connection`, which `response` must not contain.
 #[must_use]
 pub fn encode_response(response: &Response<Vec<u8>>, options: ResponseOptions) -> Vec<u8> {
     let status = response.status();
@@ -57,8 +57,8 @@
     encoded
 }
 
-/// Appends a field name in its usual spelling, such as `Retry-After`. Names are case-insensitive
-/// (RFC 9110, section 5.1).
+/// Appends a lower-case field name in its usual spelling, such as `Retry-After`. The spelling is
+/// only a convention, because field names are case-insensitive (RFC 9110, section 5.1).
 fn append_title_case(name: &str, encoded: &mut Vec<u8>) {
     let mut starts_word = true;
     for byte in name.bytes() {
--- a/crates/http1-codec/src/error.rs
+++ b/crates/http1-codec/src/error.rs
@@ -1,17 +1,18 @@
-//! The error of the decoders.
+//! Error type of the decoders.
 
 use thiserror::Error;
 
-/// Why a message cannot be decoded.
+/// Reason why a message cannot be decoded.
 ///
-/// The end of the message is unknown after any of these, so the connection has to be closed (RFC
-/// 9112, section 6.3). The text of each error is meant for the peer that sent the message.
+/// The end of the message is unknown after any of these errors, so the connection has to be closed
+/// (RFC 9112, section 6.3). The text of an error in a request is sent to the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ParseError {
     /// The start line or a field line violates the grammar (RFC 9112, sections 2.2, 3 and 5).
     #[error("the head is malformed")]
     MalformedHead,
-    /// The version is not HTTP/1.x (section 2.3). The connection preface of HTTP/2 also ends here.
+    /// The version is not HTTP/1.x (section 2.3). The connection preface of HTTP/2 also causes this
+    /// error.
     #[error("the version is not HTTP/1.1")]
     UnsupportedVersion,
     /// The request line is too long (section 3).
@@ -56,7 +57,7 @@
 }
 
 impl ParseError {
-    /// The status code of the response that reports this error to a client.
+    /// Returns the status code of the response that reports this error to a client.
     #[must_use]
     pub fn status(self) -> u16 {
         match self {
--- a/crates/http1-codec/src/fields.rs
+++ b/crates/http1-codec/src/fields.rs
@@ -9,10 +9,10 @@
 use http::{Method, Uri, Version};
 use std::net::Ipv6Addr;
 
-/// Most fields of a head.
+/// Maximum number of fields in a head.
 pub(crate) const MAX_FIELDS: usize = 64;
 
-/// Converts parsed fields into typed ones.
+/// Converts the fields of a parsed head into a map.
 pub(crate) fn typed_fields(parsed: &[httparse::Header]) -> Result<HeaderMap, ParseError> {
     let mut fields = HeaderMap::with_capacity(parsed.len());
     for field in parsed {
@@ -25,7 +25,8 @@
     Ok(fields)
 }
 
-/// The members of a list-based field over all its lines (RFC 9110, section 5.6.1).
+/// Returns the members of a list-based field, collected from all lines with its name (RFC 9110,
+/// section 5.6.1).
 fn list_members<'a>(fields: &'a HeaderMap, name: &HeaderName) -> impl Iterator<Item = &'a [u8]> {
     let lines = fields.get_all(name).iter();
     lines
@@ -34,7 +35,8 @@
         .filter(|member| !member.is_empty())
 }
 
-/// How the body is delimited, or `None` if no field declares a body (RFC 9112, section 6.3).
+/// Returns how the body is delimited, or `None` if no field declares a body (RFC 9112, section
+/// 6.3).
 pub(crate) fn body_framing(
     fields: &HeaderMap,
     version: Version,
@@ -53,7 +55,8 @@
     content_length.map(parse_content_length).transpose()
 }
 
-/// Accepts `chunked` as the only transfer coding (RFC 9112, section 6.1).
+/// Parses `Transfer-Encoding`. Only the single coding `chunked` is supported (RFC 9112, section
+/// 6.1).
 fn transfer_coding(fields: &HeaderMap, version: Version) -> Result<BodyFraming, ParseError> {
     if version < Version::HTTP_11 {
         return Err(ParseError::InvalidTransferCoding);
@@ -75,14 +78,15 @@
     if digits.is_empty() || !digits.iter().all(u8::is_ascii_digit) {
         return Err(ParseError::InvalidContentLength);
     }
-    // A length beyond the integer's range is valid and reported as too long.
+    // A length that exceeds 64 bits is syntactically valid. It becomes the maximum, which is
+    // rejected as too long.
     let length = std::str::from_utf8(digits)
         .ok()
         .and_then(|digits| digits.parse().ok());
     Ok(BodyFraming::ContentLength(length.unwrap_or(u64::MAX)))
 }
 
-/// Whether the connection may carry another message (RFC 9112, section 9.3).
+/// Returns whether the connection may carry another message (RFC 9112, section 9.3).
 pub(crate) fn is_persistent(fields: &HeaderMap, version: Version) -> bool {
     let has_option = |option: &[u8]| {
         list_members(fields, &CONNECTION).any(|member| member.eq_ignore_ascii_case(option))
@@ -90,13 +94,14 @@
     !has_option(b"close") && (version >= Version::HTTP_11 || has_option(b"keep-alive"))
 }
 
-/// Parses the request target, in a form that the method allows (RFC 9112, section 3.2).
+/// Parses the request target, which must have a form that the method allows (RFC 9112, section
+/// 3.2).
 pub(crate) fn parse_target(method: &Method, text: &str) -> Result<Uri, ParseError> {
     if *method == Method::CONNECT {
         return Err(ParseError::ConnectNotSupported);
     }
-    // Characters that a URI cannot contain (RFC 3986, section 2), and the fragment, which is not
-    // part of a target.
+    // Characters that a URI cannot contain (RFC 3986, section 2), and `#`, which starts a fragment:
+    // a request target has no fragment.
     let is_forbidden = |b: u8| !b.is_ascii_graphic() || b"\"#<>\\^`{|}".contains(&b);
     if text.bytes().any(is_forbidden) {
         return Err(ParseError::InvalidTarget);
@@ -111,7 +116,7 @@
     }
 }
 
-/// Whether a target is an absolute URI of HTTP with a host (RFC 9112, section 3.2.2).
+/// Returns whether a target is an absolute HTTP URI with a host (RFC 9112, section 3.2.2).
 fn is_absolute_form(uri: &Uri) -> bool {
     match (uri.scheme_str(), uri.authority()) {
         (Some("http" | "https"), Some(authority)) => is_valid_authority(authority.as_str()),
@@ -129,15 +134,16 @@
     }
 }
 
-/// Whether `text` is the authority of an HTTP URI: the same as a `Host` field, but with a host that
-/// is not empty.
+/// Returns whether `text` is a valid authority of an HTTP URI. The grammar is that of a `Host`
+/// field, except that the host must not be empty.
 fn is_valid_authority(text: &str) -> bool {
     let is_host_empty = text.is_empty() || text.starts_with(':');
     !is_host_empty && is_valid_host_field(text)
 }
 
-/// Whether `text` is `uri-host [ ":" port ]` (RFC 9110, section 7.2; RFC 3986, section 3.2.2),
-/// whose host may be empty. User information before the host is invalid (RFC 9110, section 4.2.4).
+/// Returns whether `text` is `uri-host [ ":" port ]` (RFC 9110, section 7.2; RFC 3986, section
+/// 3.2.2). The host may be empty. User information before the host is invalid (RFC 9110, section
+/// 4.2.4).
 fn is_valid_host_field(text: &str) -> bool {
     if let Some((address, rest)) = text.strip_prefix('[').and_then(|t| t.split_once(']')) {
         let port = rest.strip_prefix(':').or(rest.is_empty().then_some(""));
@@ -148,6 +154,7 @@
     host.bytes().all(is_host_char) && is_valid_port(port)
 }
 
+/// Returns whether `text` is empty or a number of at most 16 bits.
 fn is_valid_port(text: &str) -> bool {
     let is_number = text.bytes().all(|b| b.is_ascii_digit());
     text.is_empty() || (is_number && text.parse::<u16>().is_ok())
--- a/crates/http1-codec/src/head.rs
+++ b/crates/http1-codec/src/head.rs
@@ -8,18 +8,19 @@
 use http::header::{EXPECT, HeaderMap};
 use http::{Method, Request, Response, StatusCode, Version};
 
-/// What precedes the minor version in a start line.
+/// Text before the minor version in a start line.
 const VERSION_PREFIX: &[u8; 7] = b"HTTP/1.";
 
-/// A parsed head.
+/// A parsed head, as a message whose body is still to be decoded.
 #[derive(Debug)]
 pub(crate) struct ParsedHead<T> {
+    /// The message, without any of its body.
     pub(crate) message: PartialMessage<T>,
     /// Length of the head, in bytes.
     pub(crate) length: usize,
 }
 
-/// Parses the request head that `input` starts with, or returns `None` if it is incomplete.
+/// Parses the request head at the start of `input`. Returns `None` if the head is incomplete.
 pub(crate) fn parse_request_head(
     input: &[u8],
     limits: Limits,
@@ -29,7 +30,7 @@
     let length = match head.parse(input) {
         Ok(httparse::Status::Complete(length)) if length <= limits.head_bytes => length,
         Ok(httparse::Status::Partial) if input.len() <= limits.head_bytes => return Ok(None),
-        // The first line alone exceeds the limit of the head.
+        // The request line alone exceeds the limit on the head.
         Ok(_) if !input[..limits.head_bytes].contains(&b'\n') => {
             return Err(ParseError::RequestLineTooLong);
         }
@@ -41,8 +42,8 @@
     Ok(Some(ParsedHead { message, length }))
 }
 
-/// Converts a parsed request head into a message, applying the rules that concern more than the
-/// grammar.
+/// Converts a parsed request head into a message. Checks the rules that the grammar does not cover:
+/// those on the request target, `Host` and the length of the body.
 fn request_message(
     head: &httparse::Request,
     limits: Limits,
@@ -70,7 +71,8 @@
     Ok(PartialMessage::new(head, body))
 }
 
-/// How a request's body is delimited. A method that implies a body requires a declared length.
+/// Returns how the body of a request is delimited. POST, PUT and PATCH imply a body, so a request
+/// with one of them must declare how its body is delimited; other requests may have no body.
 fn request_body_framing(
     header_fields: &HeaderMap,
     method: &Method,
@@ -84,8 +86,8 @@
     }
 }
 
-/// Whether the client sends the body only after `100 Continue`. The expectation is ignored in
-/// HTTP/1.0 and where there is no body (RFC 9110, section 10.1.1).
+/// Returns whether the client may wait for `100 Continue` before it sends the body. `Expect` is
+/// ignored in HTTP/1.0 and in requests without a body (RFC 9110, section 10.1.1).
 fn expects_continue(header_fields: &HeaderMap, version: Version, framing: BodyFraming) -> bool {
     let has_expectation = header_fields
         .get(EXPECT)
@@ -93,8 +95,8 @@
     has_expectation && version == Version::HTTP_11 && framing != BodyFraming::ContentLength(0)
 }
 
-/// Parses a request with a later minor version as HTTP/1.1 (RFC 9110, section 2.5), and rejects
-/// another major version.
+/// Parses the head of a request whose version is neither HTTP/1.0 nor HTTP/1.1. A later minor
+/// version is treated as HTTP/1.1 (RFC 9110, section 2.5); any other version is an error.
 fn parse_later_minor_version(
     input: &[u8],
     limits: Limits,
@@ -119,7 +121,7 @@
     }
 }
 
-/// Parses the response head that `input` starts with, or returns `None` if it is incomplete.
+/// Parses the response head at the start of `input`. Returns `None` if the head is incomplete.
 pub(crate) fn parse_response_head(
     input: &[u8],
     limits: Limits,
@@ -146,7 +148,8 @@
         .map_err(|_| ParseError::MalformedHead)?;
     let header_fields = fields::typed_fields(head.headers)?;
     let declared_framing = fields::body_framing(&header_fields, version)?;
-    // These never have a body, whatever their fields declare (RFC 9112, section 6.3).
+    // Responses with these status codes never have a body, whatever their fields declare (RFC 9112,
+    // section 6.3).
     let has_body = !status.is_informational() && ![204, 304].contains(&status.as_u16());
     let framing = if has_body {
         declared_framing.unwrap_or(BodyFraming::ConnectionClose)
@@ -167,7 +170,7 @@
     Ok(PartialMessage::new(head, body))
 }
 
-/// The typed version for a minor version of HTTP/1.
+/// Converts a minor version of HTTP/1.
 fn http_version(minor: Option<u8>) -> Version {
     if minor == Some(0) {
         Version::HTTP_10
--- a/crates/http1-codec/src/lib.rs
+++ b/crates/http1-codec/src/lib.rs
@@ -1,10 +1,10 @@
-//! HTTP/1.1 framing without sockets (RFC 9112): decodes received bytes into complete messages and
-//! encodes responses.
+//! HTTP/1.1 framing (RFC 9112): decodes received bytes into complete messages and encodes
+//! responses. This package does not use sockets.
 //!
-//! A decoder keeps its state between calls, so that bytes which arrive in many reads are not
-//! scanned again for each read. Where lenient parsing would allow request smuggling, the decoder is
-//! strict: it rejects whatever RFC 9112 allows a server to reject. Chunk extensions and trailer
-//! fields are discarded.
+//! A decoder keeps its state between calls, so that the bytes of a body that arrives in many reads
+//! are not scanned again for each read. Where lenient parsing would allow request smuggling, the
+//! decoder is strict: it rejects whatever RFC 9112 allows a server to reject. Chunk extensions and
+//! trailer fields are discarded.
 //!
 //! ```
 //! use http1_codec::{Limits, Progress, RequestDecoder};
--- a/crates/http1-codec/src/limits.rs
+++ b/crates/http1-codec/src/limits.rs
@@ -1,10 +1,10 @@
 //! Limits on the size of a message.
 
-/// Largest message that a decoder accepts.
+/// Maximum size of a message that a decoder accepts.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Longest head in bytes, including its start line.
+    /// Maximum length of the head in bytes, including its start line.
     pub head_bytes: usize,
-    /// Longest body in bytes, excluding the framing of its chunks.
+    /// Maximum length of the body in bytes, excluding the framing of its chunks.
     pub body_bytes: usize,
 }
--- a/crates/http1-codec/src/partial_message.rs
+++ b/crates/http1-codec/src/partial_message.rs
@@ -4,30 +4,33 @@
 use crate::error::ParseError;
 use http::{Request, Response};
 
-/// A message with a body.
-pub(crate) trait HasBody {
+/// A message type whose body can be replaced: a request or response.
+pub(crate) trait MessageBody {
+    /// Returns the body for modification.
     fn body_mut(&mut self) -> &mut Vec<u8>;
 }
 
-impl HasBody for Request<Vec<u8>> {
+impl MessageBody for Request<Vec<u8>> {
     fn body_mut(&mut self) -> &mut Vec<u8> {
         Request::body_mut(self)
     }
 }
 
-impl HasBody for Response<Vec<u8>> {
+impl MessageBody for Response<Vec<u8>> {
     fn body_mut(&mut self) -> &mut Vec<u8> {
         Response::body_mut(self)
     }
 }
 
-/// What a head says, with the message as far as the head goes.
+/// A parsed head: a request or response without its body, and properties of the connection.
 #[derive(Debug)]
 pub(crate) struct MessageHead<T> {
+    /// The request or response. Its body is empty until it has been decoded.
     pub(crate) value: T,
     /// Whether the connection may carry another message.
     pub(crate) keep_alive: bool,
-    /// Whether the client sends the body only after `100 Continue` (RFC 9110, section 10.1.1).
+    /// Whether the client may wait for `100 Continue` before it sends the body (RFC 9110, section
+    /// 10.1.1).
     pub(crate) expects_continue: bool,
 }
 
@@ -45,24 +48,25 @@
     body: BodyDecoder,
 }
 
-impl<T: HasBody> PartialMessage<T> {
+impl<T: MessageBody> PartialMessage<T> {
+    /// Creates a message from its head and a decoder that has decoded nothing yet.
     pub(crate) fn new(head: MessageHead<T>, body: BodyDecoder) -> Self {
         PartialMessage { head, body }
     }
 
-    /// The message as far as its head goes.
+    /// Returns the request or response, with an empty body.
     pub(crate) fn value(&self) -> &T {
         &self.head.value
     }
 
-    /// Whether the client waits for `100 Continue` before it sends the body, of which `input` would
-    /// be the start.
+    /// Returns whether the client waits for `100 Continue` before it sends the body. It does not if
+    /// part of the body has arrived. `input` contains the bytes received after the decoded ones.
     pub(crate) fn awaits_continue(&self, input: &[u8]) -> bool {
         let body_started = !input.is_empty() || self.body.has_data();
         self.head.expects_continue && !body_started
     }
 
-    /// Decodes as much as possible of the body, and removes the used bytes from `input`.
+    /// Decodes as much as possible of the body, and removes the decoded bytes from `input`.
     pub(crate) fn decode_body(&mut self, input: &mut Vec<u8>) -> Result<BodyState, ParseError> {
         let progress = self.body.decode(input)?;
         input.drain(..progress.consumed);
@@ -73,12 +77,12 @@
         })
     }
 
-    /// Whether the end of the connection completes the message.
+    /// Returns whether the end of the connection completes the message.
     pub(crate) fn ends_with_connection(&self) -> bool {
         self.body.ends_with_connection()
     }
 
-    /// The message with the data of its body so far.
+    /// Returns the head, with the body data decoded so far as the body of its request or response.
     pub(crate) fn into_head_with_body(self) -> MessageHead<T> {
         let mut head = self.head;
         *head.value.body_mut() = self.body.into_data();
--- a/crates/http1-codec/tests/any_bytes.rs
+++ b/crates/http1-codec/tests/any_bytes.rs
@@ -1,4 +1,5 @@
-//! Arbitrary input in arbitrary reads: no panic, bounded memory, and the same result.
+//! Decoding of arbitrary bytes that arrive in arbitrary reads: the decoders do not panic, buffer a
+//! bounded number of bytes, and return results that do not depend on the reads.
 
 use http1_codec::{Limits, ParseError, Progress, RequestDecoder, ResponseDecoder};
 use proptest::prelude::*;
@@ -8,15 +9,15 @@
     body_bytes: 128,
 };
 
-/// The result of decoding a whole stream of bytes.
+/// Result of decoding a stream of bytes: the requests in it, up to the first error.
 #[derive(Debug, PartialEq, Eq)]
 struct Decoded {
     requests: Vec<String>,
     error: Option<ParseError>,
 }
 
-/// Decodes a stream that arrives in reads of these lengths, cyclically. The buffered input must
-/// stay bounded.
+/// Decodes a stream that arrives in reads of the lengths `read_lengths`, which repeat cyclically.
+/// Asserts that the buffered input stays bounded.
 fn decode(bytes: &[u8], read_lengths: &[usize]) -> Decoded {
     let mut decoder = RequestDecoder::new(LIMITS);
     let mut requests = Vec::new();
@@ -43,11 +44,13 @@
                 }
             }
         }
-        // The longest incomplete element is a trailer section, and one read may follow it.
+        // The longest element that stays buffered while it is incomplete is a trailer section of at
+        // most 8 KiB. One more read may be added to it.
         assert!(
             input.len() <= 8 * 1024 + n,
-            "{} bytes are buffered",
-            input.len()
+            "{} bytes are buffered, expected at most {}",
+            input.len(),
+            8 * 1024 + n
         );
     }
     Decoded {
@@ -56,6 +59,7 @@
     }
 }
 
+/// Generates sequences of fragments of requests and of random bytes.
 fn request_fragments() -> impl Strategy<Value = Vec<u8>> {
     let words = prop::sample::select(vec![
         "GET ",
@@ -89,8 +93,8 @@
 }
 
 proptest! {
-    /// Every decoder of one stream must find the same requests, whatever reads the network leads
-    /// to.
+    /// Guards against a decoder whose result depends on how the network splits the stream into
+    /// reads. Every split of a stream must yield the same requests and the same error.
     #[test]
     fn result_is_independent_of_read_boundaries(bytes in request_fragments(), read_lengths in prop::collection::vec(1usize..50, 1..8)) {
         prop_assert_eq!(decode(&bytes, &[bytes.len()]), decode(&bytes, &read_lengths));
--- a/crates/http1-codec/tests/rfc9112/accepted_requests.rs
+++ b/crates/http1-codec/tests/rfc9112/accepted_requests.rs
@@ -3,8 +3,9 @@
 use crate::support::{decode_at_once, decode_bytewise, expand};
 use http::Method;
 
+/// A request that must be accepted, and its expected properties.
 struct AcceptedRequest {
-    /// Section of RFC 9112, and the property.
+    /// Section of RFC 9112 and description of the case.
     section: &'static str,
     template: &'static str,
     path: &'static str,
@@ -12,7 +13,7 @@
     keep_alive: bool,
 }
 
-/// A request for `/a` without a body, after which the connection stays open.
+/// Creates a case that expects the path `/a`, no body, and a connection that stays open.
 const fn accepted(section: &'static str, template: &'static str) -> AcceptedRequest {
     AcceptedRequest {
         section,
@@ -24,15 +25,17 @@
 }
 
 impl AcceptedRequest {
+    /// Expects this path.
     const fn with_path(self, path: &'static str) -> Self {
         AcceptedRequest { path, ..self }
     }
 
+    /// Expects this body.
     const fn with_body(self, body: &'static str) -> Self {
         AcceptedRequest { body, ..self }
     }
 
-    /// The connection is closed after the request.
+    /// Expects that the connection is closed after the request.
     const fn closing(self) -> Self {
         AcceptedRequest {
             keep_alive: false,
@@ -123,14 +126,16 @@
         let at_once = decode_at_once(&format!("{text}GET")).unwrap();
         let bytewise = decode_bytewise(&text).unwrap();
         for message in [at_once.request, bytewise] {
-            let message = message.unwrap_or_else(|| panic!("{section}: it is not complete"));
+            let message = message.unwrap_or_else(|| {
+                panic!("{section}: expected a complete request, found an incomplete one")
+            });
             assert_eq!(message.value.uri().path(), case.path, "{section}");
             assert_eq!(message.value.body(), case.body.as_bytes(), "{section}");
             assert_eq!(message.keep_alive, case.keep_alive, "{section}");
         }
         assert_eq!(
             at_once.rest, b"GET",
-            "{section}: the rest belongs to the next request"
+            "{section}: bytes after the request must stay in the input"
         );
     }
 }
--- a/crates/http1-codec/tests/rfc9112/consecutive_requests.rs
+++ b/crates/http1-codec/tests/rfc9112/consecutive_requests.rs
@@ -20,7 +20,8 @@
     );
 }
 
-/// RFC 9110, section 10.1.1: not if part of the body has arrived, nor in HTTP/1.0.
+/// RFC 9110, section 10.1.1. The expectation is ignored if part of the body has arrived, and in
+/// HTTP/1.0.
 #[test]
 fn expectation_of_100_continue_is_reported() {
     let awaits_continue = |text: &str| {
--- a/crates/http1-codec/tests/rfc9112/main.rs
+++ b/crates/http1-codec/tests/rfc9112/main.rs
@@ -1,4 +1,4 @@
-//! The requirements of RFC 9112 on a server, case by case. Each case names its section.
+//! Requirements of RFC 9112 on a server. Each case names the section that it is based on.
 
 mod accepted_requests;
 mod consecutive_requests;
--- a/crates/http1-codec/tests/rfc9112/responses.rs
+++ b/crates/http1-codec/tests/rfc9112/responses.rs
@@ -5,7 +5,7 @@
     Limits, ParseError, Progress, ResponseDecoder, ResponseOptions, encode_response,
 };
 
-/// Options of a response to a request of HTTP/1.1 on a connection that stays open.
+/// Options of a response to an HTTP/1.1 request on a connection that stays open.
 const OPTIONS: ResponseOptions = ResponseOptions {
     version: Version::HTTP_11,
     head_only: false,
@@ -63,7 +63,8 @@
     assert_eq!(seen, [(204, vec![], true), (200, b"xy".to_vec(), false)]);
 }
 
-/// RFC 9112, section 6.3: only a response without a declared length may end so.
+/// RFC 9112, section 6.3: the end of the connection completes only a response without a declared
+/// length.
 #[test]
 fn response_without_length_ends_with_connection() {
     let limits = Limits {
--- a/crates/http1-codec/tests/rfc9112/size_limits.rs
+++ b/crates/http1-codec/tests/rfc9112/size_limits.rs
@@ -1,4 +1,4 @@
-//! Limits on the size of heads, chunk lines and trailers.
+//! Limits on the size of heads, chunk framing and trailers.
 
 use crate::support::{LIMITS, decode_at_once};
 use http1_codec::ParseError;
@@ -34,8 +34,8 @@
     );
 }
 
-/// A body of one byte a chunk takes six bytes a byte, which extensions could increase without
-/// limit.
+/// Guards against clients that send extensions without end: a body in chunks of one byte takes six
+/// bytes on the wire per byte of data, and extensions could increase this without limit.
 #[test]
 fn chunk_overhead_is_limited() {
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
--- a/crates/http1-codec/tests/rfc9112/support.rs
+++ b/crates/http1-codec/tests/rfc9112/support.rs
@@ -1,4 +1,4 @@
-//! Helpers to decode requests, and the shape of the tables of cases.
+//! Helpers that decode requests, and the type of the cases that must be rejected.
 
 use http1_codec::{Limits, Message, ParseError, Progress, RequestDecoder};
 
@@ -9,13 +9,13 @@
 
 pub(crate) type Request = Message<http::Request<Vec<u8>>>;
 
-/// A request that is complete, if it is, and the input after it.
+/// Result of decoding: the request if it is complete, and the input that was not decoded.
 pub(crate) struct Decoded {
     pub(crate) request: Option<Request>,
     pub(crate) rest: Vec<u8>,
 }
 
-/// Decodes a text that arrives at once.
+/// Decodes a text that arrives in one read.
 pub(crate) fn decode_at_once(text: &str) -> Result<Decoded, ParseError> {
     let mut input = text.as_bytes().to_vec();
     let request = match RequestDecoder::new(LIMITS).decode(&mut input)? {
@@ -28,7 +28,7 @@
     })
 }
 
-/// Decodes a text that arrives byte by byte.
+/// Decodes a text that arrives byte by byte. Returns the last complete request.
 pub(crate) fn decode_bytewise(text: &str) -> Result<Option<Request>, ParseError> {
     let mut decoder = RequestDecoder::new(LIMITS);
     let mut input = Vec::new();
@@ -47,14 +47,17 @@
     template.replace('~', "\r\n")
 }
 
-/// A request that RFC 9112 does not allow.
+/// A request that must be rejected.
 pub(crate) struct RejectedRequest {
-    /// Section of RFC 9112, and the defect.
+    /// Section of RFC 9112 and description of the defect.
     section: &'static str,
+    /// Text of the request, for [`expand`].
     template: &'static str,
+    /// Expected error.
     error: ParseError,
 }
 
+/// Creates a [`RejectedRequest`].
 pub(crate) const fn rejected(
     section: &'static str,
     template: &'static str,
@@ -68,6 +71,7 @@
 }
 
 impl RejectedRequest {
+    /// Asserts that the request is rejected with its error, both in one read and byte by byte.
     pub(crate) fn check(&self) {
         let section = self.section;
         let text = expand(self.template);
