--- a/crates/http2-flood-guard/src/frame.rs
+++ b/crates/http2-flood-guard/src/frame.rs
@@ -4,11 +4,11 @@
 
 /// Length of a frame header, in bytes (RFC 9113, section 4.1).
 pub(crate) const FRAME_HEADER_BYTES: usize = 9;
-/// `END_STREAM` of DATA and HEADERS (RFC 9113, sections 6.1 and 6.2).
+/// Flag `END_STREAM` of DATA and HEADERS (RFC 9113, sections 6.1 and 6.2).
 const FLAG_END_STREAM: u8 = 0x1;
-/// ACK of SETTINGS and PING (RFC 9113, sections 6.5 and 6.7).
+/// Flag ACK of SETTINGS and PING (RFC 9113, sections 6.5 and 6.7).
 const FLAG_ACK: u8 = 0x1;
-/// `END_HEADERS` of HEADERS and CONTINUATION (RFC 9113, sections 6.2 and 6.10).
+/// Flag `END_HEADERS` of HEADERS and CONTINUATION (RFC 9113, sections 6.2 and 6.10).
 const FLAG_END_HEADERS: u8 = 0x4;
 
 /// Type of a frame (RFC 9113, section 6).
@@ -38,7 +38,7 @@
 }
 
 impl FrameKind {
-    /// The kind for the type field of a frame header (RFC 9113, section 11.2).
+    /// Returns the kind for the type field of a frame header (RFC 9113, section 11.2).
     fn from_type(frame_type: u8) -> Self {
         match frame_type {
             0 => FrameKind::Data,
@@ -55,8 +55,8 @@
     }
 }
 
-/// The name as log events and errors print it. DATA is printed as empty, because no other DATA
-/// frame is limited.
+/// Writes the name that log events and errors print. DATA is printed as "empty DATA", because the
+/// name appears only in reports of floods, and DATA frames that carry bytes are not limited.
 impl fmt::Display for FrameKind {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -84,6 +84,7 @@
 }
 
 impl FrameHeader {
+    /// Decodes a complete frame header.
     pub(crate) fn decode(bytes: &[u8; FRAME_HEADER_BYTES]) -> Self {
         FrameHeader {
             kind: FrameKind::from_type(bytes[3]),
@@ -92,17 +93,17 @@
         }
     }
 
-    /// Whether a DATA or HEADERS frame is the last one of its stream's request.
+    /// Returns whether a DATA or HEADERS frame is the last one of its stream's request.
     pub(crate) fn ends_stream(&self) -> bool {
         self.flags & FLAG_END_STREAM != 0
     }
 
-    /// Whether a HEADERS or CONTINUATION frame is the last one of its header block.
+    /// Returns whether a HEADERS or CONTINUATION frame is the last one of its header block.
     pub(crate) fn ends_headers(&self) -> bool {
         self.flags & FLAG_END_HEADERS != 0
     }
 
-    /// Whether a SETTINGS or PING frame is an acknowledgement.
+    /// Returns whether a SETTINGS or PING frame is an acknowledgement.
     pub(crate) fn is_ack(&self) -> bool {
         self.flags & FLAG_ACK != 0
     }
--- a/crates/http2-flood-guard/src/frame_scanner.rs
+++ b/crates/http2-flood-guard/src/frame_scanner.rs
@@ -3,10 +3,11 @@
 use crate::frame::{FRAME_HEADER_BYTES, FrameHeader};
 use crate::violation::Violation;
 
-/// The connection preface of a client (RFC 9113, section 3.4).
+/// The bytes with which the connection preface of a client starts (RFC 9113, section 3.4). A
+/// SETTINGS frame follows them.
 pub const PREFACE: &[u8; 24] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Most bytes that are searched for the end of an HTTP/1 method. No registered method is nearly as
-/// long.
+/// Maximum number of received bytes that are searched for the end of an HTTP/1 method. Every
+/// registered method is much shorter.
 const MAX_METHOD_BYTES: usize = 64;
 
 /// Position within the bytes of a connection.
@@ -14,35 +15,36 @@
 pub(crate) enum FrameScanner {
     /// Within the connection preface.
     Preface {
-        /// Bytes of it that have arrived.
+        /// Number of its bytes that have arrived.
         received: usize,
     },
     /// Within a frame header, or between two frames.
     Header {
         /// The header's bytes that have arrived, followed by zeros.
         bytes: [u8; FRAME_HEADER_BYTES],
-        /// How many have arrived.
+        /// Number of the header's bytes that have arrived.
         received: usize,
     },
     /// Within a frame's payload.
     Payload {
-        /// Bytes of it that are missing.
+        /// Number of payload bytes that have not arrived yet.
         remaining: u32,
     },
 }
 
 /// Result of one step of a [`FrameScanner`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Scanned {
-    /// Bytes of the input that were used.
+pub(crate) struct ScanStep {
+    /// Number of input bytes that were scanned.
     pub(crate) consumed: usize,
-    /// The frame header that ended there, if any.
+    /// The frame header that the scanned bytes complete, if any.
     pub(crate) frame: Option<FrameHeader>,
 }
 
-impl Scanned {
+impl ScanStep {
+    /// Creates the result of a step that did not complete a frame header.
     fn without_frame(consumed: usize) -> Self {
-        Scanned {
+        ScanStep {
             consumed,
             frame: None,
         }
@@ -62,8 +64,9 @@
         received: 0,
     };
 
-    /// Scans at least one of the given bytes, up to the end of the current element.
-    pub(crate) fn scan(&mut self, input: &[u8]) -> Result<Scanned, Violation> {
+    /// Scans the given bytes up to the end of the current element: the preface, a frame header or a
+    /// payload. At least one byte is scanned if `input` is not empty.
+    pub(crate) fn scan(&mut self, input: &[u8]) -> Result<ScanStep, Violation> {
         match self {
             FrameScanner::Preface { received } => {
                 let missing = &PREFACE[*received..];
@@ -75,18 +78,18 @@
                 if *received == PREFACE.len() {
                     *self = FrameScanner::BETWEEN_FRAMES;
                 }
-                Ok(Scanned::without_frame(consumed))
+                Ok(ScanStep::without_frame(consumed))
             }
             FrameScanner::Header { bytes, received } => {
                 let consumed = input.len().min(FRAME_HEADER_BYTES - *received);
                 bytes[*received..*received + consumed].copy_from_slice(&input[..consumed]);
                 *received += consumed;
                 if *received < FRAME_HEADER_BYTES {
-                    return Ok(Scanned::without_frame(consumed));
+                    return Ok(ScanStep::without_frame(consumed));
                 }
                 let frame = FrameHeader::decode(bytes);
                 *self = FrameScanner::payload(frame.payload_bytes);
-                Ok(Scanned {
+                Ok(ScanStep {
                     consumed,
                     frame: Some(frame),
                 })
@@ -94,12 +97,12 @@
             FrameScanner::Payload { remaining } => {
                 let consumed = input.len().min(*remaining as usize);
                 *self = FrameScanner::payload(*remaining - consumed as u32);
-                Ok(Scanned::without_frame(consumed))
+                Ok(ScanStep::without_frame(consumed))
             }
         }
     }
 
-    /// The position before the given number of payload bytes.
+    /// Returns the position in front of the given number of payload bytes.
     fn payload(remaining: u32) -> Self {
         if remaining > 0 {
             FrameScanner::Payload { remaining }
@@ -108,13 +111,18 @@
         }
     }
 
+    /// Returns whether no element is incomplete: the last frame has ended, and no byte of the next
+    /// one has arrived.
     pub(crate) fn is_between_frames(&self) -> bool {
         matches!(self, FrameScanner::Header { received: 0, .. })
     }
 }
 
-/// Classifies bytes that deviate from the preface: a method in capitals and a space start a request
-/// of HTTP/1.
+/// Classifies a connection whose bytes deviate from the preface, where the first `received` bytes
+/// matched it and `input` follows. A request of HTTP/1 starts with a method and a space, so the
+/// connection counts as HTTP/1 if the bytes before the first space are characters of a method:
+/// capital letters, hyphens and underscores, of which the first is a letter. If no space has
+/// arrived yet, this applies to all bytes that are searched.
 fn preface_violation(received: usize, input: &[u8]) -> Violation {
     let start = PREFACE[..received]
         .iter()
--- a/crates/http2-flood-guard/src/guard.rs
+++ b/crates/http2-flood-guard/src/guard.rs
@@ -1,4 +1,4 @@
-//! The guard of one connection and its limits.
+//! The flood guard of one connection, and its limits.
 
 use crate::frame::{FrameHeader, FrameKind};
 use crate::frame_scanner::FrameScanner;
@@ -6,34 +6,37 @@
 use crate::violation::Violation;
 use broker_types::time::Timestamp;
 
-/// Tokens of [`FloodLimits::new`] beyond two for each stream, for the control frames of an ordinary
-/// client.
+/// Number of tokens that [`FloodLimits::new`] grants in addition to two for each stream, for the
+/// control frames of an ordinary client.
 const BASE_BURST_TOKENS: u32 = 200;
-/// Refill of [`FloodLimits::new`], in tokens a second.
+/// Refill rate that [`FloodLimits::new`] sets, in tokens per second.
 const TOKENS_PER_SECOND: u32 = 100;
-/// Tokens that [`FloodLimits::new`] grants for each response, for frames such as resets, window
-/// updates and PING.
+/// Number of tokens that [`FloodLimits::new`] grants for each response. They pay for the frames
+/// that a client sends along with a request, such as resets, window updates and PING.
 const TOKENS_PER_RESPONSE: u32 = 4;
-/// Body bytes of a response for which a client may send one more window update without cost.
+/// Number of body bytes of a response for which one further token is granted, because the client
+/// has to send window updates to receive a long body.
 const BODY_BYTES_PER_WINDOW_UPDATE: usize = 1024;
 
 /// Limits on frames that cause work without carrying any part of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FloodLimits {
-    /// Tokens of a new connection, and the most that it can hold.
+    /// Number of tokens that a new connection has, which is also the maximum that it can hold.
     pub burst_tokens: u32,
-    /// Tokens that are refilled a second.
+    /// Refill rate, in tokens per second.
     pub tokens_per_second: u32,
-    /// Tokens that each response adds.
+    /// Number of tokens that each response adds, whatever the length of its body.
     pub tokens_per_response: u32,
-    /// Longest header block, in bytes of its frames' payloads.
+    /// Maximum length of a header block, in bytes. The payloads of its HEADERS and CONTINUATION
+    /// frames are counted.
     pub max_header_block_bytes: u32,
 }
 
 impl FloodLimits {
-    /// Limits for connections with at most `max_streams` concurrent streams and header lists of at
-    /// most `max_header_list_bytes`. A client may reset all its streams at once, twice, before it
-    /// counts as a flood.
+    /// Creates the limits for connections with at most `max_streams` concurrent streams and header
+    /// lists of at most `max_header_list_bytes`. The initial tokens include two for each stream, so
+    /// that a client can reset all of its streams twice in immediate succession without exceeding
+    /// the limits.
     #[must_use]
     pub fn new(max_streams: u32, max_header_list_bytes: u32) -> Self {
         FloodLimits {
@@ -45,17 +48,20 @@
     }
 }
 
-/// Watches what a client sends on one connection.
+/// Inspects the bytes that a client sends on one connection, and reports violations of its
+/// [`FloodLimits`].
 #[derive(Debug)]
 pub struct FloodGuard {
     limits: FloodLimits,
     tokens: TokenBucket,
     scanner: FrameScanner,
+    /// See [`Self::incomplete_since`].
     incomplete_since: Option<Timestamp>,
-    /// Whether the client has sent its first SETTINGS frame, which completes the start of a
-    /// connection.
+    /// Whether the client has sent its first SETTINGS frame, which is the second part of its
+    /// connection preface (RFC 9113, section 3.4).
     has_received_settings: bool,
-    /// Length of the current header block so far, in bytes; 0 between header blocks.
+    /// Number of bytes of the current header block that have been announced by frame headers; 0
+    /// between header blocks.
     header_block_bytes: u32,
 }
 
@@ -77,8 +83,8 @@
     ///
     /// # Errors
     ///
-    /// Returns a [`Violation`] if the connection has to be closed. The guard cannot be used any
-    /// further then.
+    /// Returns a [`Violation`] if the connection has to be closed. The guard must not be used after
+    /// that.
     pub fn on_received(&mut self, now: Timestamp, mut bytes: &[u8]) -> Result<(), Violation> {
         while !bytes.is_empty() {
             let scanned = self.scanner.scan(bytes)?;
@@ -98,8 +104,9 @@
         Ok(())
     }
 
-    /// Adds the tokens that a response earns. Its reader needs window updates in proportion to its
-    /// body.
+    /// Adds the tokens that are granted for a response with a body of `body_bytes`. Their number
+    /// grows with the length of the body, because so does the number of window updates that the
+    /// client has to send to receive it.
     pub fn on_response_sent(&mut self, body_bytes: usize) {
         let window_updates =
             u32::try_from(body_bytes / BODY_BYTES_PER_WINDOW_UPDATE).unwrap_or(u32::MAX);
@@ -110,12 +117,18 @@
         self.tokens.add(tokens);
     }
 
-    /// Since when the preface, a frame or a header block has been incomplete.
+    /// Returns since when the preface, a frame or a header block has been incomplete, or `None` if
+    /// none is. The preface includes the client's first SETTINGS frame, and counts as incomplete
+    /// from the creation of the guard.
+    ///
+    /// The time is kept until the bytes of a call of [`Self::on_received`] end with nothing
+    /// incomplete, so it may be earlier than the start of the current frame.
     #[must_use]
     pub fn incomplete_since(&self) -> Option<Timestamp> {
         self.incomplete_since
     }
 
+    /// Checks a frame whose header has arrived, and takes the tokens that it costs.
     fn on_frame(&mut self, now: Timestamp, frame: FrameHeader) -> Result<(), Violation> {
         let is_first = !std::mem::replace(&mut self.has_received_settings, true);
         if is_first && frame.kind != FrameKind::Settings {
@@ -144,15 +157,18 @@
     }
 }
 
-/// Tokens that a frame costs.
+/// Returns the number of tokens that a frame costs.
 fn token_cost(frame: FrameHeader) -> u32 {
     match frame.kind {
-        // It carries a request, whose number the limit on concurrent streams bounds.
+        // HEADERS carries a request, and the limit on concurrent streams bounds the number of
+        // requests.
         FrameKind::Headers => 0,
+        // A DATA frame carries a part of a request if it has a payload or ends the request.
         FrameKind::Data => u32::from(frame.payload_bytes == 0 && !frame.ends_stream()),
-        // An acknowledgement responds to a frame of this side.
+        // An acknowledgement is the required response to a frame that the server sent.
         FrameKind::Settings | FrameKind::Ping => u32::from(!frame.is_ack()),
-        // A CONTINUATION frame is work that a longer HEADERS frame would save.
+        // CONTINUATION carries a part of a request, but costs a token all the same, because a
+        // client can avoid the additional frame by sending a longer HEADERS frame.
         FrameKind::Continuation
         | FrameKind::WindowUpdate
         | FrameKind::ResetStream
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -1,14 +1,16 @@
 //! Flood detection for HTTP/2 connections, without I/O or clock.
 //!
-//! An HTTP/2 library enforces the limits of the protocol itself: streams, windows, header lists.
-//! Frames that cause work without carrying any part of a request are legal in any number (RFC 9113,
-//! section 10.5): PING, SETTINGS, PRIORITY, empty DATA, small window updates, resets of new
-//! streams, CONTINUATION without end. The [`FloodGuard`] reads the frame headers as bytes arrive,
-//! and charges such frames to a token bucket that refills with time and with every response. A
-//! client that sends requests and reads the responses never empties it.
+//! An HTTP/2 library enforces the limits that the protocol itself defines: the number of streams,
+//! the flow-control windows, and the size of header lists. The protocol does not limit the number
+//! of frames that cause work without carrying any part of a request (RFC 9113, section 10.5): PING,
+//! SETTINGS, PRIORITY, empty DATA frames, small window updates, resets of new streams, and an
+//! endless series of CONTINUATION frames. The [`FloodGuard`] reads the frame headers in the bytes
+//! that a client sends. A frame of these kinds takes a token from a token bucket, which is refilled
+//! at a constant rate and by every response. A client that sends requests and reads the responses
+//! never empties the bucket.
 //!
-//! The guard also reports since when a frame or a header block has been incomplete, and whether the
-//! connection speaks HTTP/2 at all.
+//! The guard also reports since when a frame or a header block has been incomplete, and detects
+//! clients that do not speak HTTP/2.
 //!
 //! ```
 //! use broker_types::time::Timestamp;
--- a/crates/http2-flood-guard/src/token_bucket.rs
+++ b/crates/http2-flood-guard/src/token_bucket.rs
@@ -1,24 +1,27 @@
-//! A token bucket whose callers pass the time.
+//! A token bucket. Its callers pass the current time.
 
 use broker_types::time::{Timestamp, whole_micros};
 
-/// Unit in which a bucket counts: a refill of one token a second adds one of them each microsecond.
+/// Number of the units in which a bucket counts, millionths of a token, in one token. A refill rate
+/// of one token per second adds one millionth per microsecond.
 const MILLIONTHS_PER_TOKEN: u64 = 1_000_000;
 
 /// Tokens that refill at a constant rate up to a capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TokenBucket {
-    /// In millionths of a token, like `level`.
+    /// Maximum level, in millionths of a token.
     capacity: u64,
+    /// Refill rate, in tokens per second.
     refill_per_second: u64,
-    /// In millionths of a token, so that a refill of less than one token is not lost to rounding.
+    /// Current level. It is counted in millionths of a token, so that a refill of less than one
+    /// token is not lost to rounding.
     level: u64,
     refilled_at: Timestamp,
 }
 
 impl TokenBucket {
-    /// Creates a full bucket of `capacity` tokens, which refills by `refill_per_second` tokens a
-    /// second.
+    /// Creates a full bucket that holds at most `capacity` tokens and is refilled with
+    /// `refill_per_second` tokens per second.
     pub(crate) fn new(now: Timestamp, capacity: u32, refill_per_second: u32) -> Self {
         let capacity = u64::from(capacity) * MILLIONTHS_PER_TOKEN;
         TokenBucket {
@@ -29,8 +32,8 @@
         }
     }
 
-    /// Takes tokens if there are enough, and returns whether that was the case. Otherwise none is
-    /// taken.
+    /// Takes the given number of tokens and returns `true`. If the bucket holds fewer, takes none
+    /// and returns `false`.
     pub(crate) fn try_take(&mut self, now: Timestamp, tokens: u32) -> bool {
         self.refill(now);
         let cost = u64::from(tokens) * MILLIONTHS_PER_TOKEN;
@@ -41,12 +44,13 @@
         is_affordable
     }
 
-    /// Adds tokens. Those beyond the capacity are lost.
+    /// Adds tokens up to the capacity; any further tokens are discarded.
     pub(crate) fn add(&mut self, tokens: u32) {
         self.add_millionths(u64::from(tokens) * MILLIONTHS_PER_TOKEN);
     }
 
-    /// Adds the tokens of the time since the last refill. A clock that goes back refills nothing.
+    /// Adds the tokens for the time since the last refill. If `now` is before the last refill, adds
+    /// none.
     fn refill(&mut self, now: Timestamp) {
         let elapsed = now.saturating_since(self.refilled_at);
         self.refilled_at = self.refilled_at.max(now);
--- a/crates/http2-flood-guard/src/token_bucket/tests.rs
+++ b/crates/http2-flood-guard/src/token_bucket/tests.rs
@@ -1,9 +1,9 @@
-//! The token bucket by itself.
+//! Tests of the token bucket without the guard.
 
 use super::TokenBucket;
 use broker_types::time::Timestamp;
 
-/// A time in microseconds.
+/// Returns the time this many microseconds after the origin.
 const fn at(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
@@ -17,7 +17,7 @@
     assert!(bucket.try_take(at(100_000), 2) && !bucket.try_take(at(100_000), 1));
     assert!(
         !bucket.try_take(at(50_000), 1),
-        "a clock that goes back refills nothing"
+        "a time before the last refill must not add tokens"
     );
     assert!(bucket.try_take(Timestamp::MAX, 2) && !bucket.try_take(Timestamp::MAX, 1));
 }
--- a/crates/http2-flood-guard/src/violation.rs
+++ b/crates/http2-flood-guard/src/violation.rs
@@ -1,9 +1,9 @@
-//! Reasons to close a connection.
+//! Reasons for which a client's connection has to be closed.
 
 use crate::frame::FrameKind;
 use thiserror::Error;
 
-/// Why a connection has to be closed.
+/// Reason for which a client's connection has to be closed.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Violation {
     /// The connection starts with an HTTP/1 request.
@@ -16,7 +16,7 @@
     /// The first frame after the preface is not SETTINGS (RFC 9113, section 3.4).
     #[error("its first frame is not SETTINGS")]
     MissingSettings,
-    /// More frames of this kind arrived than the connection has tokens for.
+    /// A frame of this kind arrived, and the connection had no token left for it.
     #[error("a flood of {0}")]
     Flood(FrameKind),
     /// A header block is longer than [`FloodLimits::max_header_block_bytes`](crate::FloodLimits).
--- a/crates/http2-flood-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -1,4 +1,4 @@
-//! Which frames the guard accepts and which it reports, with frames written by hand.
+//! Tests which frames the guard accepts and which it reports. The frames are encoded by the tests.
 
 use broker_types::time::Timestamp;
 use http2_flood_guard::{FloodGuard, FloodLimits, FrameKind, PREFACE, Violation};
@@ -11,12 +11,12 @@
     max_header_block_bytes: 100,
 };
 
-/// A time in microseconds.
+/// Returns the time this many microseconds after the origin.
 const fn at(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
 
-/// A time in seconds.
+/// Returns the time this many seconds after the origin.
 const fn seconds(seconds: u64) -> Timestamp {
     Timestamp::from_micros(seconds * 1_000_000)
 }
@@ -41,7 +41,7 @@
 /// Length of a frame header, in bytes.
 const FRAME_HEADER_BYTES: usize = 9;
 
-/// A frame on stream 1 with a payload of zeros.
+/// Encodes a frame on stream 1 with a payload of zeros.
 fn frame(frame_type: u8, flags: u8, payload_bytes: usize) -> Vec<u8> {
     let mut bytes = (payload_bytes as u32).to_be_bytes()[1..].to_vec();
     bytes.extend([frame_type, flags, 0, 0, 0, 1]);
@@ -49,7 +49,7 @@
     bytes
 }
 
-/// A guard that has received the preface and SETTINGS, at time 0.
+/// Creates a guard that has received the preface and SETTINGS at time 0.
 fn guard_after_settings() -> FloodGuard {
     let mut guard = FloodGuard::new(at(0), LIMITS);
     guard
@@ -61,14 +61,16 @@
     guard
 }
 
-/// A violation after a number of frames.
+/// A violation that the guard reported when the same input was passed to it repeatedly.
 #[derive(Debug, PartialEq, Eq)]
 struct Rejected {
+    /// Number of times that the input was accepted before.
     accepted_before: usize,
     violation: Violation,
 }
 
 impl Rejected {
+    /// Creates the report of a flood of `kind`.
     fn flood(accepted_before: usize, kind: FrameKind) -> Self {
         Rejected {
             accepted_before,
@@ -77,7 +79,7 @@
     }
 }
 
-/// Passes the same bytes to a guard, up to `times` times.
+/// Passes the same bytes to a guard `times` times, or until it reports a violation.
 fn send_repeatedly(
     guard: &mut FloodGuard,
     now: Timestamp,
@@ -95,7 +97,8 @@
     Ok(())
 }
 
-/// The initial SETTINGS frame costs the first of the ten tokens.
+/// The initial SETTINGS frame takes one of the ten tokens, so nine further frames are accepted. At
+/// a rate of five frames per second, the bucket is refilled as fast as it is emptied.
 #[test]
 fn frames_without_request_data_are_limited_by_tokens() {
     for (bytes, kind) in [
@@ -115,7 +118,7 @@
         let mut slow = guard_after_settings();
         assert!(
             (1..1000).all(|s| send_repeatedly(&mut slow, seconds(s), &bytes, 5).is_ok()),
-            "{kind} at a slow rate"
+            "{kind} at the refill rate must be accepted"
         );
     }
 }
@@ -134,8 +137,8 @@
     }
 }
 
-/// Rapid reset: requests that are cancelled at once. A client that also gets responses may cancel
-/// as many requests.
+/// Guards against "rapid reset" floods, in which a client cancels each request immediately after
+/// sending it. A client that gets a response for each cancelled request is not limited.
 #[test]
 fn resets_are_limited_by_responses() {
     let request_and_reset = [
@@ -203,13 +206,13 @@
     assert_eq!(
         guard.incomplete_since(),
         Some(at(5)),
-        "the preface has not arrived"
+        "the preface counts as incomplete from the creation of the guard"
     );
     guard.on_received(at(6), PREFACE).unwrap();
     assert_eq!(
         guard.incomplete_since(),
         Some(at(5)),
-        "silence after the preface"
+        "SETTINGS, which completes the preface, has not arrived"
     );
     guard
         .on_received(at(7), &frame(SETTINGS, NO_FLAGS, 0))
@@ -219,7 +222,7 @@
     assert_eq!(
         guard.incomplete_since(),
         None,
-        "a first frame other than SETTINGS would be a violation"
+        "a complete PING frame leaves nothing incomplete"
     );
     let headers = frame(HEADERS, NO_FLAGS, 20);
     guard.on_received(at(8), &headers[..12]).unwrap();
@@ -227,7 +230,7 @@
     assert_eq!(
         guard.incomplete_since(),
         Some(at(8)),
-        "the block has no end yet"
+        "the header block is incomplete since its first byte, until a frame with END_HEADERS"
     );
     guard
         .on_received(at(10), &frame(CONTINUATION, END_HEADERS, 0))
@@ -236,22 +239,22 @@
 }
 
 proptest! {
-    /// The result does not depend on the reads in which the bytes arrive.
+    /// The result does not depend on how the bytes are divided among several reads.
     #[test]
     fn result_is_independent_of_read_boundaries(kinds in prop::collection::vec((0u8..12, any::<u8>(), 0usize..30), 0..40), read_lengths in prop::collection::vec(1usize..20, 1..6)) {
         let mut bytes = [&PREFACE[..], &frame(SETTINGS, NO_FLAGS, 6)].concat();
         for (kind, flags, length) in kinds { bytes.extend(frame(kind, flags, length)); }
-        let at_once = FloodGuard::new(at(0), LIMITS).on_received(at(0), &bytes);
+        let in_one_read = FloodGuard::new(at(0), LIMITS).on_received(at(0), &bytes);
         let mut guard = FloodGuard::new(at(0), LIMITS);
         let mut rest = &bytes[..];
         let mut read_lengths = read_lengths.iter().cycle();
-        let mut in_parts = Ok(());
-        while !rest.is_empty() && in_parts.is_ok() {
+        let mut in_several_reads = Ok(());
+        while !rest.is_empty() && in_several_reads.is_ok() {
             let n = (*read_lengths.next().unwrap()).min(rest.len());
-            in_parts = guard.on_received(at(0), &rest[..n]);
+            in_several_reads = guard.on_received(at(0), &rest[..n]);
             rest = &rest[n..];
         }
-        prop_assert_eq!(at_once, in_parts);
+        prop_assert_eq!(in_one_read, in_several_reads);
     }
 
     #[test]
