--- a/crates/broker/src/listeners/accept.rs
+++ b/crates/broker/src/listeners/accept.rs
@@ -1,5 +1,5 @@
-//! Accepting connections, for every version of HTTP. A connection that gets a slot is served by a
-//! task of its own; any other is rejected.
+//! Accepts connections for all versions of HTTP. A connection that gets a slot is served by a task
+//! of its own; any other is rejected.
 
 use super::slots::{ConnectionSlots, Slot};
 use crate::net::{LINGER, linger};
@@ -11,30 +11,35 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// Backoff after a failed accept. The usual cause is that file descriptors have run out.
+/// Delay after a failed accept. The usual cause is that file descriptors have run out, so that an
+/// immediate retry would fail as well.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
 /// Serves the connections of one listener.
 pub(super) trait ConnectionHandler: 'static {
-    /// The listener's connection slots.
+    /// Returns the listener's connection slots.
     fn slots(&self) -> &Rc<ConnectionSlots>;
 
     /// Serves a connection until it is closed.
     fn serve(self: Rc<Self>, stream: Async<TcpStream>, slot: Slot) -> impl Future<Output = ()>;
 
-    /// Notifies a client, without waiting, that there is no slot for its connection.
+    /// Sends the response to a client whose connection gets no slot, if the version of HTTP allows
+    /// one. It does not wait until the socket is writable.
     fn reject(&self, stream: &Async<TcpStream>);
 }
 
-/// An accepted connection that has no slot yet. Dropped without one, also where the accepting task
-/// is cancelled, it rejects its client.
+/// An accepted connection that has no slot yet. If it is dropped before [`Self::start`] is called,
+/// the connection is rejected. This includes the case that the accepting task is cancelled while
+/// the connection waits for a slot.
 struct AcceptedConnection<'a, H: ConnectionHandler> {
     handler: &'a Rc<H>,
     executor: &'a LocalExecutor<'static>,
+    /// `None` once the connection is served.
     stream: Option<Async<TcpStream>>,
 }
 
 impl<H: ConnectionHandler> AcceptedConnection<'_, H> {
+    /// Starts a task that serves the connection.
     fn start(mut self, slot: Slot) {
         if let Some(stream) = self.stream.take() {
             self.executor
@@ -50,9 +55,10 @@
             return;
         };
         self.handler.reject(&stream);
-        // Closing with unread data would reset the connection, and the client would lose the
-        // response.
-        if let Some(closing) = self.handler.slots().close_outside_slots() {
+        // Closing the socket with unread data would reset the connection, and the client would lose
+        // the response. The connection therefore lingers, unless too many already do so without a
+        // slot.
+        if let Some(closing) = self.handler.slots().try_close_without_slot() {
             let linger = async move {
                 let _ = linger(&stream, LINGER).await;
                 drop(closing);
@@ -85,12 +91,14 @@
                 Timer::after(ACCEPT_BACKOFF).await;
             }
         }
-        // A connection flood must not keep the only thread from serving open connections.
+        // All connections are served by one thread. Without this, it would serve no open connection
+        // while new ones keep arriving.
         yield_now().await;
     }
 }
 
-/// Accepts the connections of the socket's backlog, whose clients may have sent requests already.
+/// Accepts the connections in the socket's backlog without waiting. Their clients regard them as
+/// established and may have sent requests already.
 pub(super) fn accept_backlog<H: ConnectionHandler>(
     handler: &Rc<H>,
     socket: &Async<TcpListener>,
--- a/crates/broker/src/listeners/context.rs
+++ b/crates/broker/src/listeners/context.rs
@@ -1,5 +1,6 @@
-//! What the connections of all listeners share: the way to the event loop, the settings by which
-//! requests are decoded, and the steps of a request that are the same in every version of HTTP.
+//! State and functions shared by the connections of all listeners: the queue of the event loop, the
+//! settings with which requests are decoded, and the steps of processing a request that are the
+//! same in all versions of HTTP.
 
 use super::date::DateHeader;
 use super::lifecycle::{Lifecycle, Phase};
@@ -16,7 +17,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// What the connections of all listeners share.
+/// State shared by the connections of all listeners.
 pub struct ListenerContext {
     events: Rc<EventQueue>,
     settings: Settings,
@@ -24,15 +25,17 @@
     clock: Clock,
     date: DateHeader,
     lifecycle: Lifecycle,
+    /// Identifier of the connection that was opened last.
     last_connection: Cell<ConnectionId>,
 }
 
-/// What remains to be done for a request.
+/// Next step for a request that has been decoded.
 pub(super) enum RoutedRequest {
-    /// A query, which has to be submitted.
+    /// The request is a query, which has to be submitted to the event loop.
     Query(QueryRequest),
-    /// The response is known: the request is a readiness check, invalid, or rejected.
-    Replied(Reply),
+    /// The reply is known without the event loop, because the request is no query, is invalid or is
+    /// rejected.
+    Immediate(Reply),
 }
 
 impl ListenerContext {
@@ -49,12 +52,12 @@
         })
     }
 
-    /// The program's clock.
+    /// Returns the program's clock.
     pub(super) fn clock(&self) -> Clock {
         self.clock
     }
 
-    /// The phase of the broker's life.
+    /// Returns the broker's lifecycle, which holds the current phase and notifies of its changes.
     pub(super) fn lifecycle(&self) -> &Lifecycle {
         &self.lifecycle
     }
@@ -66,7 +69,7 @@
         id
     }
 
-    /// Decodes a complete request.
+    /// Decodes a complete request and determines the next step.
     pub(super) fn route(&self, request: &Request<Vec<u8>>) -> RoutedRequest {
         let phase = self.lifecycle.phase();
         let readiness = match phase {
@@ -74,8 +77,8 @@
             Phase::Draining | Phase::Closing => Readiness::NotReady,
         };
         match route(request, readiness, &self.names, &self.settings) {
-            // It might not finish before the program exits.
-            Routed::Query(_) if phase == Phase::Closing => RoutedRequest::Replied(Reply {
+            // The query might not finish before the program exits.
+            Routed::Query(_) if phase == Phase::Closing => RoutedRequest::Immediate(Reply {
                 response: self.rejection(),
                 is_valid_request: true,
             }),
@@ -83,36 +86,37 @@
             Routed::Immediate {
                 response,
                 is_valid_request,
-            } => RoutedRequest::Replied(Reply {
+            } => RoutedRequest::Immediate(Reply {
                 response,
                 is_valid_request,
             }),
         }
     }
 
-    /// Submits a query at once. The returned future waits for its final response. If the client
-    /// disconnects first, the query is cancelled and the output of `client_disconnected` is
-    /// returned.
+    /// Submits a query when it is called, not when the returned future is first polled. The future
+    /// waits for the query's final response. If `client_disconnected` completes first, the query is
+    /// cancelled and the future returns its output as an error.
     pub(super) fn submit<'a, E: 'a>(
         &'a self,
         connection: ConnectionId,
         query: QueryRequest,
         client_disconnected: impl Future<Output = E> + 'a,
     ) -> impl Future<Output = Result<Reply, E>> + 'a {
-        // Dropped before the response, the handle reports the disconnection to the event loop.
+        // If the handle is dropped before the response has arrived, it reports the disconnection to
+        // the event loop, which cancels the query.
         let handle = self.events.submit_query(connection, query);
         let reply = async move { Ok(final_reply(&handle.response().await)) };
         let cancelled = async { Err(client_disconnected.await) };
         reply.or(cancelled)
     }
 
-    /// The response to a client for which there is no capacity.
+    /// Returns the response to a client for which there is no capacity.
     pub(super) fn rejection(&self) -> Response {
         connection_rejected(&self.settings)
     }
 
-    /// Adds the `Date` field, which holds the time at which a response was generated (RFC 9110,
-    /// section 6.6.1).
+    /// Returns the response with a `Date` field, which holds the time at which the response was
+    /// generated (RFC 9110, section 6.6.1).
     pub(super) fn with_date(&self, mut response: Response) -> Response {
         response.headers_mut().insert(DATE, self.date.now());
         response
--- a/crates/broker/src/listeners/date.rs
+++ b/crates/broker/src/listeners/date.rs
@@ -8,17 +8,19 @@
 /// Resolution of the `Date` field (RFC 9110, section 5.6.7).
 const DATE_RESOLUTION: Duration = Duration::from_secs(1);
 
-/// The value of the `Date` field, formatted once a second.
+/// Cache of the value of the `Date` field, which is formatted at most once per second.
 pub(super) struct DateHeader {
     cached: RefCell<CachedDate>,
 }
 
+/// A formatted value and its age.
 struct CachedDate {
     value: HeaderValue,
     formatted_at: Instant,
 }
 
 impl CachedDate {
+    /// Formats the current time.
     fn new() -> Self {
         CachedDate {
             formatted_at: Instant::now(),
@@ -34,7 +36,7 @@
         }
     }
 
-    /// The current value.
+    /// Returns the value for the current time.
     pub(super) fn now(&self) -> HeaderValue {
         let mut cached = self.cached.borrow_mut();
         if cached.formatted_at.elapsed() >= DATE_RESOLUTION {
--- a/crates/broker/src/listeners/http1/connection.rs
+++ b/crates/broker/src/listeners/http1/connection.rs
@@ -1,5 +1,5 @@
-//! One HTTP/1.1 connection: reads a request, waits for its final response, writes it, and starts
-//! again.
+//! One HTTP/1.1 connection. It serves one request at a time: it reads the request, waits for its
+//! final response and writes the response before it decodes the next request.
 
 use super::input::{ReceivedRequest, RequestInput, write};
 use crate::clock::with_timeout;
@@ -7,7 +7,7 @@
 use crate::listeners::lifecycle::Phase;
 use crate::listeners::reply::{CLOSING_RESPONSE, Reply, error_reply, request_timeout_reply};
 use crate::listeners::slots::{ConnectionSlots, EvictionPriority};
-use crate::listeners::timeouts::{MESSAGE_TIMEOUT, SILENCE_TIMEOUT};
+use crate::listeners::timeouts::{MESSAGE_TIMEOUT, RECEIVE_TIMEOUT};
 use crate::net::{LINGER, LINGER_IDLE, has_hung_up};
 use admission::ConnectionId;
 use async_io::{Async, Timer};
@@ -22,13 +22,15 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Most bytes of pipelined requests that are read while a response is outstanding.
+/// Number of buffered bytes of pipelined requests from which on no more are read while a response
+/// is outstanding.
 const MAX_READ_AHEAD_BYTES: usize = MAX_HEAD_BYTES;
-/// Interval at which a connection with [`MAX_READ_AHEAD_BYTES`] buffered is checked for the
-/// client's disconnection, which reading can no longer detect.
+/// Interval at which a connection is checked for the client's disconnection while
+/// [`MAX_READ_AHEAD_BYTES`] are buffered. Nothing is read then, so the disconnection cannot be
+/// detected by reading.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How the wait for a request ended.
+/// Outcome of waiting for a request.
 enum WaitOutcome {
     /// The first bytes of a request have arrived.
     RequestStarted,
@@ -37,8 +39,9 @@
 }
 
 impl WaitOutcome {
-    /// The outcome of a read, which returned 0 at the end of the stream.
-    fn of_read(received: usize) -> Self {
+    /// Returns the outcome for the number of bytes that a read returned, which is 0 at the end of
+    /// the stream.
+    fn from_received_bytes(received: usize) -> Self {
         if received > 0 {
             WaitOutcome::RequestStarted
         } else {
@@ -83,8 +86,8 @@
         }
     }
 
-    /// Serves requests until the connection has to be closed. Returns the longest time for which
-    /// closing it waits for the client.
+    /// Serves requests until the connection has to be closed. Returns the maximum time to wait for
+    /// the client to close its side when the connection is closed.
     pub(super) async fn serve(&mut self) -> io::Result<Duration> {
         loop {
             if self.input.buffered_bytes() == 0
@@ -108,12 +111,14 @@
                 return Ok(LINGER);
             }
             self.input.release_empty_buffer();
-            // A client that sends without pause must not keep the only thread from all others.
+            // All connections are served by one thread. Without this, a client that always has
+            // another request in the buffer would keep the thread from serving other clients.
             yield_now().await;
         }
     }
 
-    /// Waits, idle, for the first bytes of a request.
+    /// Waits for the first bytes of a request. The connection is idle meanwhile: it may be evicted
+    /// and has an idle timeout.
     async fn wait_for_request(&mut self) -> io::Result<WaitOutcome> {
         if self.context.lifecycle().phase() == Phase::Closing {
             return self.wait_for_last_request().await;
@@ -127,20 +132,22 @@
         let timeout = if self.has_served {
             self.slots.idle_timeout()
         } else {
-            SILENCE_TIMEOUT
+            RECEIVE_TIMEOUT
         };
         let timer = Timer::after(timeout);
         let closed = async {
             evictable.evicted().or(async { _ = timer.await }).await;
             Ok(0)
         };
-        // A request that arrives at the same moment is served, because reading is polled first.
+        // `or` polls the read first, so a request that arrives at the moment of an eviction or a
+        // timeout is served.
         let received = self.input.read().or(closed).await?;
-        Ok(WaitOutcome::of_read(received))
+        Ok(WaitOutcome::from_received_bytes(received))
     }
 
-    /// Like [`Self::wait_for_request`] while the broker closes its connections: a request that has
-    /// arrived is served. A client that has just connected has some time to send its first.
+    /// Checks for a last request in [`Phase::Closing`], when the broker closes its connections. A
+    /// request that has already arrived is read. A client that has sent no valid request yet may
+    /// have just connected, so the broker waits up to [`LINGER_IDLE`] for its request.
     async fn wait_for_last_request(&mut self) -> io::Result<WaitOutcome> {
         let has_served = self.has_served;
         let closed = async {
@@ -150,10 +157,11 @@
             Ok(0)
         };
         let received = self.input.read().or(closed).await?;
-        Ok(WaitOutcome::of_read(received))
+        Ok(WaitOutcome::from_received_bytes(received))
     }
 
-    /// Receives a request that has started. The first one of a connection may be evicted.
+    /// Receives a request whose first bytes have arrived. Until the connection has served a valid
+    /// request, it may be evicted meanwhile.
     async fn receive_request(&mut self) -> io::Result<ReceivedRequest> {
         let received = with_timeout(MESSAGE_TIMEOUT, self.input.read_request());
         if self.has_served {
@@ -169,7 +177,8 @@
         received.or(evicted).await
     }
 
-    /// Responds to a request.
+    /// Determines the response to a request and writes it. Returns whether the connection stays
+    /// open.
     async fn respond(&mut self, request: &Message<Request<Vec<u8>>>) -> io::Result<Persistence> {
         let reply = self.reply_to(&request.value).await?;
         let is_serving = self.context.lifecycle().phase() == Phase::Serving;
@@ -188,14 +197,15 @@
         })
     }
 
-    /// The reply to a request. Fails if the client disconnects before.
+    /// Determines the reply to a request. Queries are submitted, and their end is waited for. Fails
+    /// if the client disconnects before the reply is known.
     async fn reply_to(&mut self, request: &Request<Vec<u8>>) -> io::Result<Reply> {
         let mut query = match self.context.route(request) {
             RoutedRequest::Query(query) => query,
-            RoutedRequest::Replied(reply) => return Ok(reply),
+            RoutedRequest::Immediate(reply) => return Ok(reply),
         };
-        // The client's timeout includes the time that a pipelined request has waited for the one
-        // before it.
+        // The client's timeout includes the time for which a pipelined request has waited in the
+        // buffer until the request before it was served.
         let waited = whole_micros(self.input.last_read_at().elapsed());
         query.client_timeout = query
             .client_timeout
@@ -204,8 +214,9 @@
         self.context.submit(self.id, query, disconnected).await
     }
 
-    /// Sends the reply to a request whose end is unknown, after which the connection has to be
-    /// closed.
+    /// Sends the reply to a request whose end is unknown. The connection has to be closed after
+    /// that, because no further request can be read from it. Returns the maximum time to wait for
+    /// the client to close its side.
     async fn close_with(&self, reply: Reply) -> io::Result<Duration> {
         let response = self.context.with_date(reply.response);
         write(self.stream, &encode_response(&response, CLOSING_RESPONSE)).await?;
@@ -213,8 +224,8 @@
     }
 }
 
-/// Waits until the client has disconnected, and returns the error of that. Pipelined requests are
-/// read meanwhile, up to [`MAX_READ_AHEAD_BYTES`].
+/// Waits until the client has disconnected, and returns an error that says how. Pipelined requests
+/// are read meanwhile, until [`MAX_READ_AHEAD_BYTES`] are buffered.
 async fn wait_for_disconnect(stream: &Async<TcpStream>, input: &mut RequestInput<'_>) -> io::Error {
     while input.buffered_bytes() < MAX_READ_AHEAD_BYTES {
         match input.read().await {
--- a/crates/broker/src/listeners/http1/input.rs
+++ b/crates/broker/src/listeners/http1/input.rs
@@ -1,8 +1,8 @@
-//! Reading requests from a connection, including those that are pipelined while a response is
+//! Reads requests from a connection, including pipelined requests that arrive while a response is
 //! outstanding.
 
 use crate::clock::with_timeout;
-use crate::listeners::timeouts::{MESSAGE_TIMEOUT, SILENCE_TIMEOUT};
+use crate::listeners::timeouts::{MESSAGE_TIMEOUT, RECEIVE_TIMEOUT};
 use crate::net::read_some;
 use async_io::Async;
 use futures_lite::AsyncWriteExt;
@@ -14,29 +14,32 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// Largest request that is accepted.
+/// Limits on the size of a request.
 const REQUEST_LIMITS: Limits = Limits {
     head_bytes: MAX_HEAD_BYTES,
     body_bytes: MAX_BODY_BYTES,
 };
-/// Interim response to a client that waits before it sends a body (RFC 9110, section 15.2.1).
+/// Interim response to a client that waits for it before it sends a body (RFC 9110, section
+/// 15.2.1).
 const CONTINUE_RESPONSE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// Result of reading a request.
 pub(super) enum ReceivedRequest {
     /// The request is complete.
     Complete(Box<Message<Request<Vec<u8>>>>),
-    /// The request violates the protocol or a limit, and its end is unknown.
+    /// The request violates the protocol or a limit. Its end is unknown, so no further request can
+    /// be read from the connection.
     Invalid(ParseError),
 }
 
-/// The requests that arrive on a connection.
+/// Reader of the requests that arrive on a connection.
 pub(super) struct RequestInput<'a> {
     stream: &'a Async<TcpStream>,
     decoder: RequestDecoder,
-    /// Bytes that have been read and not decoded.
+    /// Bytes that have been read and not decoded yet.
     buffer: Vec<u8>,
-    /// When the buffer last grew: a complete request in it arrived no later.
+    /// When bytes were last read, and so the latest time at which a complete request in the buffer
+    /// can have arrived.
     last_read_at: Instant,
 }
 
@@ -50,34 +53,38 @@
         }
     }
 
-    /// When bytes last arrived.
+    /// Returns when bytes were last read.
     pub(super) fn last_read_at(&self) -> Instant {
         self.last_read_at
     }
 
-    /// Number of bytes that have been read and not decoded.
+    /// Returns the number of bytes that have been read and not decoded yet.
     pub(super) fn buffered_bytes(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Frees the buffer's memory if it is empty, so that an idle connection holds none.
+    /// Frees the memory of the buffer if it is empty, so that an idle connection holds no buffer.
     pub(super) fn release_empty_buffer(&mut self) {
         if self.buffer.is_empty() {
             self.buffer = Vec::new();
         }
     }
 
-    /// Reads what has arrived, and waits until there is something. Returns 0 if the client has
-    /// closed its side.
+    /// Waits until bytes have arrived and reads them into the buffer. Returns their number, which
+    /// is 0 if the client has closed its side.
     pub(super) async fn read(&mut self) -> io::Result<usize> {
         let received = read_some(self.stream, &mut self.buffer).await?;
         self.last_read_at = Instant::now();
         Ok(received)
     }
 
-    /// Reads until a request is complete or invalid.
+    /// Reads until a request is complete or found to be invalid.
     ///
-    /// Fails with [`io::ErrorKind::TimedOut`] if no byte arrives for [`SILENCE_TIMEOUT`].
+    /// # Errors
+    ///
+    /// The error of the socket; [`io::ErrorKind::TimedOut`] if nothing arrives for
+    /// [`RECEIVE_TIMEOUT`]; [`io::ErrorKind::UnexpectedEof`] if the client closes its side before
+    /// the end of the request.
     pub(super) async fn read_request(&mut self) -> io::Result<ReceivedRequest> {
         let mut continue_sent = false;
         loop {
@@ -92,7 +99,7 @@
                 continue_sent = true;
                 write(self.stream, CONTINUE_RESPONSE).await?;
             }
-            if with_timeout(SILENCE_TIMEOUT, self.read()).await? == 0 {
+            if with_timeout(RECEIVE_TIMEOUT, self.read()).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
             yield_now().await;
@@ -100,7 +107,8 @@
     }
 }
 
-/// Writes bytes within [`MESSAGE_TIMEOUT`].
+/// Writes bytes to the client. Fails with [`io::ErrorKind::TimedOut`] if the client does not accept
+/// all of them within [`MESSAGE_TIMEOUT`].
 pub(super) async fn write(mut stream: &Async<TcpStream>, bytes: &[u8]) -> io::Result<()> {
     with_timeout(MESSAGE_TIMEOUT, stream.write_all(bytes)).await
 }
--- a/crates/broker/src/listeners/http1/mod.rs
+++ b/crates/broker/src/listeners/http1/mod.rs
@@ -1,5 +1,6 @@
-//! The listener for HTTP/1.1. One task serves each connection and closes it; `connection` owns its
-//! state, and `input` the bytes that it has received.
+//! The listener for HTTP/1.1. Each connection is served and closed by a task of its own.
+//! `connection` holds the state of a connection, and `input` the bytes that have been received on
+//! it.
 
 mod connection;
 mod input;
@@ -28,8 +29,9 @@
         &self.slots
     }
 
-    /// An I/O error closes the connection like an orderly end. If it is the client's disconnection,
-    /// the query has been cancelled by then.
+    /// Serves a connection until it is closed. After an I/O error the connection is closed in the
+    /// same way as after its last response. If the error is the client's disconnection, the query
+    /// has already been cancelled.
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>, slot: Slot) {
         let linger_time = self.serve_requests(&stream).await.unwrap_or(LINGER);
         let _closing = slot.close();
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections, including those that are being closed.
     pub(super) fn open_connections(&self) -> usize {
         self.slots.open_connections()
     }
@@ -63,8 +65,8 @@
         self.slots.close_idle();
     }
 
-    /// Serves the requests of a connection. Returns the longest time for which closing it waits for
-    /// the client.
+    /// Serves the requests of a connection. Returns the maximum time to wait for the client to
+    /// close its side when the connection is closed.
     async fn serve_requests(&self, stream: &Async<TcpStream>) -> io::Result<Duration> {
         stream.get_ref().set_nodelay(true)?;
         Http1Connection::new(&self.context, &self.slots, stream)
--- a/crates/broker/src/listeners/http2/connection.rs
+++ b/crates/broker/src/listeners/http2/connection.rs
@@ -1,9 +1,9 @@
 //! One HTTP/2 connection: drives the `h2` library and the connection's streams.
 //!
-//! [`Http2Connection`] owns the streams and frees them when it is dropped. When it is closed, its
-//! [`ConnectionLifetime`] decides.
+//! [`Http2Connection`] owns its streams, so dropping it cancels them. Its [`ConnectionLifetime`]
+//! determines when the connection is closed.
 
-use super::guarded_connection::{GuardedConnection, WireEvent};
+use super::guarded_connection::{GuardedConnection, ProtocolEvent};
 use super::lifetime::{ConnectionActivity, ConnectionLifetime, DeadlineAction};
 use super::stream::{NewStream, StreamOutcome};
 use crate::listeners::context::ListenerContext;
@@ -21,20 +21,20 @@
 use std::task::{Context, Poll};
 use tracing::{debug, warn};
 
-/// The task of one stream.
+/// The future that serves one stream.
 type StreamTask = Pin<Box<dyn Future<Output = StreamOutcome>>>;
 
-/// What a connection has to react to.
+/// An event that a connection has to handle.
 enum ConnectionEvent {
-    /// Something happened on the wire.
-    Wire(WireEvent),
+    /// The client opened a stream or violated a limit, or the connection was closed.
+    Protocol(ProtocolEvent),
     /// A stream ended.
     StreamEnded(StreamOutcome),
-    /// The phase of the broker's life has changed.
+    /// The phase of the broker's lifecycle has changed.
     LifecycleChanged,
-    /// The connection was evicted.
+    /// The connection was evicted, so that its slot becomes free for another one.
     Evicted,
-    /// The next deadline has passed.
+    /// The next deadline of the connection's [`ConnectionLifetime`] has passed.
     DeadlineReached,
 }
 
@@ -43,7 +43,7 @@
     context: &'a Rc<ListenerContext>,
     slots: &'a ConnectionSlots,
     id: ConnectionId,
-    wire: Box<GuardedConnection>,
+    protocol: Box<GuardedConnection>,
     streams: FuturesUnordered<StreamTask>,
     lifetime: ConnectionLifetime,
     timer: Timer,
@@ -54,13 +54,13 @@
         context: &'a Rc<ListenerContext>,
         slots: &'a ConnectionSlots,
         id: ConnectionId,
-        wire: Box<GuardedConnection>,
+        protocol: Box<GuardedConnection>,
     ) -> Self {
         Http2Connection {
             context,
             slots,
             id,
-            wire,
+            protocol,
             streams: FuturesUnordered::new(),
             lifetime: ConnectionLifetime::new(context.clock().now()),
             timer: Timer::never(),
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Handles an event. Breaks if the connection has to be dropped.
+    /// Handles an event. Returns [`ControlFlow::Break`] if the connection has to be dropped.
     fn on_event(&mut self, event: ConnectionEvent) -> ControlFlow<()> {
         match event {
-            ConnectionEvent::Wire(event) => return self.on_wire_event(event),
+            ConnectionEvent::Protocol(event) => return self.on_protocol_event(event),
             ConnectionEvent::StreamEnded(outcome) => self.on_stream_ended(&outcome),
-            // Graceful shutdown starts before the next event.
+            // `run` starts graceful shutdown before it waits for the next event.
             ConnectionEvent::LifecycleChanged => {}
             ConnectionEvent::Evicted => self.start_graceful_shutdown(),
             ConnectionEvent::DeadlineReached => return self.on_deadline(),
@@ -93,12 +93,13 @@
         ControlFlow::Continue(())
     }
 
-    /// Handles an event on the wire. Breaks if the connection is closed.
-    fn on_wire_event(&mut self, event: WireEvent) -> ControlFlow<()> {
+    /// Handles an event of the protocol. Returns [`ControlFlow::Break`] if the connection is
+    /// closed.
+    fn on_protocol_event(&mut self, event: ProtocolEvent) -> ControlFlow<()> {
         match event {
-            WireEvent::StreamOpened(stream) => self.on_stream_opened(*stream),
-            WireEvent::Violation(violation) => self.on_violation(violation),
-            WireEvent::Closed(error) => {
+            ProtocolEvent::StreamOpened(stream) => self.on_stream_opened(*stream),
+            ProtocolEvent::Violation(violation) => self.on_violation(violation),
+            ProtocolEvent::Closed(error) => {
                 if let Some(error) = error {
                     self.log_error(&error);
                 }
@@ -108,8 +109,8 @@
         ControlFlow::Continue(())
     }
 
-    /// Starts to serve a request, or refuses it if the client has had time to receive the GOAWAY
-    /// frame.
+    /// Starts to serve a request. The request is refused if the broker is closing its connections
+    /// and GOAWAY has been sent on this one.
     fn on_stream_opened(&mut self, stream: NewStream) {
         let is_closing = self.context.lifecycle().phase() == Phase::Closing;
         if is_closing && !self.lifetime.is_serving() {
@@ -120,9 +121,10 @@
         self.streams.push(Box::pin(task));
     }
 
+    /// Records the outcome of a stream.
     fn on_stream_ended(&mut self, outcome: &StreamOutcome) {
         if let Some(body_bytes) = outcome.sent_body_bytes {
-            self.wire.on_response_sent(body_bytes);
+            self.protocol.on_response_sent(body_bytes);
         }
         if outcome.is_valid_request {
             self.lifetime.on_valid_request();
@@ -132,12 +134,14 @@
         }
     }
 
+    /// Logs a violation that the flood guard reported, and closes the connection.
     fn on_violation(&mut self, violation: Violation) {
         warn!(name: "http2_flood_detected", connection = self.id.0, reason = %violation);
         self.abort(Reason::ENHANCE_YOUR_CALM);
     }
 
-    /// Carries out what is due after a deadline. Breaks if the connection has to be dropped.
+    /// Carries out the action that is due after a deadline. Returns [`ControlFlow::Break`] if the
+    /// connection has to be dropped.
     fn on_deadline(&mut self) -> ControlFlow<()> {
         let now = self.context.clock().now();
         match self.lifetime.due_action(now, self.activity()) {
@@ -153,27 +157,28 @@
         ControlFlow::Continue(())
     }
 
-    /// Starts graceful shutdown, unless it has started before.
+    /// Sends GOAWAY and starts graceful shutdown, unless this has been done before.
     fn start_graceful_shutdown(&mut self) {
         if self.lifetime.is_serving() {
-            self.wire.shut_down_gracefully();
+            self.protocol.shut_down_gracefully();
             self.lifetime.start_draining(self.context.clock().now());
         }
     }
 
-    /// Closes the connection because of an error, and cancels its streams.
+    /// Cancels all streams and closes the connection. `reason` is the error that the client
+    /// receives.
     fn abort(&mut self, reason: Reason) {
         self.streams.clear();
         self.close(reason);
     }
 
-    /// Closes the connection once its last frames are written.
+    /// Sends GOAWAY with a reason and closes the connection once its last frames are written.
     fn close(&mut self, reason: Reason) {
-        self.wire.shut_down_abruptly(reason);
+        self.protocol.shut_down_abruptly(reason);
         self.lifetime.start_closing(self.context.clock().now());
     }
 
-    /// Logs the error that closed the connection, except for those of the socket.
+    /// Logs the error that closed the connection. Errors of the socket are not logged.
     fn log_error(&self, error: &h2::Error) {
         if error.is_io() {
             return;
@@ -185,14 +190,15 @@
         }
     }
 
+    /// Returns what the connection is doing at present.
     fn activity(&self) -> ConnectionActivity {
         ConnectionActivity {
             open_streams: self.streams.len(),
-            incomplete_since: self.wire.incomplete_since(),
+            incomplete_since: self.protocol.incomplete_since(),
         }
     }
 
-    /// Waits for the next event, and drives the connection meanwhile.
+    /// Drives the connection and its streams until the next event.
     async fn next_event(&mut self) -> ConnectionEvent {
         let lifecycle = self.context.lifecycle();
         let phase = lifecycle.phase();
@@ -205,7 +211,7 @@
             }
         });
         poll_fn(|cx| {
-            if let Poll::Ready(event) = self.poll_wire(cx) {
+            if let Poll::Ready(event) = self.poll_protocol(cx) {
                 return Poll::Ready(event);
             }
             let has_changed = lifecycle.phase() != phase;
@@ -220,21 +226,21 @@
         .await
     }
 
-    /// Allows the connection to be evicted if it is idle.
+    /// Registers the connection as one that may be evicted, if it is idle and not shutting down.
     fn evictable(&self) -> Option<Evictable<'a>> {
         let priority = self.lifetime.eviction_priority(self.streams.len())?;
         Some(self.slots.evictable(priority))
     }
 
-    /// Polls the streams and the socket.
-    fn poll_wire(&mut self, cx: &mut Context<'_>) -> Poll<ConnectionEvent> {
+    /// Polls the streams and the `h2` library.
+    fn poll_protocol(&mut self, cx: &mut Context<'_>) -> Poll<ConnectionEvent> {
         if let Poll::Ready(Some(outcome)) = self.streams.poll_next_unpin(cx) {
             return Poll::Ready(ConnectionEvent::StreamEnded(outcome));
         }
-        self.wire.poll_event(cx).map(ConnectionEvent::Wire)
+        self.protocol.poll_event(cx).map(ConnectionEvent::Protocol)
     }
 
-    /// Polls the timer, set to the next deadline.
+    /// Sets the timer to the next deadline, if there is one, and polls it.
     fn poll_deadline(&mut self, cx: &mut Context<'_>) -> Poll<ConnectionEvent> {
         let Some(deadline) = self.lifetime.next_deadline(self.activity()) else {
             return Poll::Pending;
--- a/crates/broker/src/listeners/http2/guarded_connection.rs
+++ b/crates/broker/src/listeners/http2/guarded_connection.rs
@@ -1,7 +1,7 @@
 //! The `h2` library's connection together with the flood guard on its input.
 //!
-//! [`GuardedConnection`] owns both, so that what the library decodes is never used after a
-//! violation.
+//! [`GuardedConnection`] owns both, so that it can discard what the library has decoded once the
+//! guard has reported a violation.
 
 use super::guarded_socket::{GuardedSocket, SharedGuard};
 use super::stream::NewStream;
@@ -11,17 +11,17 @@
 use http2_flood_guard::Violation;
 use std::task::{Context, Poll};
 
-/// What happened on a connection.
-pub(super) enum WireEvent {
+/// An event that the `h2` library or the flood guard reports.
+pub(super) enum ProtocolEvent {
     /// The client opened a stream.
     StreamOpened(Box<NewStream>),
     /// The flood guard reported a violation.
     Violation(Violation),
-    /// The connection is closed, with an error unless that was orderly.
+    /// The connection is closed. The error is `None` if it was closed in an orderly way.
     Closed(Option<h2::Error>),
 }
 
-/// An HTTP/2 connection after the exchange of settings.
+/// An HTTP/2 connection on which settings have been exchanged.
 pub(super) struct GuardedConnection {
     h2: server::Connection<GuardedSocket, Bytes>,
     guard: SharedGuard,
@@ -38,38 +38,40 @@
         }
     }
 
-    /// Drives the connection until something happens. A violation after an abrupt shutdown is
-    /// ignored.
-    pub(super) fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<WireEvent> {
+    /// Drives the connection until the next event. A violation after an abrupt shutdown is not
+    /// reported, because the connection is being closed already.
+    pub(super) fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<ProtocolEvent> {
         let accepted = self.h2.poll_accept(cx);
-        // Whatever was decoded before a violation is discarded.
+        // If there is a violation, what the library has just decoded is discarded.
         let violation = self.guard.borrow().violation();
         if let Some(violation) = violation
             && !self.is_shut_down
         {
-            return Poll::Ready(WireEvent::Violation(violation));
+            return Poll::Ready(ProtocolEvent::Violation(violation));
         }
         accepted.map(|accepted| match accepted {
             Some(Ok((request, respond))) => {
-                WireEvent::StreamOpened(Box::new(NewStream::new(request, respond)))
+                ProtocolEvent::StreamOpened(Box::new(NewStream::new(request, respond)))
             }
-            Some(Err(error)) => WireEvent::Closed(Some(error)),
-            None => WireEvent::Closed(None),
+            Some(Err(error)) => ProtocolEvent::Closed(Some(error)),
+            None => ProtocolEvent::Closed(None),
         })
     }
 
-    /// Since when the preface, a frame or a header block has been incomplete.
+    /// Returns since when the preface, a frame or a header block has been incomplete.
     pub(super) fn incomplete_since(&self) -> Option<Timestamp> {
         self.guard.borrow().incomplete_since()
     }
 
-    /// Grants the client the control frames that it needs for a response.
+    /// Records in the flood guard that a response with a body of `body_bytes` was sent, which
+    /// permits the client more control frames.
     pub(super) fn on_response_sent(&mut self, body_bytes: usize) {
         self.guard.borrow_mut().on_response_sent(body_bytes);
     }
 
-    /// Sends GOAWAY with the highest stream identifier, and after a round trip with that of the
-    /// last stream that was served (RFC 9113, section 6.8).
+    /// Sends GOAWAY twice (RFC 9113, section 6.8): first with the highest possible stream
+    /// identifier, so that streams that the client is opening are still served, and after a round
+    /// trip with the identifier of the last stream that was served.
     pub(super) fn shut_down_gracefully(&mut self) {
         self.h2.graceful_shutdown();
     }
--- a/crates/broker/src/listeners/http2/guarded_socket.rs
+++ b/crates/broker/src/listeners/http2/guarded_socket.rs
@@ -14,17 +14,18 @@
 use std::task::{Context, Poll, ready};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// The flood guard of a connection, and the violation that it reported.
+/// The flood guard of a connection and the violation that it has reported, if any.
 pub(super) struct GuardState {
     guard: FloodGuard,
     violation: Option<Violation>,
 }
 
-/// The guard, shared by the socket, which passes the input to it, and the connection, which reacts
-/// to violations.
+/// The guard as it is shared by the socket, which passes the input to it, and the connection, which
+/// handles violations.
 pub(super) type SharedGuard = Rc<RefCell<GuardState>>;
 
 impl GuardState {
+    /// Creates the shared state of a guard that has reported no violation.
     pub(super) fn new(guard: FloodGuard) -> SharedGuard {
         Rc::new(RefCell::new(GuardState {
             guard,
@@ -32,31 +33,36 @@
         }))
     }
 
+    /// Returns the violation that the guard has reported.
     pub(super) fn violation(&self) -> Option<Violation> {
         self.violation
     }
 
+    /// Returns since when the preface, a frame or a header block has been incomplete.
     pub(super) fn incomplete_since(&self) -> Option<Timestamp> {
         self.guard.incomplete_since()
     }
 
+    /// Adds the guard's tokens for a response with a body of `body_bytes`.
     pub(super) fn on_response_sent(&mut self, body_bytes: usize) {
         self.guard.on_response_sent(body_bytes);
     }
 
-    /// Inspects received bytes, and records a violation.
+    /// Passes received bytes to the guard, and records the violation if it reports one.
     fn inspect(&mut self, now: Timestamp, bytes: &[u8]) -> Result<(), Violation> {
         let inspected = self.guard.on_received(now, bytes);
         inspected.inspect_err(|violation| self.violation = Some(*violation))
     }
 }
 
-/// A socket whose input is inspected by the flood guard. After a violation nothing more is read,
-/// because the connection will be closed.
+/// A socket whose input is inspected by the flood guard. After a violation, reads return
+/// [`Poll::Pending`] without a wake-up: the connection checks for a violation after each poll of
+/// the `h2` library, and is then closed.
 pub(super) struct GuardedSocket {
     stream: Rc<Async<TcpStream>>,
-    /// Bytes that were read before the `h2` library took over, and that it has not read yet.
-    read_before: Vec<u8>,
+    /// Bytes that were read from the stream before the `h2` library was started, and that the
+    /// library has not read yet.
+    initial_input: Vec<u8>,
     guard: SharedGuard,
     clock: Clock,
 }
@@ -64,26 +70,27 @@
 impl GuardedSocket {
     pub(super) fn new(
         stream: Rc<Async<TcpStream>>,
-        read_before: Vec<u8>,
+        initial_input: Vec<u8>,
         guard: SharedGuard,
         clock: Clock,
     ) -> Self {
         GuardedSocket {
             stream,
-            read_before,
+            initial_input,
             guard,
             clock,
         }
     }
 
+    /// Passes received bytes to the guard, with the current time.
     fn inspect(&self, bytes: &[u8]) -> Result<(), Violation> {
         self.guard.borrow_mut().inspect(self.clock.now(), bytes)
     }
 
-    /// Reads from the bytes that were read before.
-    fn poll_read_before(&mut self, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let length = self.read_before.len().min(buf.remaining());
-        let bytes: Vec<u8> = self.read_before.drain(..length).collect();
+    /// Reads from `initial_input`.
+    fn poll_read_initial_input(&mut self, buf: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
+        let length = self.initial_input.len().min(buf.remaining());
+        let bytes: Vec<u8> = self.initial_input.drain(..length).collect();
         if self.inspect(&bytes).is_err() {
             return Poll::Pending;
         }
@@ -91,7 +98,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads from the socket.
+    /// Reads from the stream.
     fn poll_read_socket(
         &mut self,
         cx: &mut Context<'_>,
@@ -116,10 +123,10 @@
         let has_violation = self.guard.borrow().violation().is_some();
         if has_violation {
             Poll::Pending
-        } else if self.read_before.is_empty() {
+        } else if self.initial_input.is_empty() {
             self.poll_read_socket(cx, buf)
         } else {
-            self.poll_read_before(buf)
+            self.poll_read_initial_input(buf)
         }
     }
 }
--- a/crates/broker/src/listeners/http2/handshake.rs
+++ b/crates/broker/src/listeners/http2/handshake.rs
@@ -1,4 +1,4 @@
-//! The start of an HTTP/2 connection: the client's preface, and the exchange of settings.
+//! The start of an HTTP/2 connection: receiving the client's preface and exchanging settings.
 
 use super::guarded_connection::GuardedConnection;
 use super::guarded_socket::{GuardState, GuardedSocket};
@@ -7,7 +7,7 @@
 use crate::listeners::context::ListenerContext;
 use crate::listeners::reply::{CLOSING_RESPONSE, error_reply};
 use crate::listeners::slots::{ConnectionSlots, EvictionPriority};
-use crate::listeners::timeouts::SILENCE_TIMEOUT;
+use crate::listeners::timeouts::RECEIVE_TIMEOUT;
 use crate::net::{LINGER, linger, read_some};
 use admission::resource_limits::Http2Limits;
 use async_io::{Async, Timer};
@@ -24,38 +24,43 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Part of [`STREAM_WINDOW_BYTES`] beyond the longest body, so that a body that is too long is
-/// detected.
+/// Part of [`STREAM_WINDOW_BYTES`] beyond the maximum length of a body, in bytes. It lets a client
+/// send more than the maximum, so that a body that is too long is detected. Without it, the client
+/// would wait for a window update after the maximum, and its request would time out.
 const STREAM_WINDOW_MARGIN_BYTES: u32 = 1024;
-/// Flow-control window of a stream, in bytes. The longest body fits without a window update.
+/// Flow-control window of a stream, in bytes. A body of maximum length fits without a window
+/// update.
 const STREAM_WINDOW_BYTES: u32 = MAX_BODY_BYTES as u32 + STREAM_WINDOW_MARGIN_BYTES;
-/// Most bytes of a response that the `h2` library buffers for each stream.
+/// Maximum number of bytes of a response that the `h2` library buffers for each stream.
 const SEND_BUFFER_BYTES: usize = 32 * 1024;
-/// Time for which the `h2` library remembers a stream that was reset, so that frames that the
-/// client sent before it received the reset are no error (RFC 9113, section 5.4.2).
+/// Time for which the `h2` library keeps the state of a stream that was reset. Frames that the
+/// client sent on the stream before it received the reset are ignored during this time, instead of
+/// being an error (RFC 9113, section 5.4.2).
 const RESET_STREAM_MEMORY: Duration = Duration::from_secs(1);
-/// Response to a client that speaks HTTP/1.
+/// Text of the response to a client that speaks HTTP/1.
 const PRIOR_KNOWLEDGE_REQUIRED: &str =
     "this port speaks HTTP/2 by prior knowledge (RFC 9113, section 3.3)";
 
-/// Why the preface of a connection was not received.
+/// Reason why the preface of a connection was not received.
 #[derive(Debug, Error)]
 pub(super) enum PrefaceError {
-    /// The client sent something else.
+    /// The client sent bytes that are not the preface.
     #[error(transparent)]
     Violation(#[from] Violation),
-    /// The client disconnected or sent nothing in time, or the connection was evicted.
+    /// The client disconnected or did not send the whole preface within [`RECEIVE_TIMEOUT`], or the
+    /// connection was evicted.
     #[error("the connection was closed before its preface")]
     Closed,
 }
 
-/// Reads at least the connection preface, and returns all bytes that were read. The connection may
-/// be evicted meanwhile.
+/// Reads the connection preface and what follows it in the same read, and returns all bytes that
+/// were read. The connection may be evicted meanwhile.
 pub(super) async fn read_preface(
     stream: &Async<TcpStream>,
     slots: &ConnectionSlots,
 ) -> Result<Vec<u8>, PrefaceError> {
-    // This guard checks the preface alone, which costs no tokens.
+    // This guard checks only the preface. The preface costs no tokens, so the limits have no
+    // effect.
     let mut guard = FloodGuard::new(Timestamp::ORIGIN, FloodLimits::new(1, 1));
     let mut received = Vec::new();
     let evictable = slots.evictable(EvictionPriority::Unused);
@@ -72,7 +77,7 @@
         Ok(())
     };
     let closed = async {
-        let timeout = async { _ = Timer::after(SILENCE_TIMEOUT).await };
+        let timeout = async { _ = Timer::after(RECEIVE_TIMEOUT).await };
         evictable.evicted().or(timeout).await;
         Err(PrefaceError::Closed)
     };
@@ -80,7 +85,8 @@
     Ok(received)
 }
 
-/// Closes a connection that does not speak HTTP/2. A client that speaks HTTP/1 gets a response.
+/// Closes a connection whose client does not speak HTTP/2. A client that speaks HTTP/1 gets an
+/// HTTP/1.1 response that says what this port expects.
 pub(super) async fn reject_protocol(
     context: &ListenerContext,
     stream: &Async<TcpStream>,
@@ -95,8 +101,9 @@
     linger(stream, LINGER).await
 }
 
-/// Exchanges settings with the client. `received` are the bytes that were read before. The
-/// connection is boxed, so that the tasks of connections without one are smaller.
+/// Exchanges settings with the client. `received` holds the bytes that [`read_preface`] has read.
+/// The result is boxed, so that the task of a connection does not reserve memory for it before the
+/// settings are exchanged.
 pub(super) async fn handshake(
     limits: Http2Limits,
     clock: Clock,
@@ -119,6 +126,6 @@
         .reset_stream_duration(RESET_STREAM_MEMORY)
         .handshake::<_, Bytes>(socket);
     let handshake = async { handshake.await.map_err(io::Error::other) };
-    let h2 = with_timeout(SILENCE_TIMEOUT, handshake).await?;
+    let h2 = with_timeout(RECEIVE_TIMEOUT, handshake).await?;
     Ok(Box::new(GuardedConnection::new(h2, guard)))
 }
--- a/crates/broker/src/listeners/http2/lifetime.rs
+++ b/crates/broker/src/listeners/http2/lifetime.rs
@@ -1,37 +1,38 @@
-//! When an HTTP/2 connection is closed: its phase, its idle time and its deadlines.
+//! Determines when an HTTP/2 connection is closed, by its phase, its idle time and its deadlines.
 //!
-//! [`ConnectionLifetime`] decides; the connection that owns it carries out what
-//! [`ConnectionLifetime::due_action`] returns.
+//! [`ConnectionLifetime`] only computes deadlines and the actions that are due. The connection that
+//! owns it carries out what [`ConnectionLifetime::due_action`] returns.
 
 use crate::listeners::slots::EvictionPriority;
-use crate::listeners::timeouts::SILENCE_TIMEOUT;
+use crate::listeners::timeouts::RECEIVE_TIMEOUT;
 use broker_types::time::Timestamp;
 use std::time::Duration;
 
-/// Idle timeout of a connection that has served a request. Its client keeps it for further
-/// requests.
+/// Idle timeout of a connection that has served a valid request. Clients of HTTP/2 keep a
+/// connection open for further requests.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest time after GOAWAY that an idle connection stays open for its client to receive it.
+/// Maximum time for which a connection without open streams stays open after GOAWAY was sent or its
+/// last stream ended, whichever is later. It gives the client time to receive the frame.
 const GRACEFUL_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(1);
-/// Longest time for writing what remains to be sent when a connection is closed.
+/// Maximum time for writing the remaining frames or bytes when a connection is closed.
 pub(super) const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Phase of a connection's life.
+/// Phase of a connection's lifecycle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ConnectionPhase {
-    /// Requests are served.
+    /// Requests are served, and GOAWAY has not been sent.
     Serving,
-    /// GOAWAY has been sent. Requests in flight are served, and so are those that the client sent
-    /// before it received the frame.
+    /// GOAWAY has been sent. Requests in flight are served, and so are requests that the client
+    /// sent before it received the frame.
     Draining,
     /// The last frames are being written.
     Closing {
-        /// When the connection is dropped at the latest.
+        /// Time at which the connection is dropped even if frames have not been written.
         deadline: Timestamp,
     },
 }
 
-/// What a connection is doing, which its deadlines depend on.
+/// State of a connection on which its deadlines depend, apart from [`ConnectionLifetime`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionActivity {
     /// Number of open streams.
@@ -40,16 +41,17 @@
     pub(super) incomplete_since: Option<Timestamp>,
 }
 
-/// What a connection has to do because a deadline has passed.
+/// Action that a connection has to carry out because a deadline has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum DeadlineAction {
-    /// Abort: an incomplete frame or header block has stalled.
+    /// Cancel the streams and close the connection, because the rest of a frame or header block has
+    /// not arrived in time.
     AbortStalled,
-    /// Start graceful shutdown: the connection has been idle for too long.
+    /// Start graceful shutdown, because the idle timeout has passed.
     ShutDownGracefully,
-    /// Close: the client has had time to receive GOAWAY.
+    /// Close the connection, because the client has had time to receive GOAWAY.
     Close,
-    /// Drop: the last frames could not be written in time.
+    /// Drop the connection, because the last frames could not be written in time.
     Drop,
 }
 
@@ -57,14 +59,15 @@
 #[derive(Debug)]
 pub(super) struct ConnectionLifetime {
     phase: ConnectionPhase,
-    /// When the last stream ended, or graceful shutdown started.
+    /// When the last stream ended or graceful shutdown started, whichever is later; before both,
+    /// when the connection was opened.
     idle_since: Timestamp,
     /// Whether a valid request has been served.
     has_served: bool,
 }
 
 impl ConnectionLifetime {
-    /// The lifetime of a connection that is opened now.
+    /// Creates the lifetime of a connection that is opened at `now`.
     pub(super) fn new(now: Timestamp) -> Self {
         ConnectionLifetime {
             phase: ConnectionPhase::Serving,
@@ -73,18 +76,19 @@
         }
     }
 
-    /// Whether GOAWAY has not been sent yet.
+    /// Returns `true` as long as GOAWAY has not been sent.
     pub(super) fn is_serving(&self) -> bool {
         self.phase == ConnectionPhase::Serving
     }
 
-    /// Records that GOAWAY is sent.
+    /// Records that GOAWAY is sent, which starts graceful shutdown.
     pub(super) fn start_draining(&mut self, now: Timestamp) {
         self.phase = ConnectionPhase::Draining;
         self.idle_since = now;
     }
 
-    /// Records that the last frames are being written.
+    /// Records that the connection is being closed, and sets the deadline for writing its last
+    /// frames.
     pub(super) fn start_closing(&mut self, now: Timestamp) {
         let deadline = now + CLOSE_TIMEOUT;
         self.phase = ConnectionPhase::Closing { deadline };
@@ -95,12 +99,13 @@
         self.has_served = true;
     }
 
-    /// Records that no stream is open any more.
+    /// Records that the last open stream has ended.
     pub(super) fn on_idle(&mut self, now: Timestamp) {
         self.idle_since = now;
     }
 
-    /// With which priority the connection may be evicted; `None` if it is in use or draining.
+    /// Returns the priority with which the connection may be evicted, or `None` if it may not: it
+    /// has open streams, or GOAWAY has been sent.
     pub(super) fn eviction_priority(&self, open_streams: usize) -> Option<EvictionPriority> {
         let is_idle = open_streams == 0 && self.is_serving();
         is_idle.then_some(if self.has_served {
@@ -110,8 +115,8 @@
         })
     }
 
-    /// The next deadline, if there is one. [`Self::due_action`] has to be called when it has
-    /// passed.
+    /// Returns the next deadline, if there is one. [`Self::due_action`] has to be called when it
+    /// has passed.
     pub(super) fn next_deadline(&self, activity: ConnectionActivity) -> Option<Timestamp> {
         if let ConnectionPhase::Closing { deadline } = self.phase {
             return Some(deadline);
@@ -122,7 +127,7 @@
             .min()
     }
 
-    /// What the connection has to do by now; `None` if no deadline has passed.
+    /// Returns the action that is due at `now`, or `None` if no deadline has passed.
     pub(super) fn due_action(
         &self,
         now: Timestamp,
@@ -141,14 +146,15 @@
         })
     }
 
-    /// When a connection without streams is closed.
+    /// Returns when a connection without open streams starts graceful shutdown or, if GOAWAY has
+    /// been sent, is closed. Returns `None` while streams are open.
     fn idle_deadline(&self, activity: ConnectionActivity) -> Option<Timestamp> {
         if activity.open_streams > 0 {
             return None;
         }
         let timeout = match self.phase {
             ConnectionPhase::Serving if self.has_served => IDLE_TIMEOUT,
-            ConnectionPhase::Serving => SILENCE_TIMEOUT,
+            ConnectionPhase::Serving => RECEIVE_TIMEOUT,
             ConnectionPhase::Draining | ConnectionPhase::Closing { .. } => {
                 GRACEFUL_SHUTDOWN_TIMEOUT
             }
@@ -157,9 +163,10 @@
     }
 }
 
-/// When an incomplete frame or header block has to be complete.
+/// Returns the time by which an incomplete frame or header block has to be complete, or `None` if
+/// none is incomplete.
 fn stall_deadline(activity: ConnectionActivity) -> Option<Timestamp> {
-    Some(activity.incomplete_since? + SILENCE_TIMEOUT)
+    Some(activity.incomplete_since? + RECEIVE_TIMEOUT)
 }
 
 #[cfg(test)]
--- a/crates/broker/src/listeners/http2/lifetime/tests.rs
+++ b/crates/broker/src/listeners/http2/lifetime/tests.rs
@@ -1,18 +1,21 @@
-//! Which action is due when, for each phase of a connection.
+//! Tests which action is due at which time, for each phase of a connection.
 
 use super::*;
 
+/// Activity of a connection without streams.
 const IDLE: ConnectionActivity = ConnectionActivity {
     open_streams: 0,
     incomplete_since: None,
 };
+/// Activity of a connection with one stream, and no incomplete frame.
 const SERVING: ConnectionActivity = ConnectionActivity {
     open_streams: 1,
     incomplete_since: None,
 };
+/// When the connection is opened.
 const START: Timestamp = Timestamp::from_micros(1_000_000);
 
-/// Asserts that the action is due from the deadline on and not before.
+/// Asserts that `action` is due from `deadline` on, and that no action is due before.
 #[track_caller]
 fn assert_due(
     lifetime: &ConnectionLifetime,
@@ -30,7 +33,7 @@
 fn idle_connection_is_shut_down_sooner_if_it_has_served_nothing() {
     let mut lifetime = ConnectionLifetime::new(START);
     let shut_down = DeadlineAction::ShutDownGracefully;
-    assert_due(&lifetime, IDLE, START + SILENCE_TIMEOUT, shut_down);
+    assert_due(&lifetime, IDLE, START + RECEIVE_TIMEOUT, shut_down);
     lifetime.on_valid_request();
     let idle_since = START + Duration::from_secs(1);
     lifetime.on_idle(idle_since);
@@ -46,7 +49,7 @@
         incomplete_since: Some(START),
         ..SERVING
     };
-    let deadline = START + SILENCE_TIMEOUT;
+    let deadline = START + RECEIVE_TIMEOUT;
     assert_due(&lifetime, stalling, deadline, DeadlineAction::AbortStalled);
 }
 
--- a/crates/broker/src/listeners/http2/mod.rs
+++ b/crates/broker/src/listeners/http2/mod.rs
@@ -1,8 +1,8 @@
 //! The listener for HTTP/2 (RFC 9113) without TLS, by prior knowledge.
 //!
-//! One task drives each connection with all of its streams, so that they end together. `admission`
-//! limits the resources of connections, `http2_flood_guard` detects floods, and the `h2` library
-//! implements framing, flow control and header compression.
+//! Each connection is driven by one task, which also drives all of its streams, so that they end
+//! with the connection. `admission` computes the limits of connections, `http2_flood_guard` detects
+//! floods, and the `h2` library implements framing, flow control and header compression.
 
 mod connection;
 mod guarded_connection;
@@ -45,8 +45,8 @@
         match read_preface(&stream, &self.slots).await {
             Ok(received) => {
                 self.serve_requests(id, stream.clone(), received).await;
-                // Closing with unread data would reset the connection, and the client would lose
-                // the last frames.
+                // Closing the socket with unread data would reset the connection, and the client
+                // would lose the last frames.
                 let _ = linger(&stream, LINGER).await;
             }
             Err(PrefaceError::Violation(violation)) => {
@@ -57,13 +57,14 @@
         }
     }
 
-    /// The connection is closed without a response, which HTTP/2 allows only after an exchange of
-    /// frames.
+    /// Sends nothing: HTTP/2 allows a response only after an exchange of frames. The connection is
+    /// closed without one.
     fn reject(&self, _stream: &Async<TcpStream>) {}
 }
 
 impl Http2Listener {
-    /// Creates a listener with these limits.
+    /// Creates a listener with the given limits. The limit on the number of connections cannot be
+    /// changed later.
     pub(super) fn new(context: Rc<ListenerContext>, limits: Http2Limits) -> Self {
         Http2Listener {
             context,
@@ -72,18 +73,19 @@
         }
     }
 
-    /// Number of open connections.
+    /// Returns the number of open connections.
     pub(super) fn open_connections(&self) -> usize {
         self.slots.open_connections()
     }
 
-    /// Applies other limits to future connections. The number of connections does not change.
+    /// Sets the limits of future connections. The limit on the number of connections stays as it
+    /// is.
     pub(super) fn set_limits(&self, limits: Http2Limits) {
         self.limits.set(limits);
     }
 
-    /// Exchanges settings and serves the requests of a connection until it is closed. `received`
-    /// are the bytes that were read before.
+    /// Exchanges settings with the client and serves its requests until the connection is closed.
+    /// `received` holds the bytes that [`read_preface`] has read from the socket.
     async fn serve_requests(
         &self,
         id: ConnectionId,
@@ -91,8 +93,8 @@
         received: Vec<u8>,
     ) {
         let handshake = handshake(self.limits.get(), self.context.clock(), stream, received);
-        if let Ok(wire) = handshake.await {
-            let mut connection = Http2Connection::new(&self.context, &self.slots, id, wire);
+        if let Ok(protocol) = handshake.await {
+            let mut connection = Http2Connection::new(&self.context, &self.slots, id, protocol);
             connection.run().await;
         }
     }
--- a/crates/broker/src/listeners/http2/request_body.rs
+++ b/crates/broker/src/listeners/http2/request_body.rs
@@ -1,7 +1,7 @@
-//! Receiving the rest of a request whose head has been received.
+//! Receives the body of a request whose head has been received, and checks the request's authority.
 
 use crate::clock::with_timeout;
-use crate::listeners::timeouts::SILENCE_TIMEOUT;
+use crate::listeners::timeouts::RECEIVE_TIMEOUT;
 use h2::RecvStream;
 use http::header::{CONTENT_LENGTH, HOST};
 use http::{HeaderMap, Request};
@@ -17,10 +17,14 @@
     TooLong,
 }
 
-/// Receives a body. Its flow-control window is released once it is complete, so that all bodies
-/// being received together stay within the connection's window.
+/// Receives a body. The flow-control capacity that it uses is released only once the body is
+/// complete. The bodies that are being received on a connection together therefore never exceed the
+/// connection's window.
 ///
-/// Fails with [`io::ErrorKind::TimedOut`] if nothing arrives for [`SILENCE_TIMEOUT`].
+/// # Errors
+///
+/// The error of the stream, or [`io::ErrorKind::TimedOut`] if nothing arrives for
+/// [`RECEIVE_TIMEOUT`].
 pub(super) async fn receive_body(
     body: &mut RecvStream,
     headers: &HeaderMap,
@@ -29,7 +33,7 @@
         return Ok(ReceivedBody::TooLong);
     }
     let mut bytes = Vec::new();
-    while let Some(data) = with_timeout(SILENCE_TIMEOUT, async {
+    while let Some(data) = with_timeout(RECEIVE_TIMEOUT, async {
         body.data().await.transpose().map_err(io::Error::other)
     })
     .await?
@@ -40,7 +44,7 @@
         bytes.extend_from_slice(&data);
     }
     // Trailers are discarded, as over HTTP/1.1.
-    with_timeout(SILENCE_TIMEOUT, async {
+    with_timeout(RECEIVE_TIMEOUT, async {
         body.trailers().await.map_err(io::Error::other)
     })
     .await?;
@@ -48,23 +52,25 @@
     Ok(ReceivedBody::Complete(bytes))
 }
 
-/// The length that a request declares. The `h2` library checks that its DATA frames match it.
+/// Returns the body length that a request declares, if any. The `h2` library checks that the length
+/// of the DATA frames matches it.
 fn declared_length(headers: &HeaderMap) -> Option<u64> {
     headers.get(CONTENT_LENGTH)?.to_str().ok()?.parse().ok()
 }
 
-/// Why the authority of a request is invalid.
+/// Reason why the authority of a request is invalid. The client receives the text.
 #[derive(Debug, Error)]
 pub(super) enum AuthorityError {
-    /// There are several `Host` fields.
+    /// The request has more than one `Host` field.
     #[error("Host is given twice")]
     RepeatedHost,
-    /// `Host` differs from `:authority`.
+    /// The `Host` field differs from `:authority`.
     #[error("Host is not the request's authority")]
     Mismatch,
 }
 
-/// Checks that `Host`, if present, matches `:authority` (RFC 9113, section 8.3.1).
+/// Checks that there is at most one `Host` field, and that it matches `:authority` if both are
+/// present (RFC 9113, section 8.3.1).
 pub(super) fn check_authority(request: &Request<Vec<u8>>) -> Result<(), AuthorityError> {
     let mut hosts = request.headers().get_all(HOST).iter();
     let host = hosts.next();
--- a/crates/broker/src/listeners/http2/stream.rs
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -1,4 +1,4 @@
-//! One HTTP/2 stream: receives a request, submits its query, and sends the response.
+//! One HTTP/2 stream: receives the request, submits its query and sends the response.
 
 use super::request_body::{ReceivedBody, check_authority, receive_body};
 use crate::clock::with_timeout;
@@ -21,29 +21,29 @@
 use thiserror::Error;
 use tracing::warn;
 
-/// Shortest time for sending a response, also where the client's timeout has passed.
+/// Minimum time that a client has to read a response, even if its timeout has already passed.
 const MIN_SEND_TIME: Duration = Duration::from_millis(250);
-/// Most bytes of a body that are passed to the `h2` library at once, so that it does not buffer a
-/// second copy of what a slow client has not read.
+/// Maximum number of body bytes that are passed to the `h2` library at a time. The library would
+/// otherwise buffer a second copy of the whole part that a slow client has not read.
 const SEND_CHUNK_BYTES: usize = 16 * 1024;
 
-/// How a stream ended.
+/// Outcome of a stream.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct StreamOutcome {
-    /// Length of the body that was sent. `None` if the client cancelled the stream, or did not read
-    /// the response in time.
+    /// Length in bytes of the response body that was sent. `None` if no complete response was sent,
+    /// because the stream was closed or the client did not read the response in time.
     pub(super) sent_body_bytes: Option<usize>,
-    /// Whether the request was valid, as in [`Reply`].
+    /// Whether the request was valid; see [`Reply::is_valid_request`].
     pub(super) is_valid_request: bool,
 }
 
 impl StreamOutcome {
-    /// The client cancelled the stream before its request was complete.
+    /// Outcome if the client cancelled the stream before its request was complete.
     const REQUEST_CANCELLED: StreamOutcome = StreamOutcome {
         sent_body_bytes: None,
         is_valid_request: false,
     };
-    /// The client cancelled the stream while its query was in flight.
+    /// Outcome if the client cancelled the stream while its query was in flight.
     const QUERY_CANCELLED: StreamOutcome = StreamOutcome {
         sent_body_bytes: None,
         is_valid_request: true,
@@ -53,12 +53,12 @@
 /// A reply that has to be sent.
 struct PendingReply {
     reply: Reply,
-    /// When its client stops waiting.
+    /// Time until which the client waits for the response.
     deadline: Instant,
 }
 
-/// A stream that the client has opened: a request whose head has been received, and the means to
-/// respond.
+/// A stream that the client has opened. The head of its request has been received, and no response
+/// has been sent.
 pub(super) struct NewStream {
     request: Request<RecvStream>,
     respond: SendResponse<Bytes>,
@@ -69,8 +69,8 @@
         NewStream { request, respond }
     }
 
-    /// Refuses the request, which the client may retry on another connection (RFC 9113, section
-    /// 8.7).
+    /// Resets the stream with `REFUSED_STREAM`. The client may retry the request on another
+    /// connection (RFC 9113, section 8.7).
     pub(super) fn refuse(mut self) {
         self.respond.send_reset(Reason::REFUSED_STREAM);
     }
@@ -87,7 +87,7 @@
         } = self;
         let received_at = Instant::now();
         let (head, mut body) = request.into_parts();
-        let body_policy = BodyPolicy::of(&head.method);
+        let body_policy = BodyPolicy::for_method(&head.method);
         let receive = receive_body(&mut body, &head.headers);
         let received = with_timeout(MESSAGE_TIMEOUT, receive).await;
         let pending = match route(&context, head, received) {
@@ -99,7 +99,7 @@
                     Err(_reset) => return StreamOutcome::QUERY_CANCELLED,
                 }
             }
-            Ok(RoutedRequest::Replied(reply)) => PendingReply {
+            Ok(RoutedRequest::Immediate(reply)) => PendingReply {
                 reply,
                 deadline: received_at + MESSAGE_TIMEOUT,
             },
@@ -123,8 +123,9 @@
     }
 }
 
-/// Decodes a request whose body has been received. It is dropped here, so that it holds no memory
-/// while its query is processed. Fails if the client cancelled the stream.
+/// Decodes a request after the attempt to receive its body, and determines the next step. The
+/// request is dropped here, so that it uses no memory while its query is processed. Fails if the
+/// client cancelled the stream.
 fn route(
     context: &ListenerContext,
     head: Parts,
@@ -142,21 +143,21 @@
         Err(error) if error.kind() == io::ErrorKind::TimedOut => request_timeout_reply(),
         Err(error) => return Err(error),
     };
-    Ok(RoutedRequest::Replied(reply))
+    Ok(RoutedRequest::Immediate(reply))
 }
 
-/// Whether the body of a response is sent.
+/// Rule whether the body of a response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyPolicy {
     /// The body is sent.
     Send,
-    /// The head alone is sent, with the length that the body would have.
+    /// Only the head is sent. It declares the length that the body would have.
     Omit,
 }
 
 impl BodyPolicy {
-    /// The policy for the response to a request with this method.
-    fn of(method: &Method) -> Self {
+    /// Returns the policy for the response to a request with the given method.
+    fn for_method(method: &Method) -> Self {
         if method == Method::HEAD {
             BodyPolicy::Omit
         } else {
@@ -165,7 +166,7 @@
     }
 }
 
-/// A response as it is sent.
+/// A response in the form in which it is passed to the `h2` library.
 struct OutgoingResponse {
     head: Response<()>,
     /// Empty if the body is omitted.
@@ -173,7 +174,8 @@
 }
 
 impl OutgoingResponse {
-    /// Declares the length of the response's body, and drops the body if it is omitted.
+    /// Adds the length of the body to the head of the response, and drops the body if it is not to
+    /// be sent.
     fn new(response: query_api::Response, body_policy: BodyPolicy) -> Self {
         let (mut head, body) = response.into_parts();
         head.headers
@@ -187,9 +189,10 @@
         }
     }
 
-    /// Sends the response and returns the length of the body that was sent. `request_body` is what
-    /// remains of the request's body. The client has at least [`MIN_SEND_TIME`] to read the
-    /// response.
+    /// Sends the response and returns the length of the body that was sent, in bytes.
+    /// `request_body` is the stream from which the request's body was received, which may be
+    /// incomplete. The client has until `deadline` to read the response, but at least
+    /// [`MIN_SEND_TIME`]; after that the stream is reset.
     async fn send(
         self,
         mut respond: SendResponse<Bytes>,
@@ -200,7 +203,8 @@
         let mut sender = respond
             .send_response(self.head, self.body.is_empty())
             .map_err(|_| SendError::StreamClosed)?;
-        // The rest of the request, if any, is not needed (RFC 9113, section 8.1).
+        // Dropped after the head is sent: the rest of the request, if any, is not needed (RFC 9113,
+        // section 8.1).
         drop(request_body);
         let deadline = deadline.max(Instant::now() + MIN_SEND_TIME);
         let expired = async {
@@ -215,13 +219,13 @@
     }
 }
 
-/// Why a response was not sent completely.
+/// Reason why a response was not sent completely.
 #[derive(Debug, Error)]
 enum SendError {
     /// The client did not open its flow-control window in time.
     #[error("the client did not read the response in time")]
     DeadlineExceeded {
-        /// Length of the body.
+        /// Length of the whole response body.
         body_bytes: usize,
     },
     /// The stream was reset, or the connection closed.
@@ -229,7 +233,8 @@
     StreamClosed,
 }
 
-/// Sends a body as the client's flow-control windows allow.
+/// Sends a body in chunks, whenever the client's flow-control windows have room. Returns once the
+/// `h2` library has accepted all of it.
 async fn send_body(sender: &mut SendStream<Bytes>, body: Vec<u8>) -> Result<(), SendError> {
     let mut rest = Bytes::from(body);
     while !rest.is_empty() {
--- a/crates/broker/src/listeners/lifecycle.rs
+++ b/crates/broker/src/listeners/lifecycle.rs
@@ -1,13 +1,14 @@
-//! The phases of the broker's life that affect client connections. The listeners set the phase;
-//! connections read it and wait for its changes.
+//! The phases of the broker's lifecycle that affect client connections.
+//! [`ClientListeners`](super::ClientListeners) sets the phase; connections read it and wait for its
+//! changes.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
 
-/// Phase of the broker's life. The order is that of time.
+/// Phase of the broker's lifecycle. The variants are in chronological order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Phase {
-    /// The broker serves queries.
+    /// The broker serves queries, and shutdown has not started.
     Serving,
     /// Shutdown has started: requests that still arrive are served, but readiness checks fail.
     Draining,
@@ -18,21 +19,22 @@
 /// The current phase, with notification of its changes.
 pub(super) struct Lifecycle {
     phase: Cell<Phase>,
-    /// Replaced when the phase changes.
-    phase_change: RefCell<PhaseChange>,
+    /// Notifies the tasks that wait for the next change of the phase. Each change replaces it.
+    phase_notifier: RefCell<PhaseNotifier>,
 }
 
-/// Wakes all tasks that wait for a change of the phase, when dropped.
-struct PhaseChange {
-    /// Closes the channel when dropped.
+/// A channel on which tasks wait for a change of the phase. Dropping the notifier closes the
+/// channel, which wakes all of them.
+struct PhaseNotifier {
+    /// The channel's only sender; nothing is ever sent.
     _sender: Sender<()>,
     receiver: Receiver<()>,
 }
 
-impl PhaseChange {
+impl PhaseNotifier {
     fn new() -> Self {
         let (sender, receiver) = async_channel::bounded(1);
-        PhaseChange {
+        PhaseNotifier {
             _sender: sender,
             receiver,
         }
@@ -40,27 +42,28 @@
 }
 
 impl Lifecycle {
-    /// A lifecycle in the phase [`Phase::Serving`].
+    /// Creates a lifecycle in the phase [`Phase::Serving`].
     pub(super) fn new() -> Self {
         Lifecycle {
             phase: Cell::new(Phase::Serving),
-            phase_change: RefCell::new(PhaseChange::new()),
+            phase_notifier: RefCell::new(PhaseNotifier::new()),
         }
     }
 
+    /// Returns the current phase.
     pub(super) fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Changes the phase, and notifies the waiting tasks.
+    /// Changes the phase and wakes the tasks that wait for a change.
     pub(super) fn set_phase(&self, phase: Phase) {
         self.phase.set(phase);
-        *self.phase_change.borrow_mut() = PhaseChange::new();
+        *self.phase_notifier.borrow_mut() = PhaseNotifier::new();
     }
 
-    /// Waits until the phase changes.
+    /// Returns a future that completes at the first change of the phase after this call.
     pub(super) fn phase_changed(&self) -> impl Future<Output = ()> + 'static {
-        let phase_changed = self.phase_change.borrow().receiver.clone();
+        let phase_changed = self.phase_notifier.borrow().receiver.clone();
         async move { _ = phase_changed.recv().await }
     }
 }
--- a/crates/broker/src/listeners/mod.rs
+++ b/crates/broker/src/listeners/mod.rs
@@ -1,8 +1,8 @@
 //! Listeners for client connections over HTTP/1.1 and HTTP/2.
 //!
-//! `query_api` defines what a request means. The listeners read requests, submit queries to the
-//! [`EventQueue`](crate::event_queue::EventQueue), and write the one final response to each. They
-//! share a [`ListenerContext`].
+//! The listeners read requests, decode them with `query_api`, submit the queries to the
+//! [`EventQueue`](crate::event_queue::EventQueue), and write one final response to each request.
+//! They share a [`ListenerContext`].
 
 mod accept;
 mod context;
@@ -39,7 +39,7 @@
 /// One listener with the task that accepts its connections.
 struct Listener<H> {
     handler: Rc<H>,
-    /// `None` once the listener is closed, so that the system refuses new connections.
+    /// `None` once the listener is closed. The operating system then refuses new connections.
     accepting: Option<Accepting>,
 }
 
@@ -50,6 +50,7 @@
 }
 
 impl<H: ConnectionHandler> Listener<H> {
+    /// Starts the task that accepts connections on `socket`. Each of them is served by `handler`.
     fn start(
         handler: H,
         socket: Async<TcpListener>,
@@ -68,7 +69,7 @@
         }
     }
 
-    /// Closes the listening socket after accepting the connections of its backlog.
+    /// Closes the listening socket. The connections in its backlog are accepted first.
     async fn close(&mut self, executor: &LocalExecutor<'static>) {
         if let Some(Accepting { task, socket }) = self.accepting.take() {
             task.cancel().await;
@@ -86,7 +87,8 @@
 }
 
 impl ClientListeners {
-    /// Starts to accept connections.
+    /// Starts to accept connections. The HTTP/2 listener is started only if both its socket and its
+    /// limits are configured.
     pub fn start(
         context: Rc<ListenerContext>,
         config: ListenerConfig,
@@ -109,22 +111,22 @@
         }
     }
 
-    /// Applies the limits that can change at runtime: those of future HTTP/2 connections, except
-    /// for their number.
+    /// Applies the limits that can change at runtime: those that apply to each future HTTP/2
+    /// connection. The maximum numbers of connections stay as they are.
     pub fn set_limits(&self, limits: ListenerLimits) {
         if let (Some(http2), Some(limits)) = (&self.http2, limits.http2) {
             http2.handler.set_limits(limits);
         }
     }
 
-    /// Starts to drain: readiness checks fail and connections are closed after their requests, but
-    /// requests that still arrive are served.
+    /// Starts to drain. From then on readiness checks fail and each connection is closed after its
+    /// requests, but requests that still arrive are served.
     pub fn start_draining(&self) {
         self.context.lifecycle().set_phase(Phase::Draining);
     }
 
-    /// Closes the listening sockets, after accepting the connections of their backlogs, and closes
-    /// idle connections.
+    /// Closes the listening sockets and the idle connections. The connections in the sockets'
+    /// backlogs are accepted first.
     pub async fn close(&mut self) {
         if self.is_closed() {
             return;
@@ -137,13 +139,13 @@
         self.http1.handler.close_idle();
     }
 
-    /// Whether new connections are refused.
+    /// Returns whether the listening sockets have been closed, so that new connections are refused.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.http1.accepting.is_none()
     }
 
-    /// Number of open connections, including those that are being closed.
+    /// Returns the number of open connections, including those that are being closed.
     #[must_use]
     pub fn open_connections(&self) -> usize {
         let http2 = self.http2.as_ref();
--- a/crates/broker/src/listeners/slots.rs
+++ b/crates/broker/src/listeners/slots.rs
@@ -1,8 +1,8 @@
-//! Connection slots of a listener: their number, and which connections are evicted when they run
-//! out.
+//! Connection slots of a listener. They limit the number of its connections, and determine which
+//! connections are evicted (closed in favour of a new one) when no slot is free.
 //!
-//! [`ConnectionSlots`] counts the slots. A connection owns its [`Slot`] and frees it by dropping
-//! it; while it may be evicted it holds an [`Evictable`], whose drop ends that.
+//! [`ConnectionSlots`] counts the slots in use. Each connection owns a [`Slot`], which is freed
+//! when it is dropped. While a connection may be evicted, it also holds an [`Evictable`].
 
 use crate::notify::Notify;
 use async_channel::{Receiver, Sender};
@@ -16,57 +16,63 @@
 
 /// Idle timeout of an HTTP/1.1 connection that has served a request.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same while more than one slot in [`HIGH_USAGE_DIVISOR`] is in use. Clients that send one
-/// request and never close their connection hold file descriptors here and on their side, which
-/// other clients need.
+/// Idle timeout of an HTTP/1.1 connection that has served a request, while many slots are in use.
+/// Clients that send one request and never close their connection hold file descriptors of the
+/// broker and of their own host, which other clients need.
 const SHORT_IDLE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Divisor of the number of slots above which [`SHORT_IDLE_TIMEOUT`] applies.
+/// [`SHORT_IDLE_TIMEOUT`] applies while the number of slots in use is more than the number of all
+/// slots divided by this.
 const HIGH_USAGE_DIVISOR: usize = 4;
-/// Longest wait for an evicted connection to free its slot before the next one is evicted.
+/// Maximum time to wait for an evicted connection to free its slot before the next one is evicted.
 const EVICTION_WAIT: Duration = Duration::from_millis(5);
-/// Longest wait for a slot while no connection can be evicted. A client that is rejected after it
-/// can use another broker.
+/// Maximum time to wait for a slot while no connection can be evicted. The client is rejected after
+/// that, so that it can use another broker.
 const MAX_SLOT_WAIT: Duration = Duration::from_millis(250);
-/// Most connections that are being closed outside the slots. The file descriptors reserved for the
-/// program itself suffice for them.
-const MAX_CLOSING_OUTSIDE_SLOTS: usize = 16;
+/// Maximum number of connections that are being closed and hold no slot. They use file descriptors
+/// that are reserved for the program itself, which suffice for this many.
+const MAX_CLOSING_WITHOUT_SLOT: usize = 16;
 
-/// Order in which connections are evicted: the first variant goes first.
+/// Priority with which a connection is evicted. Connections with the first variant are evicted
+/// first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum EvictionPriority {
-    /// No valid request has been received.
+    /// The connection is idle, and no valid request has been received on it.
     Unused,
-    /// Idle after a valid request: its client can open another connection.
+    /// The connection is idle after a valid request. Its client can open another connection.
     Idle,
-    /// Receiving its first request. Eviction fails the request of a client that is merely slow, but
-    /// incomplete requests must not hold all slots.
+    /// The connection is receiving its first request. Eviction makes the request fail even if its
+    /// client is merely slow, but clients that send incomplete requests must not occupy all slots.
     ReceivingFirstRequest,
 }
 
-/// Identifies an evictable connection. The order is that of eviction: by priority, then by age.
+/// Identifies an evictable connection. Keys are ordered by priority and then by the time of their
+/// registration, which is the order in which connections are evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionKey {
     priority: EvictionPriority,
-    /// Number of the registration.
-    number: u64,
+    /// Sequence number of the registration.
+    registration: u64,
 }
 
 /// The connection slots of one listener.
 pub(super) struct ConnectionSlots {
+    /// Number of slots.
     capacity: usize,
+    /// Number of slots that are in use.
     in_use: Cell<usize>,
-    /// Connections that are being closed outside the slots.
-    closing_outside: Cell<usize>,
-    next_eviction_number: Cell<u64>,
-    /// Connections that may be evicted, which dropping the sender does.
+    /// Number of connections that are being closed and hold no slot.
+    closing_without_slot: Cell<usize>,
+    next_registration: Cell<u64>,
+    /// The connections that may be evicted. Dropping a connection's sender evicts it.
     evictable: RefCell<BTreeMap<EvictionKey, Sender<()>>>,
-    /// Since when a new connection has been waiting for a slot, or clients have been rejected.
+    /// When a new connection first found all slots in use, if none has obtained a slot by
+    /// [`Self::wait_for_slot`] since.
     exhausted_since: Cell<Option<Instant>>,
     /// Notified when a slot is freed.
     slot_freed: Notify,
 }
 
-/// A slot, which is freed on drop.
+/// A slot in use, which is freed on drop.
 pub(super) struct Slot(Rc<ConnectionSlots>);
 
 impl Drop for Slot {
@@ -77,26 +83,30 @@
 }
 
 impl Slot {
-    /// Marks the connection as being closed, which frees its slot early if possible.
+    /// Registers that the slot's connection is being closed. The slot is freed immediately, unless
+    /// [`MAX_CLOSING_WITHOUT_SLOT`] connections are being closed without a slot already.
     pub(super) fn close(self) -> ClosingConnection {
         self.0
-            .close_outside_slots()
-            .unwrap_or(ClosingConnection::InSlot(self))
+            .try_close_without_slot()
+            .unwrap_or(ClosingConnection::HoldingSlot(self))
     }
 }
 
-/// Counts a connection that is being closed, until dropped.
+/// Registration of a connection that is being closed, until dropped.
 pub(super) enum ClosingConnection {
-    /// It has no slot any more.
-    OutsideSlots(Rc<ConnectionSlots>),
-    /// It keeps its slot, because too many connections are being closed outside the slots.
-    InSlot(#[expect(dead_code, reason = "held for its drop")] Slot),
+    /// The connection holds no slot.
+    WithoutSlot(Rc<ConnectionSlots>),
+    /// The connection keeps its slot until it is closed, because [`MAX_CLOSING_WITHOUT_SLOT`]
+    /// connections are being closed without one.
+    HoldingSlot(#[expect(dead_code, reason = "held for its drop")] Slot),
 }
 
 impl Drop for ClosingConnection {
     fn drop(&mut self) {
-        if let ClosingConnection::OutsideSlots(slots) = self {
-            slots.closing_outside.set(slots.closing_outside.get() - 1);
+        if let ClosingConnection::WithoutSlot(slots) = self {
+            slots
+                .closing_without_slot
+                .set(slots.closing_without_slot.get() - 1);
         }
     }
 }
@@ -122,34 +132,36 @@
 }
 
 impl ConnectionSlots {
-    /// Creates the given number of free slots.
+    /// Creates `capacity` free slots.
     pub(super) fn new(capacity: usize) -> Rc<Self> {
         Rc::new(ConnectionSlots {
             capacity,
             in_use: Cell::new(0),
-            closing_outside: Cell::new(0),
-            next_eviction_number: Cell::new(0),
+            closing_without_slot: Cell::new(0),
+            next_registration: Cell::new(0),
             evictable: RefCell::default(),
             exhausted_since: Cell::new(None),
             slot_freed: Notify::new(),
         })
     }
 
-    /// Number of open connections, including those that are being closed.
+    /// Returns the number of open connections, including those that are being closed.
     pub(super) fn open_connections(&self) -> usize {
-        self.in_use.get() + self.closing_outside.get()
+        self.in_use.get() + self.closing_without_slot.get()
     }
 
-    /// Registers a connection that is closed without a slot, unless there are too many of them.
-    pub(super) fn close_outside_slots(self: &Rc<Self>) -> Option<ClosingConnection> {
-        if self.closing_outside.get() >= MAX_CLOSING_OUTSIDE_SLOTS {
+    /// Registers a connection that is being closed and holds no slot. Returns `None` if there are
+    /// [`MAX_CLOSING_WITHOUT_SLOT`] of them already.
+    pub(super) fn try_close_without_slot(self: &Rc<Self>) -> Option<ClosingConnection> {
+        if self.closing_without_slot.get() >= MAX_CLOSING_WITHOUT_SLOT {
             return None;
         }
-        self.closing_outside.set(self.closing_outside.get() + 1);
-        Some(ClosingConnection::OutsideSlots(self.clone()))
+        self.closing_without_slot
+            .set(self.closing_without_slot.get() + 1);
+        Some(ClosingConnection::WithoutSlot(self.clone()))
     }
 
-    /// Takes a slot, without regard to the capacity.
+    /// Takes a slot, even if all slots are in use.
     pub(super) fn take(self: &Rc<Self>) -> Slot {
         self.in_use.set(self.in_use.get() + 1);
         Slot(self.clone())
@@ -160,12 +172,15 @@
         (self.in_use.get() < self.capacity).then(|| self.take())
     }
 
-    /// Waits for a free slot, evicting connections if necessary, and takes it. Returns `None` if
-    /// none becomes free: after one such wait, further connections are rejected at once until a
-    /// slot is free or a connection can be evicted.
+    /// Takes a slot. If none is free, evicts connections and waits until one is.
+    ///
+    /// Returns `None` if no slot has become free within [`MAX_SLOT_WAIT`] and no connection can be
+    /// evicted. Further calls then return `None` without waiting, until a slot is free or a
+    /// connection can be evicted.
     pub(super) async fn wait_for_slot(self: &Rc<Self>) -> Option<Slot> {
         while self.in_use.get() >= self.capacity {
-            // This notification, if any, is from before the slots were exhausted.
+            // A stored notification is outdated, because the slot that it reported has been taken
+            // again: all slots are in use now.
             self.slot_freed.clear();
             let evicted = self.evict_one();
             warn!(name: "connection_slots_exhausted", in_use = self.in_use.get(), evicted);
@@ -174,8 +189,8 @@
             if !evicted && exhausted_since.elapsed() >= MAX_SLOT_WAIT {
                 return None;
             }
-            // The evicted connection stays open if it received a request at the same moment, so the
-            // wait is limited.
+            // An evicted connection that receives a request at the same moment stays open and keeps
+            // its slot, so the wait has a time limit.
             let timeout = async { _ = Timer::after(EVICTION_WAIT).await };
             self.slot_freed.notified().or(timeout).await;
         }
@@ -183,16 +198,20 @@
         Some(self.take())
     }
 
-    /// Evicts the first connection in the order of eviction, and returns whether there was one.
+    /// Evicts the connection that is first in the order of [`EvictionKey`]. Returns `false` if no
+    /// connection may be evicted.
     fn evict_one(&self) -> bool {
         self.evictable.borrow_mut().pop_first().is_some()
     }
 
-    /// Allows the connection to be evicted.
+    /// Registers a connection that may be evicted with the given priority.
     pub(super) fn evictable(&self, priority: EvictionPriority) -> Evictable<'_> {
-        let number = self.next_eviction_number.get();
-        self.next_eviction_number.set(number + 1);
-        let key = EvictionKey { priority, number };
+        let registration = self.next_registration.get();
+        self.next_registration.set(registration + 1);
+        let key = EvictionKey {
+            priority,
+            registration,
+        };
         let (keep_open, evicted) = async_channel::bounded(1);
         self.evictable.borrow_mut().insert(key, keep_open);
         Evictable {
@@ -202,14 +221,14 @@
         }
     }
 
-    /// Closes all idle connections. Those that are receiving a request stay open.
+    /// Evicts all idle connections. Connections that are receiving a request stay open.
     pub(super) fn close_idle(&self) {
         self.evictable
             .borrow_mut()
             .retain(|key, _| key.priority == EvictionPriority::ReceivingFirstRequest);
     }
 
-    /// Idle timeout of an HTTP/1.1 connection that has served a request.
+    /// Returns the idle timeout of an HTTP/1.1 connection that has served a request.
     pub(super) fn idle_timeout(&self) -> Duration {
         if self.in_use.get() * HIGH_USAGE_DIVISOR > self.capacity {
             SHORT_IDLE_TIMEOUT
--- a/crates/broker/src/listeners/slots/tests.rs
+++ b/crates/broker/src/listeners/slots/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
-/// Clients that send one request and never close their connection hold file descriptors on their
-/// side too, which run out before those of the broker and keep the clients from opening
-/// connections.
+/// Clients that send one request and never close their connection also hold file descriptors of
+/// their own host. Those run out before the broker's, and the clients can then open no further
+/// connections. Closing idle connections sooner prevents this.
 #[test]
 fn idle_timeout_is_shorter_when_many_slots_are_in_use() {
     let slots = ConnectionSlots::new(100);
@@ -21,8 +21,8 @@
     );
 }
 
-/// A flood of silent connections must not evict those of ordinary clients, and incomplete requests
-/// must not hold all slots.
+/// A flood of connections that send nothing must not cause the eviction of connections of ordinary
+/// clients, and connections with incomplete requests must not occupy all slots.
 #[test]
 fn connections_are_evicted_by_priority_then_age() {
     let slots = ConnectionSlots::new(4);
--- a/crates/broker/src/listeners/tests.rs
+++ b/crates/broker/src/listeners/tests.rs
@@ -10,9 +10,10 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Time after which a test fails.
+/// Time limit of a test.
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// Creates the context of a broker in the phase [`Phase::Serving`].
 fn context() -> Rc<ListenerContext> {
     let settings: serde_json::Value =
         serde_json::from_str(include_str!("../../../broker-types/tests/settings.json")).unwrap();
@@ -25,8 +26,9 @@
     ListenerContext::new(Rc::default(), site.settings, names, Clock::start())
 }
 
-/// An evicted connection stays open if it received a request at the same moment. The listener used
-/// to wait for its end, and accepted no connections meanwhile.
+/// A connection that receives a request at the moment of its eviction stays open and keeps its
+/// slot. Guards against a listener that waits until this connection is closed and accepts no other
+/// meanwhile.
 #[test]
 fn accepting_continues_when_evicted_connection_stays_open() {
     let executor = Rc::new(LocalExecutor::new());
@@ -34,9 +36,9 @@
     let slots: Rc<ConnectionSlots> = listener.slots().clone();
     let kept_slot = slots.take();
     let _staying = slots.evictable(EvictionPriority::Unused);
-    let (slots_of_leaving, slot) = (slots.clone(), slots.take());
-    let leaving = executor.spawn(async move {
-        let evictable = slots_of_leaving.evictable(EvictionPriority::Idle);
+    let (slots_of_evicted, slot) = (slots.clone(), slots.take());
+    let evicted_connection = executor.spawn(async move {
+        let evictable = slots_of_evicted.evictable(EvictionPriority::Idle);
         evictable.evicted().await;
         drop(slot);
     });
@@ -48,7 +50,7 @@
         executor.clone(),
     ));
     let accepted = async {
-        leaving.await;
+        evicted_connection.await;
         while listener.open_connections() < 2 {
             yield_now().await;
         }
@@ -58,8 +60,8 @@
     drop(kept_slot);
 }
 
-/// Shutdown starts while a new connection waits for a slot, which used to be closed without a
-/// response.
+/// A new connection is waiting for a slot when the listener is closed, which cancels the accepting
+/// task. Guards against closing the new connection without a response.
 #[test]
 fn connection_waiting_for_slot_is_rejected_when_listener_closes() {
     let executor = Rc::new(LocalExecutor::new());
@@ -70,7 +72,7 @@
     let _slot = slots.take();
     let evictable = slots.evictable(EvictionPriority::Idle);
     let closed = async {
-        evictable.evicted().await; // The connection stays open all the same.
+        evictable.evicted().await; // The evicted connection stays open and keeps its slot.
         listener.close(&executor).await;
         Ok(())
     };
@@ -80,8 +82,8 @@
     assert_eq!(&response, b"HTTP/1.1 503");
 }
 
-/// The system has accepted a connection when the listener closes, and the request arrives a moment
-/// later. The connection used to be closed without a response.
+/// A connection is in the backlog of the listening socket when the listener is closed, and its
+/// request arrives shortly after. Guards against closing the connection without a response.
 #[test]
 fn connection_from_backlog_gets_response_after_listener_closed() {
     let executor = Rc::new(LocalExecutor::new());
@@ -95,7 +97,7 @@
     let response = async {
         listener.close(&executor).await;
         context.lifecycle().set_phase(Phase::Closing);
-        // The connection's task finds no request, and waits.
+        // Lets the connection's task run until it waits for a request.
         for _ in 0..10 {
             yield_now().await;
         }
