--- a/crates/fanout-policy/src/settings/wire/conversion.rs
+++ b/crates/fanout-policy/src/settings/wire/conversion.rs
@@ -116,7 +116,7 @@
 impl DataLayoutWire {
     fn figures_of_class(&self, index: usize) -> Result<ClassFigures, FieldError> {
         let figure = |figures: &[f64], field| {
-            let too_few = || FieldError::new("FamilyInfo", field, FieldProblem::TooFewEntries);
+            let too_few = || FieldError::new("FamilyInfo", field, FieldProblem::TooFewElements);
             figures.get(index).copied().ok_or_else(too_few)
         };
         Ok(ClassFigures {
--- a/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
+++ b/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
@@ -8,31 +8,31 @@
 fn error_names_the_faulty_field() {
     assert_eq!(
         error_with("/FamilyInfo", Value::Null),
-        "Env: field FamilyInfo is missing"
+        "Env: field FamilyInfo is missing or null"
     );
     assert_eq!(
         error_with("/Allowed/SendCap", json!(2.5)),
-        "Allowed: field SendCap is not a whole number"
+        "Allowed: field SendCap is not a whole number of at least 0"
     );
     assert_eq!(
         error_with("/MembershipMode", json!("x")),
-        "Env: field MembershipMode is unknown"
+        "Env: field MembershipMode is not one of the accepted values"
     );
     assert_eq!(
         error_with("/Services/0/Semantics", json!("x")),
-        "Services: field Semantics is unknown"
+        "Services: field Semantics is not one of the accepted values"
     );
     assert_eq!(
         error_with("/Services/0/MemorySpan", Value::Null),
-        "Services: field MemorySpan is missing"
+        "Services: field MemorySpan is missing or null"
     );
-    let too_few = "FamilyInfo: field MinShare has too few entries";
+    let too_few = "FamilyInfo: field MinShare has too few elements";
     assert_eq!(error_with("/FamilyInfo/MinShare", json!([])), too_few);
-    let not_an_object = "Env: field Projects holds something that is not an object";
+    let not_an_object = "Env: field Projects has an element that is not an object";
     assert_eq!(error_with("/Projects/0", json!(1)), not_an_object);
     assert_eq!(
         error_with("/Rules/RatioSpan", Value::Null),
-        "Rules: field RatioSpan is missing"
+        "Rules: field RatioSpan is missing or null"
     );
 }
 
@@ -45,8 +45,8 @@
     let error = decode_value(&value).unwrap_err().to_string();
     let faults = [
         "Env: field Tick is not a number",
-        "FamilyInfo: field Shards is not a whole number",
-        "Services: field Aim is missing",
+        "FamilyInfo: field Shards is not a whole number of at least 0",
+        "Services: field Aim is missing or null",
     ];
     assert!(faults.contains(&error.as_str()), "{error}");
 }
@@ -73,7 +73,10 @@
     assert_eq!(accept(&value).settings.aggregators, 9);
     let value = settings_with_duplicate("PeersTotal", "9", "\"x\"");
     let error = decode_value(&value).unwrap_err().to_string();
-    assert_eq!(error, "Env: field PeersTotal is not a whole number");
+    assert_eq!(
+        error,
+        "Env: field PeersTotal is not a whole number of at least 0"
+    );
 }
 
 #[test]
--- a/crates/fanout-policy/tests/policy/settings/missing_fields.rs
+++ b/crates/fanout-policy/tests/policy/settings/missing_fields.rs
@@ -43,7 +43,7 @@
 fn required_field_that_is_absent_or_null_is_missing() {
     for (pointer, object) in REQUIRED {
         let field = pointer.rsplit('/').next().unwrap();
-        let expected = format!("{object}: field {field} is missing");
+        let expected = format!("{object}: field {field} is missing or null");
         let absent = decode_value(&settings_without(pointer)).expect_err(pointer);
         assert_eq!(absent.to_string(), expected);
         assert_eq!(error_with(pointer, Value::Null), expected);
@@ -91,7 +91,7 @@
     assert!(accept(&value).settings.retry_budget.is_none());
     value["Rules"]["SpareAttempts"] = json!(1);
     let error = decode_value(&value).unwrap_err().to_string();
-    assert_eq!(error, "Rules: field RatioSpan is missing");
+    assert_eq!(error, "Rules: field RatioSpan is missing or null");
 }
 
 #[test]
--- a/crates/fanout-policy/tests/policy/settings/wrong_types.rs
+++ b/crates/fanout-policy/tests/policy/settings/wrong_types.rs
@@ -80,7 +80,11 @@
         json!(1e19),
         json!(1e300),
     ];
-    refuse(&WHOLE_NUMBERS, "is not a whole number", &not_whole);
+    refuse(
+        &WHOLE_NUMBERS,
+        "is not a whole number of at least 0",
+        &not_whole,
+    );
     let not_numbers = [json!("3"), json!(false), json!([3]), json!({})];
     refuse(&NUMBERS, "is not a number", &not_numbers);
     let not_flags = [json!("true"), json!(1), json!([]), json!({})];
@@ -93,7 +97,7 @@
     ];
     refuse(&CHOICES, "is not a string", &not_texts);
     let unknown = [json!(""), json!("x"), json!("Pushed"), json!("by_key ")];
-    refuse(&CHOICES, "is unknown", &unknown);
+    refuse(&CHOICES, "is not one of the accepted values", &unknown);
 }
 
 #[test]
@@ -120,6 +124,6 @@
         &without_numbers,
     );
     let without_objects = [json!([1]), json!([null]), json!(["x"]), json!([[]])];
-    let problem = "holds something that is not an object";
+    let problem = "has an element that is not an object";
     refuse(&LISTS_OF_OBJECTS, problem, &without_objects);
 }
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -15,7 +15,8 @@
 //!     "settings": {"FamilyInfo": {"Shards": -1}},
 //! });
 //! let error = platform_config::from_json(&file, |_| None).unwrap_err();
-//! assert_eq!(error.to_string(), "FamilyInfo: field Shards is not a whole number");
+//! let expected = "FamilyInfo: field Shards is not a whole number of at least 0";
+//! assert_eq!(error.to_string(), expected);
 //! ```
 
 mod environment;
--- a/crates/platform-config/src/tests/errors.rs
+++ b/crates/platform-config/src/tests/errors.rs
@@ -42,7 +42,11 @@
             json!("xyz"),
             "RELAY_CONFIG: field seed is not 16 hex digits",
         ),
-        ("/name", json!(null), "RELAY_CONFIG: field name is missing"),
+        (
+            "/name",
+            json!(null),
+            "RELAY_CONFIG: field name is missing or null",
+        ),
         (
             "/listen",
             json!("nowhere"),
@@ -51,7 +55,7 @@
         (
             "/known",
             json!(null),
-            "RELAY_CONFIG: field known is missing",
+            "RELAY_CONFIG: field known is missing or null",
         ),
         (
             "/limits/sockets",
@@ -110,19 +114,19 @@
             "/settings",
             "PeersTotal",
             json!(0.5),
-            "settings: field PeersTotal is not a whole number",
+            "settings: field PeersTotal is not a whole number of at least 0",
         ),
         (
             "/settings/Rules",
             "Cold",
             json!(null),
-            "Rules: field Cold is missing",
+            "Rules: field Cold is missing or null",
         ),
         (
             "/settings",
             "Services",
             json!([1]),
-            "settings: field Services holds something that is not an object",
+            "settings: field Services has an element that is not an object",
         ),
     ] {
         assert_eq!(error_of(&config_with(object, field, Some(&value))), text);
--- a/crates/platform-config/src/tests/fields.rs
+++ b/crates/platform-config/src/tests/fields.rs
@@ -13,7 +13,7 @@
         ("seed", "is not a string", json!(12)),
         ("settings", "is not an object", json!([])),
     ] {
-        let missing = format!("RELAY_CONFIG: field {field} is missing");
+        let missing = format!("RELAY_CONFIG: field {field} is missing or null");
         assert_eq!(error_of(&config_with("", field, None)), missing);
         let null = config_with("", field, Some(&Value::Null));
         assert_eq!(error_of(&null), missing);
@@ -23,7 +23,7 @@
             format!("RELAY_CONFIG: field {field} {problem}")
         );
     }
-    let missing = "RELAY_CONFIG: field known is missing";
+    let missing = "RELAY_CONFIG: field known is missing or null";
     assert_eq!(error_of(&config_with("", "known", None)), missing);
     for limits in [json!([]), json!(1), json!("x")] {
         let wrong = config_with("", "limits", Some(&limits));
@@ -33,7 +33,7 @@
         );
     }
     for field in ["sockets", "memory_mb"] {
-        let expected = format!("limits: field {field} is not a whole number");
+        let expected = format!("limits: field {field} is not a whole number of at least 0");
         for wrong in [
             json!("4096"),
             json!(4096.5),
--- a/crates/simulator-adapter/src/wire/incoming/message_kind.rs
+++ b/crates/simulator-adapter/src/wire/incoming/message_kind.rs
@@ -1,7 +1,7 @@
 //! The kind of a message.
 
 use serde::Deserialize;
-use wire_fields::{text, variant};
+use wire_fields::{text, variant_with_name};
 
 /// The type of any message.
 #[derive(Debug, Deserialize)]
@@ -57,7 +57,7 @@
 impl MessageKind {
     /// The kind of messages of this type, if the protocol has any.
     pub(crate) fn of_type(message_type: &str) -> Option<MessageKind> {
-        variant(message_type)
+        variant_with_name(message_type)
     }
 }
 
--- a/crates/simulator-adapter/tests/adapter/message_fields/malformed_messages.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/malformed_messages.rs
@@ -25,12 +25,12 @@
     let unknown_mode = launch(4).replace("\"on_request\"", "\"asked\"");
     refuse(
         &unknown_mode.replace('\n', ""),
-        "Env: field MembershipMode is unknown",
+        "Env: field MembershipMode is not one of the accepted values",
     );
     let negative = launch(4).replace("\"Shards\":2", "\"Shards\":-2");
     refuse(
         &negative.replace('\n', ""),
-        "FamilyInfo: field Shards is not a whole number",
+        "FamilyInfo: field Shards is not a whole number of at least 0",
     );
     let text = launch(4).replace("\"Aim\":1000.0", "\"Aim\":\"1000.0\"");
     refuse(
@@ -41,7 +41,10 @@
 
 #[test]
 fn unknown_message_instance_list_and_class_are_refused_in_this_order() {
-    refuse(r#"{"t":"Surprise"}"#, "Surprise: field I is missing");
+    refuse(
+        r#"{"t":"Surprise"}"#,
+        "Surprise: field I is missing or null",
+    );
     let unknown_instance = "Surprise: field I names an instance that was never launched";
     refuse(r#"{"t":"Surprise","I":5}"#, unknown_instance);
     refuse(
@@ -66,15 +69,15 @@
     for (lines, text) in [
         (
             vec![r#"{"t":"Tick","Moment":1}"#],
-            "line 1, batch null: Tick: field n is missing",
+            "line 1, batch null: Tick: field n is missing or null",
         ),
         (
             vec![r#"{"t":"Tick","Moment":1,"n":-3}"#],
-            "line 1, batch null: Tick: field n is not a whole number",
+            "line 1, batch null: Tick: field n is not a whole number of at least 0",
         ),
         (
             vec![r#"{"t":"Tick","n":7}"#],
-            "line 1, batch 7: Tick: field Moment is missing",
+            "line 1, batch 7: Tick: field Moment is missing or null",
         ),
         (
             vec![r#"{"t":"Tick","n":7,"Moment":"x"}"#],
@@ -114,7 +117,7 @@
     assert!(duplicate("\"x\"", "4").is_ok());
     let error = duplicate("4", "\"x\"").unwrap_err();
     assert!(
-        error.ends_with("Dropped: field I is not a whole number"),
+        error.ends_with("Dropped: field I is not a whole number of at least 0"),
         "{error}"
     );
 }
--- a/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
@@ -4,7 +4,7 @@
 use crate::script::{attempt_served, declare_endpoint_list, part, query, update_endpoint_list};
 use serde_json::{Value, json};
 
-const NOT_WHOLE: &str = "is not a whole number";
+const NOT_WHOLE: &str = "is not a whole number of at least 0";
 const NOT_A_NUMBER: &str = "is not a number";
 const NOT_A_FLAG: &str = "is not true or false";
 
--- a/crates/simulator-adapter/tests/adapter/message_fields/required_fields.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/required_fields.rs
@@ -22,7 +22,7 @@
     fn problem(&self) -> &'static str {
         match self {
             Number => "is not a number",
-            WholeNumber => "is not a whole number",
+            WholeNumber => "is not a whole number of at least 0",
             Text => "is not a string",
             List => "is not a list",
             Object => "is not an object",
@@ -134,7 +134,7 @@
     } in required_fields()
     {
         accept(&message);
-        let missing = format!("{object}: field {field} is missing");
+        let missing = format!("{object}: field {field} is missing or null");
         refuse(&with_field(&message, field, None), &missing);
         refuse(&with_field(&message, field, Some(&Value::Null)), &missing);
         let wrong = format!("{object}: field {field} {}", kind.problem());
--- a/crates/simulator-adapter/tests/adapter/message_fields/values.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/values.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn fractional_shard_is_refused_for_a_part_and_accepted_below_zero_for_a_query() {
-    let expected = "Order: field Slice is not a whole number";
+    let expected = "Order: field Slice is not a whole number of at least 0";
     refuse(
         &with_field(&part("t/y", 9), "Slice", Some(&json!(0.5))),
         expected,
@@ -26,14 +26,17 @@
     for text in ["", "x", "Served", "in_service "] {
         let text = json!(text);
         let update = with_field(&update_endpoint_list(4), "Mode", Some(&text));
-        refuse(&update, "PeersKnown: field Mode is unknown");
+        refuse(
+            &update,
+            "PeersKnown: field Mode is not one of the accepted values",
+        );
         refuse(
             &with_field(&list, "Mode", Some(&text)),
-            "MembersList: field Mode is unknown",
+            "MembersList: field Mode is not one of the accepted values",
         );
         refuse(
             &with_field(&report, "Rc", Some(&text)),
-            "ReportBack: field Rc is unknown",
+            "ReportBack: field Rc is not one of the accepted values",
         );
     }
     for text in ["in_service", "terminating", "terminated"] {
@@ -64,7 +67,7 @@
 fn endpoint_list_entry_that_is_not_an_object_is_refused() {
     for entry in [json!(1), json!("x"), json!([]), Value::Null] {
         let list = json!({"t": "Ledger", "Slot": 3, "MembersList": [entry]});
-        let expected = "Ledger: field MembersList holds something that is not an object";
+        let expected = "Ledger: field MembersList has an element that is not an object";
         refuse(&list.to_string(), expected);
     }
     accept(r#"{"t":"Ledger","Slot":3,"MembersList":[]}"#);
--- a/crates/wire-fields/src/collections.rs
+++ b/crates/wire-fields/src/collections.rs
@@ -7,11 +7,12 @@
 use std::fmt;
 use std::marker::PhantomData;
 
-/// An object inside another; errors call it by the field's name.
+/// Deserializes a required object inside another. Errors call the inner object by the name of the
+/// field.
 ///
 /// # Errors
 ///
-/// The field is null or not an object.
+/// Returns an error if the field is null or not an object, or if decoding the object fails.
 pub fn object<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -21,11 +22,12 @@
     object.ok_or_else(|| D::Error::custom(FieldProblem::Missing))
 }
 
-/// An object inside another that may be absent; errors call it by the field's name.
+/// Deserializes an object inside another, or `None` if the field is null. Errors call the inner
+/// object by the name of the field.
 ///
 /// # Errors
 ///
-/// The field is not an object.
+/// Returns an error if the field is neither null nor an object, or if decoding the object fails.
 pub fn optional_object<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -34,11 +36,13 @@
     deserializer.deserialize_any(ObjectVisitor::new(FieldProblem::NotAnObject))
 }
 
-/// A list of objects; errors call each of them by the field's name.
+/// Deserializes a required list of objects. Errors call each of the objects by the name of the
+/// field.
 ///
 /// # Errors
 ///
-/// The field is null, not a list, or has an element that is not an object.
+/// Returns an error if the field is null, not a list, or has an element that is not an object, or
+/// if decoding an element fails.
 pub fn objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -49,11 +53,13 @@
     Ok(elements.into_iter().map(|element| element.0).collect())
 }
 
-/// A list of objects, empty where it is null; errors call each of the objects by the field's name.
+/// Deserializes a list of objects. Null is read as an empty list. Errors call each of the objects
+/// by the name of the field.
 ///
 /// # Errors
 ///
-/// The field is not a list, or has an element that is not an object.
+/// Returns an error if the field is neither null nor a list, or has an element that is not an
+/// object, or if decoding an element fails.
 pub fn optional_objects<'de, D, T>(deserializer: D) -> Result<Vec<T>, D::Error>
 where
     D: Deserializer<'de>,
@@ -64,11 +70,11 @@
     Ok(elements.into_iter().map(|element| element.0).collect())
 }
 
-/// A list of numbers.
+/// Deserializes a required list of numbers.
 ///
 /// # Errors
 ///
-/// The field is null, not a list, or has an element that is not a number.
+/// Returns an error if the field is null, not a list, or has an element that is not a number.
 pub fn numbers<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<f64>, D::Error> {
     let list: Option<Vec<Value>> = optional_list(deserializer)?;
     let elements = list.ok_or_else(|| D::Error::custom(FieldProblem::Missing))?;
@@ -76,12 +82,12 @@
     numbers.ok_or_else(|| D::Error::custom(FieldProblem::NotAListOfNumbers))
 }
 
-/// A list of strings, empty where it is null. An element that is not a string counts as an empty
-/// one.
+/// Deserializes a list of strings. Null is read as an empty list, and an element that is not a
+/// string as the empty string.
 ///
 /// # Errors
 ///
-/// The field is not a list.
+/// Returns an error if the field is neither null nor a list.
 pub fn texts_or_empty<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<String>, D::Error> {
     let list: Option<Vec<Value>> = optional_list(deserializer)?;
     let elements = list.unwrap_or_default().into_iter();
@@ -89,6 +95,7 @@
     Ok(elements.map(text).collect())
 }
 
+/// Deserializes a list, or `None` if the field is null.
 fn optional_list<'de, D, T>(deserializer: D) -> Result<Option<Vec<T>>, D::Error>
 where
     D: Deserializer<'de>,
@@ -97,7 +104,7 @@
     deserializer.deserialize_any(ListVisitor(PhantomData))
 }
 
-/// An object in a list.
+/// An element of a list that has to be an object.
 struct ObjectElement<T>(T);
 
 impl<'de, T: Deserialize<'de>> Deserialize<'de> for ObjectElement<T> {
@@ -109,9 +116,9 @@
     }
 }
 
-/// Reads an object or null.
+/// Visits an object and decodes it as a `T`. Null is read as `None`.
 struct ObjectVisitor<T> {
-    /// The problem with anything else.
+    /// The problem to report for a value of any other type.
     problem: FieldProblem,
     object: PhantomData<T>,
 }
@@ -141,7 +148,7 @@
     }
 }
 
-/// Reads a list or null.
+/// Visits a list and decodes its elements. Null is read as `None`.
 struct ListVisitor<T>(PhantomData<T>);
 
 impl<'de, T: Deserialize<'de>> Visitor<'de> for ListVisitor<T> {
--- a/crates/wire-fields/src/deferred.rs
+++ b/crates/wire-fields/src/deferred.rs
@@ -1,14 +1,16 @@
-//! Fields that are checked only where their value is needed.
+//! Fields whose type is checked only when the program uses their value.
 
 use crate::{FieldError, FieldProblem};
 use serde::de::{Deserialize, Deserializer};
 use serde_json::Value;
 
-/// A field whose faults count only where its value is needed.
+/// The value of a field, or the problem with it. Decoding the object succeeds in both cases; the
+/// problem becomes an error only when [`Deferred::required`] or [`Deferred::optional`] is called.
+/// This suits a field that another source may override, so that its value may not be used.
 #[derive(Clone, Debug)]
 pub struct Deferred<T>(Result<T, FieldProblem>);
 
-/// The field is absent.
+/// Creates an absent field.
 impl<T> Default for Deferred<T> {
     fn default() -> Self {
         Deferred(Err(FieldProblem::Missing))
@@ -16,21 +18,22 @@
 }
 
 impl<T> Deferred<T> {
-    /// The value. Errors call the field by these names.
+    /// Returns the value. Errors use `object` and `field` as the names of the object and the field.
     ///
     /// # Errors
     ///
-    /// The field is absent, null or of a wrong type.
+    /// Returns an error if the field is absent, null or of a wrong type.
     pub fn required(self, object: &str, field: &str) -> Result<T, FieldError> {
         self.0
             .map_err(|problem| FieldError::new(object, field, problem))
     }
 
-    /// The value of a field that may be absent. Errors call the field by these names.
+    /// Returns the value, or `None` if the field is absent or null. Errors use `object` and `field`
+    /// as the names of the object and the field.
     ///
     /// # Errors
     ///
-    /// The field is of a wrong type.
+    /// Returns an error if the field is present and of a wrong type.
     pub fn optional(self, object: &str, field: &str) -> Result<Option<T>, FieldError> {
         match self.0 {
             Err(FieldProblem::Missing) => Ok(None),
@@ -39,11 +42,11 @@
     }
 }
 
-/// A number that is checked where it is needed.
+/// Deserializes a number whose type is checked when the value is used.
 ///
 /// # Errors
 ///
-/// The input is not JSON.
+/// Returns an error only if the input is not JSON.
 pub fn deferred_number<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Deferred<f64>, D::Error> {
@@ -54,11 +57,11 @@
     }))
 }
 
-/// A string that is checked where it is needed.
+/// Deserializes a string whose type is checked when the value is used.
 ///
 /// # Errors
 ///
-/// The input is not JSON.
+/// Returns an error only if the input is not JSON.
 pub fn deferred_text<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Deferred<String>, D::Error> {
--- a/crates/wire-fields/src/error.rs
+++ b/crates/wire-fields/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that name the object, the field and the problem.
+//! Errors that name the object, the field and the problem, without the value of the field.
 
 use serde_path_to_error::Segment;
 use thiserror::Error;
@@ -7,13 +7,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum FieldProblem {
     /// It is absent or null.
-    #[error("is missing")]
+    #[error("is missing or null")]
     Missing,
     /// It is not a number.
     #[error("is not a number")]
     NotANumber,
-    /// It is not a whole number from 0.
-    #[error("is not a whole number")]
+    /// It is not a whole number of at least 0, or is too large.
+    #[error("is not a whole number of at least 0")]
     NotAWholeNumber,
     /// It is not a string.
     #[error("is not a string")]
@@ -31,34 +31,36 @@
     #[error("is not an object")]
     NotAnObject,
     /// It is an array with an element that is not an object.
-    #[error("holds something that is not an object")]
+    #[error("has an element that is not an object")]
     ElementNotAnObject,
     /// It is an array with fewer elements than needed.
-    #[error("has too few entries")]
-    TooFewEntries,
-    /// It is a string that is none of the expected ones.
-    #[error("is unknown")]
+    #[error("has too few elements")]
+    TooFewElements,
+    /// It is a string, but none of the accepted ones.
+    #[error("is not one of the accepted values")]
     UnknownValue,
-    /// It was refused by a deserializer that is not one of this crate's.
-    #[error("is malformed")]
+    /// It was rejected by a deserializer from outside this crate, such as that of a field without
+    /// `deserialize_with`.
+    #[error("has an invalid type or value")]
     Malformed,
 }
 
-/// A faulty field of a JSON object.
+/// An error about one field of a JSON object.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 #[error("{object}: field {field} {problem}")]
 pub struct FieldError {
-    /// Name of the object.
+    /// Name of the object that contains the field.
     pub object: String,
     /// Name of the field.
     pub field: String,
-    /// What is wrong with it.
+    /// What is wrong with the field.
     pub problem: FieldProblem,
 }
 
 impl FieldProblem {
-    /// The problems that deserializers report.
-    const REPORTED: [FieldProblem; 10] = [
+    /// The problems that the deserializers of this crate report. [`FieldProblem::from_error_text`]
+    /// searches them.
+    const REPORTED_BY_DESERIALIZERS: [FieldProblem; 10] = [
         FieldProblem::Missing,
         FieldProblem::NotANumber,
         FieldProblem::NotAWholeNumber,
@@ -71,8 +73,9 @@
         FieldProblem::UnknownValue,
     ];
 
-    /// What the deserializers of this crate expect where they find this problem with the type of a
-    /// value.
+    /// Returns the text with which a visitor of this crate describes the value that it expects if
+    /// it reports this problem. `serde` puts the text after `, expected ` at the end of its error.
+    /// Problems that no visitor reports in this way share a text that no error ends with.
     pub(crate) fn expectation(self) -> &'static str {
         match self {
             FieldProblem::NotAString => "a string",
@@ -83,10 +86,15 @@
         }
     }
 
-    /// The problem of a deserializer's error, of which `serde_json` keeps only the text. It ends
-    /// with the expectation, after a quote of the value, where the type is wrong.
-    fn with_text(text: &str) -> FieldProblem {
-        let mut problems = FieldProblem::REPORTED.into_iter();
+    /// Returns the problem that the text of a deserializer's error stands for. `serde_json` keeps
+    /// only the text of an error, which is one of two:
+    ///
+    /// - if a visitor found a value of a wrong type, the text quotes the value and ends with
+    ///   `, expected ` and the visitor's expectation. The value may contain the same words, so the
+    ///   last occurrence counts;
+    /// - otherwise, the text is that of the problem itself.
+    fn from_error_text(text: &str) -> FieldProblem {
+        let mut problems = FieldProblem::REPORTED_BY_DESERIALIZERS.into_iter();
         let reported = match text.rsplit_once(", expected ") {
             Some((_, expectation)) => problems.find(|problem| problem.expectation() == expectation),
             None => problems.find(|problem| problem.to_string() == text),
@@ -96,7 +104,7 @@
 }
 
 impl FieldError {
-    /// An error about a field of an object.
+    /// Creates an error about the field `field` of the object `object`.
     #[must_use]
     pub fn new(object: &str, field: &str, problem: FieldProblem) -> Self {
         FieldError {
@@ -106,14 +114,16 @@
         }
     }
 
-    /// The error of a deserializer in an object that errors call `root`.
-    pub(crate) fn at_path(
+    /// Converts the error of a deserializer, which includes the path from the outermost object to
+    /// the faulty field. Errors call the outermost object `root`.
+    pub(crate) fn from_path_error(
         root: &str,
         error: &serde_path_to_error::Error<serde_json::Error>,
     ) -> Self {
         let mut names = vec![root];
         for segment in error.path() {
-            // An element of a list is called by the field of the list.
+            // The index of a list element is left out: an element is called by the name of the
+            // field that holds the list.
             if let Segment::Map { key } = segment {
                 names.push(key);
             }
@@ -125,12 +135,12 @@
         }
         let field = names.pop().unwrap_or(root);
         let object = names.last().unwrap_or(&root);
-        FieldError::new(object, field, FieldProblem::with_text(&text))
+        FieldError::new(object, field, FieldProblem::from_error_text(&text))
     }
 }
 
-/// The field that the text of `serde`'s error about an absent field names. The path ends at the
-/// object without it.
+/// Returns the name of the absent field if `text` is `serde`'s error about one. The path of such an
+/// error ends at the object that lacks the field, so only the text names the field.
 fn absent_field(text: &str) -> Option<&str> {
     text.strip_prefix("missing field `")?.strip_suffix('`')
 }
--- a/crates/wire-fields/src/scalars.rs
+++ b/crates/wire-fields/src/scalars.rs
@@ -6,54 +6,57 @@
 use serde_json::Value;
 use std::fmt;
 
-/// Floating-point numbers from here on are not accepted as whole numbers; it is just above 2^63.
+/// Floating-point numbers of this size or larger are rejected as whole numbers. The limit is just
+/// above 2^63 (about 9.22e18) and below 2^64, so every accepted number fits into a `u64`. A number
+/// that is written without a fraction or an exponent is not subject to it.
 const WHOLE_NUMBER_LIMIT: f64 = 9.3e18;
 
-/// A number.
+/// Deserializes a required number.
 ///
 /// # Errors
 ///
-/// The field is null or not a number.
+/// Returns an error if the field is null or not a number.
 pub fn number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<f64, D::Error> {
     required(optional_number(deserializer)?)
 }
 
-/// A number that may be absent.
+/// Deserializes a number, or `None` if the field is null.
 ///
 /// # Errors
 ///
-/// The field is not a number.
+/// Returns an error if the field is neither null nor a number.
 pub fn optional_number<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<f64>, D::Error> {
     optional(deserializer, Value::as_f64, FieldProblem::NotANumber)
 }
 
-/// A whole number. One that is written with a fraction of zero is accepted.
+/// Deserializes a required whole number of at least 0. It may be written with a fraction of zero.
 ///
 /// # Errors
 ///
-/// The field is null or not a whole number.
+/// Returns an error if the field is null or not a whole number of at least 0.
 pub fn whole_number<'de, D: Deserializer<'de>>(deserializer: D) -> Result<u64, D::Error> {
     required(optional_whole_number(deserializer)?)
 }
 
-/// A whole number that may be absent. One that is written with a fraction of zero is accepted.
+/// Deserializes a whole number of at least 0, or `None` if the field is null. The number may be
+/// written with a fraction of zero.
 ///
 /// # Errors
 ///
-/// The field is not a whole number.
+/// Returns an error if the field is neither null nor a whole number of at least 0.
 pub fn optional_whole_number<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<u64>, D::Error> {
     optional(deserializer, to_whole_number, FieldProblem::NotAWholeNumber)
 }
 
-/// A string.
+/// Deserializes a required string.
 ///
 /// # Errors
 ///
-/// The field is null or not a string.
+/// Returns an error if the field is null or not a string.
 pub fn text<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
@@ -62,62 +65,65 @@
     deserializer.deserialize_any(TextVisitor(|text: &str| Ok(T::from(text))))
 }
 
-/// A string; what is not a string counts as an empty one.
+/// Deserializes a string. A value of any other type is read as the empty string.
 ///
 /// # Errors
 ///
-/// The input is not JSON.
+/// Returns an error only if the input is not JSON.
 pub fn text_or_empty<'de, D: Deserializer<'de>>(deserializer: D) -> Result<String, D::Error> {
     let value = Value::deserialize(deserializer)?;
     Ok(value.as_str().unwrap_or_default().to_owned())
 }
 
-/// A string that is the name of one of the variants of an enum.
+/// Deserializes a required string that is the name of a variant of the enum `T`.
 ///
 /// # Errors
 ///
-/// The field is null, not a string or not the name of a variant.
+/// Returns an error if the field is null, not a string or not the name of a variant.
 pub fn choice<'de, D, T>(deserializer: D) -> Result<T, D::Error>
 where
     D: Deserializer<'de>,
     T: for<'name> Deserialize<'name>,
 {
-    let to_variant = |name: &str| variant(name).ok_or(FieldProblem::UnknownValue);
+    let to_variant = |name: &str| variant_with_name(name).ok_or(FieldProblem::UnknownValue);
     deserializer.deserialize_any(TextVisitor(to_variant))
 }
 
-/// The variant of an enum that a string names, if the field is a string and names one.
+/// Deserializes the name of a variant of the enum `T`. Any other string and a value of any other
+/// type are read as `None`.
 ///
 /// # Errors
 ///
-/// The input is not JSON.
+/// Returns an error only if the input is not JSON.
 pub fn choice_or_none<'de, D, T>(deserializer: D) -> Result<Option<T>, D::Error>
 where
     D: Deserializer<'de>,
     T: for<'name> Deserialize<'name>,
 {
     let value = Value::deserialize(deserializer)?;
-    Ok(value.as_str().and_then(variant))
+    Ok(value.as_str().and_then(variant_with_name))
 }
 
-/// A boolean; null counts as false.
+/// Deserializes a boolean. Null is read as `false`.
 ///
 /// # Errors
 ///
-/// The field is not a boolean.
+/// Returns an error if the field is neither null nor a boolean.
 pub fn flag<'de, D: Deserializer<'de>>(deserializer: D) -> Result<bool, D::Error> {
     let flag = optional(deserializer, Value::as_bool, FieldProblem::NotABoolean)?;
     Ok(flag.unwrap_or(false))
 }
 
-/// The variant of an enum with this name, if there is one.
+/// Returns the variant of the enum `T` whose name (as `serde` reads it) is `name`, or `None` if
+/// there is none.
 #[must_use]
-pub fn variant<'name, T: Deserialize<'name>>(name: &'name str) -> Option<T> {
+pub fn variant_with_name<'name, T: Deserialize<'name>>(name: &'name str) -> Option<T> {
     let name = IntoDeserializer::<ChoiceError>::into_deserializer(name);
     T::deserialize(name).ok()
 }
 
-/// Reads a string and converts it.
+/// Visits a string and converts it with the contained function. Null is reported as a missing
+/// field.
 struct TextVisitor<F>(F);
 
 impl<T, F> Visitor<'_> for TextVisitor<F>
@@ -139,7 +145,8 @@
     }
 }
 
-/// A value that may be null, in which case there is none.
+/// Deserializes any JSON value and converts it with `convert`. Returns `None` if the value is null,
+/// and an error with `problem` if `convert` returns `None`.
 fn optional<'de, D: Deserializer<'de>, T>(
     deserializer: D,
     convert: impl FnOnce(&Value) -> Option<T>,
@@ -155,11 +162,13 @@
     }
 }
 
+/// Returns the value, or the error of a missing field if there is none.
 fn required<T, E: Error>(value: Option<T>) -> Result<T, E> {
     value.ok_or_else(|| E::custom(FieldProblem::Missing))
 }
 
-/// The whole number that a value is, also where it is written as a floating-point number.
+/// Returns the value as a whole number of at least 0, also if it is written as a floating-point
+/// number with a fraction of zero. Returns `None` for any other value.
 fn to_whole_number(value: &Value) -> Option<u64> {
     value.as_u64().or_else(|| {
         let number = value.as_f64()?;
--- a/crates/wire-fields/tests/fields.rs
+++ b/crates/wire-fields/tests/fields.rs
@@ -1,11 +1,12 @@
-//! Typed fields of JSON objects, and the errors that name them.
+//! The deserializers of fields: the values that they accept, and the texts of their errors.
 
 use serde::Deserialize;
 use serde::de::DeserializeOwned;
 use serde_json::{Map, Value, json};
 use wire_fields::*;
 
-fn fields() -> Map<String, Value> {
+/// Values of all JSON types, by the names under which the tests refer to them.
+fn sample_values() -> Map<String, Value> {
     let value = json!({
         "float": 2.5, "whole": 3, "whole_float": 3.0, "negative": -1, "huge": 1e19, "null": null,
         "text": "x", "flag": true, "numbers": [1, 2.5], "mixed": [1, "x"],
@@ -14,8 +15,8 @@
     value.as_object().unwrap().clone()
 }
 
-/// Structs with one field, which is read by this deserializer; the last argument is `default` where
-/// it may be absent.
+/// Declares a struct whose only field is called `x` in JSON. The arguments are the name of the
+/// struct, the type of the field, its deserializer and, for a field that may be absent, `default`.
 macro_rules! wire {
     ($name:ident, $type:ty, $deserializer:literal $(, $default:ident)?) => {
         #[derive(Debug, Deserialize)]
@@ -76,18 +77,20 @@
     Red,
 }
 
-/// Reads one of the fields as that of the struct.
-fn read<T: DeserializeOwned>(field: &str) -> Result<T, FieldError> {
-    let value = fields().remove(field);
-    let renamed: Map<String, Value> = value
+/// Decodes an object whose field `x` has the named sample value. Without a value of that name, the
+/// object is empty.
+fn read<T: DeserializeOwned>(sample: &str) -> Result<T, FieldError> {
+    let value = sample_values().remove(sample);
+    let object: Map<String, Value> = value
         .map(|value| ("x".to_owned(), value))
         .into_iter()
         .collect();
-    decode("Env", &renamed)
+    decode("Env", &object)
 }
 
-fn error<T: DeserializeOwned + std::fmt::Debug>(field: &str) -> String {
-    read::<T>(field).unwrap_err().to_string()
+/// Returns the text of the error that decoding the named sample value gives.
+fn error<T: DeserializeOwned + std::fmt::Debug>(sample: &str) -> String {
+    read::<T>(sample).unwrap_err().to_string()
 }
 
 #[test]
@@ -115,7 +118,7 @@
         assert_eq!(read::<ChoiceOrNoneWire>(field).unwrap().value, None);
         assert!(read::<OptionalObjectWire>(field).unwrap().value.is_none());
         assert!(read::<OptionalObjectsWire>(field).unwrap().value.is_empty());
-        let missing = "Env: field x is missing";
+        let missing = "Env: field x is missing or null";
         assert_eq!(error::<NumberWire>(field), missing);
         assert_eq!(error::<WholeNumberWire>(field), missing);
         assert_eq!(error::<TextWire>(field), missing);
@@ -140,7 +143,10 @@
 
 #[test]
 fn error_names_the_object_the_field_and_the_problem() {
-    assert_eq!(error::<NumberWire>("absent"), "Env: field x is missing");
+    assert_eq!(
+        error::<NumberWire>("absent"),
+        "Env: field x is missing or null"
+    );
     assert_eq!(error::<NumberWire>("text"), "Env: field x is not a number");
     assert_eq!(
         error::<OptionalNumberWire>("text"),
@@ -148,7 +154,7 @@
     );
     assert_eq!(
         error::<WholeNumberWire>("float"),
-        "Env: field x is not a whole number"
+        "Env: field x is not a whole number of at least 0"
     );
     assert_eq!(error::<TextWire>("whole"), "Env: field x is not a string");
     assert_eq!(
@@ -163,7 +169,10 @@
         "Env: field x is not a list of numbers"
     );
     assert_eq!(error::<ChoiceWire>("whole"), "Env: field x is not a string");
-    assert_eq!(error::<ChoiceWire>("text"), "Env: field x is unknown");
+    assert_eq!(
+        error::<ChoiceWire>("text"),
+        "Env: field x is not one of the accepted values"
+    );
     for field in ["text", "whole", "negative", "float", "flag", "numbers"] {
         assert_eq!(error::<ObjectWire>(field), "Env: field x is not an object");
         assert_eq!(
@@ -171,13 +180,13 @@
             "Env: field x is not an object"
         );
     }
-    let expected = "Env: field x holds something that is not an object";
+    let expected = "Env: field x has an element that is not an object";
     assert_eq!(error::<ObjectsWire>("numbers"), expected);
     assert_eq!(error::<OptionalObjectsWire>("mixed"), expected);
 }
 
 #[test]
-fn inner_object_is_called_by_its_field() {
+fn error_in_an_inner_object_names_the_field_that_contains_it() {
     let decode_outer = |value: &Value| {
         #[derive(Debug, Deserialize)]
         struct OuterWire {
@@ -193,14 +202,14 @@
     assert_eq!(decode_outer(&value), Ok((1.0, 2.0)));
     value["objects"][0] = json!({});
     let error = decode_outer(&value).unwrap_err().to_string();
-    assert_eq!(error, "objects: field inner is missing");
+    assert_eq!(error, "objects: field inner is missing or null");
     value["object"]["inner"] = json!("x");
     let error = decode_outer(&value).unwrap_err().to_string();
     assert_eq!(error, "object: field inner is not a number");
 }
 
 #[test]
-fn value_of_a_lenient_field_may_be_of_any_type() {
+fn lenient_deserializers_accept_a_value_of_any_type() {
     for field in ["whole", "negative", "flag", "numbers", "object"] {
         assert_eq!(read::<TextOrEmptyWire>(field).unwrap().value, "");
         assert_eq!(read::<ChoiceOrNoneWire>(field).unwrap().value, None);
@@ -217,7 +226,7 @@
 }
 
 #[test]
-fn deferred_field_is_checked_where_it_is_needed() {
+fn deferred_field_is_checked_when_its_value_is_used() {
     let number = read::<DeferredNumberWire>("float").unwrap().value;
     assert_eq!(number.clone().required("Env", "float"), Ok(2.5));
     assert_eq!(number.optional("Env", "float"), Ok(Some(2.5)));
@@ -227,7 +236,7 @@
         let number = read::<DeferredNumberWire>(field).unwrap().value;
         assert_eq!(number.clone().optional("Env", field), Ok(None));
         let error = number.required("Env", field).unwrap_err().to_string();
-        assert_eq!(error, format!("Env: field {field} is missing"));
+        assert_eq!(error, format!("Env: field {field} is missing or null"));
     }
     let number = read::<DeferredNumberWire>("text").unwrap().value;
     let error = number.optional("Env", "text").unwrap_err().to_string();
@@ -237,13 +246,15 @@
     assert_eq!(error, "Env: field whole is not a string");
 }
 
-/// The texts of `serde`'s errors quote the value, which must not be taken for the problem.
+/// A string value that contains words of the crate's errors. `serde`'s error quotes the value, and
+/// the problem is found by searching the text of that error, so the value must not decide it.
 #[test]
 fn text_of_a_value_does_not_change_the_problem() {
     for text in [
         "x, expected a list",
         "\", expected a string",
         "is missing",
+        "is missing or null",
         "missing field `x`",
         "",
     ] {
@@ -268,6 +279,6 @@
     let count = decode("Env", value.as_object().unwrap()).map(|plain: PlainWire| plain.count);
     assert_eq!(
         count.unwrap_err().to_string(),
-        "Env: field count is malformed"
+        "Env: field count has an invalid type or value"
     );
 }
