--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -1,4 +1,4 @@
-//! Decodes messages of the simulator into events of the policy.
+//! Converts messages from the simulator into events of `fanout-policy`.
 
 use crate::error::MessageError;
 use crate::message::Message;
@@ -10,11 +10,14 @@
 use std::collections::BTreeMap;
 use wire_fields::FieldError;
 
-/// The endpoint lists that the simulator has declared, by the numbers of their slots.
+/// The endpoint lists that the simulator has declared, by slot number.
 pub(crate) type EndpointLists = BTreeMap<u64, Vec<Endpoint>>;
 
-/// The event that a message is for its instance, if it is one. The settings of the instance have
-/// `class_count` classes.
+/// Converts a message into an event for its instance. Returns `None` for messages that need no
+/// action: those about features that the adapter does not use (streamed answers, load probes), and
+/// gossip whose contents are not hexadecimal. `class_count` is the number of classes in the
+/// instance's settings. Fails if the message is unknown, has an invalid field, or refers to a class
+/// or an endpoint list that does not exist.
 pub(crate) fn decode_event(
     message: &Message,
     class_count: usize,
@@ -43,7 +46,8 @@
     }
 }
 
-/// An update of the endpoint list. Its entries were declared before, under the number of a slot.
+/// Decodes an update of the instance's endpoint list. The message holds only the slot number of the
+/// entries, which an earlier message has declared. A failed update has no entries and no slot.
 fn decode_list_update(
     message: &Message,
     endpoint_lists: &EndpointLists,
@@ -59,7 +63,8 @@
     Ok(Event::EndpointList { update, endpoints })
 }
 
-/// The arrival of a query or of a part.
+/// Decodes the arrival of a query or of a part. Both use the same message type. Fails if the class
+/// does not exist.
 fn decode_arrival(message: &Message, class_count: usize) -> Result<Event, MessageError> {
     let arrival: ArrivalWire = message.decode()?;
     if arrival.class().0 >= class_count {
@@ -74,7 +79,8 @@
     }
 }
 
-/// A gossip message. One that is not written in pairs of hexadecimal digits is dropped.
+/// Decodes a gossip message. Returns `None` if the contents are not pairs of hexadecimal digits;
+/// the sender is not decoded in that case.
 fn decode_gossip(message: &Message) -> Result<Option<Event>, FieldError> {
     let contents: GossipContentsWire = message.decode()?;
     let Some(bytes) = contents.bytes() else {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,9 +1,14 @@
-//! Runs the decisions of `fanout-policy` on the simulator's line protocol.
+//! Connects the `fanout-policy` package to a simulator over a line protocol.
 //!
-//! The simulator writes one JSON object a line to standard input, in batches that begin with `Tick`
-//! and end with `EofBatch`. After each batch the adapter writes the actions of all instances to
-//! standard output, one JSON object a line, followed by `End`. The adapter makes no decision of its
-//! own.
+//! The simulator writes messages to standard input, one JSON object per line, in batches that begin
+//! with `Tick` and end with `EofBatch`. It launches any number of aggregators (instances), each
+//! with its own settings; the other messages of a batch are the events of one instance each. After
+//! each batch, the adapter passes the events to the aggregators, writes the actions that they
+//! return to standard output, one JSON object per line, and finishes with `End`.
+//!
+//! The adapter only translates between messages and the types of `fanout-policy`; all decisions are
+//! the aggregators'. At the first invalid line, it writes one error line to standard error and
+//! exits with a failure status.
 
 mod decode;
 mod error;
--- a/crates/simulator-adapter/src/message.rs
+++ b/crates/simulator-adapter/src/message.rs
@@ -1,4 +1,4 @@
-//! A message from the simulator whose fields are not decoded yet.
+//! A message from the simulator: its type, and its fields, which are decoded on demand.
 
 use crate::error::MessageError;
 use crate::wire::{MessageKind, MessageTypeWire};
@@ -6,15 +6,17 @@
 use serde_json::{Map, Value};
 use wire_fields::FieldError;
 
-/// A message: a JSON object that says what it is.
+/// A message: a JSON object with its type in field `t`.
 pub(crate) struct Message {
     message_type: String,
+    /// `None` if the protocol has no message of this type.
     kind: Option<MessageKind>,
     fields: Map<String, Value>,
 }
 
 impl Message {
-    /// Reads the message of a line.
+    /// Parses a line of input as a message. Fails if the line is not a JSON object or has no string
+    /// in field `t`.
     pub(crate) fn parse(line: &str) -> Result<Self, MessageError> {
         let value: Value = serde_json::from_str(line).map_err(MessageError::NotJson)?;
         let Value::Object(fields) = value else {
@@ -24,23 +26,23 @@
         let message_type = message_type.map_err(|_| MessageError::MissingType)?;
         let message_type = String::from(message_type);
         Ok(Message {
-            kind: MessageKind::of_type(&message_type),
+            kind: MessageKind::from_type_name(&message_type),
             message_type,
             fields,
         })
     }
 
-    /// The type that the message gives itself, for errors.
+    /// Returns the type of the message as the line writes it, for errors.
     pub(crate) fn type_name(&self) -> String {
         self.message_type.clone()
     }
 
-    /// What the message says; `None` where its type is unknown.
+    /// Returns the kind of the message, or `None` if its type is unknown.
     pub(crate) fn kind(&self) -> Option<MessageKind> {
         self.kind
     }
 
-    /// Decodes fields of the message.
+    /// Decodes the fields of the message that `T` has. Errors call the message by its type.
     pub(crate) fn decode<'de, T: Deserialize<'de>>(&'de self) -> Result<T, FieldError> {
         wire_fields::decode(&self.message_type, &self.fields)
     }
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -1,4 +1,4 @@
-//! The line protocol: batches in, replies out.
+//! The line protocol: reads batches of messages and writes a reply to each batch.
 
 use crate::error::{InputError, MessageError};
 use crate::instances::Instances;
@@ -10,19 +10,21 @@
 /// A batch whose end has not been read yet.
 struct OpenBatch {
     number: u64,
+    /// Simulated time of the batch.
     time: Ms,
 }
 
-/// The state of one run.
+/// The state of the adapter while it reads the input.
 struct Session<W> {
     output: W,
     instances: Instances,
     open_batch: Option<OpenBatch>,
-    /// Number of the last batch that began.
+    /// Number of the last batch that began, for errors.
     last_batch: Option<u64>,
 }
 
-/// Processes batches until the input ends.
+/// Processes lines until the input ends. Returns an error for the first line that cannot be
+/// processed.
 pub(crate) fn run(input: impl BufRead, output: impl Write) -> Result<(), InputError> {
     let mut session = Session {
         output,
@@ -41,6 +43,7 @@
 }
 
 impl<W: Write> Session<W> {
+    /// Processes one line. Blank lines are ignored.
     fn on_line(&mut self, line: io::Result<String>) -> Result<(), MessageError> {
         let line = line.map_err(MessageError::Unreadable)?;
         if line.trim().is_empty() {
@@ -69,10 +72,11 @@
     fn end_batch(&mut self, message: &Message) -> Result<(), MessageError> {
         let batch = self.open_batch.take();
         let batch = batch.ok_or_else(|| no_open_batch(message))?;
-        self.reply(&batch).map_err(MessageError::Unwritable)
+        self.write_reply(&batch).map_err(MessageError::Unwritable)
     }
 
-    fn reply(&mut self, batch: &OpenBatch) -> io::Result<()> {
+    /// Writes the actions of all instances and the end of the reply.
+    fn write_reply(&mut self, batch: &OpenBatch) -> io::Result<()> {
         self.instances.end_batch(batch.time, &mut self.output)?;
         let end = EndOfBatchWire {
             batch: batch.number,
@@ -82,6 +86,7 @@
     }
 }
 
+/// Creates the error of a message that is not in a batch.
 fn no_open_batch(message: &Message) -> MessageError {
     MessageError::NoOpenBatch {
         message: message.type_name(),
--- a/crates/simulator-adapter/src/wire/incoming.rs
+++ b/crates/simulator-adapter/src/wire/incoming.rs
@@ -16,6 +16,6 @@
 pub(crate) use client_disconnected::ClientDisconnectedWire;
 pub(crate) use endpoint_list::{DeclaredListWire, ListReferenceWire, ListUpdateWire};
 pub(crate) use gossip::{GossipContentsWire, GossipSenderWire};
-pub(crate) use launch::{InstanceWire, LaunchWire};
+pub(crate) use launch::{InstanceNumberWire, LaunchWire};
 pub(crate) use message_kind::{MessageKind, MessageTypeWire};
 pub(crate) use timer_fired::TimerFiredWire;
--- a/crates/simulator-adapter/src/wire/incoming/arrival.rs
+++ b/crates/simulator-adapter/src/wire/incoming/arrival.rs
@@ -5,25 +5,26 @@
 use std::sync::Arc;
 use wire_fields::{flag, number, optional_number, optional_whole_number, text, whole_number};
 
-/// The fields that the arrivals of queries and of parts share.
+/// The fields that the arrivals of queries and of parts have in common.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ArrivalWire {
     #[serde(rename = "Service", deserialize_with = "whole_number")]
     class: u64,
-    /// Below 0 for a query.
+    /// Index of the shard for a part, below 0 for a query.
     #[serde(rename = "Slice", deserialize_with = "number")]
     shard: f64,
     #[serde(rename = "GroupNo", deserialize_with = "whole_number")]
+    /// Number that a query and its parts have in common.
     group: u64,
 }
 
 impl ArrivalWire {
-    /// The class of the query.
+    /// Returns the class of the query.
     pub(crate) fn class(&self) -> ClassIndex {
         ClassIndex(self.class as usize)
     }
 
-    /// Whether a query arrives; it is a part otherwise.
+    /// Returns whether the message is the arrival of a query rather than of a part.
     pub(crate) fn is_query(&self) -> bool {
         self.shard < 0.0
     }
@@ -43,7 +44,7 @@
 }
 
 impl QueryWire {
-    /// The query that arrives.
+    /// Returns the query that arrives. `arrival` holds the other fields of the same message.
     pub(crate) fn query(self, arrival: &ArrivalWire) -> Query {
         Query {
             id: QueryId(self.id),
@@ -70,7 +71,7 @@
 }
 
 impl PartWire {
-    /// The part that arrives.
+    /// Returns the part that arrives. `arrival` holds the other fields of the same message.
     pub(crate) fn part(self, arrival: &ArrivalWire) -> Part {
         Part {
             id: PartId(self.id),
--- a/crates/simulator-adapter/src/wire/incoming/attempt_ended.rs
+++ b/crates/simulator-adapter/src/wire/incoming/attempt_ended.rs
@@ -1,4 +1,4 @@
-//! The end of an attempt, with the load report of its server.
+//! The end of an attempt, with the load report of the server if there is one.
 
 use fanout_policy::api::{Event, Outcome, PartId};
 use serde::Deserialize;
@@ -18,7 +18,7 @@
     outcome: OutcomeWire,
     #[serde(rename = "Rtt", deserialize_with = "number")]
     elapsed_ms: f64,
-    #[serde(rename = "Gauge", default, deserialize_with = "load_report")]
+    #[serde(rename = "Gauge", default, deserialize_with = "load_report_or_none")]
     load: Option<LoadReportWire>,
 }
 
@@ -34,7 +34,7 @@
     }
 }
 
-/// How an attempt has ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, Deserialize)]
 enum OutcomeWire {
     #[serde(rename = "served")]
@@ -70,17 +70,20 @@
     }
 }
 
-/// A server's report of its load. A field that is null counts as present.
+/// A server's report of its load. A field that is null counts as present, so that a malformed
+/// report is ignored as a whole: the number of waiting requests is used only if the field with the
+/// number in flight is absent.
 #[derive(Debug, Deserialize)]
 struct LoadReportWire {
-    #[serde(rename = "rif", default, deserialize_with = "present")]
+    #[serde(rename = "rif", default, deserialize_with = "value_or_null")]
     requests_in_flight: Option<Value>,
-    #[serde(rename = "q", default, deserialize_with = "present")]
+    #[serde(rename = "q", default, deserialize_with = "value_or_null")]
     requests_waiting: Option<Value>,
 }
 
 impl LoadReportWire {
-    /// Requests in flight, or else those waiting, if the report gives a number of them.
+    /// Returns the number of requests in flight or, if that field is absent, of requests waiting.
+    /// Returns `None` if both are absent or the value is not a number of at least 0.
     fn requests(&self) -> Option<f64> {
         let requests = self.requests_in_flight.as_ref();
         let requests = requests.or(self.requests_waiting.as_ref())?;
@@ -88,8 +91,8 @@
     }
 }
 
-/// A load report. One that is not an object counts as none.
-fn load_report<'de, D: Deserializer<'de>>(
+/// Deserializes a load report. A value that is not an object is read as `None`.
+fn load_report_or_none<'de, D: Deserializer<'de>>(
     deserializer: D,
 ) -> Result<Option<LoadReportWire>, D::Error> {
     match Value::deserialize(deserializer)? {
@@ -98,6 +101,7 @@
     }
 }
 
-fn present<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Value>, D::Error> {
+/// Deserializes a field that is present as `Some`, even if its value is null.
+fn value_or_null<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Value>, D::Error> {
     Value::deserialize(deserializer).map(Some)
 }
--- a/crates/simulator-adapter/src/wire/incoming/batch.rs
+++ b/crates/simulator-adapter/src/wire/incoming/batch.rs
@@ -4,7 +4,8 @@
 use serde::Deserialize;
 use wire_fields::{number, whole_number};
 
-/// The number of a batch, in the message that begins it.
+/// The number of a batch, from the message that begins it. It is decoded separately from the time,
+/// so that an error about the time can name the batch.
 #[derive(Debug, Deserialize)]
 pub(crate) struct BatchNumberWire {
     #[serde(rename = "n", deserialize_with = "whole_number")]
@@ -17,7 +18,7 @@
     }
 }
 
-/// The time of a batch, in the message that begins it.
+/// The simulated time of a batch in milliseconds, from the message that begins it.
 #[derive(Debug, Deserialize)]
 pub(crate) struct BatchTimeWire {
     #[serde(rename = "Moment", deserialize_with = "number")]
--- a/crates/simulator-adapter/src/wire/incoming/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/incoming/endpoint_list.rs
@@ -15,7 +15,7 @@
 }
 
 impl DeclaredListWire {
-    /// The number by which updates refer to the list.
+    /// Returns the slot number by which updates refer to the list.
     pub(crate) fn slot(&self) -> u64 {
         self.slot
     }
@@ -42,7 +42,8 @@
     cell: Option<u64>,
     #[serde(rename = "Dc", default, deserialize_with = "optional_whole_number")]
     zone: Option<u64>,
-    /// 0 or less where it is long ago.
+    /// Time at which the server's process started. 0 or less means that it has been running for a
+    /// long time, which counts as no start time.
     #[serde(rename = "StartTime", default, deserialize_with = "optional_number")]
     started_ms: Option<f64>,
 }
@@ -59,7 +60,7 @@
     }
 }
 
-/// The state of a server.
+/// The state of a server in an endpoint list.
 #[derive(Clone, Copy, Debug, Deserialize)]
 enum ServingStateWire {
     #[serde(rename = "in_service")]
@@ -80,14 +81,15 @@
     }
 }
 
-/// What kind of update an endpoint list is.
+/// An update of an instance's endpoint list, without the list.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ListUpdateWire {
     #[serde(rename = "Mode", deserialize_with = "choice")]
     update: ListUpdateKindWire,
 }
 
-/// The kind of an update.
+/// The kind of an update: what the entries of the declared list are, or that there is none because
+/// fetching it failed.
 #[derive(Clone, Copy, Debug, Deserialize)]
 enum ListUpdateKindWire {
     #[serde(rename = "diff")]
@@ -111,7 +113,7 @@
     }
 }
 
-/// The declared list that an update refers to. An update that failed refers to none.
+/// The slot number of the declared list that an update refers to. A failed update has none.
 #[derive(Debug, Deserialize)]
 pub(crate) struct ListReferenceWire {
     #[serde(rename = "Slot", deserialize_with = "whole_number")]
--- a/crates/simulator-adapter/src/wire/incoming/gossip.rs
+++ b/crates/simulator-adapter/src/wire/incoming/gossip.rs
@@ -11,13 +11,13 @@
 }
 
 impl GossipContentsWire {
-    /// The bytes; `None` where the contents are not pairs of hexadecimal digits.
+    /// Returns the decoded bytes, or `None` if the contents are not pairs of hexadecimal digits.
     pub(crate) fn bytes(&self) -> Option<Vec<u8>> {
         hex::decode(&self.hexadecimal).ok()
     }
 }
 
-/// The sender of a gossip message.
+/// The sender of a gossip message: the number of an aggregator.
 #[derive(Debug, Deserialize)]
 pub(crate) struct GossipSenderWire {
     #[serde(rename = "Who", deserialize_with = "whole_number")]
--- a/crates/simulator-adapter/src/wire/incoming/launch.rs
+++ b/crates/simulator-adapter/src/wire/incoming/launch.rs
@@ -4,15 +4,15 @@
 use serde::Deserialize;
 use wire_fields::{FieldError, object, whole_number};
 
-/// The instance that a message is for.
+/// The number of the instance that a message is for.
 #[derive(Debug, Deserialize)]
-pub(crate) struct InstanceWire {
+pub(crate) struct InstanceNumberWire {
     #[serde(rename = "I", deserialize_with = "whole_number")]
     instance: u64,
 }
 
-impl From<InstanceWire> for u64 {
-    fn from(wire: InstanceWire) -> Self {
+impl From<InstanceNumberWire> for u64 {
+    fn from(wire: InstanceNumberWire) -> Self {
         wire.instance
     }
 }
@@ -27,12 +27,13 @@
 }
 
 impl LaunchWire {
-    /// The seed of the instance's random number generator.
+    /// Returns the seed of the instance's random number generator.
     pub(crate) fn seed(&self) -> u64 {
         self.seed
     }
 
-    /// The settings of the instance.
+    /// Returns the settings of the instance. Fails if a field of the settings is missing that other
+    /// fields make necessary, or if a list is too short.
     pub(crate) fn site_settings(self) -> Result<SiteSettings, FieldError> {
         self.settings.try_into()
     }
--- a/crates/simulator-adapter/src/wire/incoming/message_kind.rs
+++ b/crates/simulator-adapter/src/wire/incoming/message_kind.rs
@@ -1,62 +1,62 @@
-//! The kind of a message.
+//! The type of a message, and the kinds of messages that the protocol has.
 
 use serde::Deserialize;
 use wire_fields::{text, variant_with_name};
 
-/// The type of any message.
+/// The field that every message has: its type.
 #[derive(Debug, Deserialize)]
 pub(crate) struct MessageTypeWire {
     #[serde(rename = "t", deserialize_with = "text")]
     message_type: String,
 }
 
-/// What a message says.
+/// The kinds of messages from the simulator. Their names on the wire are the message types.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 pub(crate) enum MessageKind {
-    /// A batch begins.
+    /// The beginning of a batch.
     #[serde(rename = "Tick")]
     BatchBegin,
-    /// A batch ends.
+    /// The end of a batch.
     #[serde(rename = "EofBatch")]
     BatchEnd,
-    /// An instance is launched.
+    /// The launch of an instance.
     #[serde(rename = "Launch")]
     Launch,
-    /// An instance is destroyed.
+    /// The destruction of an instance, with its queries in flight.
     #[serde(rename = "Destroy")]
     Destroy,
-    /// An endpoint list is declared.
+    /// The declaration of an endpoint list, to which updates refer later.
     #[serde(rename = "Ledger")]
     ListDeclaration,
-    /// The endpoint list of an instance is updated.
+    /// An update of an instance's endpoint list.
     #[serde(rename = "PeersKnown")]
     ListUpdate,
-    /// A query or part arrives.
+    /// The arrival of a query or of a part.
     #[serde(rename = "Order")]
     Arrival,
-    /// An attempt has ended.
+    /// The end of an attempt.
     #[serde(rename = "ReportBack")]
     AttemptEnded,
-    /// The client of a query has disconnected.
+    /// The disconnect of the client of a query.
     #[serde(rename = "Dropped")]
     ClientDisconnected,
-    /// A timer has fired.
+    /// The firing of a timer.
     #[serde(rename = "DeadlineHit")]
     TimerFired,
-    /// Gossip from another aggregator.
+    /// A gossip message from another aggregator.
     #[serde(rename = "Memo")]
     Gossip,
-    /// A streamed answer has begun. No class is streamed.
+    /// The beginning of a streamed answer. It is ignored, since no class streams answers.
     #[serde(rename = "Begun")]
     StreamStarted,
-    /// A load probe was answered. The adapter sends none.
+    /// The answer to a load probe. It is ignored, since the adapter sends no probes.
     #[serde(rename = "Probed")]
     ProbeAnswered,
 }
 
 impl MessageKind {
-    /// The kind of messages of this type, if the protocol has any.
-    pub(crate) fn of_type(message_type: &str) -> Option<MessageKind> {
+    /// Returns the kind of messages with this type, or `None` if the protocol has none.
+    pub(crate) fn from_type_name(message_type: &str) -> Option<MessageKind> {
         variant_with_name(message_type)
     }
 }
--- a/crates/simulator-adapter/src/wire/incoming/timer_fired.rs
+++ b/crates/simulator-adapter/src/wire/incoming/timer_fired.rs
@@ -7,7 +7,8 @@
 /// The firing of a timer.
 #[derive(Debug, Deserialize)]
 pub(crate) struct TimerFiredWire {
-    /// Number of the timer. All timers of the adapter have the same.
+    /// Number of the timer. It is checked but not used: each instance has only one timer, so the
+    /// adapter gives all timers the same number.
     #[serde(rename = "Ref", deserialize_with = "whole_number")]
     _timer: u64,
 }
--- a/crates/simulator-adapter/src/wire/outgoing.rs
+++ b/crates/simulator-adapter/src/wire/outgoing.rs
@@ -1,12 +1,12 @@
-//! Messages to the simulator.
+//! Messages to the simulator: the actions of instances, and the end of a reply.
 
 use fanout_policy::api::Action;
 use serde::Serialize;
 use std::fmt;
 
-/// The number of all timers; the adapter needs only one.
-const TIMER: u32 = 0;
-/// Receivers of gossip: all other aggregators.
+/// Number of the timer. Each instance needs only one, so all timers have the same number.
+const TIMER_NUMBER: u32 = 0;
+/// The value that addresses gossip to all other aggregators.
 const ALL_AGGREGATORS: &str = "all";
 
 /// An action of an instance.
@@ -21,7 +21,7 @@
         part: &'a str,
         #[serde(rename = "Node")]
         node: &'a str,
-        /// 0 where the attempt has none.
+        /// Timeout of the attempt; 0 if it has none.
         #[serde(rename = "Within")]
         timeout_ms: f64,
     },
@@ -49,7 +49,7 @@
         instance: u64,
         #[serde(rename = "OpId")]
         query: &'a str,
-        /// 0 where there is none.
+        /// Time after which the client may retry; 0 if the rejection gives none.
         #[serde(rename = "ComeBack")]
         retry_after_ms: f64,
     },
@@ -73,7 +73,7 @@
     PollEndpointList {
         #[serde(rename = "I")]
         instance: u64,
-        /// Whether updates are requested, in place of no longer requested.
+        /// `true` to request updates, `false` to stop them. The adapter only requests them.
         #[serde(rename = "Full")]
         subscribe: bool,
     },
@@ -89,7 +89,7 @@
 }
 
 impl<'a> ActionWire<'a> {
-    /// The message for an action of an instance.
+    /// Creates the message for an action of the instance with the number `instance`.
     pub(crate) fn new(instance: u64, action: &'a Action) -> Self {
         match action {
             Action::SendAttempt {
@@ -133,7 +133,7 @@
             Action::SetTimer { after } => ActionWire::SetTimer {
                 instance,
                 after_ms: *after,
-                timer: TIMER,
+                timer: TIMER_NUMBER,
             },
         }
     }
@@ -147,7 +147,7 @@
     pub(crate) batch: u64,
 }
 
-/// A message as a line writes it, with its fields in alphabetical order.
+/// Writes a message as one line of JSON. The conversion to a JSON value sorts the fields by name.
 fn write_line(message: &impl Serialize, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     let value = serde_json::to_value(message).map_err(|_| fmt::Error)?;
     write!(f, "{value}")
--- a/crates/simulator-adapter/tests/adapter/invalid_input.rs
+++ b/crates/simulator-adapter/tests/adapter/invalid_input.rs
@@ -1,13 +1,14 @@
-//! Errors in the input.
+//! Invalid input ends the run with an error that names the batch, the message and the field.
 
 use crate::script::{Script, begin_batch, launch, query, update_endpoint_list};
 
-/// Input with an error in its last line, and words that the error message must contain.
+/// Lines of input, of which the last is invalid, and words that the error message must contain.
 struct Case {
     lines: Vec<String>,
     words: &'static [&'static str],
 }
 
+/// Creates a case from its lines and words.
 fn case(lines: &[&str], words: &'static [&'static str]) -> Case {
     Case {
         lines: lines.iter().map(|line| (*line).to_owned()).collect(),
@@ -15,6 +16,7 @@
     }
 }
 
+/// Returns one case for each kind of invalid input.
 fn cases() -> Vec<Case> {
     let begin = begin_batch(12, 100.0);
     let launch = launch(4);
@@ -53,7 +55,10 @@
             &[&begin, &launch, &without_shard],
             &["Order", "Slice", "missing"],
         ),
-        case(&[&begin, &launch, &unknown_class], &["Order", "Service"]),
+        case(
+            &[&begin, &launch, &unknown_class],
+            &["Order", "Service", "not the index of a class"],
+        ),
         case(&[r#"{"t":"EofBatch"}"#], &["EofBatch", "no batch"]),
         case(&[r#"{"t":"Tick","Moment":1.0}"#], &["Tick", "field n"]),
     ]
@@ -63,12 +68,12 @@
 fn invalid_input_gives_one_error_line_and_failure_status() {
     for Case { lines, words } in cases() {
         let lines: Vec<&str> = lines.iter().map(String::as_str).collect();
-        let run = Script::of_lines(&lines).run();
+        let run = Script::from_lines(&lines).run();
         let errors = run.errors();
         assert_eq!(run.output.status.code(), Some(1), "{errors}");
         assert_eq!(errors.lines().count(), 1, "{errors}");
         let has_all_words = words.iter().all(|word| errors.contains(word));
-        assert!(has_all_words, "{errors} lacks one of {words:?}");
+        assert!(has_all_words, "expected all of {words:?} in: {errors}");
         assert!(run.output.stdout.is_empty());
     }
 }
--- a/crates/simulator-adapter/tests/adapter/load_reports.rs
+++ b/crates/simulator-adapter/tests/adapter/load_reports.rs
@@ -1,18 +1,20 @@
-//! Load reports of servers.
+//! The effect of load reports on the choice between two servers.
 
-use crate::script::{Script, attempt_served, of_type, part, query, start};
+use crate::script::{Script, attempt_served, messages_of_type, part, query, start_instance};
 
-/// Number of eight queries, each of which either server may serve, that go to the server of the
-/// first attempt after it has answered that with this load report; `load` is a further field or
-/// empty.
+/// Sends a first query, lets its server answer with a load report, and then sends eight queries
+/// that either of the two servers can serve. Returns how many of the eight go to the server that
+/// sent the report. `load` is the field with the report, with a leading comma, or empty.
 fn attempts_after_report(load: &str) -> usize {
-    let first_query = Script::default().batch(1, 100.0, &start()).batch(
+    let first_query = Script::default().batch(1, 100.0, &start_instance()).batch(
         2,
         105.0,
         &[query("t/q", 1), part("t/p", 1)],
     );
     let messages = first_query.messages();
-    let node = of_type(&messages, "Issue")[0]["Node"].as_str().unwrap();
+    let node = messages_of_type(&messages, "Issue")[0]["Node"]
+        .as_str()
+        .unwrap();
 
     let mut queries = Vec::new();
     for group in 2..10 {
@@ -24,7 +26,7 @@
         .batch(3, 140.0, &[attempt_served(node, load)])
         .batch(4, 145.0, &queries)
         .messages();
-    let attempts = of_type(&messages, "Issue");
+    let attempts = messages_of_type(&messages, "Issue");
     let at_node = attempts.iter().filter(|attempt| attempt["Node"] == node);
     at_node.count() - 1
 }
@@ -37,7 +39,7 @@
     assert_eq!(
         attempts_after_report(r#","Gauge":{"q":38}"#),
         0,
-        "waiting parts count where requests in flight are not reported"
+        "the number of waiting requests is used if the number in flight is absent"
     );
     for malformed in [
         r#","Gauge":{"rif":"many"}"#,
--- a/crates/simulator-adapter/tests/adapter/main.rs
+++ b/crates/simulator-adapter/tests/adapter/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the adapter with hand-written input.
+//! Runs the adapter's program with hand-written input and checks its output and errors.
 
 mod batches;
 mod gossip;
--- a/crates/simulator-adapter/tests/adapter/message_fields.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields.rs
@@ -1,4 +1,4 @@
-//! Which fields of messages are needed, which values they may have, and the texts of the errors.
+//! The fields that each message requires, the values that they accept, and the texts of the errors.
 
 mod fixture;
 mod malformed_messages;
--- a/crates/simulator-adapter/tests/adapter/message_fields/fixture.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/fixture.rs
@@ -1,11 +1,12 @@
-//! Messages with a changed field, and what the adapter does with them.
+//! Changes a field of a message, and checks whether the adapter accepts or refuses the message.
 
-use crate::script::{Script, start};
+use crate::script::{Script, start_instance};
 use serde_json::Value;
 
-/// What the adapter does with a message at the end of a batch that has started instance 4.
-pub fn run_with(message: &str) -> Result<Vec<Value>, String> {
-    let mut messages = start();
+/// Runs the adapter with one batch that starts instance 4 and ends with `message`. Returns the
+/// messages that the adapter writes or, if it fails, its error.
+pub fn run_with_message(message: &str) -> Result<Vec<Value>, String> {
+    let mut messages = start_instance();
     messages.push(message.to_owned());
     let script = Script::default().batch(1, 100.0, &messages);
     let run = script.run();
@@ -16,17 +17,20 @@
     Err(run.errors().trim_end().to_owned())
 }
 
-pub fn accept(message: &str) -> Vec<Value> {
-    run_with(message).unwrap_or_else(|error| panic!("{message}: {error}"))
+/// Checks that the adapter accepts a message, and returns the messages that it writes.
+pub fn assert_accepted(message: &str) -> Vec<Value> {
+    run_with_message(message).unwrap_or_else(|error| panic!("{message}: {error}"))
 }
 
-/// Checks that a message is refused with this text after the place of the error.
-pub fn refuse(message: &str, text: &str) {
-    let error = run_with(message).expect_err(message);
+/// Checks that the adapter refuses a message, and that `text` is all that its error says after the
+/// line and the batch.
+pub fn assert_refused(message: &str, text: &str) {
+    let error = run_with_message(message).expect_err(message);
     assert_eq!(error, format!("simulator-adapter: line 5, batch 1: {text}"));
 }
 
-/// The message with a field replaced or, without a value, removed.
+/// Returns the message with a field set to `value` or, if that is `None`, removed. In a declared
+/// endpoint list, the field is that of the first entry, unless the list itself has it.
 pub fn with_field(message: &str, field: &str, value: Option<&Value>) -> String {
     let mut message: Value = serde_json::from_str(&message.replace('\n', "")).unwrap();
     let fields = match message.pointer_mut("/MembersList/0") {
@@ -40,6 +44,7 @@
     message.to_string()
 }
 
+/// Returns a gossip message from aggregator 1 to instance 4.
 pub fn gossip() -> String {
     r#"{"t":"Memo","I":4,"Who":1,"Contents":"00"}"#.to_owned()
 }
--- a/crates/simulator-adapter/tests/adapter/message_fields/malformed_messages.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/malformed_messages.rs
@@ -1,6 +1,6 @@
-//! Messages that are malformed as a whole, and what errors name.
+//! Messages that are refused as a whole, and the objects, lines and batches that errors name.
 
-use super::fixture::{accept, refuse, run_with, with_field};
+use super::fixture::{assert_accepted, assert_refused, run_with_message, with_field};
 use crate::script::{Script, launch, query, update_endpoint_list};
 use serde_json::json;
 
@@ -13,27 +13,30 @@
         r#"{"t":["Tick"]}"#,
         "{}",
     ] {
-        refuse(message, "message: field t is missing or not a string");
+        assert_refused(
+            message,
+            "message: field t (the message type) is missing, null or not a string",
+        );
     }
     for message in ["[]", "1", "null", "\"Tick\"", "[{\"t\":\"Tick\"}]"] {
-        refuse(message, "the message is not an object");
+        assert_refused(message, "the line is JSON but not an object");
     }
 }
 
 #[test]
 fn errors_of_the_settings_name_the_object_inside_the_launch() {
     let unknown_mode = launch(4).replace("\"on_request\"", "\"asked\"");
-    refuse(
+    assert_refused(
         &unknown_mode.replace('\n', ""),
         "Env: field MembershipMode is not one of the accepted values",
     );
     let negative = launch(4).replace("\"Shards\":2", "\"Shards\":-2");
-    refuse(
+    assert_refused(
         &negative.replace('\n', ""),
         "FamilyInfo: field Shards is not a whole number of at least 0",
     );
     let text = launch(4).replace("\"Aim\":1000.0", "\"Aim\":\"1000.0\"");
-    refuse(
+    assert_refused(
         &text.replace('\n', ""),
         "Services: field Aim is not a number",
     );
@@ -41,39 +44,43 @@
 
 #[test]
 fn unknown_message_instance_list_and_class_are_refused_in_this_order() {
-    refuse(
+    assert_refused(
         r#"{"t":"Surprise"}"#,
         "Surprise: field I is missing or null",
     );
-    let unknown_instance = "Surprise: field I names an instance that was never launched";
-    refuse(r#"{"t":"Surprise","I":5}"#, unknown_instance);
-    refuse(
+    let unknown_instance =
+        "Surprise: field I names an instance that was never launched or has been destroyed";
+    assert_refused(r#"{"t":"Surprise","I":5}"#, unknown_instance);
+    assert_refused(
         r#"{"t":"Surprise","I":4}"#,
-        "Surprise: the message is unknown",
+        "Surprise: the message type is unknown",
     );
-    refuse(
+    assert_refused(
         r#"{"t":"Order","I":5}"#,
-        "Order: field I names an instance that was never launched",
+        "Order: field I names an instance that was never launched or has been destroyed",
     );
     let unknown_class = with_field(&query("t/x", 9), "Service", Some(&json!(9)));
-    refuse(&unknown_class, "Order: field Service names no class");
+    assert_refused(
+        &unknown_class,
+        "Order: field Service is not the index of a class in the instance's settings",
+    );
     let unknown_list = with_field(&update_endpoint_list(4), "Slot", Some(&json!(9)));
-    refuse(
+    assert_refused(
         &unknown_list,
-        "PeersKnown: field Slot names a list that was never declared",
+        "PeersKnown: field Slot names a slot whose list was never declared by a Ledger",
     );
 }
 
 #[test]
-fn message_outside_of_a_batch_or_batch_without_number_or_time_is_refused() {
+fn message_outside_of_a_batch_and_batch_without_number_or_time_are_refused() {
     for (lines, text) in [
         (
             vec![r#"{"t":"Tick","Moment":1}"#],
-            "line 1, batch null: Tick: field n is missing or null",
+            "line 1, before the first batch: Tick: field n is missing or null",
         ),
         (
             vec![r#"{"t":"Tick","Moment":1,"n":-3}"#],
-            "line 1, batch null: Tick: field n is not a whole number of at least 0",
+            "line 1, before the first batch: Tick: field n is not a whole number of at least 0",
         ),
         (
             vec![r#"{"t":"Tick","n":7}"#],
@@ -88,18 +95,18 @@
                 r#"{"t":"Tick","n":7.0,"Moment":1}"#,
                 r#"{"t":"Tick","n":8,"Moment":1}"#,
             ],
-            "line 2, batch 8: Tick: the batch before is still open",
+            "line 2, batch 8: Tick: the previous batch has not ended, expected EofBatch first",
         ),
         (
             vec![r#"{"t":"Order","I":4}"#],
-            "line 1, batch null: Order: no batch is open",
+            "line 1, before the first batch: Order: no batch is open, expected Tick first",
         ),
         (
             vec![r#"{"t":"Surprise"}"#],
-            "line 1, batch null: Surprise: no batch is open",
+            "line 1, before the first batch: Surprise: no batch is open, expected Tick first",
         ),
     ] {
-        let run = Script::of_lines(&lines).run();
+        let run = Script::from_lines(&lines).run();
         assert_eq!(run.output.status.code(), Some(1));
         assert_eq!(
             run.errors().trim_end(),
@@ -112,7 +119,7 @@
 fn last_of_duplicate_fields_counts() {
     let duplicate = |first: &str, last: &str| {
         let fields = format!(r#"{{"I":{first},"t":"Dropped","OpId":1,"OpId":"t/q","I":{last}}}"#);
-        run_with(&fields)
+        run_with_message(&fields)
     };
     assert!(duplicate("\"x\"", "4").is_ok());
     let error = duplicate("4", "\"x\"").unwrap_err();
@@ -122,7 +129,7 @@
     );
 }
 
-/// A message with a field that is not read.
+/// Returns a message with a field that the adapter ignores.
 fn with_unchecked_field(value: &str) -> String {
     format!(r#"{{"t":"Dropped","I":4,"OpId":"t/q","Unknown":{value}}}"#)
 }
@@ -133,11 +140,11 @@
         let value = "[".repeat(depth) + &"]".repeat(depth);
         with_unchecked_field(&value)
     };
-    accept(&nested(100));
+    assert_accepted(&nested(100));
     for depth in [200, 100_000] {
-        let error = run_with(&nested(depth)).unwrap_err();
+        let error = run_with_message(&nested(depth)).unwrap_err();
         assert!(
-            error.contains("line 5, batch 1: not JSON: recursion limit exceeded"),
+            error.contains("line 5, batch 1: the line is not JSON: recursion limit exceeded"),
             "{error}"
         );
     }
--- a/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
@@ -1,6 +1,6 @@
-//! Fields that a message may have, and those that are not checked.
+//! Fields that may be absent, and fields that the adapter does not check.
 
-use super::fixture::{accept, gossip, refuse, with_field};
+use super::fixture::{assert_accepted, assert_refused, gossip, with_field};
 use crate::script::{attempt_served, declare_endpoint_list, part, query, update_endpoint_list};
 use serde_json::{Value, json};
 
@@ -19,10 +19,10 @@
         (&list, "MembersList", "Dc", json!("x"), NOT_WHOLE),
         (&list, "MembersList", "StartTime", json!([]), NOT_A_NUMBER),
     ] {
-        accept(&with_field(message, field, None));
-        accept(&with_field(message, field, Some(&Value::Null)));
+        assert_accepted(&with_field(message, field, None));
+        assert_accepted(&with_field(message, field, Some(&Value::Null)));
         let expected = format!("{object}: field {field} {problem}");
-        refuse(&with_field(message, field, Some(&wrong)), &expected);
+        assert_refused(&with_field(message, field, Some(&wrong)), &expected);
     }
 }
 
@@ -43,15 +43,15 @@
         (r#"{"t":"Destroy","I":4}"#.to_owned(), "Env"),
     ] {
         if field == "I" {
-            accept(&message.replacen('{', r#"{"I":"x","#, 1));
+            assert_accepted(&message.replacen('{', r#"{"I":"x","#, 1));
         } else {
-            accept(&with_field(&message, field, Some(&wrong)));
+            assert_accepted(&with_field(&message, field, Some(&wrong)));
         }
     }
     let failed = with_field(&update_endpoint_list(4), "Mode", Some(&json!("error")));
-    accept(&with_field(&failed, "Slot", Some(&wrong)));
-    accept(&with_field(&failed, "Slot", None));
+    assert_accepted(&with_field(&failed, "Slot", Some(&wrong)));
+    assert_accepted(&with_field(&failed, "Slot", None));
     let malformed = with_field(&gossip(), "Contents", Some(&json!("0")));
-    accept(&with_field(&malformed, "Who", Some(&wrong)));
-    accept(&with_field(&malformed, "Who", None));
+    assert_accepted(&with_field(&malformed, "Who", Some(&wrong)));
+    assert_accepted(&with_field(&malformed, "Who", None));
 }
--- a/crates/simulator-adapter/tests/adapter/message_fields/required_fields.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/required_fields.rs
@@ -1,14 +1,14 @@
-//! Fields that a message must have.
+//! Fields that a message must have: each is refused if it is absent, null or of a wrong type.
 
-use super::fixture::{accept, gossip, refuse, with_field};
+use super::fixture::{assert_accepted, assert_refused, gossip, with_field};
 use crate::script::{
-    Script, attempt_served, declare_endpoint_list, launch, of_type, part, query,
+    Script, attempt_served, declare_endpoint_list, launch, messages_of_type, part, query,
     update_endpoint_list,
 };
 use Kind::{List, Number, Object, Text, WholeNumber};
 use serde_json::{Value, json};
 
-/// The kind of a field's value.
+/// The JSON type that a field must have.
 #[derive(Clone, Copy)]
 enum Kind {
     Number,
@@ -19,6 +19,7 @@
 }
 
 impl Kind {
+    /// Returns the words of the error about a value of another type.
     fn problem(&self) -> &'static str {
         match self {
             Number => "is not a number",
@@ -29,6 +30,7 @@
         }
     }
 
+    /// Returns values that the field must refuse.
     fn wrong_values(&self) -> Vec<Value> {
         match self {
             Number => vec![json!("1"), json!(true), json!([1])],
@@ -40,7 +42,7 @@
     }
 }
 
-/// A field with its kind.
+/// The name and the type of a field.
 type Field = (&'static str, Kind);
 
 const INSTANCE: Field = ("I", WholeNumber);
@@ -77,16 +79,16 @@
 const CLIENT_DISCONNECTED: &[Field] = &[INSTANCE, ID];
 const TIMER_FIRED: &[Field] = &[INSTANCE, ("Ref", WholeNumber)];
 
-/// A message with a required field, and the object that errors name.
-struct Required {
+/// A message, one of its required fields, and the name that errors give the object with that field.
+struct RequiredField {
     message: String,
     object: &'static str,
     field: &'static str,
     kind: Kind,
 }
 
-/// Each required field of each message.
-fn required_fields() -> Vec<Required> {
+/// Returns each required field of each message.
+fn required_fields() -> Vec<RequiredField> {
     let begun = r#"{"t":"Begun","I":4}"#.to_owned();
     let destroy = r#"{"t":"Destroy","I":4}"#.to_owned();
     let served = attempt_served("10.0.0.1:80", "");
@@ -106,7 +108,7 @@
     ];
     let mut required = Vec::new();
     for (object, message, fields) in messages {
-        required.extend(fields.iter().map(|(field, kind)| Required {
+        required.extend(fields.iter().map(|(field, kind)| RequiredField {
             message: message.clone(),
             object,
             field,
@@ -116,30 +118,32 @@
     required
 }
 
+/// Returns the disconnect of the client of query `t/q`.
 fn disconnect() -> String {
     r#"{"t":"Dropped","I":4,"OpId":"t/q"}"#.to_owned()
 }
 
+/// Returns the firing of the timer of instance 4.
 fn timer() -> String {
     r#"{"t":"DeadlineHit","I":4,"Ref":0}"#.to_owned()
 }
 
 #[test]
-fn required_field_is_refused_where_it_is_missing_null_or_of_a_wrong_type() {
-    for Required {
+fn required_field_is_refused_if_it_is_missing_null_or_of_a_wrong_type() {
+    for RequiredField {
         message,
         field,
         object,
         kind,
     } in required_fields()
     {
-        accept(&message);
+        assert_accepted(&message);
         let missing = format!("{object}: field {field} is missing or null");
-        refuse(&with_field(&message, field, None), &missing);
-        refuse(&with_field(&message, field, Some(&Value::Null)), &missing);
+        assert_refused(&with_field(&message, field, None), &missing);
+        assert_refused(&with_field(&message, field, Some(&Value::Null)), &missing);
         let wrong = format!("{object}: field {field} {}", kind.problem());
         for value in kind.wrong_values() {
-            refuse(&with_field(&message, field, Some(&value)), &wrong);
+            assert_refused(&with_field(&message, field, Some(&value)), &wrong);
         }
     }
 }
@@ -147,14 +151,14 @@
 #[test]
 fn unknown_field_is_ignored() {
     let value = json!({"x": [null, {"t": 1}]});
-    for Required { message, .. } in required_fields() {
-        accept(&with_field(&message, "Unknown", Some(&value)));
+    for RequiredField { message, .. } in required_fields() {
+        assert_accepted(&with_field(&message, "Unknown", Some(&value)));
     }
 }
 
 #[test]
 fn whole_number_may_be_written_with_a_fraction_of_zero() {
-    for Required {
+    for RequiredField {
         message,
         field,
         kind,
@@ -164,11 +168,14 @@
         let written: Value = serde_json::from_str(&message.replace('\n', "")).unwrap();
         if matches!(kind, WholeNumber) {
             let number = written[field].as_f64().unwrap();
-            accept(&with_field(&message, field, Some(&json!(number))));
+            assert_accepted(&with_field(&message, field, Some(&json!(number))));
         }
     }
     let largest = with_field(&launch(4), "I", Some(&json!(u64::MAX)));
     let script = Script::default().batch(1, 100.0, &[largest]);
     let messages = script.messages();
-    assert_eq!(of_type(&messages, "KeepInformed")[0]["I"], json!(u64::MAX));
+    assert_eq!(
+        messages_of_type(&messages, "KeepInformed")[0]["I"],
+        json!(u64::MAX)
+    );
 }
