--- a/crates/endpoint-control/src/ejection_quorum.rs
+++ b/crates/endpoint-control/src/ejection_quorum.rs
@@ -1,11 +1,15 @@
 //! Ejects servers on the reports of several proxies, and limits how many servers are ejected.
 //!
-//! The view of one proxy may be wrong: its own link is cut, its clock stands still, or it reports
-//! falsely. A server is therefore ejected for all proxies only by a quorum of those that have sent
-//! it requests recently. A zone whose servers are all unreachable at once is taken for partitioned
-//! rather than failed, and its servers are not ejected for being unreachable. A cap on the ejected
-//! servers of a cell keeps the others from being overloaded. A server that is ejected again and
-//! again stays ejected for longer each time.
+//! The reports of one proxy may be wrong: its own network link may be down, its clock may have
+//! stopped, or it may send false reports. A server is therefore ejected for all proxies only if a
+//! quorum of the proxies that have recently sent it requests report failures.
+//!
+//! - If all or a large share of a zone's servers are unreachable at the same time, the zone is
+//!   assumed to be partitioned from the proxies rather than failed. Its servers are then not
+//!   ejected for being unreachable.
+//! - The share of a cell's servers that are ejected at the same time is limited, because the
+//!   remaining servers of the cell take over the traffic and would be overloaded.
+//! - Each further ejection of a server lasts longer than the previous one.
 
 mod record;
 mod report;
@@ -20,40 +24,44 @@
 use record::{QuorumReason, ServerRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The cell and the zone of a server.
+/// A server with its cell and its zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerLocation {
-    /// The server.
+    /// Name of the server.
     pub server: NodeId,
     /// Index of its cell.
     pub cell: usize,
-    /// Index of its zone.
+    /// Index of its zone, if it has one. A server without a zone never counts as part of a
+    /// partition.
     pub zone: Option<usize>,
 }
 
-/// The reports of proxies and the ejections that follow from them. Its size is bounded by the
-/// number of proxies times the number of servers with recent reports.
+/// The reports of proxies and the ejections that follow from them. It holds at most one report for
+/// each pair of a proxy and a server.
 #[derive(Clone, Debug)]
 pub struct EjectionQuorum {
     rule: EjectionRule,
     records: BTreeMap<NodeId, ServerRecord>,
 }
 
+/// The number of servers in a cell, and how many of them are ejected.
 #[derive(Clone, Copy, Debug, Default)]
 struct CellCount {
     servers: usize,
     ejected: usize,
 }
 
+/// The number of servers in a zone that proxies have reported about.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneCount {
-    /// Servers with reports.
+    /// Servers with at least one report.
     reported: usize,
+    /// Servers that a quorum of proxies cannot reach.
     unreachable: usize,
 }
 
 impl EjectionQuorum {
-    /// A quorum without reports.
+    /// Creates a quorum without reports.
     #[must_use]
     pub fn new(rule: EjectionRule) -> Self {
         EjectionQuorum {
@@ -62,8 +70,8 @@
         }
     }
 
-    /// Takes a proxy's report of a server in place of its last one. A report without requests is
-    /// ignored.
+    /// Stores a proxy's report about a server in place of the proxy's last one about that server. A
+    /// report without requests is ignored.
     pub fn on_report(
         &mut self,
         now: Timestamp,
@@ -77,8 +85,10 @@
         }
     }
 
-    /// Decides about all servers of the list and returns when the ejection of each ejected one
-    /// ends. The number of proxies counts those that are connected to any control instance.
+    /// Ends ejections whose duration has passed, and ejects the servers in `locations` that have
+    /// the votes of a quorum, as far as the limit of their cell allows. Returns the ejected servers
+    /// among them with the end of each ejection. `connected_proxies` is the number of proxies that
+    /// are connected to any control instance.
     pub fn evaluate(
         &mut self,
         now: Timestamp,
@@ -104,6 +114,7 @@
         self.ejections(locations)
     }
 
+    /// Drops outdated reports and ejections, and the records of servers without any.
     fn drop_outdated(&mut self, now: Timestamp) {
         for record in self.records.values_mut() {
             record.drop_outdated(now, &self.rule);
@@ -111,8 +122,8 @@
         self.records.retain(|_, record| !record.is_empty());
     }
 
-    /// Whether a server that is not ejected has the votes of a quorum, for a reason other than a
-    /// partition.
+    /// Returns whether a server is not ejected yet and has the votes of a quorum. Votes because the
+    /// server is unreachable don't count if its zone is partitioned.
     fn has_votes_to_eject(
         &self,
         location: &ServerLocation,
@@ -132,6 +143,7 @@
         }
     }
 
+    /// Returns whether the limit of the cell allows to eject one more of its servers.
     fn allows_another_ejection(&self, cell: CellCount) -> bool {
         (cell.ejected + 1) as f64 <= self.rule.max_ejected_share * cell.servers as f64
     }
@@ -141,6 +153,7 @@
         record.is_some_and(ServerRecord::is_ejected)
     }
 
+    /// Counts the servers and the ejected servers of each cell.
     fn count_cells(&self, locations: &[ServerLocation]) -> BTreeMap<usize, CellCount> {
         let mut cells: BTreeMap<usize, CellCount> = BTreeMap::new();
         for location in locations {
@@ -151,7 +164,9 @@
         cells
     }
 
-    /// The zones with so many unreachable servers that the zone itself must be unreachable.
+    /// Returns the zones that are assumed to be partitioned: of the servers with reports, the
+    /// rule's share is unreachable. A zone with only one such server is never assumed to be
+    /// partitioned, because that is indistinguishable from a failure of the server.
     fn partitioned_zones(
         &self,
         locations: &[ServerLocation],
@@ -178,6 +193,7 @@
         zones.into_keys().collect()
     }
 
+    /// Returns the ejected servers among `locations`, with the end of each ejection.
     fn ejections(&self, locations: &[ServerLocation]) -> BTreeMap<NodeId, Timestamp> {
         let ejection = |location: &ServerLocation| {
             let record = self.records.get(&location.server)?;
--- a/crates/endpoint-control/src/ejection_quorum/record.rs
+++ b/crates/endpoint-control/src/ejection_quorum/record.rs
@@ -1,5 +1,5 @@
-//! What is known of one server: the last report of each proxy, the votes among them, and its
-//! ejections.
+//! The record of one server: the last report of each proxy, and the server's ejections. Decides
+//! whether the reports are a quorum to eject the server.
 
 use super::report::ServerReport;
 use super::rule::EjectionRule;
@@ -8,22 +8,23 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Why a quorum votes to eject a server.
+/// The reason why a quorum votes to eject a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QuorumReason {
-    /// Some of the voters had answers from the server.
+    /// At least one of the voting proxies had an answer from the server.
     Failing,
-    /// None of the voters had an answer from the server.
+    /// None of the voting proxies had an answer from the server.
     Unreachable,
 }
 
+/// A report and the time at which it was received.
 #[derive(Clone, Copy, Debug)]
 struct ReceivedReport {
     received_at: Timestamp,
     report: ServerReport,
 }
 
-/// An ejection that has ended or will end.
+/// The last ejection of a server, which may be over.
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     duration: Duration,
@@ -35,13 +36,14 @@
 pub(super) struct ServerRecord {
     /// The last report of each proxy.
     reports: BTreeMap<ProxyName, ReceivedReport>,
-    /// When the present ejection ends.
+    /// End of the current ejection; `None` if the server is not ejected.
     ejected_until: Option<Timestamp>,
+    /// The current or last ejection, from which the duration of the next one follows.
     last_ejection: Option<Ejection>,
 }
 
 impl ServerRecord {
-    /// Whether nothing is known of the server.
+    /// Returns whether the record holds neither reports nor ejections, so that it can be removed.
     pub(super) fn is_empty(&self) -> bool {
         self.reports.is_empty() && self.ejected_until.is_none() && self.last_ejection.is_none()
     }
@@ -54,12 +56,12 @@
         self.ejected_until.is_some()
     }
 
-    /// When the present ejection ends.
+    /// Returns the end of the current ejection, or `None` if the server is not ejected.
     pub(super) fn ejected_until(&self) -> Option<Timestamp> {
         self.ejected_until
     }
 
-    /// Takes a proxy's report in place of its last one.
+    /// Stores a proxy's report in place of its last one.
     pub(super) fn on_report(&mut self, now: Timestamp, proxy: &ProxyName, report: ServerReport) {
         let received = ReceivedReport {
             received_at: now,
@@ -68,7 +70,8 @@
         self.reports.insert(proxy.clone(), received);
     }
 
-    /// Drops reports past their lifetime, and the last ejection once it no longer counts.
+    /// Drops reports that have reached the rule's lifetime, and the last ejection once the rule's
+    /// time to forget it has passed since its end.
     pub(super) fn drop_outdated(&mut self, now: Timestamp, rule: &EjectionRule) {
         self.reports
             .retain(|_, report| now.saturating_since(report.received_at) < rule.report_lifetime);
@@ -77,7 +80,8 @@
             .filter(|last| now < last.ends_at + rule.forget_after);
     }
 
-    /// Ejects the server; the duration doubles with each ejection.
+    /// Ejects the server. The ejection lasts twice as long as the last one, up to the rule's
+    /// maximum, or for the rule's first duration if there is no last one.
     pub(super) fn eject(&mut self, now: Timestamp, rule: &EjectionRule) {
         let duration = self.last_ejection.map_or(rule.first_duration, |last| {
             (2 * last.duration).min(rule.max_duration)
@@ -96,11 +100,13 @@
         let duration = last.map_or(rule.first_duration, |last| last.duration);
         self.last_ejection = Some(Ejection { duration, ends_at });
         self.ejected_until = None;
-        // Reports from before its return say nothing about the server now.
+        // Requests that failed before or during the ejection do not show whether the server works
+        // now. Without this, they could eject it again immediately.
         self.reports.clear();
     }
 
-    /// Why a quorum votes to eject the server; `None` without a quorum.
+    /// Returns the reason why a quorum votes to eject the server, or `None` if the votes are too
+    /// few for a quorum.
     pub(super) fn quorum_reason(
         &self,
         connected_proxies: usize,
@@ -114,8 +120,10 @@
             .collect();
         let reporting = self.reports.len() as f64;
         let share = (rule.min_vote_share * reporting).ceil().max(1.0) as usize;
-        // One proxy alone proves nothing where others exist, even if none of them sends to this
-        // server. Where it is the only one, there is no other view.
+        // One proxy alone proves nothing if others are connected: its own link may be at fault. So
+        // the minimum number of votes is needed even if the other proxies send no requests to this
+        // server and cannot contradict. If fewer proxies than the minimum are connected, more votes
+        // are not possible, and the votes of all of them suffice.
         let needed = share.max(rule.min_votes.min(connected_proxies));
         if votes.is_empty() || votes.len() < needed {
             return None;
--- a/crates/endpoint-control/src/ejection_quorum/rule.rs
+++ b/crates/endpoint-control/src/ejection_quorum/rule.rs
@@ -1,29 +1,33 @@
-//! The figures by which servers are ejected.
+//! The thresholds and durations of ejections.
 
 use std::time::Duration;
 
-/// The figures of ejection.
+/// The thresholds and durations of ejections.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EjectionRule {
-    /// Smallest number of votes that eject a server. If fewer proxies are connected, all of them
-    /// have to vote.
+    /// Minimum number of votes that eject a server. If fewer proxies are connected, the votes of
+    /// all of them are needed.
     pub min_votes: usize,
-    /// Smallest share of the reporting proxies whose votes eject a server.
+    /// Minimum share of the proxies with a report about the server whose votes eject it, from 0 to
+    /// 1.
     pub min_vote_share: f64,
-    /// Share of failed requests from which a report is a vote to eject.
+    /// Minimum share of failed requests with which a report is a vote to eject, from 0 to 1.
     pub min_failure_share: f64,
-    /// Number of requests from which a report can be a vote to eject.
+    /// Minimum number of requests with which a report can be a vote to eject.
     pub min_requests: u64,
     /// Age at which a report is dropped.
     pub report_lifetime: Duration,
-    /// Duration of the first ejection; each further one lasts twice as long as the one before.
+    /// Duration of the first ejection. Each further one lasts twice as long as the previous one, up
+    /// to [`max_duration`](Self::max_duration).
     pub first_duration: Duration,
-    /// Longest duration of an ejection.
+    /// Maximum duration of an ejection.
     pub max_duration: Duration,
-    /// Time after the end of an ejection after which the next one counts as the first again.
+    /// Time after the end of an ejection after which it is forgotten, so that the next one counts
+    /// as the first again.
     pub forget_after: Duration,
-    /// Largest share of a cell's servers that are ejected at the same time.
+    /// Maximum share of a cell's servers that are ejected at the same time, from 0 to 1.
     pub max_ejected_share: f64,
-    /// Share of unreachable servers from which a zone is taken for partitioned.
+    /// Minimum share of unreachable servers, among the servers of a zone with reports, from which
+    /// the zone is assumed to be partitioned.
     pub partition_share: f64,
 }
--- a/crates/endpoint-control/src/endpoint_assignment.rs
+++ b/crates/endpoint-control/src/endpoint_assignment.rs
@@ -1,11 +1,16 @@
 //! The clusters and endpoints that proxies receive.
 //!
-//! A cell becomes a cluster: its servers hold the same shards, so each of them can answer, and no
-//! other server can. A server's row, which is its position among the servers of its cell by name,
-//! is part of its endpoint, so that a proxy that can route by it keeps the parts of a query to one
-//! row. All proxies receive the same clusters of warmed-up servers. A server that is warming up is
-//! not an endpoint of its cell's cluster: it is a cluster of its own, which only the holders of a
-//! lease on it receive, with their units as its limit of requests in flight.
+//! Each cell becomes a cluster: its servers hold the same shards, so each of them can answer
+//! requests for these shards, and no server of another cell can. All proxies receive the same
+//! clusters of warmed-up servers.
+//!
+//! An endpoint includes the server's row, which is its position among the servers of its cell in
+//! the order of their names. A proxy that can route by row sends all parts of a query to the same
+//! row.
+//!
+//! A server that is warming up is not an endpoint of its cell's cluster. It is a cluster of its
+//! own, which only the proxies that hold a lease on it receive. The units of the lease are the
+//! proxy's limit of requests in flight at that server.
 
 mod slow_start_assigner;
 
@@ -18,26 +23,26 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Weights of endpoints. Each is about 1.4 times the one before, so that small changes of the
-/// latency change none.
+/// The weights that an endpoint can have. Each is about 1.4 times the previous one. A weight
+/// changes only in these steps, so that small changes of the latency do not change the assignment.
 const WEIGHTS: [u32; 7] = [16, 23, 32, 45, 64, 91, 128];
-/// Index of the weight at the usual latency.
-const USUAL_WEIGHT: usize = 4;
-/// Steps between weights for each doubling of the latency.
+/// Index in [`WEIGHTS`] of the weight at the usual latency.
+const USUAL_WEIGHT_INDEX: usize = 4;
+/// Number of steps in [`WEIGHTS`] by which the weight decreases for each doubling of the latency.
 const STEPS_PER_DOUBLING: f64 = 2.0;
 
-/// Whether an endpoint is sent requests.
+/// The health of an endpoint, which determines whether proxies send requests to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Health {
-    /// It takes requests.
+    /// The server takes requests.
     Healthy,
-    /// It finishes its requests and takes no others.
+    /// The server finishes the requests that it has and takes no new ones.
     Draining,
-    /// It is ejected.
+    /// The server is ejected and takes no requests.
     Unhealthy,
 }
 
-/// A warmed-up server, as all proxies receive it.
+/// A server that is not warming up, in the form in which all proxies receive it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AssignedEndpoint {
     /// Name of the server.
@@ -46,11 +51,12 @@
     pub address: SocketAddr,
     /// Index of its zone.
     pub zone: Option<usize>,
-    /// Its position among the servers of its cell.
+    /// Position of the server among the servers of its cell, in the order of their names.
     pub row: usize,
-    /// Its health.
+    /// Health of the endpoint.
     pub health: Health,
-    /// Its share of the cluster's traffic, relative to the weights of the other endpoints.
+    /// Weight of the endpoint. The traffic of the cluster is divided among its endpoints in
+    /// proportion to their weights.
     pub weight: u32,
 }
 
@@ -59,14 +65,17 @@
 pub struct CellCluster {
     /// Index of the cell.
     pub cell: usize,
-    /// Its warmed-up servers, by name.
+    /// The servers of the cell that are not warming up, in the order of their names.
     pub endpoints: Vec<AssignedEndpoint>,
 }
 
-/// The clusters that all proxies receive at this moment. `ejected_until` holds the servers that a
-/// quorum of proxies has ejected. If all servers of a cell that take requests are ejected, they are
-/// assigned as healthy: some of them may work, and a proxy without any healthy endpoint sends
-/// nothing.
+/// Returns the clusters that all proxies receive at `now`, one for each cell with a server that is
+/// not removed. `ejected_until` holds the servers that a quorum of proxies has ejected, with the
+/// end of each ejection.
+///
+/// If all serving, warmed-up servers of a cell are ejected, their ejections are ignored and they
+/// are assigned as healthy: some of them may work, while a proxy without a healthy endpoint sends
+/// no requests for the cell's shards at all.
 #[must_use]
 pub fn assign_clusters(
     now: Timestamp,
@@ -80,30 +89,32 @@
             views_by_cell.entry(view.cell).or_default().push(view);
         }
     }
-    let snapshot = Snapshot {
+    let builder = ClusterBuilder {
         now,
         ejected_until,
         rule,
     };
     views_by_cell
         .into_iter()
-        .map(|(cell, views)| snapshot.cluster(cell, views))
+        .map(|(cell, views)| builder.cell_cluster(cell, views))
         .collect()
 }
 
-/// What determines the health of servers at one moment.
-struct Snapshot<'a> {
+/// Builds the clusters of cells from the time, the ejections and the slow-start rule, which
+/// determine the health of servers.
+struct ClusterBuilder<'a> {
     now: Timestamp,
     ejected_until: &'a BTreeMap<NodeId, Timestamp>,
     rule: &'a SlowStartRule,
 }
 
-impl Snapshot<'_> {
-    fn cluster(&self, cell: usize, mut views: Vec<&ServerView>) -> CellCluster {
+impl ClusterBuilder<'_> {
+    /// Returns the cluster of a cell with these servers.
+    fn cell_cluster(&self, cell: usize, mut views: Vec<&ServerView>) -> CellCluster {
         views.sort_by(|a, b| a.name.cmp(&b.name));
         let all_ejected = views
             .iter()
-            .filter(|view| self.takes_usual_traffic(view))
+            .filter(|view| self.is_serving_warmed_up(view))
             .all(|view| self.is_ejected(view));
         let health = |view| {
             if all_ejected {
@@ -122,7 +133,7 @@
                 zone: view.zone,
                 row,
                 health: health(view),
-                weight: weight(view.relative_latency),
+                weight: weight_for_latency(view.relative_latency),
             });
         CellCluster {
             cell,
@@ -130,6 +141,7 @@
         }
     }
 
+    /// Returns the health of a server. Only a serving server is reported as ejected.
     fn health(&self, view: &ServerView) -> Health {
         if view.state == ServingState::Serving && self.is_ejected(view) {
             Health::Unhealthy
@@ -138,15 +150,19 @@
         }
     }
 
-    fn takes_usual_traffic(&self, view: &ServerView) -> bool {
+    /// Returns whether the server is serving and not warming up, so that it takes the traffic of
+    /// its cell's cluster unless it is ejected.
+    fn is_serving_warmed_up(&self, view: &ServerView) -> bool {
         view.state == ServingState::Serving && !view.is_warming_up(self.now, self.rule)
     }
 
+    /// Returns whether the server is serving and warming up, so that only the holders of leases
+    /// send it requests.
     fn is_slow_starting(&self, view: &ServerView) -> bool {
         view.state == ServingState::Serving && view.is_warming_up(self.now, self.rule)
     }
 
-    /// Whether the policy or a quorum of proxies has ejected the server.
+    /// Returns whether the server is ejected, by the policy or by a quorum of proxies.
     fn is_ejected(&self, view: &ServerView) -> bool {
         let by_policy = view.ejected_until;
         let by_quorum = self.ejected_until.get(&view.name).copied();
@@ -157,7 +173,7 @@
     }
 }
 
-/// The health of a server whose ejection, if any, is ignored.
+/// Returns the health of a server without regard to its ejection.
 fn health_without_ejections(view: &ServerView) -> Health {
     match view.state {
         ServingState::Serving => Health::Healthy,
@@ -165,18 +181,18 @@
     }
 }
 
-/// The weight of an endpoint of this latency. A latency that is not a positive number counts as the
-/// usual one.
-fn weight(relative_latency: f64) -> u32 {
+/// Returns the weight of an endpoint with this latency. A latency that is not a positive, finite
+/// number counts as the usual latency.
+fn weight_for_latency(relative_latency: f64) -> u32 {
     let latency = if relative_latency.is_finite() && relative_latency > 0.0 {
         relative_latency
     } else {
         1.0
     };
-    let max_steps_down = USUAL_WEIGHT as f64;
-    let max_steps_up = (WEIGHTS.len() - 1 - USUAL_WEIGHT) as f64;
+    let max_steps_down = USUAL_WEIGHT_INDEX as f64;
+    let max_steps_up = (WEIGHTS.len() - 1 - USUAL_WEIGHT_INDEX) as f64;
     let steps = (-STEPS_PER_DOUBLING * latency.log2())
         .round()
         .clamp(-max_steps_down, max_steps_up);
-    WEIGHTS[(USUAL_WEIGHT as f64 + steps) as usize]
+    WEIGHTS[(USUAL_WEIGHT_INDEX as f64 + steps) as usize]
 }
--- a/crates/endpoint-control/src/endpoint_assignment/slow_start_assigner.rs
+++ b/crates/endpoint-control/src/endpoint_assignment/slow_start_assigner.rs
@@ -1,6 +1,6 @@
-//! The endpoints of servers that are warming up, which only the holders of leases receive.
+//! Assigns the servers that are warming up to the proxies that hold leases on them.
 
-use crate::leases::{LeaseRequest, LeaseTable, fair_units};
+use crate::leases::{LeaseRequest, LeaseTable, equal_share_units};
 use crate::slow_start::{ControlInstance, SlowStartRule};
 use crate::{ProxyName, ServerView};
 use broker_types::server::{NodeId, ServingState};
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A server that is warming up, as the holder of a lease on it receives it.
+/// A server that is warming up, in the form in which the holder of a lease on it receives it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct SlowStartEndpoint {
     /// Name of the server.
@@ -17,29 +17,32 @@
     pub cell: usize,
     /// Address on which it listens.
     pub address: SocketAddr,
-    /// Largest number of requests that this proxy may have in flight at the server.
+    /// Maximum number of requests that this proxy may have in flight at the server.
     pub max_in_flight: u32,
 }
 
-/// The servers and the proxies of one control instance, between which it assigns the servers that
-/// are warming up.
+/// Assigns the servers that are warming up to the proxies that are connected to one control
+/// instance.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartAssigner<'a> {
     /// All servers.
     pub views: &'a [ServerView],
     /// The proxies that are connected to this control instance.
     pub proxies: &'a [ProxyName],
-    /// The rule that limits the requests in flight at each server.
+    /// The rule that limits the requests in flight at a server that is warming up.
     pub rule: &'a SlowStartRule,
-    /// This control instance.
+    /// The control instance, which determines the share of each server's limit that it may grant.
     pub instance: ControlInstance,
 }
 
 impl SlowStartAssigner<'_> {
     /// Grants and renews leases on the servers that are warming up, and returns the endpoints that
-    /// each proxy receives. It has to be called again well within the leases' time to live. Holders
-    /// of a lease keep it; other proxies follow in rotation, which begins at another proxy for each
-    /// server.
+    /// each proxy receives. The leases are renewed only by calling this again, which has to happen
+    /// well within their time to live.
+    ///
+    /// The proxies that hold a lease on a server are served first, so that they keep it. The other
+    /// proxies follow in order, beginning at a proxy that depends on the server's name, so that the
+    /// units of different servers go to different proxies if there are too few for all.
     pub fn assign_endpoints(
         &self,
         now: Timestamp,
@@ -50,7 +53,7 @@
             if view.state != ServingState::Serving || !view.is_warming_up(now, self.rule) {
                 continue;
             }
-            for holder in in_grant_order(&view.name, self.proxies, leases) {
+            for holder in proxies_in_grant_order(&view.name, self.proxies, leases) {
                 let max_in_flight = leases.grant(now, self.lease_request(now, view, holder));
                 if max_in_flight > 0 {
                     let endpoint = SlowStartEndpoint {
@@ -66,7 +69,7 @@
         assigned
     }
 
-    /// The request for a lease on a server that is warming up.
+    /// Returns the request of a proxy for a lease on a server that is warming up.
     fn lease_request<'a>(
         &self,
         now: Timestamp,
@@ -78,14 +81,15 @@
         LeaseRequest {
             server: &view.name,
             holder,
-            wanted_units: fair_units(self.rule, age, self.proxies.len()),
+            wanted_units: equal_share_units(self.rule, age, self.proxies.len()),
             server_limit: self.instance.share_of_limit(limit, &view.name.0),
         }
     }
 }
 
-/// The proxies in the order in which they are granted leases on a server: holders first.
-fn in_grant_order<'a>(
+/// Returns the proxies in the order in which they are granted leases on a server: those that hold a
+/// lease on it first.
+fn proxies_in_grant_order<'a>(
     server: &NodeId,
     proxies: &'a [ProxyName],
     leases: &LeaseTable,
@@ -99,7 +103,7 @@
     holders
 }
 
-/// A number that differs between servers: a polynomial hash of the name.
+/// Returns a number that differs between most servers: a polynomial hash of the server's name.
 fn rotation_offset(server: &NodeId) -> usize {
     server.0.bytes().fold(0usize, |hash, byte| {
         hash.wrapping_mul(31).wrapping_add(byte.into())
--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -1,21 +1,26 @@
 //! Leases on the requests in flight at a server that is warming up.
 //!
-//! A lease allows one proxy, its holder, a number of requests in flight (units) at one server. The
-//! proxy receives it as a limit on the server's cluster with a time to live, so that a proxy that
-//! is cut off stops by itself. The units of a lease stay reserved until its holder can no longer
-//! use them. That is later than the time to live after the lease was sent, since the proxy counts
-//! the time to live from when it *reads* the message, which may wait in its socket while the proxy
-//! is paused:
+//! A lease allows one proxy (the holder) a number of requests in flight at one server. The number
+//! is called the units of the lease. The proxy receives the lease as a limit on the server's
+//! cluster with a time to live, so that a disconnected proxy stops sending without being told to.
 //!
-//! - a message that is not acknowledged keeps the lease without end;
-//! - once it is acknowledged, the lease lasts for the time to live from then, as the proxy began to
-//!   count before;
-//! - if the stream ends without an acknowledgement, the lease lasts for the longest pause of a
-//!   proxy and the time to live.
+//! The units of a lease stay reserved until the holder can no longer use them. The time to live
+//! after sending the lease is not enough: the proxy counts the time to live from the moment at
+//! which it *reads* the message, and the message may wait in the proxy's socket while the proxy is
+//! paused. The lease therefore ends as follows:
 //!
-//! In each case the requests that the holder sent last have to end too. The reserved units of a
-//! server never exceed its limit, whatever the order of grants, late or lost messages, and proxies
-//! that disappear: `tests/lease_model` checks all orders of a small case.
+//! - while the message is not acknowledged and the stream is open, the lease does not end;
+//! - once the message is acknowledged, the lease ends after the time to live, counted from the
+//!   acknowledgement. The proxy read the message earlier, so its own count ends earlier;
+//! - if the stream ends without an acknowledgement, the lease ends after the maximum pause of a
+//!   proxy plus the time to live, because the proxy may still read the message after its pause.
+//!
+//! In each case the units stay reserved for the maximum duration of a request after the end of the
+//! lease, because the holder may have sent requests until then.
+//!
+//! The reserved units of a server never exceed its limit, in whatever order leases are granted,
+//! messages are late or lost, and proxies disappear. `tests/lease_model` checks this for all orders
+//! of events in a small model.
 
 use crate::ProxyName;
 use crate::slow_start::SlowStartRule;
@@ -24,14 +29,14 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time limits of leases.
+/// The durations that determine how long the units of a lease stay reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
-    /// How long a proxy uses a lease after it has read of it.
+    /// Time for which a proxy uses a lease after it has read the message with it.
     pub time_to_live: Duration,
-    /// The longest time that a request is in flight at a server.
+    /// Maximum time for which a request is in flight at a server.
     pub max_request_duration: Duration,
-    /// The longest time that a proxy is paused before it reads what was sent to it.
+    /// Maximum time for which a proxy is paused before it reads a message that was sent to it.
     pub max_pause: Duration,
 }
 
@@ -42,19 +47,21 @@
     pub server: &'a NodeId,
     /// The proxy that will hold the lease.
     pub holder: &'a ProxyName,
-    /// Units that the holder is to have.
+    /// Number of units that the holder should have in total, including those of a lease that it
+    /// already holds.
     pub wanted_units: u32,
-    /// Units at the server that this control instance may grant to all holders together.
+    /// Maximum number of units at the server that this control instance may have granted to all
+    /// holders together.
     pub server_limit: u32,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum LeaseState {
-    /// The last message about the lease is not acknowledged.
+    /// The last message about the lease is not acknowledged, and its stream has not ended.
     Unacknowledged,
-    /// The holder uses the lease until this moment at the latest.
+    /// The holder stops using the lease at `until` at the latest.
     Active { until: Timestamp },
-    /// The holder no longer uses the lease; its last requests have ended by this moment.
+    /// The holder no longer uses the lease, and its last requests have ended by `until`.
     Draining { until: Timestamp },
 }
 
@@ -70,8 +77,8 @@
     }
 }
 
-/// All leases whose units are reserved, by server and holder. Its size is bounded by the limits of
-/// the servers.
+/// All leases whose units are reserved, by server and holder. Each lease has at least one unit, so
+/// the number of leases at a server is at most the server's limit.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTable {
     times: LeaseTimes,
@@ -79,7 +86,7 @@
 }
 
 impl LeaseTable {
-    /// A table without leases.
+    /// Creates a table without leases.
     #[must_use]
     pub fn new(times: LeaseTimes) -> Self {
         LeaseTable {
@@ -88,10 +95,13 @@
         }
     }
 
-    /// Grants a lease on the wanted units or on those that are free, or renews the holder's lease.
-    /// Returns the units that the holder may use from now on, which may be none. If there are any,
-    /// a message to the holder has to follow, and later [`LeaseTable::on_acknowledged`] or
-    /// [`LeaseTable::on_stream_ended`].
+    /// Grants a lease on the wanted units, or on the free units if there are fewer, or renews the
+    /// holder's lease and adds free units up to the wanted number. A draining lease is not renewed.
+    /// Returns the number of units that the holder may use from now on, which may be 0.
+    ///
+    /// If the number is not 0, the caller has to send a message with the lease to the holder, and
+    /// later call [`LeaseTable::on_acknowledged`] or [`LeaseTable::on_stream_ended`]. Until then,
+    /// the lease does not expire.
     pub fn grant(&mut self, now: Timestamp, request: LeaseRequest<'_>) -> u32 {
         self.expire(now);
         let reserved = self.reserved_units(request.server);
@@ -100,8 +110,8 @@
         match leases.get_mut(request.holder) {
             Some(lease) if lease.is_draining() => 0,
             Some(lease) => {
-                // A renewal never takes units back: a holder that has not read of it would use the
-                // earlier number.
+                // A renewal never reduces the units: until the holder has read the message, it uses
+                // the number of the earlier one, so the difference could not be granted to others.
                 let missing = request.wanted_units.saturating_sub(lease.units);
                 lease.units += free.min(missing);
                 lease.state = LeaseState::Unacknowledged;
@@ -118,17 +128,20 @@
         }
     }
 
-    /// The holder has acknowledged the last message about its leases.
+    /// Records that the holder has acknowledged the last message about its leases. The leases end
+    /// after the time to live.
     pub fn on_acknowledged(&mut self, now: Timestamp, holder: &ProxyName) {
         self.end_unacknowledged_at(now + self.times.time_to_live, holder);
     }
 
-    /// The stream of the holder has ended. It may still read messages that it has not acknowledged.
+    /// Records that the stream of the holder has ended. The holder may still read messages that it
+    /// has not acknowledged, so those leases end after the maximum pause plus the time to live.
     pub fn on_stream_ended(&mut self, now: Timestamp, holder: &ProxyName) {
         let until = now + self.times.max_pause + self.times.time_to_live;
         self.end_unacknowledged_at(until, holder);
     }
 
+    /// Sets the end of the holder's leases whose last message is not acknowledged.
     fn end_unacknowledged_at(&mut self, until: Timestamp, holder: &ProxyName) {
         for leases in self.by_server.values_mut() {
             if let Some(lease) = leases.get_mut(holder)
@@ -139,7 +152,8 @@
         }
     }
 
-    /// The proxy has acknowledged that it holds no lease on the server.
+    /// Records that the proxy has acknowledged that it holds no lease on the server. The units stay
+    /// reserved until the requests that it may have in flight have ended.
     pub fn on_released(&mut self, now: Timestamp, server: &NodeId, holder: &ProxyName) {
         let until = now + self.times.max_request_duration;
         let leases = self.by_server.get_mut(server);
@@ -150,12 +164,14 @@
         }
     }
 
-    /// Removes the leases on a server that has warmed up or is gone, and no longer needs them.
+    /// Removes the leases on a server that no longer needs them, because it has warmed up or is no
+    /// longer in the endpoint list.
     pub fn remove_server(&mut self, server: &NodeId) {
         self.by_server.remove(server);
     }
 
-    /// Units that the proxy holds at the server.
+    /// Returns the number of units that the proxy holds at the server, without those of a draining
+    /// lease.
     #[must_use]
     pub fn held_units(&self, server: &NodeId, holder: &ProxyName) -> u32 {
         let leases = self.by_server.get(server);
@@ -165,14 +181,16 @@
             .map_or(0, |lease| lease.units)
     }
 
-    /// Units that are reserved at the server, for all leases that are held or draining.
+    /// Returns the number of units that are reserved at the server for all leases, held and
+    /// draining.
     #[must_use]
     pub fn reserved_units(&self, server: &NodeId) -> u32 {
         let leases = self.by_server.get(server);
         leases.map_or(0, |leases| leases.values().map(|lease| lease.units).sum())
     }
 
-    /// Moves leases that have run out by now to draining, and removes those that have drained.
+    /// Marks the leases that have ended by `now` as draining, and removes the draining leases whose
+    /// last requests have ended.
     pub fn expire(&mut self, now: Timestamp) {
         let max_request_duration = self.times.max_request_duration;
         for leases in self.by_server.values_mut() {
@@ -193,9 +211,9 @@
     }
 }
 
-/// The units that each of so many proxies requests at a server of this age: an even share of its
-/// limit, at least one.
-pub(crate) fn fair_units(rule: &SlowStartRule, age: Duration, proxies: usize) -> u32 {
+/// Returns the number of units that each of `proxies` proxies requests at a server of the age
+/// `age`: an equal share of the server's limit, rounded up, and at least 1.
+pub(crate) fn equal_share_units(rule: &SlowStartRule, age: Duration, proxies: usize) -> u32 {
     let limit = rule.max_in_flight(age);
     limit.div_ceil(proxies.max(1) as u32).max(1)
 }
--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -1,16 +1,18 @@
-//! Assigns data servers to many proxies as clusters and endpoints, without I/O or a clock.
+//! Assigns data servers to many proxies as clusters and endpoints. Callers pass in the time and all
+//! inputs; the package does no I/O and reads no clock.
 //!
-//! The fan-out policy decides whether a server is healthy, ejected, draining or warming up. This
-//! package turns those views into assignments that stay safe although each proxy may be late, cut
-//! off, or carry most of the traffic:
+//! The fan-out policy decides whether a server is healthy, ejected, draining or warming up, and
+//! describes it as a [`ServerView`]. This package turns those views into assignments. They must not
+//! overload a server or take too many out of service even if some proxies apply an assignment late,
+//! are disconnected, or carry most of the traffic:
 //!
 //! - [`slow_start`] limits the requests that a server which is warming up may have in flight from
 //!   all proxies together;
-//! - [`leases`] divides that limit among proxies, and reserves each part until its holder can no
-//!   longer use it;
-//! - [`ejection_quorum`] ejects a server on the reports of several proxies, never of one, and
-//!   limits how many servers are ejected;
-//! - [`endpoint_assignment`] makes the clusters and endpoints of the proxies.
+//! - [`leases`] divides that limit among the proxies, and keeps each proxy's share reserved until
+//!   the proxy can no longer use it;
+//! - [`ejection_quorum`] ejects a server on the reports of several proxies (of one proxy only if no
+//!   other is connected), and limits how many servers of a cell are ejected;
+//! - [`endpoint_assignment`] builds the clusters and endpoints that the proxies receive.
 //!
 //! ```
 //! use broker_types::server::NodeId;
@@ -47,10 +49,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// Name of a proxy, which stays the same over all of its streams.
+/// Name of a proxy. It stays the same when the proxy opens a new stream to a control instance.
 pub type ProxyName = Arc<str>;
 
-/// A server as the fan-out policy sees it, and its address.
+/// What the fan-out policy has found out about a server, and the server's address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
     /// Name of the server.
@@ -61,19 +63,19 @@
     pub cell: usize,
     /// Index of its zone.
     pub zone: Option<usize>,
-    /// Its state in the endpoint list.
+    /// State of the server in the endpoint list.
     pub state: ServingState,
-    /// When its ejection ends, if the policy has ejected it.
+    /// Time at which the ejection of the server ends, if the policy has ejected it.
     pub ejected_until: Option<Timestamp>,
-    /// When its process started, if it may still be warming up.
+    /// Time at which the server's process started, if the server may still be warming up.
     pub started_at: Option<Timestamp>,
-    /// Its latency per unit of outstanding work, relative to the fleet's: 1 is usual, 2 is half as
-    /// fast.
+    /// Latency per unit of outstanding work, divided by that of the fleet: 1 is the usual latency,
+    /// 2 means that the server is half as fast as usual.
     pub relative_latency: f64,
 }
 
 impl ServerView {
-    /// Whether the server is warming up at this moment.
+    /// Returns whether the server is warming up at `now`.
     fn is_warming_up(&self, now: Timestamp, rule: &SlowStartRule) -> bool {
         self.started_at
             .is_some_and(|started_at| !rule.is_warmed_up(now.saturating_since(started_at)))
--- a/crates/endpoint-control/src/slow_start.rs
+++ b/crates/endpoint-control/src/slow_start.rs
@@ -1,66 +1,76 @@
 //! The limit of requests in flight at a server that is warming up.
 //!
-//! The work that is sent to such a server in any window of time has to stay under a multiple of the
-//! work that the server can do in that window. Weights cannot ensure that: a share of an unknown
-//! total is unknown, and the total changes with the traffic of each proxy. A limit on the requests
-//! *in flight* can. A request that reaches the server within a window was either in flight at its
-//! beginning, or took the place of one that ended within it; and the server completes no more than
-//! its capacity. So with at most `K` requests in flight at any moment, each of at most `w` work,
+//! A server is overloaded if the work sent to it in a window of time exceeds a multiple of the work
+//! that it can do in that window. Endpoint weights cannot prevent this: a weight gives the server a
+//! share of the total traffic, and the total is unknown and changes with the traffic of each proxy.
+//! A limit on the requests *in flight* can prevent it. A request that is sent to the server within
+//! a window takes one of the `K` places of the limit: a place that is free at the beginning of the
+//! window, or one that another request frees by ending within the window. The work of the requests
+//! that end within the window is at most what the server can do. So with at most `K` requests in
+//! flight at any moment, each of at most `w` work,
 //!
 //! ```text
 //! work sent in a window <= K * w + capacity * window
 //! ```
 //!
-//! and `K * w <= (multiple - 1) * capacity * window` keeps the rule, whoever sends and however late
-//! the senders learn of a change. A server that rejects or fails requests at once frees their
-//! places without doing work: its queue must be longer than `K`, and a server that fails is
-//! ejected, see [`crate::ejection_quorum`].
+//! The server is therefore not overloaded if `K * w <= (multiple - 1) * capacity * window`. This
+//! holds whichever proxies send the requests, and however late they receive a change of the limit.
+//!
+//! The bound assumes that a request ends only after the server has done its work. A server that
+//! rejects or fails requests immediately frees their places without doing work. So the server's
+//! queue must be longer than `K`, which avoids rejections, and a server that fails requests is
+//! ejected (see [`crate::ejection_quorum`]).
 
 use broker_types::time::whole_micros;
 use const_fnv1a_hash::fnv1a_hash_str_32;
 use std::time::Duration;
 
-/// Share of the admissible work that the limit uses, since the work of requests varies.
+/// Share of the admissible work that the limit uses. The rest is a margin, because the limit is
+/// computed from the mean work of a request and single requests take more.
 const USED_LIMIT_SHARE: f64 = 0.75;
-/// The largest limit that is computed; it keeps the conversion to an integer defined.
+/// Maximum limit in requests. It keeps the result of the floating-point calculation in the range of
+/// an integer.
 const MAX_REQUESTS_IN_FLIGHT: f64 = 1e6;
 /// Microseconds in a second.
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The figures of a deployment that determine the limit.
+/// Properties of a deployment that determine the limit of requests in flight.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SlowStartRule {
-    /// The share of its capacity that a server has at least when it starts.
+    /// Minimum share of its capacity that a server has when it starts, from 0 to 1.
     pub initial_share: f64,
-    /// Time after which a server has all of its capacity at the latest.
+    /// Maximum time after its start until a server has its full capacity.
     pub warm_up_duration: Duration,
-    /// A server is overloaded when the work sent to it exceeds this multiple of its capacity ...
+    /// Multiple of its capacity from which the work sent to a server within one
+    /// [`overload_window`](Self::overload_window) overloads it.
     pub overload_multiple: f64,
-    /// ... over a window of this length.
+    /// Length of the window of time over which overload is measured.
     pub overload_window: Duration,
-    /// Capacity of a warmed-up server, in microseconds of work a second: a million for each core of
-    /// the smallest machine type.
+    /// Capacity of a warmed-up server, in microseconds of work per second: one million for each
+    /// core of the smallest machine type.
     pub capacity: f64,
-    /// Work of a request with its call, in microseconds: the mean of the class with the most work.
+    /// Work of a request including the fixed work of a call, in microseconds: the mean of the query
+    /// class whose requests take the most work.
     pub request_work: f64,
 }
 
 impl SlowStartRule {
-    /// The share of its capacity that a server of this age has at least. It never decreases with
-    /// age, so that a sender with outdated figures sends less.
+    /// Returns the minimum share of its capacity that a server has at the age `age`. It never
+    /// decreases with age, so a sender that uses an outdated (smaller) age sends less, not more.
     #[must_use]
     pub fn capacity_share(&self, age: Duration) -> f64 {
         let progress = micros(age) / micros(self.warm_up_duration).max(1.0);
         (self.initial_share + (1.0 - self.initial_share) * progress).clamp(0.0, 1.0)
     }
 
-    /// Whether a server of this age has warmed up in any case.
+    /// Returns whether even the slowest server has its full capacity at the age `age`.
     #[must_use]
     pub fn is_warmed_up(&self, age: Duration) -> bool {
         age >= self.warm_up_duration
     }
 
-    /// The largest number of requests in flight at a server of this age, from all proxies together.
+    /// Returns the maximum number of requests in flight at a server of the age `age`, from all
+    /// proxies together.
     #[must_use]
     pub fn max_in_flight(&self, age: Duration) -> u32 {
         let capacity = self.capacity * self.capacity_share(age);
@@ -70,25 +80,26 @@
     }
 }
 
-/// A time span in microseconds.
+/// Returns a duration in microseconds.
 fn micros(span: Duration) -> f64 {
     whole_micros(span) as f64
 }
 
-/// One of the control instances that divide the limits of all servers among themselves without
-/// communication.
+/// One of several control instances. Each may grant a fixed share of each server's limit, so that
+/// together they keep to the limit without communication.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlInstance {
-    /// Its number, from 0.
+    /// Number of this instance, counted from 0.
     pub number: u32,
-    /// Number of control instances.
+    /// Total number of control instances.
     pub count: u32,
 }
 
 impl ControlInstance {
-    /// This instance's share of a server's limit. The shares of all instances add up to the limit.
-    /// The instances that get the remainder differ between servers, so that no instance always gets
-    /// less.
+    /// Returns this instance's share of a server's limit, as a number of requests. The shares of
+    /// all instances add up to the limit. If the limit does not divide evenly, a hash of the
+    /// server's name decides which instances get one request more, so that it is not the same
+    /// instances for all servers.
     #[must_use]
     pub fn share_of_limit(self, limit: u32, server: &str) -> u32 {
         let count = self.count.max(1);
