--- a/crates/fanout-policy/src/policy/report_sampling.rs
+++ b/crates/fanout-policy/src/policy/report_sampling.rs
@@ -1,11 +1,11 @@
-//! Conversion of a load report, in which another observer counted outcomes of attempts, into a few
-//! sample outcomes.
+//! Conversion of an outcome report, in which another observer counted outcomes of attempts, into a
+//! few sample outcomes.
 //!
 //! The samples have about the same proportions as the counts in the report. This module has no
 //! state.
 
 use crate::api::Outcome;
-use crate::view::LoadReport;
+use crate::view::OutcomeReport;
 
 /// Number of samples to which the counts of a larger report are scaled down. Each scaled count is
 /// rounded up, so there may be up to two more. Outlier detection works on shares and on
@@ -15,7 +15,7 @@
 
 /// Returns the sample outcomes that stand for a report. Failures come first: if the report also has
 /// served attempts, these then reset the consecutive failures and show that the server is up.
-pub(crate) fn sampled_outcomes(report: &LoadReport) -> impl Iterator<Item = Outcome> + use<> {
+pub(crate) fn sampled_outcomes(report: &OutcomeReport) -> impl Iterator<Item = Outcome> + use<> {
     let total = report.served + report.errors + report.connection_failures;
     let outcomes = [
         (Outcome::ConnectionLost, report.connection_failures),
