--- a/crates/endpoint-control/src/ejection_quorum.rs
+++ b/crates/endpoint-control/src/ejection_quorum.rs
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Returns whether the limit of the cell allows to eject one more of its servers.
+    /// Returns whether the limit of the cell allows one more of its servers to be ejected.
     fn allows_another_ejection(&self, cell: CellCount) -> bool {
         (cell.ejected + 1) as f64 <= self.rule.max_ejected_share * cell.servers as f64
     }
--- a/crates/endpoint-control/src/slow_start.rs
+++ b/crates/endpoint-control/src/slow_start.rs
@@ -41,16 +41,16 @@
     pub initial_share: f64,
     /// Maximum time after its start until a server has its full capacity.
     pub warm_up_duration: Duration,
-    /// Multiple of its capacity from which the work sent to a server within one
-    /// [`overload_window`](Self::overload_window) overloads it.
+    /// A server is overloaded if the work sent to it within one
+    /// [`overload_window`](Self::overload_window) exceeds this multiple of its capacity.
     pub overload_multiple: f64,
     /// Length of the window of time over which overload is measured.
     pub overload_window: Duration,
     /// Capacity of a warmed-up server, in microseconds of work per second: one million for each
     /// core of the smallest machine type.
     pub capacity: f64,
-    /// Work of a request including the fixed work of a call, in microseconds: the mean of the query
-    /// class whose requests take the most work.
+    /// Work of a request including that of its call, in microseconds: the mean of the query class
+    /// whose requests take the most work.
     pub request_work: f64,
 }
 
