--- a/crates/fanout-policy/src/settings/wire/conversion.rs
+++ b/crates/fanout-policy/src/settings/wire/conversion.rs
@@ -122,7 +122,7 @@
     /// Returns the numbers of the class with this index. Fails if a list has no entry for it.
     fn class_layout(&self, index: usize) -> Result<ClassLayout, FieldError> {
         let entry = |entries: &[f64], field| {
-            let too_few = || FieldError::new("FamilyInfo", field, FieldProblem::TooFewEntries);
+            let too_few = || FieldError::new("FamilyInfo", field, FieldProblem::TooFewElements);
             entries.get(index).copied().ok_or_else(too_few)
         };
         Ok(ClassLayout {
--- a/crates/platform-config/src/tests/errors.rs
+++ b/crates/platform-config/src/tests/errors.rs
@@ -42,7 +42,11 @@
             json!("xyz"),
             "RELAY_CONFIG: field seed: \"xyz\" is not a hexadecimal number of at most 64 bits",
         ),
-        ("/name", json!(null), "RELAY_CONFIG: field name is missing"),
+        (
+            "/name",
+            json!(null),
+            "RELAY_CONFIG: field name is missing or null",
+        ),
         (
             "/listen",
             json!("nowhere"),
@@ -51,7 +55,7 @@
         (
             "/known",
             json!(null),
-            "RELAY_CONFIG: field known is missing",
+            "RELAY_CONFIG: field known is missing or null",
         ),
         (
             "/limits/sockets",
@@ -113,19 +117,19 @@
             "/settings",
             "PeersTotal",
             json!(0.5),
-            "settings: field PeersTotal is not a whole number",
+            "settings: field PeersTotal is not a whole number of at least 0",
         ),
         (
             "/settings/Rules",
             "Cold",
             json!(null),
-            "Rules: field Cold is missing",
+            "Rules: field Cold is missing or null",
         ),
         (
             "/settings",
             "Services",
             json!([1]),
-            "settings: field Services holds something that is not an object",
+            "settings: field Services has an element that is not an object",
         ),
     ] {
         assert_eq!(error_of(&config_with(object, field, Some(&value))), text);
