--- a/crates/fanout-policy/tests/policy/admission.rs
+++ b/crates/fanout-policy/tests/policy/admission.rs
@@ -116,9 +116,9 @@
     );
 }
 
-/// Guards against servers that are busy with answers of little value. In sev6538 an answer after
-/// its latency objective had a tenth of its weight, and two thirds of the work of the overloaded
-/// servers was for such answers.
+/// Guards against servers that are busy with answers of little value. In the incident sev6538 an
+/// answer after its latency objective had a tenth of its weight, and two thirds of the work of the
+/// overloaded servers was for such answers.
 #[test]
 fn attempt_ends_at_the_objective_when_late_answers_have_little_weight() {
     for (late_weight, timeout, expected) in
--- a/crates/fanout-policy/tests/policy/backoff.rs
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -67,9 +67,9 @@
     }
 }
 
-/// Guards against an ejection that ends before the broker's next part for that server. In sev4209,
-/// brokers with an outdated endpoint list sent parts to the same dead servers for ten seconds, since
-/// each ejection lasted two seconds at most.
+/// Guards against an ejection that ends before the broker's next part for that server. In the
+/// incident sev4209, brokers with an outdated endpoint list sent parts to the same dead servers for
+/// ten seconds, since each ejection lasted two seconds at most.
 #[test]
 fn unreachable_server_is_ejected_for_the_interval_between_its_parts() {
     let mut policy = Harness::new(ring(), 1);
