--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -150,6 +150,8 @@
         self.state.fleet.apply_list(&batch, update, endpoints);
     }
 
+    /// Adds a query to those in flight. A class index beyond the last class counts as the last
+    /// class. If the settings have no classes, the query fails.
     fn on_query(&mut self, now: Ms, query: Query, actions: &mut Vec<Action>) {
         if self.settings.classes.is_empty() {
             return actions.push(Action::Fail { query: query.id });
@@ -198,7 +200,8 @@
         gossip.on_message(&batch, message, fleet, random);
     }
 
-    /// Starts a control interval: adjusts all controllers and discards expired state.
+    /// Starts a control interval: adjusts the fan-out width of each class, updates the averages of
+    /// the servers, and discards expired state.
     fn run_control_loops(&mut self, now: Ms) {
         let batch = BatchContext::new(now, &self.settings);
         let in_use = self.servers_in_use();
@@ -215,6 +218,9 @@
             width.adjust(max_rows);
         }
         fleet.start_interval(&batch, random);
+        // The other aggregators discard a report that is not repeated in time. A server with work
+        // of this aggregator is therefore published in each control interval, even if that work has
+        // not changed.
         for server in fleet.with_own_work() {
             gossip.mark_changed(server);
         }
--- a/crates/fanout-policy/src/aggregator/query_driver.rs
+++ b/crates/fanout-policy/src/aggregator/query_driver.rs
@@ -1,5 +1,4 @@
-//! Advances the queries of a batch: asks the components for decisions and turns these into
-//! actions.
+//! Advances the queries of a batch: turns the decisions of the components into actions.
 
 use super::PolicyState;
 use crate::api::{Action, QueryId};
@@ -9,7 +8,7 @@
 use crate::policy::completion::{Completion, CompletionDecision};
 use crate::policy::forecast::Forecaster;
 use crate::policy::retry_after::{EndWithoutAnswer, RetryAfter};
-use crate::policy::retry_policy::{HedgeDecision, PartStep, RetryPolicy};
+use crate::policy::retry_policy::{HedgeDecision, NextAttempt, RetryPolicy};
 use crate::policy::row_planner::RowPlanner;
 use crate::policy::server_selection::ServerSelector;
 use crate::policy::time_limits::TimeLimits;
@@ -115,11 +114,14 @@
 
     /// Sends the attempt that a part needs now, if any.
     fn advance_part(&mut self, query: &mut InFlightQuery, index: usize) {
-        match self.retry_policy().next_step(query, &query.parts()[index]) {
-            PartStep::Wait => {}
-            PartStep::FirstAttempt => self.send_first_attempt(query, index),
-            PartStep::Retry => self.retry(query, index),
-            PartStep::Hedge => self.hedge(query, index),
+        match self
+            .retry_policy()
+            .next_attempt(query, &query.parts()[index])
+        {
+            NextAttempt::None => {}
+            NextAttempt::First => self.send_first_attempt(query, index),
+            NextAttempt::Retry => self.retry(query, index),
+            NextAttempt::Hedge => self.hedge(query, index),
         }
     }
 
--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -1,4 +1,6 @@
 //! Read access to an aggregator's statistics, and input of outcomes that other observers counted.
+//! An observer is any program other than this aggregator that counts the outcomes of attempts at
+//! the same servers.
 //!
 //! This module makes no decisions. An outcome report updates the same statistics as the
 //! aggregator's own attempts.
@@ -14,9 +16,10 @@
 use crate::queries::InFlightAttempt;
 use crate::view::{ClassView, OutcomeReport, ServerView};
 
-/// Lower bound of the fleet's latency per work where it is a divisor, in ms per ms of work.
-const MIN_LATENCY_PER_WORK: f64 = 1e-9;
-/// Minimum work that an attempt in an outcome report is assumed to have been.
+/// Minimum latency per work of the fleet by which the latency of a server is divided, in ms per ms
+/// of work. It prevents a division by zero.
+const MIN_FLEET_LATENCY_DIVISOR: f64 = 1e-9;
+/// Minimum work that is assumed for each attempt in an outcome report.
 const MIN_REPORTED_WORK_MS: Ms = 1.0;
 
 impl Aggregator {
@@ -53,7 +56,7 @@
 
     fn server_view(&self, server: &Server, now: Ms) -> ServerView {
         let warm_up = self.settings.warm_up.duration;
-        let fleet_latency = self.fleet_latency_per_work().max(MIN_LATENCY_PER_WORK);
+        let fleet_latency = self.fleet_latency_per_work().max(MIN_FLEET_LATENCY_DIVISOR);
         let is_warming = |since: &Ms| since + warm_up > now;
         ServerView {
             node: server.node().clone(),
@@ -90,6 +93,8 @@
                 // aggregator's outstanding work at the server.
                 work: 0.0,
                 work_ahead: work,
+                // A report states no send times. Its attempts count as sent one mean latency ago,
+                // or one forecast latency ago if that is shorter.
                 sent_at: now - elapsed.min(expected_latency),
                 expected_latency,
             };
--- a/crates/fanout-policy/src/api/classes.rs
+++ b/crates/fanout-policy/src/api/classes.rs
@@ -20,15 +20,16 @@
 /// Settings of one query class.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// Time within which an answer earns the full priority weight, from the client's first sending
-    /// of the query.
+    /// Time within which an answer has the full priority weight, from the client's first sending of
+    /// the query.
     pub latency_objective: Ms,
     /// Time after which a client gives up, from its first sending of the query. Retries do not
     /// extend it.
     pub client_timeout: Ms,
-    /// Weight that a complete answer within the latency objective earns.
+    /// Weight of a complete answer within the latency objective. Under overload, the queries with
+    /// the lowest weight in proportion to their work are the first to be rejected.
     pub priority_weight: f64,
-    /// Fraction of the priority weight that an answer after the latency objective still earns.
+    /// Weight of an answer after the latency objective, as a fraction of the priority weight.
     pub late_weight: f64,
     /// Whether the parts of its queries may safely be executed more than once.
     pub retry_safety: RetrySafety,
@@ -36,8 +37,8 @@
     pub required_share: f64,
     /// Minimum share of the total part weight with which a partial answer may be given.
     pub minimum_share: f64,
-    /// Factor on the priority weight that a partial answer earns: with a share `s` of the total
-    /// part weight it earns the fraction `partial_weight * s / required_share`.
+    /// Factor on the weight of partial answers. A partial answer with a share `s` of the total part
+    /// weight has the weight `priority_weight * partial_weight * s / required_share`.
     pub partial_weight: f64,
     /// Whether a second step with further parts follows the first answer.
     pub has_second_step: bool,
--- a/crates/fanout-policy/src/api/events.rs
+++ b/crates/fanout-policy/src/api/events.rs
@@ -14,7 +14,8 @@
     },
     /// A query has arrived.
     Query(Query),
-    /// A part of a query has arrived. It is ignored if no query of its group is in flight.
+    /// A part of a query has arrived. If no query of its group is in flight, the part is ignored,
+    /// except that it counts as an accepted request for the retry budget.
     Part(Part),
     /// An attempt has ended.
     AttemptEnded {
--- a/crates/fanout-policy/src/api/identifiers.rs
+++ b/crates/fanout-policy/src/api/identifiers.rs
@@ -16,11 +16,12 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PartId(pub Arc<str>);
 
-/// Index of a query class in [`Settings::classes`](super::Settings::classes).
+/// Index of a query class in [`Settings::classes`](super::Settings::classes). A query with an index
+/// beyond the last class is treated as a query of the last class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). An index
-/// without a tenant is accepted; such queries have no quota.
+/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). A query whose tenant is
+/// not listed there is accepted and has no quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantIndex(pub usize);
--- a/crates/fanout-policy/src/api/settings.rs
+++ b/crates/fanout-policy/src/api/settings.rs
@@ -14,10 +14,10 @@
 /// Limit on retries and hedged requests, that is, on attempts beyond the first of each part.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Number of such attempts that are allowed in any window.
+    /// Number of retries and hedged requests that are allowed in any window.
     pub free_attempts: f64,
-    /// Number of such attempts that are allowed in addition for each query and each part accepted
-    /// in the window.
+    /// Number of further retries and hedged requests that are allowed for each query and each part
+    /// accepted in the window.
     pub per_request: f64,
     /// Length of the sliding window.
     pub window: Ms,
@@ -76,8 +76,8 @@
     pub hedging: bool,
     /// Whether attempts may be cancelled.
     pub cancellation: bool,
-    /// Maximum retry-after value that clients respect; `None` if retry-after values do not reach
-    /// the clients.
+    /// Maximum retry-after value that clients respect. `None` if retry-after values do not reach
+    /// the clients or the deployment sets no maximum; rejections then have no retry-after value.
     pub max_retry_after: Option<Ms>,
     /// Whether aggregators may exchange gossip messages.
     pub gossip: bool,
@@ -85,10 +85,11 @@
     pub tick: Ms,
     /// How the endpoint list reaches the aggregator.
     pub list_source: EndpointListSource,
-    /// Maximum time between polls of the endpoint list. An aggregator that has not polled for this
-    /// long, or for four times as long after a failed poll, counts as informed of every change that
-    /// was listed that long ago, and the grace period of a draining server counts from then. The
-    /// delays after failed polls are derived from this time.
+    /// Maximum time between polls of the endpoint list; infinite if the deployment sets none. An
+    /// aggregator that does not poll for this time counts as informed of each change that was
+    /// listed at least this time ago. After a failed poll, four times this time applies instead.
+    /// The grace period of a draining server starts when the aggregator counts as informed of the
+    /// change. The delays after failed polls are derived from this time.
     pub list_poll_deadline: Ms,
     /// Limit on retries and hedged requests; `None` if the deployment sets none, so that the policy
     /// uses its default budget.
--- a/crates/fanout-policy/src/fleet.rs
+++ b/crates/fanout-policy/src/fleet.rs
@@ -112,9 +112,9 @@
 
     /// Returns the error rate to expect from attempts of a class at a server: the maximum of the
     /// server's error rate and its error rate for that class. If the server's latency has not been
-    /// observed within the shortest latency objective, the maximum also
-    /// includes the share of unanswered attempts in the server's zone: once some servers of a zone
-    /// show a network partition, the others are avoided without a failed attempt at each of them.
+    /// observed within the shortest latency objective, the maximum also includes the share of
+    /// unanswered attempts in the server's zone. When a network partition separates a zone, its
+    /// servers are then avoided without a failed attempt at each of them.
     pub(crate) fn error_rate(&self, batch: &BatchContext, server: &Server, class: usize) -> f64 {
         let is_unobserved = server
             .latency()
--- a/crates/fanout-policy/src/fleet/replica_rows.rs
+++ b/crates/fanout-policy/src/fleet/replica_rows.rs
@@ -35,12 +35,12 @@
                 servers.push(server.index);
             }
         }
-        let row = |home: usize| {
+        let holders_of_home_cell = |home: usize| {
             (0..replica_cells.min(cells))
                 .flat_map(|distance| servers_by_cell[(home + distance) % cells].clone())
                 .collect()
         };
-        let holders: Vec<Vec<ServerIndex>> = (0..cells).map(row).collect();
+        let holders: Vec<Vec<ServerIndex>> = (0..cells).map(holders_of_home_cell).collect();
         let server_count = holders.iter().flatten().collect::<BTreeSet<_>>().len();
         ReplicaRows {
             holders,
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -1,8 +1,8 @@
 //! Admission control: whether a query that has arrived is admitted or rejected.
 //!
 //! [`AdmissionController`] owns the estimates of client timeouts, from which it derives when a
-//! client first sent a query, the use of the tenants' quotas, and the maximum weight per work of
-//! all queries so far.
+//! client first sent a query, the use of the tenants' quotas, and the maximum weight per work (the
+//! ratio of priority weight to work) of all queries so far.
 
 use super::batch_context::BatchContext;
 use super::client_timeout::ClientTimeoutEstimate;
@@ -146,7 +146,9 @@
     /// Returns the share of the time left that the forecast latency of a query may take. It
     /// grows from [`MIN_LIMIT_SHARE`] to [`MAX_LIMIT_SHARE`] in proportion to the query's weight
     /// per work, relative to the maximum of all queries so far. A query over its tenant's quota
-    /// enters the maximum with its full weight, but its own limit follows from a reduced one.
+    /// enters the maximum with its full weight, but its own limit follows from a reduced one. Where
+    /// the weight of a query is proportional to its work, the weight of the class is already a
+    /// weight per work.
     fn limit_share(
         &mut self,
         batch: &BatchContext,
--- a/crates/fanout-policy/src/policy/batch_context.rs
+++ b/crates/fanout-policy/src/policy/batch_context.rs
@@ -3,8 +3,9 @@
 use crate::api::{Class, Ms, Settings};
 use crate::queries::InFlightQuery;
 
-/// Maximum number of aggregators at which each one observes most of a server's load through the
-/// answers to its own attempts, so that its share of the load counts as 1.
+/// Number of aggregators up to which the load visibility is 1. With so few aggregators, each one
+/// observes most of a server's load through the answers to its own attempts, and is treated as if
+/// it observed all of it.
 const FULL_VISIBILITY_AGGREGATORS: f64 = 4.0;
 /// Upper bound of the shortest latency objective, which keeps it finite where the settings have
 /// no classes, in ms.
--- a/crates/fanout-policy/src/policy/batch_timer.rs
+++ b/crates/fanout-policy/src/policy/batch_timer.rs
@@ -22,7 +22,7 @@
 /// Whether this aggregator was paused before the current batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchTiming {
-    /// The batch started at the set time of the timer, at most slightly later, or earlier.
+    /// The batch started before the set time of the timer, or at most slightly after it.
     OnTime,
     /// The batch started so late that this aggregator itself must have been paused. The times
     /// measured for attempts then include the pause and do not show how fast the servers are.
--- a/crates/fanout-policy/src/policy/client_timeout.rs
+++ b/crates/fanout-policy/src/policy/client_timeout.rs
@@ -4,11 +4,13 @@
 
 use crate::api::Ms;
 
-/// Ratio of a client timeout to the estimate down to which the two count as equal.
+/// A client timeout that is at least this share of the estimate counts as equal to it. The
+/// tolerance above the estimate is as large as that below it.
 const EQUAL_TIMEOUT_RATIO: f64 = 0.99;
-/// Number of votes by which a query with another timeout reduces the votes for the estimate. It is
-/// much less than the vote for the estimate, since few queries are first attempts in a retry storm,
-/// and retries arrive with less than the usual timeout.
+/// Number of votes that a query with another timeout casts against the estimate. A query with the
+/// estimated timeout casts one vote for it. In a retry storm few queries are first attempts, and
+/// retries arrive with less than the usual timeout; the vote against the estimate is much smaller
+/// so that the retries do not outvote the first attempts.
 const DISSENT_VOTES: f64 = 0.15;
 /// Maximum number of votes for the estimate.
 const MAX_VOTES: f64 = 16.0;
--- a/crates/fanout-policy/src/policy/endpoint_list_poller.rs
+++ b/crates/fanout-policy/src/policy/endpoint_list_poller.rs
@@ -6,10 +6,10 @@
 use crate::api::{EndpointListSource, Ms, Settings};
 use crate::random::RandomSource;
 
-/// First delay after a failed poll before jitter, as a share of the poll deadline or of the
-/// duration of a warm-up, whichever is shorter.
-const MIN_BACKOFF_SHARE: f64 = 0.03;
-/// Maximum delay after a failed poll before jitter, as a share of the poll deadline.
+/// First delay after a failed poll before jitter, as a share of [`Settings::list_poll_deadline`] or
+/// of the duration of a warm-up, whichever is shorter. The deadline may be infinite.
+const INITIAL_BACKOFF_SHARE: f64 = 0.03;
+/// Maximum delay after a failed poll before jitter, as a share of [`Settings::list_poll_deadline`].
 const MAX_BACKOFF_SHARE: f64 = 0.3;
 /// Minimum of the random factor on the delay after a failed poll. The maximum is greater by 1.
 const MIN_JITTER_FACTOR: f64 = 0.5;
@@ -65,7 +65,7 @@
     }
 }
 
-/// Returns whether the endpoint list arrives only after a poll.
+/// Returns whether the aggregator must poll for the endpoint list, that is, the list is not pushed.
 fn is_polled(settings: &Settings) -> bool {
     settings.list_source == EndpointListSource::Polled
 }
@@ -73,5 +73,5 @@
 /// Returns the delay after the first failed poll, before jitter, in ms.
 fn initial_backoff(settings: &Settings) -> Ms {
     let deadline = settings.list_poll_deadline.min(settings.warm_up.duration);
-    deadline * MIN_BACKOFF_SHARE
+    deadline * INITIAL_BACKOFF_SHARE
 }
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -9,9 +9,9 @@
 use crate::fleet::{Fleet, ServerIndex};
 use crate::queries::{InFlightAttempt, InFlightQuery, PartState};
 
-/// Penalty added to the forecast latency at a server with an error rate of 1, and in proportion
-/// at lower error rates, in shortest latency objectives. It stands for the time that a failed
-/// attempt costs.
+/// Penalty added to the forecast latency at a server with an error rate of 1, and in proportion at
+/// lower error rates, in multiples of the shortest latency objective. It stands for the time that a
+/// failed attempt costs.
 const ERROR_PENALTY_OBJECTIVES: f64 = 0.5;
 
 /// Forecasts latencies in one batch.
--- a/crates/fanout-policy/src/policy/gossip_codec.rs
+++ b/crates/fanout-policy/src/policy/gossip_codec.rs
@@ -17,13 +17,15 @@
     Failing,
     /// The sender has not ejected the server as unresponsive.
     Work {
-        /// Outstanding work of the sender at the server, in units of published work.
+        /// Outstanding work of the sender at the server, in the unit in which work is published,
+        /// see `WORK_STEP_OBJECTIVES` in `load_gossip`.
         steps: f64,
     },
 }
 
-/// Short name of a server: a hash of its full name. Two servers may have the same short name, which
-/// only makes the published information about them less precise.
+/// Short name of a server: a hash of its full name. Two servers may have the same short name. The
+/// receiver then applies the entries about both to the server that it added last, so that the
+/// published information about the two is less precise.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ShortName([u8; 2]);
 
--- a/crates/fanout-policy/src/policy/latency.rs
+++ b/crates/fanout-policy/src/policy/latency.rs
@@ -1,7 +1,7 @@
 //! Latency per work: how long a server takes to answer, per ms of work outstanding at it.
 //!
-//! The forecast latency of an attempt is based on it: the work that waits or runs at the server,
-//! with that of the attempt, times the latency per work.
+//! The main term of the forecast latency of an attempt is the server's latency per work times the
+//! work that waits or runs at the server, including the work of the attempt.
 //!
 //! [`LatencyEstimator`] owns the estimate of one server, [`FleetLatency`] the median of all.
 
--- a/crates/fanout-policy/src/policy/mod.rs
+++ b/crates/fanout-policy/src/policy/mod.rs
@@ -1,7 +1,8 @@
 //! The components that make the policy's decisions.
 //!
-//! Each component has its own module, which also defines the constants that tune it. Every piece
-//! of state that a decision depends on is owned by exactly one module.
+//! Each component has its own module, which also defines the constants that tune it. The weights
+//! that the moving averages of several components share are in [`smoothing`]. Every piece of state
+//! that a decision depends on is owned by exactly one module.
 //!
 //! State of each query class:
 //! - [`fanout_width`] owns the number of replica rows that a query contacts;
@@ -22,18 +23,18 @@
 //! - [`slow_start`] owns the rate at which a warm server serves the work of this aggregator.
 //!
 //! State of the aggregator itself:
-//! - [`admission`] owns the maximum weight per work of all queries so far;
+//! - [`admission`] owns the maximum ratio of priority weight to work of all queries so far;
 //! - [`tenant_quotas`] owns the arrival times of each tenant's queries;
 //! - [`retry_budget`] owns the counts of accepted requests and of retries and hedged requests;
 //! - [`load_gossip`] owns the set of servers whose load is still to be published;
 //! - [`endpoint_list_poller`] owns the time of the next poll and its backoff;
 //! - [`batch_timer`] owns the times at which the next batch and the next control interval are due.
 //!
-//! The other modules have no state of their own. They decide from the state that the caller
-//! passes: [`forecast`], [`time_limits`], [`row_planner`], [`server_selection`],
-//! [`retry_policy`], [`completion`], [`retry_after`], [`ended_attempt`] and [`report_sampling`].
-//! The current time and the settings are passed in a [`batch_context`], random numbers as an
-//! argument.
+//! The other modules have no state of their own. They decide from the state that the caller passes:
+//! [`forecast`], [`time_limits`], [`row_planner`], [`server_selection`], [`retry_policy`],
+//! [`completion`], [`retry_after`], [`ended_attempt`] and [`report_sampling`]. [`gossip_codec`]
+//! encodes and decodes the messages of [`load_gossip`]. The current time and the settings are
+//! passed in a [`batch_context`], random numbers as an argument.
 
 pub(crate) mod admission;
 pub(crate) mod batch_context;
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -18,14 +18,16 @@
 /// Length of the first ejection of a server that rejected a part for lack of capacity, in multiples
 /// of the shortest latency objective.
 const FIRST_OVERLOAD_EJECTION_OBJECTIVES: f64 = 0.15;
-/// Length of the same first ejection in mean intervals between two sends of this aggregator to one
-/// server. The longer of the two lengths is used.
+/// Minimum length of the first ejection of a server that rejected a part for lack of capacity, in
+/// mean intervals between two sends of this aggregator to one server. It applies if it is longer
+/// than [`FIRST_OVERLOAD_EJECTION_OBJECTIVES`].
 const FIRST_OVERLOAD_EJECTION_SENDS: f64 = 0.5;
 /// Factor by which each ejection is longer than the previous one, until an attempt is served.
 const EJECTION_GROWTH_FACTOR: f64 = 2.0;
 /// Minimum of the random factor on the length of an ejection.
 const MIN_JITTER_FACTOR: f64 = 0.75;
-/// Difference between the maximum and the minimum of that random factor.
+/// Difference between the maximum and the minimum of the random factor on the length of an
+/// ejection.
 const JITTER_FACTOR_RANGE: f64 = 0.5;
 
 /// Random factor on the length of an ejection, so that the aggregators do not all send to the
--- a/crates/fanout-policy/src/policy/report_sampling.rs
+++ b/crates/fanout-policy/src/policy/report_sampling.rs
@@ -1,5 +1,4 @@
-//! Conversion of an outcome report, in which another observer counted outcomes of attempts, into a
-//! few sample outcomes.
+//! Conversion of an [`OutcomeReport`] into a few sample outcomes.
 //!
 //! The samples have about the same proportions as the counts in the report. This module has no
 //! state.
--- a/crates/fanout-policy/src/policy/retry_policy.rs
+++ b/crates/fanout-policy/src/policy/retry_policy.rs
@@ -14,9 +14,10 @@
 /// A hedged request is sent once the attempt in flight is late by more than this multiple of the
 /// hedged request's own forecast latency.
 const HEDGE_LATENESS_FACTOR: f64 = 2.0;
-/// Maximum forecast latency of a retry for which an overdue attempt is cancelled where hedging is
-/// not allowed, in latency objectives. Forecasts exceed it while the fleet is busy, when the work
-/// that cancelled attempts leave behind at their servers would increase the overload.
+/// Where hedging is not allowed, an overdue attempt is cancelled only if the forecast latency of
+/// the retry that replaces it is at most this many latency objectives. Cancelled attempts leave
+/// work behind at their servers. While the fleet is busy this work would increase the overload, and
+/// the forecasts are then longer than this maximum.
 const MAX_CANCEL_FORECAST_OBJECTIVES: f64 = 0.15;
 /// Age after which an attempt may be cancelled even if it is younger than
 /// [`OVERDUE_FORECAST_FACTOR`] times its forecast latency, in latency objectives. A retry that is
@@ -26,13 +27,13 @@
 /// A single lost connection may be a coincidence.
 const POISON_LOST_CONNECTIONS: usize = 2;
 
-/// The step that a part may need next.
+/// Kind of attempt that a part may need next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum PartStep {
-    /// The part needs nothing now.
-    Wait,
+pub(crate) enum NextAttempt {
+    /// The part needs no further attempt now.
+    None,
     /// The part needs its first attempt.
-    FirstAttempt,
+    First,
     /// The part needs a retry: its earlier attempts have all ended without an answer.
     Retry,
     /// The part needs a hedged request if its attempt in flight is overdue.
@@ -72,21 +73,21 @@
         }
     }
 
-    /// Returns the step that a part may need next.
-    pub(crate) fn next_step(&self, query: &InFlightQuery, part: &PartState) -> PartStep {
+    /// Returns the kind of attempt that a part may need next.
+    pub(crate) fn next_attempt(&self, query: &InFlightQuery, part: &PartState) -> NextAttempt {
         if part.is_served() || !part.has_attempts_left(self.batch.settings.max_attempts) {
-            return PartStep::Wait;
+            return NextAttempt::None;
         }
         if part.attempts().is_empty() {
-            return self.first_step(query, part);
+            return self.first_attempt(query, part);
         }
         if !self.may_repeat(query, part) || self.is_poison_query(query) {
-            return PartStep::Wait;
+            return NextAttempt::None;
         }
         if part.has_attempt_in_flight() {
-            PartStep::Hedge
+            NextAttempt::Hedge
         } else {
-            PartStep::Retry
+            NextAttempt::Retry
         }
     }
 
@@ -160,14 +161,14 @@
         }
     }
 
-    /// Returns the step of a part that was never sent. A deferred part waits until another part
-    /// of the query needs a retry.
-    fn first_step(&self, query: &InFlightQuery, part: &PartState) -> PartStep {
+    /// Returns whether a part that was never sent needs its first attempt now. A deferred part
+    /// needs it only once another part of the query needs a retry.
+    fn first_attempt(&self, query: &InFlightQuery, part: &PartState) -> NextAttempt {
         let needs_retry = |part: &PartState| self.needs_retry(query, part);
         if part.is_deferred() && !query.parts().iter().any(needs_retry) {
-            PartStep::Wait
+            NextAttempt::None
         } else {
-            PartStep::FirstAttempt
+            NextAttempt::First
         }
     }
 
@@ -180,8 +181,8 @@
     /// Returns whether another attempt of a part may be sent. This is so if both conditions
     /// hold:
     ///
-    /// - No attempt of the part is in flight, or only one where hedging or cancellation is
-    ///   allowed.
+    /// - No attempt of the part is in flight. Where hedging or cancellation is allowed, one attempt
+    ///   may be in flight.
     /// - It is safe to execute the part again. In an idempotent class it always is. In other
     ///   classes it is safe if no earlier attempt may have run. With idempotency keys it is
     ///   also safe until the window ends in which servers deduplicate repeats of the first
@@ -211,11 +212,11 @@
         part.last_attempt_age(self.batch.now) > expected + HEDGE_LATENESS_FACTOR * forecast
     }
 
-    /// Returns whether to cancel the overdue attempt of a part, where two attempts of a part may
-    /// not be in flight at once and a retry waits for the end of the first attempt. A
-    /// cancellation discards the work that the server has done so far, and for an attempt that
-    /// is only slow this is most of the work. So the attempt must be old, and `forecast`, the
-    /// forecast latency of the retry, must be short.
+    /// Returns whether to cancel the overdue attempt of a part so that a retry can replace it. This
+    /// concerns settings without hedging, where the retry is sent only after the overdue attempt
+    /// has ended. A cancellation discards the work that the server has done so far. If the attempt
+    /// is not lost but only slow, that is most of its work. So the attempt must be old, and
+    /// `forecast`, the forecast latency of the retry, must be short.
     fn may_cancel_overdue(&self, query: &InFlightQuery, part: &PartState, forecast: Ms) -> bool {
         let objective = self.batch.objective(query);
         let overdue_age = OVERDUE_FORECAST_FACTOR * part.last_expected_latency();
--- a/crates/fanout-policy/src/policy/server_selection.rs
+++ b/crates/fanout-policy/src/policy/server_selection.rs
@@ -10,8 +10,8 @@
 use crate::fleet::{Fleet, ServerIndex};
 use crate::queries::{InFlightQuery, PartState};
 
-/// Maximum difference between the score of the server of a part's row and the best score at which
-/// the part still stays in its row, in latency objectives.
+/// A part is sent to the server of its row unless the score of that server exceeds the best score
+/// by more than this margin, in latency objectives.
 const FALLBACK_MARGIN_OBJECTIVES: f64 = 0.06;
 /// Penalty added to the forecast latency of a server in another zone for the cost of traffic
 /// between zones, in latency objectives.
@@ -53,12 +53,12 @@
 
     /// Selects the server for the next attempt of a part.
     ///
-    /// Only holders of the shard that no attempt of the part was sent to are compared, or all
-    /// holders if each was tried. The server of the part's row is selected, unless it is
-    /// ineligible or its score exceeds that of the best eligible server by more than the
-    /// margin [`FALLBACK_MARGIN_OBJECTIVES`]; then the best eligible server is selected. If no
-    /// server is eligible, the best of those that slow start allows is selected even while it
-    /// is ejected, so that ejections alone never leave a shard without a server.
+    /// Compares the holders of the shard to which no attempt of the part was sent yet. If each
+    /// holder was sent an attempt, compares all of them. The server of the part's row is
+    /// selected, unless it is ineligible or its score exceeds that of the best eligible server
+    /// by more than the margin [`FALLBACK_MARGIN_OBJECTIVES`]; then the best eligible server is
+    /// selected. If no server is eligible, the best of those that slow start allows is selected
+    /// even while it is ejected, so that ejections alone never leave a shard without a server.
     ///
     /// Returns `None` if the shard has no holder, or if slow start allows none of the servers
     /// compared any more work.
--- a/crates/fanout-policy/src/policy/tenant_quotas.rs
+++ b/crates/fanout-policy/src/policy/tenant_quotas.rs
@@ -13,7 +13,7 @@
 /// Milliseconds in a second.
 const MS_PER_SECOND: f64 = 1000.0;
 
-/// Use that a tenant makes of its quota.
+/// Whether a tenant keeps to its query quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum QuotaUse {
     /// The tenant keeps to its quota.
--- a/crates/fanout-policy/src/policy/time_limits.rs
+++ b/crates/fanout-policy/src/policy/time_limits.rs
@@ -9,10 +9,10 @@
 use crate::api::Ms;
 use crate::queries::InFlightQuery;
 
-/// Late weight of a class up to which its queries are given up at the end of their latency
-/// objective, where this aggregator observes nothing of the servers' load. The more of the load it
-/// observes, the lower the limit. Without this limit, overloaded servers would spend much of their
-/// time on late answers of little weight.
+/// Queries of a class are given up at the end of their latency objective if the late weight of the
+/// class is at most this limit. The limit applies in full to an aggregator that observes nothing of
+/// the servers' load; the more of the load the aggregator observes, the lower the limit. Without
+/// it, overloaded servers would spend much of their time on late answers of little weight.
 const MIN_LATE_WEIGHT: f64 = 0.2;
 /// Time reserved before a client's deadline, in ticks. It covers the way of the reply to the client
 /// and the batch in which the end of an attempt is processed.
--- a/crates/fanout-policy/src/policy/zone_silence.rs
+++ b/crates/fanout-policy/src/policy/zone_silence.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 /// Weight of a sample in the moving average of a zone: about the last ten samples count.
-const SAMPLE_WEIGHT: f64 = 0.1;
+const ZONE_SAMPLE_WEIGHT: f64 = 0.1;
 
 /// Whether a server responded to an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -37,7 +37,7 @@
             Response::Missing => 1.0,
         };
         let silence = self.by_zone.entry(zone).or_default();
-        smooth(silence, SAMPLE_WEIGHT, sample);
+        smooth(silence, ZONE_SAMPLE_WEIGHT, sample);
     }
 
     /// Returns the share of attempts in a zone that got no response; 0 if the zone is `None` or
--- a/crates/fanout-policy/src/queries/in_flight_query.rs
+++ b/crates/fanout-policy/src/queries/in_flight_query.rs
@@ -24,7 +24,8 @@
     },
 }
 
-/// Data of a query that the aggregator determines on arrival, besides what the client states.
+/// Data that the aggregator determines when a query arrives, in addition to the fields of
+/// [`Query`].
 pub(crate) struct Arrival {
     /// Index of its class in the settings.
     pub(crate) class: usize,
--- a/crates/fanout-policy/src/settings/wire/conversion.rs
+++ b/crates/fanout-policy/src/settings/wire/conversion.rs
@@ -11,8 +11,8 @@
 use crate::settings::SiteSettings;
 use wire_fields::{FieldError, FieldProblem};
 
-/// Fails if a field that another field requires is missing or has a wrong type, or if a list of the
-/// data layout has no entry for a class.
+/// The conversion fails if a field that another field requires is missing or has a wrong type, or
+/// if a list of the data layout has no entry for a class.
 impl TryFrom<SettingsWire> for SiteSettings {
     type Error = FieldError;
 
@@ -81,8 +81,8 @@
 }
 
 impl RulesWire {
-    /// Returns the retry budget; `None` if all of its fields are absent. Fails if the window alone
-    /// is absent.
+    /// Returns the retry budget; `None` if all of its fields are absent. Fails if the window is
+    /// absent and at least one of the other fields is present.
     fn retry_budget(&self) -> Result<Option<RetryBudget>, FieldError> {
         match (
             self.retry_window_ms,
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -1,5 +1,6 @@
 //! Types for reading an aggregator's statistics, and for passing in outcomes of attempts that
-//! other observers counted.
+//! other observers counted. An observer is any program other than the aggregator that counts the
+//! outcomes of attempts at the same servers.
 //!
 //! Nothing in this module makes decisions. An outcome report updates the same statistics as
 //! the aggregator's own attempts.
