--- a/crates/test-fleet/src/attempt_log.rs
+++ b/crates/test-fleet/src/attempt_log.rs
@@ -1,5 +1,5 @@
-//! The attempts that the data servers of a fleet received, and the rules that a broker has to keep
-//! when it sends them.
+//! The log of the attempts that the data servers of a fleet received, and the check of the rules
+//! that a broker must follow when it sends attempts.
 
 mod invariants;
 #[cfg(test)]
@@ -12,73 +12,77 @@
 use invariants::check_attempts;
 use std::time::{Duration, Instant};
 
-/// Largest number of attempts that are logged one by one; a benchmark that runs for long sends
-/// millions.
+/// Maximum number of attempts in the log. It bounds the memory, because a long benchmark sends
+/// millions of attempts.
 const MAX_LOGGED_ATTEMPTS: usize = 200_000;
 
-/// Tolerated difference between two moments, in multiples of the lag of the fleet's thread: its own
-/// lag, and as much of the broker's, which runs on the same machine.
+/// Minimum tolerance of a comparison of two times, as a multiple of the largest lag of the fleet's
+/// thread. The factor is 2 because the broker runs on the same machine and may lag as much as the
+/// fleet's thread.
 const LAG_TOLERANCE_FACTOR: u32 = 2;
 
 /// How an attempt ended at its data server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The server answered it, with or without a value, or rejected it.
+    /// The server finished the part: it sent a response (a value, an error or a rejection), or an
+    /// injected fault replaced the response.
     Answered,
-    /// The broker cancelled it, or its connection ended.
+    /// The broker cancelled the attempt, or the connection ended while it was in flight.
     Cancelled,
 }
 
 /// The end of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptEnd {
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: AttemptOutcome,
-    /// When it ended.
+    /// When the attempt ended.
     pub at: Instant,
 }
 
-/// One attempt, as its data server saw it.
+/// One attempt, as recorded by the data server that received it.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The server's name.
+    /// Name of the data server.
     pub server: String,
-    /// The id of the part.
+    /// Id of the part.
     pub part_id: String,
-    /// The shard that the part queries.
+    /// Index of the shard that the part reads.
     pub shard: usize,
-    /// The idempotency key of the part's query, if it has one.
+    /// Idempotency key of the part's query, if the query has one.
     pub idempotency_key: Option<String>,
-    /// When the last byte of its frame arrived.
+    /// When the server decoded the call that contains the attempt.
     pub received_at: Instant,
-    /// When the server's drain was published, if that was before the attempt arrived.
+    /// When the drain of the server was published. `None` if the server was not draining when the
+    /// attempt arrived.
     pub draining_since: Option<Instant>,
-    /// Whether the server executed it; a rejected attempt is never executed.
+    /// Whether the server executes the part. `false` for an attempt that the server rejects.
     pub executed: bool,
-    /// Its end; `None` while it is in flight.
+    /// End of the attempt; `None` while it is in flight.
     pub end: Option<AttemptEnd>,
 }
 
-/// The place of an attempt in its [`AttemptLog`].
+/// Index of an attempt among all attempts that the data servers received, in order of arrival. It
+/// is also the attempt's index in the [`AttemptLog`], unless the log was already full.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct AttemptNumber(u64);
 
-/// How much the data servers received.
+/// Numbers of parts and calls that the data servers received.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReceivedCounts {
-    /// Attempts at parts, including those that are no longer logged one by one.
+    /// Number of attempts, including those that the full log does not contain.
     pub parts: u64,
-    /// Calls, each of which carries one part or more.
+    /// Number of calls. Each call carries one or more parts.
     pub calls: u64,
 }
 
-/// Every attempt that the data servers received, in order of arrival. Its size is bounded.
+/// The attempts that the data servers of a fleet received, in order of arrival. The log keeps a
+/// limited number of attempts and only counts later ones.
 #[derive(Debug, Default)]
 pub struct AttemptLog {
     attempts: Vec<Attempt>,
     counts: ReceivedCounts,
-    /// The largest delay with which the fleet's thread ran; the logged moments are late by up to as
-    /// much.
+    /// Largest recorded lag of the fleet's thread. Logged times may be late by up to this much.
     max_lag: Duration,
 }
 
@@ -88,7 +92,7 @@
         self.counts.calls += 1;
     }
 
-    /// Records an attempt. Once the log is full, attempts are only counted.
+    /// Records an attempt and returns its index. Once the log is full, the attempt is only counted.
     pub(crate) fn record_attempt(&mut self, attempt: Attempt) -> AttemptNumber {
         let number = AttemptNumber(self.counts.parts);
         self.counts.parts += 1;
@@ -98,7 +102,8 @@
         number
     }
 
-    /// Records the end of an attempt. Only its first end counts.
+    /// Records the end of an attempt. Has no effect if an end is already recorded, or if the log
+    /// does not contain the attempt.
     pub(crate) fn record_end(
         &mut self,
         number: AttemptNumber,
@@ -110,25 +115,28 @@
         }
     }
 
-    /// Records a delay with which the fleet's thread ran, as it does on a busy machine.
+    /// Records a lag of the fleet's thread: the time by which one of its timers fired late, as
+    /// happens on a busy machine.
     pub(crate) fn record_lag(&mut self, lag: Duration) {
         self.max_lag = self.max_lag.max(lag);
     }
 
-    /// Number of parts and calls that arrived.
+    /// Returns the numbers of parts and calls that the data servers received.
     #[must_use]
     pub fn counts(&self) -> ReceivedCounts {
         self.counts
     }
 
-    /// The logged attempts, in order of arrival.
+    /// Returns the logged attempts, in order of arrival.
     #[must_use]
     pub fn attempts(&self) -> &[Attempt] {
         &self.attempts
     }
 
-    /// Checks the rules of the protocol over all logged attempts and returns each violation. The
-    /// tolerance is that of the limits, or twice the largest recorded lag if that is longer.
+    /// Checks the logged attempts against the rules that a broker must follow, and returns each
+    /// violation. A log that does not contain all attempts is a violation too. The tolerance of
+    /// times is [`AttemptLimits::clock_tolerance`], or twice the largest recorded lag if that is
+    /// longer.
     #[must_use]
     pub fn check_invariants(&self, limits: AttemptLimits) -> Vec<Violation> {
         let clock_tolerance = limits
@@ -144,7 +152,7 @@
         violations
     }
 
-    /// Whether attempts arrived that are not logged.
+    /// Returns a violation if attempts arrived that the log does not contain.
     fn check_completeness(&self) -> Option<Violation> {
         let logged = self.attempts.len();
         let received = self.counts.parts;
--- a/crates/test-fleet/src/attempt_log/invariants.rs
+++ b/crates/test-fleet/src/attempt_log/invariants.rs
@@ -1,22 +1,32 @@
-//! The rules that a broker's attempts have to keep, checked over a log.
+//! The rules that a broker's attempts must follow, and their check over a log of attempts:
+//!
+//! * an attempt arrives at a draining server only within a grace period after the drain was
+//!   published;
+//! * a part has at most the maximum number of attempts;
+//! * the attempts at a part are never in flight at the same time, because a
+//!   [`Deployment`](crate::Deployment) does not allow hedged requests;
+//! * the attempts at a shard under the same idempotency key are never in flight at the same time,
+//!   even if they belong to different queries;
+//! * an idempotency key is not sent again for the same shard after data servers may have stopped
+//!   deduplicating it.
 
 use super::Attempt;
 use super::violation::{AttemptSubject, Violation};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The limits that a broker's attempts have to keep.
+/// The limits within which a broker's attempts must stay.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptLimits {
-    /// Largest number of attempts at one part.
+    /// Maximum number of attempts at one part.
     pub max_attempts: usize,
-    /// Time after the first executed attempt during which data servers drop repeats of the same
-    /// idempotency key.
+    /// Time after the first executed attempt during which data servers drop further attempts with
+    /// the same idempotency key.
     pub deduplication_window: Duration,
-    /// Time after the publication of a drain during which new attempts may still arrive.
+    /// Time after the publication of a drain during which attempts may still arrive at the server.
     pub drain_grace: Duration,
-    /// Tolerated difference between the moments at which the broker and the server see the same
-    /// event.
+    /// Maximum difference between the times at which the broker and a data server observe the same
+    /// event. It is added to each limit on a time.
     pub clock_tolerance: Duration,
 }
 
@@ -31,7 +41,7 @@
     }
 }
 
-/// Returns each violation of the rules among these attempts, which are in order of arrival.
+/// Returns each violation of the rules. `attempts` are in order of arrival.
 pub(super) fn check_attempts(attempts: &[Attempt], limits: AttemptLimits) -> Vec<Violation> {
     let mut violations: Vec<Violation> = attempts
         .iter()
@@ -76,6 +86,7 @@
         part_id: attempt.part_id.clone(),
         server: attempt.server.clone(),
         delay_ms: (attempt.received_at - draining_since).as_millis(),
+        max_delay_ms: (latest - draining_since).as_millis(),
     })
 }
 
@@ -85,6 +96,7 @@
         violations.push(Violation::TooManyAttempts {
             part_id: part_id.to_owned(),
             attempts: attempts.len(),
+            max_attempts: limits.max_attempts,
         });
     }
     let subject = AttemptSubject::Part(part_id.to_owned());
@@ -107,12 +119,14 @@
         .filter(|attempt| attempt.received_at > latest);
     violations.extend(late_attempts.map(|late| Violation::RepeatedAfterWindow {
         subject: subject.clone(),
+        server: late.server.clone(),
         delay_ms: (late.received_at - first.received_at).as_millis(),
+        max_delay_ms: (latest - first.received_at).as_millis(),
     }));
     violations
 }
 
-/// Finds attempts that arrived while the attempt before them was still in flight.
+/// Returns a violation for each attempt that arrived while the attempt before it was in flight.
 fn check_concurrency(
     subject: &AttemptSubject,
     attempts: &[&Attempt],
@@ -121,8 +135,8 @@
     let mut violations = Vec::new();
     for pair in attempts.windows(2) {
         let (first, second) = (pair[0], pair[1]);
-        // The cancellation of the first attempt and the call of the second travel on two
-        // connections.
+        // The broker sends the cancellation of the first attempt and the call with the second one
+        // on two connections, so the call may arrive slightly earlier than the cancellation.
         let latest_end = second.received_at + limits.clock_tolerance;
         if first.end.is_none_or(|end| end.at > latest_end) {
             violations.push(Violation::ConcurrentAttempts {
--- a/crates/test-fleet/src/attempt_log/tests.rs
+++ b/crates/test-fleet/src/attempt_log/tests.rs
@@ -1,10 +1,12 @@
-//! Each rule of the log by itself, so that a fault in a check cannot hide a fault of a broker.
+//! Tests of each rule that the attempt log checks. They guard against a check that reports nothing
+//! and so lets a faulty broker pass.
 
 use super::{Attempt, AttemptLimits, AttemptLog, AttemptOutcome};
 use std::sync::OnceLock;
 use std::time::{Duration, Instant};
 
-/// An attempt at shard 0 under one common key; times are in milliseconds.
+/// An attempt at shard 0 of server `s0`, under the idempotency key `k` that all cases share. Times
+/// are in milliseconds since a common start.
 struct AttemptCase {
     part_id: &'static str,
     received_ms: u64,
@@ -12,6 +14,7 @@
     drain_published_ms: Option<u64>,
 }
 
+/// Creates an attempt at a server that does not drain. `ended_ms` is `None` if it stays in flight.
 fn attempt(part_id: &'static str, received_ms: u64, ended_ms: Option<u64>) -> AttemptCase {
     AttemptCase {
         part_id,
@@ -21,15 +24,19 @@
     }
 }
 
+/// Returns the time `ms` milliseconds after the common start.
 fn instant(ms: u64) -> Instant {
     static START: OnceLock<Instant> = OnceLock::new();
     *START.get_or_init(Instant::now) + Duration::from_millis(ms)
 }
 
+/// Returns the texts of the violations in a log of these attempts.
 fn violations(cases: &[AttemptCase]) -> Vec<String> {
     violations_with_lag(cases, Duration::ZERO)
 }
 
+/// Returns the texts of the violations in a log of these attempts, whose fleet recorded `lag` as
+/// its largest lag.
 fn violations_with_lag(cases: &[AttemptCase], lag: Duration) -> Vec<String> {
     let mut log = AttemptLog::default();
     log.record_lag(lag);
@@ -65,44 +72,60 @@
         ]),
         [""; 0]
     );
-    assert!(
-        violations(&[attempt("a", 0, Some(500)), attempt("a", 20, None)])[0]
-            .contains("a had two attempts in flight")
+    let concurrent =
+        "had two attempts in flight at the same time, on s0 and s0; the maximum is one";
+    assert_eq!(
+        violations(&[attempt("a", 0, Some(500)), attempt("a", 20, None)])[0],
+        format!("part a {concurrent}")
     );
-    assert!(
-        violations(&[attempt("a", 0, Some(500)), attempt("b", 20, None)])[0]
-            .contains("key k had two attempts in flight")
+    assert_eq!(
+        violations(&[attempt("a", 0, Some(500)), attempt("b", 20, None)])[0],
+        format!("shard 0 under key k {concurrent}")
     );
     let five_attempts: Vec<_> = (0..5)
         .map(|n| attempt("a", 100 * n, Some(100 * n)))
         .collect();
-    assert!(violations(&five_attempts)[0].contains("5 times"));
-    assert!(
-        violations(&[attempt("a", 0, Some(10)), attempt("b", 5100, None)])[0]
-            .contains("sent again after 5100 ms")
+    assert_eq!(
+        violations(&five_attempts)[0],
+        "part a was attempted 5 times; the maximum is 4"
+    );
+    assert_eq!(
+        violations(&[attempt("a", 0, Some(10)), attempt("b", 5100, None)])[0],
+        "shard 0 under key k was sent again to s0 5100 ms after its first execution; \
+         the maximum is 5050 ms"
     );
     let sent_to_draining_server = AttemptCase {
         drain_published_ms: Some(0),
         ..attempt("a", 400, None)
     };
-    assert!(violations(&[sent_to_draining_server])[0].contains("400 ms after its drain"));
+    assert_eq!(
+        violations(&[sent_to_draining_server])[0],
+        "part a was sent to draining server s0 400 ms after the drain was published; \
+         the maximum is 300 ms"
+    );
 }
 
 #[test]
-fn tolerance_grows_only_with_a_lag_that_exceeds_it() {
+fn tolerance_is_the_configured_one_or_twice_the_lag_if_that_is_longer() {
     let concurrent = |ended_ms| [attempt("a", 0, Some(ended_ms)), attempt("a", 10, Some(20))];
-    let drained = |received_ms| AttemptCase {
+    let sent_to_draining_server = |received_ms| AttemptCase {
         drain_published_ms: Some(0),
         ..attempt("b", received_ms, Some(received_ms + 1))
     };
-    // The limits' tolerance is 50 ms, and the grace of a drain 250 ms.
+    // By default the tolerance is 50 ms and the grace period of a drain 250 ms. The tolerance in
+    // effect is twice the lag if that is longer.
     for (lag_ms, tolerance_ms) in [(0, 50), (6, 50), (25, 50), (26, 52), (100, 200)] {
         let lag = Duration::from_millis(lag_ms);
         let latest_end = 10 + tolerance_ms;
         assert_eq!(violations_with_lag(&concurrent(latest_end), lag), [""; 0]);
         assert!(!violations_with_lag(&concurrent(latest_end + 1), lag).is_empty());
-        let latest_part = 250 + tolerance_ms;
-        assert_eq!(violations_with_lag(&[drained(latest_part)], lag), [""; 0]);
-        assert!(!violations_with_lag(&[drained(latest_part + 1)], lag).is_empty());
+        let latest_arrival = 250 + tolerance_ms;
+        assert_eq!(
+            violations_with_lag(&[sent_to_draining_server(latest_arrival)], lag),
+            [""; 0]
+        );
+        assert!(
+            !violations_with_lag(&[sent_to_draining_server(latest_arrival + 1)], lag).is_empty()
+        );
     }
 }
--- a/crates/test-fleet/src/attempt_log/violation.rs
+++ b/crates/test-fleet/src/attempt_log/violation.rs
@@ -1,67 +1,88 @@
-//! The violations of rules that a log of attempts shows.
+//! Violations of the rules that a broker's attempts must follow.
 
-/// A rule that a broker broke, or that could not be checked.
+/// Violation of a rule, or attempts for which the rules could not be checked.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Violation {
-    /// More attempts arrived than are logged, so that the rest was not checked.
-    #[error("only {logged} of {received} attempts were logged and could be checked")]
+    /// The log does not contain all attempts that arrived; the others could not be checked.
+    #[error(
+        "the log contains only {logged} of {received} received attempts; the others were not \
+         checked"
+    )]
     IncompleteLog {
-        /// Attempts in the log.
+        /// Number of attempts in the log.
         logged: usize,
-        /// Attempts that arrived.
+        /// Number of attempts that arrived.
         received: u64,
     },
-    /// An attempt arrived after the grace period of its server's drain.
-    #[error("{part_id} was sent to {server} {delay_ms} ms after its drain was published")]
+    /// An attempt arrived at a draining server after the grace period.
+    #[error(
+        "part {part_id} was sent to draining server {server} {delay_ms} ms after the drain was \
+         published; the maximum is {max_delay_ms} ms"
+    )]
     SentToDrainingServer {
-        /// The part.
+        /// Id of the part.
         part_id: String,
-        /// The draining server.
+        /// Name of the draining server.
         server: String,
-        /// Time between the publication of the drain and the attempt, in milliseconds.
+        /// Time from the publication of the drain to the arrival of the attempt, in milliseconds.
         delay_ms: u128,
+        /// Maximum of that time, in milliseconds: the grace period and the tolerance.
+        max_delay_ms: u128,
     },
-    /// A part was attempted more often than allowed.
-    #[error("{part_id} was attempted {attempts} times")]
+    /// A part has more attempts than allowed.
+    #[error("part {part_id} was attempted {attempts} times; the maximum is {max_attempts}")]
     TooManyAttempts {
-        /// The part.
+        /// Id of the part.
         part_id: String,
-        /// Its attempts.
+        /// Number of attempts at the part.
         attempts: usize,
+        /// Maximum number of attempts at a part.
+        max_attempts: usize,
     },
     /// Two attempts at the same part, or at the same shard under the same key, were in flight at
     /// the same time.
-    #[error("{subject} had two attempts in flight, on {first_server} and {second_server}")]
+    #[error(
+        "{subject} had two attempts in flight at the same time, on {first_server} and \
+         {second_server}; the maximum is one"
+    )]
     ConcurrentAttempts {
-        /// What was attempted twice.
+        /// Part, or shard and key, that both attempts have in common.
         subject: AttemptSubject,
-        /// Server of the earlier attempt.
+        /// Name of the server that received the earlier attempt.
         first_server: String,
-        /// Server of the later attempt.
+        /// Name of the server that received the later attempt.
         second_server: String,
     },
-    /// An idempotency key was sent again after data servers stopped dropping its repeats.
-    #[error("{subject} was sent again after {delay_ms} ms")]
+    /// An idempotency key was sent again after the time in which data servers drop further attempts
+    /// with the same key, so its query may have been executed twice.
+    #[error(
+        "{subject} was sent again to {server} {delay_ms} ms after its first execution; the maximum \
+         is {max_delay_ms} ms"
+    )]
     RepeatedAfterWindow {
-        /// What was repeated.
+        /// Shard and key of the attempts.
         subject: AttemptSubject,
-        /// Time since its first executed attempt, in milliseconds.
+        /// Name of the server that received the late attempt.
+        server: String,
+        /// Time from the first executed attempt to the late one, in milliseconds.
         delay_ms: u128,
+        /// Maximum of that time, in milliseconds: the deduplication window and the tolerance.
+        max_delay_ms: u128,
     },
 }
 
-/// What attempts have in common that must not be in flight at the same time.
+/// What a group of attempts has in common, of which only one may be in flight at a time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptSubject {
-    /// The same part.
-    #[error("{0}")]
+    /// The part with this id.
+    #[error("part {0}")]
     Part(String),
-    /// The same shard under the same idempotency key.
+    /// A shard under an idempotency key.
     #[error("shard {shard} under key {key}")]
     KeyedShard {
-        /// The shard.
+        /// Index of the shard.
         shard: usize,
-        /// The idempotency key.
+        /// Idempotency key.
         key: String,
     },
 }
--- a/crates/test-fleet/src/broker_process.rs
+++ b/crates/test-fleet/src/broker_process.rs
@@ -1,4 +1,4 @@
-//! A broker as a process of its own, beside a fleet.
+//! A broker that runs as a separate process and uses the services of a fleet.
 
 mod error;
 mod log;
@@ -18,39 +18,41 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Longest wait for the end of the process; a slow machine needs far less.
+/// Maximum wait for the process to exit. It is far longer than a slow machine needs.
 const EXIT_TIMEOUT: Duration = Duration::from_secs(30);
-/// Interval at which the end of the process is polled.
+/// Interval at which the exit of the process is polled.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Words of the log line with the address of the HTTP/1.1 listener: the event's name, and the one
-/// that earlier builds gave it, so that `bench` can measure such a build too.
-const HTTP1_LISTENER_STARTED: [&str; 2] = ["event=broker_started ", "event=started "];
-/// Words of the log line with the address of the HTTP/2 listener, in this and in earlier builds.
-const HTTP2_LISTENER_STARTED: [&str; 2] = ["event=http2_listener_started ", "event=started_http2 "];
+/// Texts that identify the log line with the address of the HTTP/1.1 listener: the current name of
+/// the event, and its name in earlier builds. `bench` can measure such a build for comparison.
+const HTTP1_LISTENER_EVENTS: [&str; 2] = ["event=broker_started ", "event=started "];
+/// Texts that identify the log line with the address of the HTTP/2 listener: the current name of
+/// the event, and its name in earlier builds.
+const HTTP2_LISTENER_EVENTS: [&str; 2] = ["event=http2_listener_started ", "event=started_http2 "];
 /// Setting of the operator's file that opens the HTTP/2 listener.
 const HTTP2_LISTENER_SETTING: &str = "listen-http2";
-/// Name of the file with the platform's configuration.
+/// Name of the platform file.
 const PLATFORM_FILE: &str = "config.json";
 /// Name of the operator's file.
 const OPERATOR_FILE: &str = "query-broker.conf";
 
-/// A running broker. When it is dropped, the process is killed and its files are removed.
+/// A running broker process. Dropping it kills the process and removes its files.
 pub struct BrokerProcess {
     process: ProcessWithFiles,
     log: ProcessLog,
-    /// The address on which it listens for HTTP/1.1.
+    /// Address of the HTTP/1.1 listener.
     pub http1: SocketAddr,
-    /// The address on which it listens for HTTP/2, if it does.
+    /// Address of the HTTP/2 listener; `None` if the operator's file does not configure it.
     pub http2: Option<SocketAddr>,
 }
 
 impl BrokerProcess {
-    /// Starts a broker from its executable, with an operator's file of this text, and waits until
-    /// it listens.
+    /// Starts the broker `executable` with the configuration of `deployment` for `fleet` and with
+    /// an operator's file that contains `operator_config`. Waits until all listeners are open.
     ///
     /// # Errors
     ///
-    /// If its files cannot be written, or the process does not start and listen in time.
+    /// Returns an error if the files cannot be written, if the process cannot be started, or if
+    /// its log does not report the address of each listener within 30 seconds.
     pub fn start(
         executable: &Path,
         deployment: Deployment,
@@ -64,9 +66,9 @@
         let mut child = spawn_broker(executable, &directory)?;
         let mut log = ProcessLog::read(child.stderr.take());
         let process = ProcessWithFiles { child, directory };
-        let http1 = log.wait_for_listener(&HTTP1_LISTENER_STARTED)?;
+        let http1 = log.wait_for_listener(&HTTP1_LISTENER_EVENTS)?;
         let http2 = if operator_config.contains(HTTP2_LISTENER_SETTING) {
-            Some(log.wait_for_listener(&HTTP2_LISTENER_STARTED)?)
+            Some(log.wait_for_listener(&HTTP2_LISTENER_EVENTS)?)
         } else {
             None
         };
@@ -78,26 +80,27 @@
         })
     }
 
-    /// Waits for a line of the log that holds these words. The lines before it are kept for
-    /// [`BrokerProcess::log_lines`].
+    /// Waits for the next log line that contains `text`, and returns it. Lines that an earlier call
+    /// returned or skipped are not searched again; [`BrokerProcess::log_lines`] returns them.
     ///
     /// # Errors
     ///
-    /// If no such line comes in time.
-    pub fn wait_for_log(&mut self, words: &str) -> Result<String, BrokerProcessError> {
-        self.log.wait_for(&[words])
+    /// Returns an error if the log ends or 30 seconds pass without such a line.
+    pub fn wait_for_log(&mut self, text: &str) -> Result<String, BrokerProcessError> {
+        self.log.wait_for(&[text])
     }
 
-    /// All lines of the log so far.
+    /// Returns all log lines that have arrived so far. A later [`BrokerProcess::wait_for_log`] does
+    /// not search them.
     pub fn log_lines(&mut self) -> &VecDeque<String> {
         self.log.lines()
     }
 
-    /// Sends a signal by its name.
+    /// Sends a signal to the process. `name` is the name without its prefix, for example `TERM`.
     ///
     /// # Errors
     ///
-    /// If the signal cannot be sent.
+    /// Returns an error if the signal cannot be sent.
     pub fn signal(&self, name: &str) -> Result<(), BrokerProcessError> {
         let status = Command::new("sh")
             .args(["-c", &format!("kill -s {name} {}", self.process.id())])
@@ -105,15 +108,20 @@
         if status.success() {
             Ok(())
         } else {
-            Err(BrokerProcessError::SignalNotSent(status))
+            Err(BrokerProcessError::SignalNotSent {
+                signal: name.to_owned(),
+                process_id: self.process.id(),
+                status,
+            })
         }
     }
 
-    /// Replaces the operator's file as editors do: a new file is moved over it.
+    /// Replaces the operator's file by one that contains `text`. As editors do, it writes a new
+    /// file and renames it over the old one, so the broker never reads a partly written file.
     ///
     /// # Errors
     ///
-    /// If the file cannot be written.
+    /// Returns an error if the file cannot be written or renamed.
     pub fn replace_operator_config(&self, text: &str) -> Result<(), BrokerProcessError> {
         let new = self.process.directory.join("new");
         std::fs::write(&new, text)?;
@@ -121,11 +129,11 @@
         Ok(())
     }
 
-    /// Waits for the end of the process.
+    /// Waits until the process exits.
     ///
     /// # Errors
     ///
-    /// If it does not end in time.
+    /// Returns an error if the process is still running after 30 seconds.
     pub fn wait_for_exit(&mut self) -> Result<ExitStatus, BrokerProcessError> {
         let deadline = Instant::now() + EXIT_TIMEOUT;
         loop {
@@ -133,33 +141,36 @@
                 return Ok(status);
             }
             if Instant::now() >= deadline {
-                return Err(BrokerProcessError::StillRunning);
+                return Err(BrokerProcessError::StillRunning {
+                    process_id: self.process.id(),
+                    waited: EXIT_TIMEOUT,
+                });
             }
             thread::sleep(EXIT_POLL_INTERVAL);
         }
     }
 
-    /// The processor time that the process has used, in user and system mode. Its resolution is a
-    /// hundredth of a second.
+    /// Returns the processor time that the process has used in user and system mode. The resolution
+    /// is 10 ms.
     ///
     /// # Errors
     ///
-    /// If the entry of the process in `/proc` cannot be read.
+    /// Returns an error if the entry of the process in `/proc` cannot be read.
     pub fn cpu_time(&self) -> Result<Duration, BrokerProcessError> {
         Ok(resource_usage::cpu_time(self.process.id())?)
     }
 
-    /// The resident memory of the process, in bytes.
+    /// Returns the resident memory of the process, in bytes.
     ///
     /// # Errors
     ///
-    /// If the entry of the process in `/proc` cannot be read.
+    /// Returns an error if the entry of the process in `/proc` cannot be read.
     pub fn resident_memory(&self) -> Result<u64, BrokerProcessError> {
         Ok(resource_usage::resident_memory(self.process.id())?)
     }
 }
 
-/// Creates a directory for the files of one process.
+/// Creates a temporary directory for the files of one broker process.
 fn create_directory() -> io::Result<PathBuf> {
     static NEXT_NUMBER: AtomicU64 = AtomicU64::new(0);
     let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
@@ -181,7 +192,8 @@
         .spawn()
 }
 
-/// The process and the directory with its files.
+/// A child process and the directory with its files. Dropping it kills the process and removes the
+/// directory.
 struct ProcessWithFiles {
     child: Child,
     directory: PathBuf,
--- a/crates/test-fleet/src/broker_process/error.rs
+++ b/crates/test-fleet/src/broker_process/error.rs
@@ -3,28 +3,48 @@
 use std::collections::VecDeque;
 use std::io;
 use std::process::ExitStatus;
+use std::time::Duration;
 
-/// Why a broker process could not be started, watched or stopped.
+/// Reason why an operation on a broker process failed.
 #[derive(Debug, thiserror::Error)]
 pub enum BrokerProcessError {
-    /// The log does not hold the expected words in time.
-    #[error("the log has no line with {words:?}; its lines are {seen:?}")]
+    /// The log ended, or the timeout passed, without an expected line.
+    #[error(
+        "expected a line with {expected} in the broker's log, before its end and within \
+         {timeout:?}; its lines are {lines:?}"
+    )]
     LogLineMissing {
-        /// The expected words.
-        words: String,
-        /// All lines until then.
-        seen: VecDeque<String>,
+        /// Quoted texts, one of which the line must contain.
+        expected: String,
+        /// Maximum wait for the line.
+        timeout: Duration,
+        /// All lines of the log.
+        lines: VecDeque<String>,
     },
-    /// A log line does not hold the address of a listener.
-    #[error("log line without the address of a listener: {0}")]
+    /// A log line does not contain the address of a listener.
+    #[error("expected `listen=` with a socket address in the broker's log line {0:?}")]
     AddressMissing(String),
     /// The signal could not be sent.
-    #[error("the command kill failed with {0}")]
-    SignalNotSent(ExitStatus),
-    /// The process does not end in time.
-    #[error("the process did not exit in time")]
-    StillRunning,
-    /// The system refused an operation on the process or its files.
+    #[error(
+        "could not send signal {signal} to broker process {process_id}: kill ended with {status}"
+    )]
+    SignalNotSent {
+        /// Name of the signal.
+        signal: String,
+        /// Id of the broker process.
+        process_id: u32,
+        /// Exit status of the shell that ran `kill`.
+        status: ExitStatus,
+    },
+    /// The process did not exit in time.
+    #[error("broker process {process_id} is still running after a wait of {waited:?}")]
+    StillRunning {
+        /// Id of the broker process.
+        process_id: u32,
+        /// Time for which its exit was awaited.
+        waited: Duration,
+    },
+    /// An operation of the system on the process or its files failed.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/test-fleet/src/deployment.rs
+++ b/crates/test-fleet/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The configuration of a broker beside a fleet.
+//! The configuration of a broker that uses the services of a fleet.
 
 use crate::Fleet;
 use crate::wire::{
@@ -7,26 +7,27 @@
 };
 use serde_json::{Value, json};
 
-/// The figures of a deployment that differ between tests.
+/// Settings of a deployment that tests and benchmarks change. All other settings are fixed; hedged
+/// requests and gossip are not allowed.
 #[derive(Clone, Copy, Debug)]
 pub struct Deployment {
     /// Number of cells of the fleet.
     pub cells: usize,
-    /// Number of shards; each cell holds every n-th, where n is the number of cells.
+    /// Number of shards. With n cells, each cell holds every n-th shard.
     pub shards: usize,
-    /// Largest number of queries and parts in flight.
+    /// Maximum number of queries in flight, and also of parts in flight.
     pub max_in_flight: usize,
-    /// Largest number of parts in a call.
+    /// Maximum number of parts in a call.
     pub max_parts_per_call: usize,
-    /// Time between the broker's ticks, in milliseconds.
+    /// Time between two ticks of the broker, in milliseconds.
     pub tick_interval_ms: f64,
-    /// Largest number of file descriptors that the broker may use for sockets.
+    /// Maximum number of file descriptors that the broker may use for sockets.
     pub max_sockets: usize,
-    /// Memory that the broker may use, in megabytes.
+    /// Maximum memory that the broker may use, in megabytes.
     pub memory_limit_mb: usize,
-    /// Latency objective of all classes, in milliseconds.
+    /// Latency objective of each class, in milliseconds.
     pub latency_objective_ms: f64,
-    /// Time after which clients of all classes give up, in milliseconds.
+    /// Time after which clients abandon a query of any class, in milliseconds.
     pub client_timeout_ms: f64,
 }
 
@@ -47,14 +48,14 @@
 }
 
 impl Deployment {
-    /// The settings of the decisions, in the platform's format.
+    /// Returns the settings of the broker's policy, in the format of the platform file.
     #[must_use]
     pub fn settings(&self) -> Value {
         json!(self.settings_wire())
     }
 
-    /// The whole configuration of a broker beside this fleet that listens on this address, in the
-    /// platform's format.
+    /// Returns the contents of the platform file for a broker that uses `fleet` and listens on the
+    /// address `listen`.
     #[must_use]
     pub fn configuration(&self, fleet: &Fleet, listen: &str) -> Value {
         json!(PlatformFileWire {
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The fleet's discovery service: it publishes the endpoint list over HTTP/1.1, with watches.
+//! Test double of discovery: serves the endpoint list over HTTP/1.1. A request with a watch waits
+//! for the next change of the list.
 
 use crate::notifier::{Notifier, Subscription};
 use crate::wire::{
@@ -18,17 +19,18 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// Largest request that the service accepts.
+/// Maximum size of a request.
 const REQUEST_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 64 * 1024,
 };
-/// Bytes that are read at once.
+/// Maximum number of bytes that one read returns.
 const READ_CHUNK_BYTES: usize = 4096;
-/// The longest watch that is granted, in milliseconds.
+/// Maximum duration of a watch, in milliseconds. A request for a longer watch is answered after
+/// this time.
 const MAX_WATCH_MS: u64 = 60_000;
 
-/// The state of a data server in the endpoint list.
+/// State of a data server in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum EndpointState {
     Active,
@@ -44,14 +46,15 @@
     }
 }
 
-/// A data server in the endpoint list.
+/// Data server in the endpoint list.
 #[derive(Clone, Debug)]
 pub(crate) struct Endpoint {
     pub(crate) name: String,
     pub(crate) address: SocketAddr,
     pub(crate) cell: usize,
     pub(crate) state: EndpointState,
-    /// When its process started, in Unix milliseconds.
+    /// Time at which the server was last restarted, in milliseconds since the Unix epoch; 0 if it
+    /// never was.
     pub(crate) started_at_ms: u64,
 }
 
@@ -70,65 +73,69 @@
     }
 }
 
-/// The discovery service.
+/// Test double of discovery.
 pub(crate) struct Discovery {
-    state: RefCell<State>,
+    list: RefCell<PublishedList>,
     /// Notified when the list changes.
     changed: Notifier,
 }
 
-struct State {
+/// The endpoint list and its revision, which each change increments.
+struct PublishedList {
     revision: u64,
+    /// Endpoints by name.
     endpoints: BTreeMap<String, PublishedEndpoint>,
 }
 
 struct PublishedEndpoint {
     endpoint: Endpoint,
-    /// The revision of the list in which it last changed.
+    /// Revision of the list in which this endpoint last changed.
     revision: u64,
 }
 
-/// The state of a watch at one moment.
+/// Result of comparing the list with the revision that a client has.
 struct WatchState {
-    /// Whether the list differs from the revision that the client knows.
+    /// Whether the list has another revision than the client.
     is_outdated: bool,
+    /// Notified at the first change of the list after the comparison.
     changed: Subscription,
 }
 
 impl Discovery {
+    /// Creates a discovery service with an empty list of revision 1.
     pub(crate) fn new() -> Rc<Self> {
-        let state = State {
+        let list = PublishedList {
             revision: 1,
             endpoints: BTreeMap::new(),
         };
         Rc::new(Discovery {
-            state: RefCell::new(state),
+            list: RefCell::new(list),
             changed: Notifier::new(),
         })
     }
 
-    /// Publishes an endpoint and notifies watches.
+    /// Adds an endpoint to the list, or replaces the one with the same name, and notifies all
+    /// watches.
     pub(crate) fn publish(&self, endpoint: Endpoint) {
-        let mut state = self.state.borrow_mut();
-        state.revision += 1;
-        let revision = state.revision;
+        let mut list = self.list.borrow_mut();
+        list.revision += 1;
+        let revision = list.revision;
         let published = PublishedEndpoint { endpoint, revision };
-        state
-            .endpoints
+        list.endpoints
             .insert(published.endpoint.name.clone(), published);
         self.changed.notify_all();
     }
 
-    /// The whole list, or its changes after a revision. A revision that has not been published is
-    /// treated as none.
+    /// Returns the endpoints that changed after the revision `after`, in the format of discovery.
+    /// Returns the complete list if `after` is `None` or has not been published yet.
     pub(crate) fn list(&self, after: Option<u64>) -> Value {
-        let state = self.state.borrow();
-        let after = after.filter(|revision| *revision <= state.revision);
-        let is_listed =
+        let list = self.list.borrow();
+        let after = after.filter(|revision| *revision <= list.revision);
+        let is_included =
             |published: &&PublishedEndpoint| after.is_none_or(|after| published.revision > after);
-        let endpoints = state.endpoints.values().filter(is_listed);
+        let endpoints = list.endpoints.values().filter(is_included);
         json!(EndpointListWire {
-            revision: state.revision,
+            revision: list.revision,
             is_snapshot: after.is_none(),
             endpoints: endpoints
                 .map(|published| EndpointWire::from(&published.endpoint))
@@ -152,6 +159,7 @@
         }
     }
 
+    /// Answers the requests of one connection until either side closes it.
     async fn serve(&self, mut stream: &Async<TcpStream>) -> io::Result<()> {
         let mut decoder = RequestDecoder::new(REQUEST_LIMITS);
         let mut input = Vec::new();
@@ -172,14 +180,16 @@
         Ok(())
     }
 
+    /// Returns the response to a request, after its watch. A path other than that of the endpoint
+    /// list gets status 404.
     async fn respond(&self, request: &Request<Vec<u8>>) -> Response<Vec<u8>> {
         if request.uri().path() != LIST_PATH {
             let mut response = Response::new(Vec::new());
             *response.status_mut() = StatusCode::NOT_FOUND;
             return response;
         }
-        let known_revision = query_number(request.uri(), REVISION_PARAMETER);
-        let watch_ms = query_number(request.uri(), WATCH_PARAMETER)
+        let known_revision = numeric_parameter(request.uri(), REVISION_PARAMETER);
+        let watch_ms = numeric_parameter(request.uri(), WATCH_PARAMETER)
             .unwrap_or(0)
             .min(MAX_WATCH_MS);
         self.watch(known_revision, Duration::from_millis(watch_ms))
@@ -187,9 +197,10 @@
         Response::new(self.list(known_revision).to_string().into_bytes())
     }
 
-    /// Waits until the list differs from the known revision, at most for this time.
-    async fn watch(&self, known_revision: Option<u64>, duration: Duration) {
-        let deadline = Instant::now() + duration;
+    /// Waits until the list has another revision than `known_revision`, but no longer than
+    /// `max_duration`. Returns immediately if `known_revision` is `None`.
+    async fn watch(&self, known_revision: Option<u64>, max_duration: Duration) {
+        let deadline = Instant::now() + max_duration;
         loop {
             let watch = self.watch_state(known_revision);
             if watch.is_outdated || Instant::now() >= deadline {
@@ -200,16 +211,17 @@
         }
     }
 
+    /// Compares the list with the revision that a client has, and subscribes to later changes.
     fn watch_state(&self, known_revision: Option<u64>) -> WatchState {
-        let state = self.state.borrow();
+        let list = self.list.borrow();
         WatchState {
-            is_outdated: known_revision.is_none_or(|known| known != state.revision),
+            is_outdated: known_revision.is_none_or(|known| known != list.revision),
             changed: self.changed.subscribe(),
         }
     }
 }
 
-/// Reads the next request; `None` once the peer has closed the connection.
+/// Reads the next request. Returns `None` if the peer has closed the connection.
 async fn read_request(
     mut stream: &Async<TcpStream>,
     decoder: &mut RequestDecoder,
@@ -227,7 +239,9 @@
     }
 }
 
-fn query_number(uri: &Uri, name: &str) -> Option<u64> {
+/// Returns the value of a parameter in the query component of `uri`, or `None` if the parameter is
+/// missing or not a number.
+fn numeric_parameter(uri: &Uri, name: &str) -> Option<u64> {
     let pairs = uri.query()?.split('&');
     let mut values = pairs.filter_map(|pair| pair.split_once('='));
     let (_, value) = values.find(|(key, _)| *key == name)?;
--- a/crates/test-fleet/src/fault.rs
+++ b/crates/test-fleet/src/fault.rs
@@ -1,51 +1,55 @@
-//! Faults of data servers, and how long a server takes for a part.
+//! Faults of data servers, and the time that a server takes for a part.
 
 #[cfg(test)]
 mod tests;
 
 use std::time::{Duration, Instant};
 
-/// The share of its speed at which a restarted server begins.
+/// Speed of a server immediately after a restart, as a share of its full speed.
 const INITIAL_SPEED_SHARE: f64 = 0.2;
-/// The shortest warm-up that is computed with, in seconds; it keeps the division defined.
+/// Lower bound of the warm-up in the computation of the speed, in seconds. It avoids a division by
+/// zero.
 const MIN_WARM_UP_SECONDS: f64 = 1e-3;
 
-/// A fault of a data server.
+/// Fault of a data server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Fault {
-    /// The server works.
+    /// The server has no fault.
     #[default]
     None,
-    /// Each part takes this much longer.
+    /// The server takes longer for each part, by this time at full speed.
     Slow(Duration),
-    /// The server accepts parts and never answers them.
+    /// The server accepts parts and never responds to them. It responds to probes.
     Hang,
-    /// Every n-th part ends in an error; with 1, all of them.
+    /// The server responds to every n-th part with an error. With 1 that is each part, with 0 none.
     ErrorEvery(u32),
-    /// The server rejects every part.
+    /// The server rejects each part.
     RejectAll,
-    /// The server resets the connection in place of every n-th answer.
+    /// The server resets the connection instead of responding to every n-th part. With 1 that is
+    /// each part, with 0 none.
     ResetEvery(u32),
-    /// The server sends an invalid frame in place of every n-th answer.
+    /// The server sends an invalid frame instead of the response to every n-th part. With 1 that is
+    /// each part, with 0 none.
     GarbleEvery(u32),
-    /// The server does not listen, and its connections are reset.
+    /// The server does not listen, and its connections are reset. Set by
+    /// [`Fleet::kill`](crate::Fleet::kill); the value alone stops nothing.
     Down,
 }
 
-/// The state of a data server that tests change while it runs.
+/// Properties of a data server that tests change while it runs.
 #[derive(Debug, Default)]
 pub(crate) struct FaultInjection {
     fault: Fault,
-    /// How long a part takes at full speed.
+    /// Time that a part takes at full speed.
     part_duration: Duration,
-    /// The warm-up since the last restart, if there was one.
+    /// Warm-up after the last restart; `None` if the server was never restarted.
     warm_up: Option<WarmUp>,
-    /// When its drain was published.
+    /// Time at which the server's drain was published; `None` if the server does not drain.
     draining_since: Option<Instant>,
 }
 
-/// The time after a restart in which a server's speed grows linearly from [`INITIAL_SPEED_SHARE`]
-/// to full speed.
+/// Period after a restart in which the speed of a server grows linearly from
+/// [`INITIAL_SPEED_SHARE`] to full speed.
 #[derive(Clone, Copy, Debug)]
 struct WarmUp {
     started_at: Instant,
@@ -53,7 +57,8 @@
 }
 
 impl FaultInjection {
-    /// The state of a server that works, and takes this long for a part.
+    /// Creates the properties of a server that has no fault, is fully warmed up, does not drain,
+    /// and takes `part_duration` for a part.
     pub(crate) fn new(part_duration: Duration) -> Self {
         FaultInjection {
             part_duration,
@@ -73,7 +78,7 @@
         self.part_duration = part_duration;
     }
 
-    /// When the server's drain was published, if it drains.
+    /// Returns the time at which the server's drain was published, or `None` if it does not drain.
     pub(crate) fn draining_since(&self) -> Option<Instant> {
         self.draining_since
     }
@@ -82,7 +87,8 @@
         self.draining_since = Some(now);
     }
 
-    /// Makes the server faultless, warming up and not draining, as after a start of its process.
+    /// Resets the properties to those of a process that has just started: no fault, no drain, and a
+    /// warm-up that starts at `now`.
     pub(crate) fn on_restart(&mut self, now: Instant, warm_up_duration: Duration) {
         self.fault = Fault::None;
         self.warm_up = Some(WarmUp {
@@ -92,7 +98,7 @@
         self.draining_since = None;
     }
 
-    /// How long a part takes that arrives at this moment.
+    /// Returns the time that a part takes if it arrives at `now`.
     pub(crate) fn part_duration_at(&self, now: Instant) -> Duration {
         let delay = if let Fault::Slow(delay) = self.fault {
             delay
@@ -105,6 +111,7 @@
 }
 
 impl WarmUp {
+    /// Returns the speed at `now` as a share of the full speed.
     fn speed_at(self, now: Instant) -> f64 {
         let elapsed = now.saturating_duration_since(self.started_at).as_secs_f64();
         let progress = elapsed / self.duration.as_secs_f64().max(MIN_WARM_UP_SECONDS);
--- a/crates/test-fleet/src/fault/tests.rs
+++ b/crates/test-fleet/src/fault/tests.rs
@@ -1,4 +1,4 @@
-//! How long a server takes for a part.
+//! Tests of the time that a server takes for a part.
 
 use super::{Fault, FaultInjection};
 use std::time::{Duration, Instant};
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn slow_server_takes_its_delay_longer() {
+fn delay_of_a_slow_server_is_added_to_the_part_duration() {
     let mut slow = injection();
     slow.set_fault(Fault::Slow(Duration::from_millis(5)));
     let now = Instant::now();
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn restarted_server_starts_at_a_fifth_of_its_speed_and_warms_up() {
+fn restarted_server_starts_at_a_fifth_of_full_speed_and_reaches_it_after_the_warm_up() {
     let started_at = Instant::now();
     let duration = Duration::from_secs(10);
     let mut restarted = injection();
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -1,4 +1,5 @@
-//! A discovery service and some data servers, as tests see and control them.
+//! A discovery service and data servers on their own thread, and the handles with which tests
+//! control them.
 
 mod runtime;
 
@@ -14,16 +15,16 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// The size and speed of a fleet.
+/// Size and speed of a fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetPlan {
-    /// Number of data servers; they are assigned to the cells in rotation.
+    /// Number of data servers. They are assigned to the cells in rotation.
     pub servers: usize,
-    /// Number of cells, each of which holds its own shards.
+    /// Number of cells. Each cell holds shards that no other cell holds.
     pub cells: usize,
-    /// How long a data server takes for a part.
+    /// Time that a data server takes for a part at full speed.
     pub part_duration: Duration,
-    /// How long a restarted data server warms up.
+    /// Duration of the warm-up of a restarted data server.
     pub warm_up_duration: Duration,
 }
 
@@ -38,10 +39,9 @@
     }
 }
 
-/// A discovery service and some data servers on a thread of their own. They end when the fleet is
-/// dropped.
+/// A discovery service and data servers on a thread of their own. Dropping the fleet stops them.
 pub struct Fleet {
-    /// The address on which discovery listens.
+    /// Address on which discovery listens.
     pub(crate) discovery_address: SocketAddr,
     servers: Vec<ServerHandle>,
     attempt_log: Arc<Mutex<AttemptLog>>,
@@ -50,22 +50,22 @@
     thread: Option<JoinHandle<()>>,
 }
 
-/// Access to one data server from outside the fleet's thread.
+/// Handle of one data server, for use by other threads than the fleet's.
 #[derive(Clone)]
 pub struct ServerHandle {
-    /// The server's name.
+    /// Name of the server.
     pub name: String,
-    /// The address on which it listens.
+    /// Address on which the server listens.
     pub address: SocketAddr,
     fault_injection: Arc<Mutex<FaultInjection>>,
 }
 
 impl Fleet {
-    /// Starts a fleet on loopback.
+    /// Starts a fleet on loopback. Its listeners are open when the function returns.
     ///
     /// # Errors
     ///
-    /// If the system grants no listener or thread.
+    /// Returns an error if a listener cannot be opened or the thread cannot be started.
     pub fn start(plan: FleetPlan) -> io::Result<Fleet> {
         let attempt_log = Arc::new(Mutex::new(AttemptLog::default()));
         let discovery_listener = listen_on_loopback()?;
@@ -99,50 +99,57 @@
         })
     }
 
-    /// The data servers.
+    /// Returns the handles of the data servers, by server number.
     #[must_use]
     pub fn servers(&self) -> &[ServerHandle] {
         &self.servers
     }
 
-    /// The endpoint list as it was at the start, in discovery's format.
+    /// Returns the endpoint list from the start of the fleet, in the format of discovery.
     pub(crate) fn initial_endpoint_list(&self) -> &Value {
         &self.initial_endpoint_list
     }
 
-    /// Reads the log of the attempts that the data servers received.
+    /// Calls `read` with the log of the attempts that the data servers received, and returns its
+    /// result. The log is locked during the call.
     pub fn attempt_log<T>(&self, read: impl FnOnce(&AttemptLog) -> T) -> T {
         read(&lock(&self.attempt_log))
     }
 
-    /// Number of parts and calls that the data servers received.
+    /// Returns the numbers of parts and calls that the data servers received.
     #[must_use]
     pub fn received_counts(&self) -> ReceivedCounts {
         self.attempt_log(AttemptLog::counts)
     }
 
-    /// Publishes that a server drains.
+    /// Publishes in the endpoint list that a server drains. `server` is the server's number, from
+    /// 0.
     ///
     /// # Panics
     ///
-    /// If the fleet has no server of this number.
+    /// Panics if the fleet has no server with this number.
     pub fn drain(&self, server: usize) {
-        assert!(server < self.servers.len(), "there is no server {server}");
+        assert!(
+            server < self.servers.len(),
+            "expected the number of a server below {}, found {server}",
+            self.servers.len()
+        );
         self.send(FleetCommand::Drain(server));
     }
 
-    /// Ends a server's process: its connections are reset and new ones refused. The endpoint list
-    /// does not change.
+    /// Simulates the sudden end of a server's process: its connections are reset and new ones
+    /// refused. The endpoint list does not change. `server` is the server's number, from 0.
     ///
     /// # Panics
     ///
-    /// If the fleet has no server of this number.
+    /// Panics if the fleet has no server with this number.
     pub fn kill(&self, server: usize) {
         self.servers[server].set_fault(Fault::Down);
         self.send(FleetCommand::Kill(server));
     }
 
-    /// Restarts a killed server; it warms up, and the endpoint list says when it started.
+    /// Restarts a killed server, which then warms up. The endpoint list contains its new start
+    /// time. Has no effect on a server that is not down. `server` is the server's number, from 0.
     pub fn restart(&self, server: usize) {
         self.send(FleetCommand::Restart(server));
     }
@@ -171,13 +178,13 @@
         })
     }
 
-    /// Sets the server's fault, or removes it with [`Fault::None`]. Use [`Fleet::kill`] to stop its
-    /// process.
+    /// Sets the fault of the server; [`Fault::None`] removes it. Use [`Fleet::kill`] to stop the
+    /// server.
     pub fn set_fault(&self, fault: Fault) {
         self.change(|injection| injection.set_fault(fault));
     }
 
-    /// Sets how long a part takes from now on.
+    /// Sets the time that a part takes at full speed. It applies to parts that arrive later.
     pub fn set_part_duration(&self, part_duration: Duration) {
         self.change(|injection| injection.set_part_duration(part_duration));
     }
--- a/crates/test-fleet/src/fleet/runtime.rs
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -1,4 +1,4 @@
-//! The thread of a fleet: it runs discovery and the data servers, and carries out commands.
+//! The thread of a fleet, which runs discovery and the data servers and executes commands.
 
 use super::{FleetPlan, ServerHandle};
 use crate::attempt_log::AttemptLog;
@@ -16,23 +16,23 @@
 /// Time between two measurements of the thread's lag.
 const LAG_MEASUREMENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A command to the fleet's thread. Servers are given by number.
+/// Command for the fleet's thread. Each contains the number of a server.
 pub(super) enum FleetCommand {
-    /// Publishes in the endpoint list that a server drains.
+    /// Publish in the endpoint list that the server drains.
     Drain(usize),
-    /// Closes a server's listener and resets its connections.
+    /// Close the server's listener and reset its connections.
     Kill(usize),
-    /// Lets a killed server listen again.
+    /// Open the listener of a killed server again.
     Restart(usize),
 }
 
-/// A data server that listens and does not accept yet.
+/// A data server whose listener is open and does not accept connections yet.
 pub(super) struct StartedServer {
     pub(super) handle: ServerHandle,
     pub(super) listener: TcpListener,
 }
 
-/// Discovery and the data servers, on the fleet's thread.
+/// Discovery, the data servers and their executor. It stays on the fleet's thread.
 pub(super) struct FleetRuntime {
     plan: FleetPlan,
     executor: Rc<LocalExecutor<'static>>,
@@ -41,16 +41,20 @@
     attempt_log: Arc<Mutex<AttemptLog>>,
 }
 
+/// A data server with its listener's task and the data of its endpoint.
 struct RunningServer {
     server: Rc<Server>,
     cell: usize,
     address: SocketAddr,
-    /// The task that accepts connections; `None` while the server is down.
+    /// Task that accepts connections; `None` while the server is down.
     accept_task: Option<Task<()>>,
+    /// Time of the last restart, in milliseconds since the Unix epoch; 0 if there was none.
     started_at_ms: u64,
 }
 
 impl FleetRuntime {
+    /// Creates the data servers, starts to accept their connections once [`FleetRuntime::run`] is
+    /// called, and publishes their endpoints.
     pub(super) fn start(
         plan: FleetPlan,
         started_servers: Vec<StartedServer>,
@@ -90,7 +94,8 @@
         self.discovery.list(None)
     }
 
-    /// Serves and carries out commands until the channel of commands is closed.
+    /// Runs discovery and the data servers and executes commands, until the channel of the commands
+    /// is closed.
     pub(super) fn run(
         mut self,
         discovery_listener: TcpListener,
@@ -134,7 +139,7 @@
         }
     }
 
-    /// Restarts a server that is down, if its address can be bound again.
+    /// Restarts the server if it is down and its address can be bound again.
     fn restart(&mut self, number: usize) {
         let Some(down) = self
             .servers
@@ -143,8 +148,8 @@
         else {
             return;
         };
-        // Only the server's own earlier connections, which are being closed, can still occupy the
-        // address.
+        // Binding fails only while the server's own earlier connections, which are being closed,
+        // still occupy the address.
         let Ok(listener) = TcpListener::bind(down.address) else {
             return;
         };
@@ -180,7 +185,7 @@
     }
 }
 
-/// Records the delay with which timers of this thread fire, until the task is dropped.
+/// Records by how much timers of this thread fire late, until the task is dropped.
 async fn measure_lag(attempt_log: Arc<Mutex<AttemptLog>>) {
     loop {
         let due = Instant::now() + LAG_MEASUREMENT_INTERVAL;
@@ -189,6 +194,7 @@
     }
 }
 
+/// Returns the current time in milliseconds since the Unix epoch.
 fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/test-fleet/src/lib.rs
+++ b/crates/test-fleet/src/lib.rs
@@ -1,12 +1,14 @@
-//! Test doubles on loopback for the services around a broker, written from the public description
-//! of its protocol.
+//! Test doubles of the services that a broker uses, on loopback: discovery and data servers. They
+//! are written from the public description of the protocol and share no code with the broker
+//! except the codecs.
 //!
-//! A [`Fleet`] runs a discovery service and some data servers on a thread of its own. Each data
-//! server can be made faulty while it runs ([`Fault`]): slow, hanging, failing, resetting
-//! connections, sending invalid frames, or down and restarted. The [`AttemptLog`] records every
-//! attempt that the data servers receive and how it ends, and [`AttemptLog::check_invariants`]
-//! checks the rules that a broker must keep. [`BrokerProcess`] runs a broker beside a fleet, with
-//! the configuration of a [`Deployment`].
+//! A [`Fleet`] runs a discovery service and several data servers on a thread of its own. While it
+//! runs, a test can give each data server a [`Fault`]: the server then answers slowly, does not
+//! answer, returns errors, resets connections or sends invalid frames. [`Fleet::kill`] and
+//! [`Fleet::restart`] stop and restart a server. The [`AttemptLog`] records every attempt that the
+//! data servers receive and how it ends; [`AttemptLog::check_invariants`] returns each violation
+//! of the rules that a broker must follow. [`BrokerProcess`] starts a broker that uses the fleet,
+//! with the configuration of a [`Deployment`].
 
 mod attempt_log;
 mod broker_process;
--- a/crates/test-fleet/src/notifier.rs
+++ b/crates/test-fleet/src/notifier.rs
@@ -1,11 +1,12 @@
-//! Wakes all tasks of the fleet's thread that wait for an event.
+//! Notification of all tasks of the fleet's thread that wait for an event.
 
 use async_channel::{Receiver, Sender};
 use std::cell::RefCell;
 
-/// The sending side: an event that any number of tasks can wait for.
+/// An event that may occur repeatedly, and for which any number of tasks can wait.
 pub(crate) struct Notifier {
-    /// Never used to send: waiting receivers are woken when the channel is closed.
+    /// Channel of the next event. No message is ever sent on it; the event closes the channel,
+    /// which wakes all waiting receivers.
     channel: RefCell<Channel>,
 }
 
@@ -14,7 +15,7 @@
     receiver: Receiver<()>,
 }
 
-/// Waits for the first event after the subscription.
+/// Subscription to the first event after its creation.
 pub(crate) struct Subscription(Receiver<()>);
 
 impl Notifier {
@@ -24,12 +25,13 @@
         }
     }
 
-    /// Wakes all present subscriptions.
+    /// Notifies all existing subscriptions. Later subscriptions wait for the next call.
     pub(crate) fn notify_all(&self) {
-        // Dropping the only sender closes the channel of the present subscriptions.
+        // This drops the only sender of the old channel and so closes it.
         self.channel.replace(Channel::open());
     }
 
+    /// Creates a subscription to the next event.
     pub(crate) fn subscribe(&self) -> Subscription {
         Subscription(self.channel.borrow().receiver.clone())
     }
@@ -46,7 +48,7 @@
 }
 
 impl Subscription {
-    /// Waits until the event has happened.
+    /// Waits until the event has occurred. Returns immediately if it already has.
     pub(crate) async fn notified(&self) {
         let _closed = self.0.recv().await;
     }
--- a/crates/test-fleet/src/part_value.rs
+++ b/crates/test-fleet/src/part_value.rs
@@ -1,10 +1,11 @@
-//! The values that data servers answer with.
+//! The values in the responses of data servers.
 
 use fnv::FnvHasher;
 use std::hash::Hasher;
 
-/// Returns the value of a part, which is the same at every data server that holds the shard: the
-/// 64-bit FNV-1a hash of the query's text, with the shard mixed into its start value.
+/// Returns the value of a part, in hexadecimal: the 64-bit FNV-1a hash of the query's text, whose
+/// offset basis is combined with the shard's index by exclusive or. All data servers return the
+/// same value for a part, so a test can check an answer without knowing which server produced it.
 #[must_use]
 pub fn part_value(shard: usize, text: &str) -> String {
     let offset_basis = FnvHasher::default().finish();
--- a/crates/test-fleet/src/part_value/tests.rs
+++ b/crates/test-fleet/src/part_value/tests.rs
@@ -1,9 +1,9 @@
-//! Values of parts.
+//! Tests of the values of parts.
 
 use super::part_value;
 
 #[test]
-fn part_value_is_the_hash_of_the_text_with_the_shard_in_its_start_value() {
+fn part_value_is_the_hash_of_the_text_with_the_shard_in_its_offset_basis() {
     assert_eq!(part_value(0, ""), "cbf29ce484222325");
     assert_eq!(part_value(0, "a"), "af63dc4c8601ec8c");
     assert_eq!(part_value(0, "c41e77d0"), "e335f4d484dd93ce");
--- a/crates/test-fleet/src/server.rs
+++ b/crates/test-fleet/src/server.rs
@@ -1,4 +1,5 @@
-//! A data server: its shared state, and the loop that accepts its connections.
+//! Test double of a data server: the state that its connections share, and the loop that accepts
+//! connections.
 
 mod connection;
 
@@ -14,19 +15,19 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// Time after a failed accept until the next one.
+/// Delay after a failed accept before the next attempt.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// One data server, on the fleet's thread.
+/// Test double of one data server. It runs on the fleet's thread.
 pub(crate) struct Server {
     pub(crate) name: String,
     fault_injection: Arc<Mutex<FaultInjection>>,
     attempt_log: Arc<Mutex<AttemptLog>>,
-    /// Parts in flight, over all connections.
+    /// Number of parts in flight on all connections.
     parts_in_flight: Cell<usize>,
-    /// Parts that were finished, for the faults that hit every n-th of them.
+    /// Number of finished parts on all connections, for the faults that affect every n-th part.
     finished_parts: Cell<u32>,
-    /// Notified when all connections have to be reset.
+    /// Notified when all connections must be reset.
     reset_connections: Notifier,
 }
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Resets all present connections.
+    /// Resets all existing connections.
     pub(crate) fn reset_connections(&self) {
         self.reset_connections.notify_all();
     }
@@ -68,29 +69,31 @@
             .set(self.parts_in_flight.get().saturating_sub(1));
     }
 
-    /// Counts a finished part and returns its number, from 1.
+    /// Counts a finished part and returns its number. The first part has the number 1.
     fn next_finished_part(&self) -> u32 {
         let number = self.finished_parts.get().wrapping_add(1);
         self.finished_parts.set(number);
         number
     }
 
-    /// Serves a connection until either side ends it.
+    /// Serves a connection until either side closes it.
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>) {
         let _ = stream.get_ref().set_nodelay(true);
         Connection::new(&self, &stream).run().await;
     }
 }
 
-/// Locks a mutex. The thread that panicked while it held the lock has reported that itself.
+/// Locks a mutex and ignores that it is poisoned: the thread that panicked while it held the lock
+/// has already reported its panic.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Ends a connection; its peer sees a reset if bytes that it sent are unread.
+/// Closes a connection. The peer receives a reset if the connection has unread bytes from it, and
+/// an ordinary close otherwise.
 fn reset(stream: &Async<TcpStream>) {
-    // The standard library does not offer SO_LINGER. The system resets a connection that is closed
-    // while received bytes are unread; without any, the peer sees an ordinary close.
+    // The standard library does not offer SO_LINGER, with which each connection could be reset. The
+    // system resets a connection that is closed while received bytes are unread.
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
 
--- a/crates/test-fleet/src/server/connection.rs
+++ b/crates/test-fleet/src/server/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a broker to a data server.
+//! Data server's side of one connection with a broker.
 
 use super::{Server, reset};
 use crate::attempt_log::{Attempt, AttemptNumber, AttemptOutcome};
@@ -18,28 +18,28 @@
 use std::net::TcpStream;
 use std::time::Instant;
 
-/// Bytes that are read at once.
+/// Maximum number of bytes that one read returns.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that are no frame of the protocol.
+/// Bytes that are not a valid frame of the protocol.
 const INVALID_FRAME: &[u8] = b"\xff\xff\xff\xff noise";
 
-/// When a part will be finished, and its attempt.
+/// Parts that the server works on, by the time at which each is finished and by its attempt.
 type Schedule = BTreeMap<(Instant, AttemptNumber), PartRequest>;
 
-/// The state of one connection. It is bounded by what a broker sends on one connection.
+/// State of one connection. It has no limit of its own, so it grows with the number of parts that
+/// the broker has in flight on the connection.
 pub(super) struct Connection<'a> {
     server: &'a Server,
     stream: &'a Async<TcpStream>,
     /// Attempts in flight, by the ids of their parts.
     in_flight: RefCell<BTreeMap<String, AttemptNumber>>,
-    /// Parts that are being worked on, by when they are finished.
+    /// Parts that will be finished. A cancelled part stays here until then, and is skipped.
     scheduled: RefCell<Schedule>,
-    /// Signalled after each message, as the schedule may have changed.
+    /// Signalled after each message, because it may have changed the schedule.
     schedule_changed: Signal,
 }
 
-/// Wakes the one task that waits for it. A signal without a waiting task is kept until the next
-/// wait.
+/// Signal to a single waiting task. If no task waits, the signal is kept until the next wait.
 struct Signal {
     sender: Sender<()>,
     receiver: Receiver<()>,
@@ -60,7 +60,7 @@
     }
 }
 
-/// What the server does when a part is finished.
+/// Action of the server when a part is finished.
 enum Completion {
     Send(Vec<u8>),
     ResetConnection,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Serves the connection until either side ends it, and records what was in flight as
-    /// cancelled.
+    /// Serves the connection until either side closes it. Then records the attempts that are still
+    /// in flight as cancelled.
     pub(super) async fn run(self) {
         let reset_requested = self.server.reset_connections.subscribe();
         let reset_requested = async {
@@ -98,6 +98,8 @@
         }
     }
 
+    /// Reads and handles messages until the broker closes the connection or sends an invalid frame,
+    /// which is answered with a rejection.
     async fn read_messages(&self) -> io::Result<()> {
         let mut stream = self.stream;
         let mut input = Vec::new();
@@ -114,8 +116,8 @@
         }
     }
 
-    /// Handles the messages that have arrived completely and removes them from the input. Returns
-    /// the reason if the frame after them is invalid.
+    /// Handles the messages in the input that have arrived completely and removes them. Returns the
+    /// reason if an invalid frame follows them.
     async fn handle_messages(&self, input: &mut Vec<u8>) -> io::Result<Option<InvalidFrame>> {
         let mut handled_len = 0;
         loop {
@@ -196,7 +198,8 @@
             .record_end(attempt, AttemptOutcome::Cancelled, Instant::now());
     }
 
-    /// Answers parts as they are finished. It ends with an error only.
+    /// Responds to each part when it is finished. Returns only with an error: when a write fails,
+    /// or when the fault of the server requires that the connection is reset.
     async fn answer_parts(&self) -> io::Result<()> {
         let mut stream = self.stream;
         loop {
@@ -219,6 +222,7 @@
         }
     }
 
+    /// Waits until a part of the schedule is finished.
     async fn wait_for_finished_part(&self) {
         loop {
             let next_finish = self.scheduled.borrow().keys().next().map(|(at, _)| *at);
@@ -231,6 +235,7 @@
         }
     }
 
+    /// Removes and returns the first part of the schedule if it is finished.
     fn take_finished_part(&self) -> Option<(AttemptNumber, PartRequest)> {
         let mut scheduled = self.scheduled.borrow_mut();
         let first = scheduled.first_entry()?;
@@ -245,16 +250,17 @@
             .record_end(attempt, AttemptOutcome::Answered, Instant::now());
     }
 
+    /// Counts a finished part and returns the action for it, which depends on the server's fault.
     fn complete(&self, part: &PartRequest) -> Completion {
         let number = self.server.next_finished_part();
-        let hits = |every: u32| every > 0 && number.is_multiple_of(every);
+        let affects_part = |every: u32| every > 0 && number.is_multiple_of(every);
         let fault = self.server.fault_injection().fault();
         let status = match fault {
-            Fault::ResetEvery(every) if hits(every) => return Completion::ResetConnection,
-            Fault::GarbleEvery(every) if hits(every) => {
+            Fault::ResetEvery(every) if affects_part(every) => return Completion::ResetConnection,
+            Fault::GarbleEvery(every) if affects_part(every) => {
                 return Completion::Send(INVALID_FRAME.to_vec());
             }
-            Fault::ErrorEvery(every) if hits(every) => PartStatus::Failed,
+            Fault::ErrorEvery(every) if affects_part(every) => PartStatus::Failed,
             Fault::RejectAll => PartStatus::Rejected,
             _ => PartStatus::Succeeded,
         };
--- a/crates/test-fleet/src/wire.rs
+++ b/crates/test-fleet/src/wire.rs
@@ -1,4 +1,5 @@
-//! The names and formats that the test doubles share with a broker: the only place with them.
+//! All names and formats that the test doubles and a broker have in common, apart from the frames
+//! of data servers.
 
 mod configuration;
 mod discovery;
@@ -14,9 +15,9 @@
     WATCH_PARAMETER,
 };
 
-/// Environment variable with the path of the platform's file.
+/// Environment variable that contains the path of the platform file.
 pub(crate) const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Environment variable that overrides the listen address of the platform's file.
+/// Environment variable that overrides the listen address of the platform file.
 pub(crate) const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
-/// Environment variable that overrides the address of discovery in the platform's file.
+/// Environment variable that overrides the address of discovery in the platform file.
 pub(crate) const DISCOVERY_VARIABLE: &str = "RELAY_DISCOVERY";
--- a/crates/test-fleet/src/wire/configuration.rs
+++ b/crates/test-fleet/src/wire/configuration.rs
@@ -1,30 +1,31 @@
-//! The platform's file, with the settings of the decisions.
+//! Format of the platform file, which contains the settings of the broker's policy.
 
 use serde::Serialize;
 use serde_json::Value;
 
-/// The platform's file.
+/// Contents of the platform file.
 #[derive(Debug, Serialize)]
 pub(crate) struct PlatformFileWire<'a> {
     pub(crate) name: &'static str,
     pub(crate) listen: &'a str,
     pub(crate) discovery: String,
-    /// Sixteen hexadecimal digits.
+    /// Seed of the broker's random numbers: sixteen hexadecimal digits.
     pub(crate) seed: &'static str,
     pub(crate) limits: LimitsWire,
+    /// Endpoint list in the format of discovery, for use before discovery has answered.
     #[serde(rename = "known")]
     pub(crate) cached_endpoints: Value,
     pub(crate) settings: SettingsWire,
 }
 
-/// Limits on the broker's process.
+/// Limits on the resources of the broker's process.
 #[derive(Debug, Serialize)]
 pub(crate) struct LimitsWire {
     pub(crate) sockets: usize,
     pub(crate) memory_mb: usize,
 }
 
-/// The settings of the decisions.
+/// Settings of the broker's policy.
 #[derive(Debug, Serialize)]
 pub(crate) struct SettingsWire {
     #[serde(rename = "Allowed")]
@@ -53,7 +54,7 @@
     pub(crate) zones: Vec<&'static str>,
 }
 
-/// What the broker may do.
+/// Limits on what the broker does, and features that the deployment allows.
 #[derive(Debug, Serialize)]
 pub(crate) struct PermissionsWire {
     #[serde(rename = "Cancel")]
@@ -80,14 +81,14 @@
     pub(crate) max_attempts: usize,
 }
 
-/// How clients behave.
+/// Behavior of the clients.
 #[derive(Debug, Serialize)]
 pub(crate) struct ClientsWire {
     #[serde(rename = "MarksRetry")]
     pub(crate) marks_retries: bool,
 }
 
-/// How the data is laid out, with lists that have one number for each class.
+/// Layout of the data over the servers. Each list has one number for each class.
 #[derive(Debug, Serialize)]
 pub(crate) struct DataLayoutWire {
     #[serde(rename = "Batch")]
@@ -121,7 +122,7 @@
     pub(crate) share: f64,
 }
 
-/// Rules that the deployment sets.
+/// Rules of the deployment for polls of the endpoint list, overload and warm-ups.
 #[derive(Debug, Serialize)]
 pub(crate) struct RulesWire {
     #[serde(rename = "AskWithin")]
@@ -155,26 +156,29 @@
     pub(crate) idempotency_window_ms: f64,
 }
 
-/// Whether a part may safely be executed more than once.
+/// Condition under which a part may be executed more than once.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) enum RetrySafetyWire {
+    /// It may always be executed again.
     #[serde(rename = "repeatable")]
     Idempotent,
+    /// Data servers drop further executions under the same idempotency key.
     #[serde(rename = "by_key")]
     IdempotencyKey,
 }
 
-/// How the endpoint list reaches the broker.
+/// Source of the broker's endpoint list.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) enum EndpointListSourceWire {
+    /// Discovery notifies the broker of each change.
     #[serde(rename = "pushed")]
     Pushed,
 }
 
-/// What the priority weight of a query is proportional to.
+/// Quantity that the priority weight of a query is proportional to.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) enum WeightBasisWire {
-    /// The same for all queries of a class.
+    /// A constant: all queries of a class have the same priority weight.
     #[serde(rename = "request")]
     Request,
 }
--- a/crates/test-fleet/src/wire/discovery.rs
+++ b/crates/test-fleet/src/wire/discovery.rs
@@ -1,12 +1,12 @@
-//! The endpoint list and the requests for it.
+//! Format of the endpoint list and of the requests for it.
 
 use serde::Serialize;
 
 /// Path of the endpoint list.
 pub(crate) const LIST_PATH: &str = "/api/targets";
-/// Query parameter with the revision that the client knows.
+/// Query parameter that contains the revision of the client's endpoint list.
 pub(crate) const REVISION_PARAMETER: &str = "index";
-/// Query parameter with the longest duration of a watch, in milliseconds.
+/// Query parameter that contains the maximum duration of a watch, in milliseconds.
 pub(crate) const WATCH_PARAMETER: &str = "wait";
 
 /// The endpoint list, or its changes after a revision.
@@ -14,14 +14,14 @@
 pub(crate) struct EndpointListWire {
     #[serde(rename = "rev")]
     pub(crate) revision: u64,
-    /// Whether the list is complete; it holds changes only otherwise.
+    /// Whether the list is complete. If not, it contains only the changed endpoints.
     #[serde(rename = "all")]
     pub(crate) is_snapshot: bool,
     #[serde(rename = "targets")]
     pub(crate) endpoints: Vec<EndpointWire>,
 }
 
-/// A data server in the endpoint list.
+/// Data server in the endpoint list.
 #[derive(Debug, Serialize)]
 pub(crate) struct EndpointWire {
     #[serde(rename = "uid")]
@@ -36,12 +36,12 @@
     pub(crate) state: EndpointStateWire,
     #[serde(rename = "capacity_hint")]
     pub(crate) capacity: f64,
-    /// When its process started, in Unix milliseconds.
+    /// Time at which the server's process started, in milliseconds since the Unix epoch.
     #[serde(rename = "boot_ms")]
     pub(crate) started_at_ms: u64,
 }
 
-/// The state of a data server.
+/// State of a data server.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(crate) enum EndpointStateWire {
     #[serde(rename = "active")]
--- a/crates/test-fleet/src/wire/tests.rs
+++ b/crates/test-fleet/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Tests that the test doubles write the names of the platform's and discovery's formats.
+//! Tests of the names that the test doubles write in the platform file and in the endpoint list.
 
 use super::{EndpointListWire, EndpointStateWire, EndpointWire};
 use crate::Deployment;
