--- a/crates/load-generator/src/direct.rs
+++ b/crates/load-generator/src/direct.rs
@@ -1,4 +1,4 @@
-//! A connection to a data server over the servers' own protocol, as a broker has it.
+//! Client of a data server that uses the protocol between brokers and data servers.
 
 use crate::query::{LoadQuery, QUERY_TEXT, QueryOutcome, ShardValue};
 use async_io::Async;
@@ -8,33 +8,35 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// Bytes that are read at once.
+/// Maximum number of bytes that one read returns.
 const READ_CHUNK_BYTES: usize = 4096;
 
-/// Why a query to a data server failed.
+/// Reason why a query to a data server failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum DirectError {
-    /// The server sent something that is no frame of the protocol.
-    #[error(transparent)]
+    /// The server sent bytes that are not a valid frame of the protocol.
+    #[error("invalid frame from the data server: {0}")]
     InvalidFrame(#[from] InvalidFrame),
-    /// The server rejected the call, for this reason.
-    #[error("{0}")]
+    /// The server rejected the call. Contains the reason that it gave.
+    #[error("the data server rejected the call: {0}")]
     CallRejected(String),
-    /// The server answered a part that the call does not hold.
-    #[error("a response to part {0}, which was not requested")]
+    /// The server responded to a part that the call does not contain.
+    #[error("the data server responded to part {0}, which the call does not contain")]
     UnknownPart(String),
     /// The connection failed or ended.
-    #[error(transparent)]
+    #[error("the connection to the data server failed: {0}")]
     Io(#[from] io::Error),
 }
 
-/// A connection that carries one query at a time.
+/// A connection to a data server. It carries one query at a time.
 pub(crate) struct DirectClient {
     stream: Async<TcpStream>,
+    /// Received bytes that are not decoded yet.
     input: Vec<u8>,
 }
 
 impl DirectClient {
+    /// Connects to a data server.
     pub(crate) async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -44,7 +46,7 @@
         })
     }
 
-    /// Sends all parts of a query in one call and waits for their responses.
+    /// Sends all parts of a query in one call and waits for the response to each.
     pub(crate) async fn send_query(
         &mut self,
         query: &LoadQuery,
@@ -72,6 +74,7 @@
         })
     }
 
+    /// Sends a call with one part for each shard of the query.
     async fn send_call(&mut self, query: &LoadQuery, part_ids: &[String]) -> io::Result<()> {
         let wait_ms = query.client_timeout.as_millis() as u64;
         let parts = part_ids
@@ -88,6 +91,7 @@
         self.stream.write_all(&call).await
     }
 
+    /// Waits for the next response to a part.
     async fn read_response(&mut self) -> Result<PartResponse, DirectError> {
         let mut chunk = [0; READ_CHUNK_BYTES];
         loop {
--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -1,4 +1,4 @@
-//! A client's HTTP/1.1 connection, which carries one request at a time.
+//! HTTP/1.1 client that sends one request at a time over a connection.
 
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt};
@@ -8,28 +8,30 @@
 use std::io;
 use std::net::{SocketAddr, TcpStream};
 
-/// Largest response that a client accepts.
+/// Maximum size of a response.
 const RESPONSE_LIMITS: Limits = Limits {
     head_bytes: 16 * 1024,
     body_bytes: 1 << 20,
 };
-/// Bytes that are read at once.
+/// Maximum number of bytes that one read returns.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// An HTTP/1.1 connection.
+/// An HTTP/1.1 connection of a client. It carries one request at a time.
 pub struct Http1Client {
     stream: Async<TcpStream>,
     decoder: ResponseDecoder,
+    /// Received bytes that are not decoded yet.
     input: Vec<u8>,
+    /// Buffer for reads.
     chunk: Vec<u8>,
 }
 
 impl Http1Client {
-    /// Connects.
+    /// Connects to a server.
     ///
     /// # Errors
     ///
-    /// If the connection cannot be made.
+    /// Returns an error if the connection cannot be established.
     pub async fn connect(address: SocketAddr) -> io::Result<Self> {
         let stream = Async::<TcpStream>::connect(address).await?;
         stream.get_ref().set_nodelay(true)?;
@@ -41,13 +43,13 @@
         })
     }
 
-    /// Sends a request and waits for its response. If the connection ends before any byte of the
-    /// response, the request is sent once more on a new one: the broker may have closed an idle
-    /// connection while the request was on its way (RFC 9112, section 9.3.1).
+    /// Sends a request and waits for its response. If the connection fails before any byte of the
+    /// response has arrived, connects again and sends the request once more: the broker may have
+    /// closed the idle connection before the request arrived (RFC 9112, section 9.3.1).
     ///
     /// # Errors
     ///
-    /// If the connection fails or the response is malformed.
+    /// Returns an error if the connection fails or the response is malformed.
     pub(crate) async fn send_or_reconnect(
         &mut self,
         request: &Request<Vec<u8>>,
@@ -62,11 +64,11 @@
         }
     }
 
-    /// Sends the head of a request, and never its body.
+    /// Sends only the head of a request, without its body.
     ///
     /// # Errors
     ///
-    /// If the connection fails.
+    /// Returns an error if the connection fails.
     pub async fn send_head(&mut self, request: &Request<Vec<u8>>) -> io::Result<()> {
         self.stream.write_all(&encode_head(request)).await
     }
@@ -75,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// If the connection fails or the response is malformed.
+    /// Returns an error if the connection fails or the response is malformed.
     pub async fn send(&mut self, request: &Request<Vec<u8>>) -> io::Result<Response<Vec<u8>>> {
         let bytes = [&encode_head(request)[..], request.body()].concat();
         self.stream.write_all(&bytes).await?;
@@ -92,6 +94,7 @@
     }
 }
 
+/// Encodes the request line and the header fields of a request.
 fn encode_head(request: &Request<Vec<u8>>) -> Vec<u8> {
     let uri = request.uri();
     let target = uri.path_and_query().map_or("/", |path| path.as_str());
--- a/crates/load-generator/src/http2.rs
+++ b/crates/load-generator/src/http2.rs
@@ -1,4 +1,5 @@
-//! A client's HTTP/2 connection by prior knowledge, which carries many requests at once.
+//! HTTP/2 client that uses prior knowledge (RFC 9113, section 3.3) and sends concurrent requests
+//! over one connection.
 
 use crate::query::{LoadQuery, QueryOutcome};
 use async_executor::{LocalExecutor, Task};
@@ -11,33 +12,35 @@
 use std::net::{SocketAddr, TcpStream};
 use tokio_util::compat::FuturesAsyncReadCompatExt;
 
-/// An HTTP/2 connection. It ends when it is dropped.
+/// An HTTP/2 connection of a client. Dropping it closes the connection.
 pub struct Http2Client {
     sender: SendRequest<Bytes>,
+    /// Task that reads and writes the frames of the connection. Dropping it closes the connection.
     _driver: Task<()>,
 }
 
-/// What follows the head of a request on its stream.
+/// Whether a body follows the head of a request on its stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RequestBody {
-    /// Nothing: the head ends the stream.
+    /// No body follows: HEADERS carries the flag `END_STREAM`.
     Empty,
-    /// The body.
+    /// A body follows: HEADERS leaves the stream open.
     Follows,
 }
 
-/// A request in flight.
+/// The stream of a request in flight.
 pub struct Http2Stream {
     response: ResponseFuture,
     body: SendStream<Bytes>,
 }
 
 impl Http2Client {
-    /// Connects with the library's default settings.
+    /// Connects with the default settings of the `h2` library. The frames of the connection are
+    /// read and written by a task on `executor`.
     ///
     /// # Errors
     ///
-    /// If the connection cannot be made.
+    /// Returns an error if the connection cannot be established.
     pub async fn connect(
         address: SocketAddr,
         executor: &LocalExecutor<'static>,
@@ -45,11 +48,12 @@
         Self::connect_with(address, executor, &Builder::new()).await
     }
 
-    /// Connects with these settings.
+    /// Connects with the settings of `builder`. The frames of the connection are read and written
+    /// by a task on `executor`.
     ///
     /// # Errors
     ///
-    /// If the connection cannot be made.
+    /// Returns an error if the connection cannot be established.
     pub async fn connect_with(
         address: SocketAddr,
         executor: &LocalExecutor<'static>,
@@ -68,18 +72,18 @@
         })
     }
 
-    /// Concurrent streams that the peer allows: `usize::MAX` until its SETTINGS have been received
-    /// and applied.
+    /// Returns the maximum number of concurrent streams that the peer allows, or `usize::MAX` until
+    /// the peer's SETTINGS have been received and applied.
     #[must_use]
     pub fn peer_stream_limit(&self) -> usize {
         self.sender.current_max_send_streams()
     }
 
-    /// Opens a stream with a whole request, once the peer allows another stream.
+    /// Waits until the peer allows another stream, then opens it and sends the whole request.
     ///
     /// # Errors
     ///
-    /// If the connection has ended or the request cannot be sent.
+    /// Returns an error if the connection has ended or the request cannot be sent.
     pub async fn open(&self, request: &Request<Vec<u8>>) -> Result<Http2Stream, h2::Error> {
         let (head, body) = request.clone().into_parts();
         if body.is_empty() {
@@ -90,11 +94,12 @@
         Ok(stream)
     }
 
-    /// Opens a stream with the head of a request, whose body is never sent.
+    /// Waits until the peer allows another stream, then opens it and sends only the head of the
+    /// request. The stream stays open, as if the body were to follow.
     ///
     /// # Errors
     ///
-    /// If the connection has ended or the head cannot be sent.
+    /// Returns an error if the connection has ended or the head cannot be sent.
     pub async fn open_without_body(
         &self,
         request: &Request<Vec<u8>>,
@@ -119,7 +124,7 @@
     ///
     /// # Errors
     ///
-    /// If the connection ends or the stream is reset.
+    /// Returns an error if the connection ends or the stream is reset.
     pub async fn send(&self, request: &Request<Vec<u8>>) -> Result<Response<Vec<u8>>, h2::Error> {
         self.open(request).await?.response().await
     }
@@ -138,7 +143,7 @@
     ///
     /// # Errors
     ///
-    /// If the connection ends or the stream is reset.
+    /// Returns an error if the connection ends or the stream is reset.
     pub async fn response(self) -> Result<Response<Vec<u8>>, h2::Error> {
         let (head, mut body) = self.response.await?.into_parts();
         let mut bytes = Vec::new();
@@ -150,7 +155,7 @@
         Ok(Response::from_parts(head, bytes))
     }
 
-    /// Cancels the request.
+    /// Cancels the request: resets its stream with the error code CANCEL.
     pub fn reset(mut self) {
         self.body.send_reset(Reason::CANCEL);
     }
--- a/crates/load-generator/src/lib.rs
+++ b/crates/load-generator/src/lib.rs
@@ -1,10 +1,15 @@
-//! Clients of a broker over both versions of HTTP, and load in an open loop.
+//! Clients of a broker over HTTP/1.1 and HTTP/2, and an open-loop load generator.
 //!
-//! [`LoadQuery`] is a query as a client sends it; [`Http1Client`] and [`Http2Client`] are
-//! connections that carry it. [`open_loop`] sends queries at a given rate, however fast they are
-//! answered: latency is measured from when a query was due, so that a broker that stalls is charged
-//! for every query that it delayed. A closed loop would leave those delays out, which is known as
-//! coordinated omission. [`raw_http2`] is a client that can break the rules of HTTP/2.
+//! [`LoadQuery`] is a query of a client. [`Http1Client`] and [`Http2Client`] send it over a
+//! connection, and [`QueryOutcome`] is the result.
+//!
+//! [`open_loop`] sends queries at a given rate that does not depend on how fast they are answered.
+//! It measures the latency of a query from the time at which the query was due. If the broker
+//! stalls, the latency of each query that was due during the stall therefore includes the delay. A
+//! closed loop, which sends the next query only after an answer, would leave these delays out
+//! (coordinated omission).
+//!
+//! [`raw_http2`] is a client for tests that can break the rules of HTTP/2.
 
 mod direct;
 mod http1;
--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: queries are sent at a given rate, however fast they are answered.
+//! Open-loop load: queries are sent at a given rate that does not depend on how fast they are
+//! answered.
 
 mod arrivals;
 mod recorder;
@@ -20,69 +21,71 @@
 use std::time::{Duration, Instant};
 use transport::Transport;
 
-/// How long after the end of the load an answer still counts.
+/// Time after the end of the load during which outcomes of queries still count.
 const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
-/// Where the load is sent.
+/// Destination of the load.
 #[derive(Clone, Copy, Debug)]
 pub enum Target {
-    /// To a broker over HTTP/1.1.
+    /// A broker over HTTP/1.1.
     Http1 {
-        /// The broker's address.
+        /// Address of the broker.
         address: SocketAddr,
-        /// Number of connections that are opened at the start.
+        /// Number of connections that are opened at the start. More are opened if all of them are
+        /// in use.
         connections: usize,
     },
-    /// To a broker over HTTP/2.
+    /// A broker over HTTP/2.
     Http2 {
-        /// The broker's address.
+        /// Address of the broker.
         address: SocketAddr,
         /// Number of connections, which are used in rotation.
         connections: usize,
     },
-    /// To a data server in its own protocol, as a baseline without a broker.
+    /// A data server at this address, over the protocol that brokers use with data servers. It
+    /// gives a baseline without a broker. Only one query can be in flight at a time.
     Direct(SocketAddr),
 }
 
-/// What load is sent.
+/// Rate, duration and queries of a load.
 #[derive(Clone, Debug)]
 pub struct LoadProfile {
-    /// Queries a second; `None` sends a query as soon as fewer than [`LoadProfile::max_concurrent`]
-    /// are in flight.
+    /// Mean number of queries per second. With `None`, a query is sent whenever fewer than
+    /// [`LoadProfile::max_concurrent`] are in flight.
     pub rate: Option<f64>,
-    /// Largest number of queries in flight. A query that is due while so many are in flight waits,
-    /// and its latency includes that wait.
+    /// Maximum number of queries in flight. A query that is due while this many are in flight waits
+    /// until one of them ends; its latency includes the wait.
     pub max_concurrent: usize,
-    /// How long queries are sent.
+    /// Time during which queries are sent, including the warm-up.
     pub duration: Duration,
-    /// Time at the start whose queries are not counted.
+    /// Time at the start of the load. Queries that are due within it are not counted.
     pub warm_up: Duration,
     /// Seed of the arrival times and request ids.
     pub seed: u64,
-    /// The class of each query.
+    /// Class of each query.
     pub class: String,
-    /// The shards of each query.
+    /// Shards of each query.
     pub shards: Vec<usize>,
 }
 
-/// The result of a load.
+/// Result of a load.
 #[derive(Clone, Debug)]
 pub struct LoadReport {
-    /// Latency of served queries from when they were due, in microseconds.
+    /// Latency of served queries, in microseconds, from the time at which they were due.
     pub latency: Histogram<u64>,
-    /// Queries that were answered, without those of the warm-up.
+    /// Number of queries that were answered, without those of the warm-up.
     pub served: u64,
-    /// Queries that were not answered, without those of the warm-up.
+    /// Number of queries that ended without an answer, without those of the warm-up.
     pub unserved: u64,
-    /// The duration of the load without the warm-up.
+    /// Duration of the load without the warm-up.
     pub measured_duration: Duration,
 }
 
-/// Sends a load to its end, on this thread.
+/// Sends a load on the calling thread and waits for the outcomes of its queries.
 ///
 /// # Errors
 ///
-/// If a connection cannot be made at the start.
+/// Returns an error if a connection cannot be established at the start.
 pub fn open_loop(target: Target, profile: &LoadProfile) -> io::Result<LoadReport> {
     let executor = Rc::new(LocalExecutor::new());
     async_io::block_on(executor.run(run(target, profile, executor.clone())))
@@ -127,10 +130,11 @@
     Ok(recorder.report())
 }
 
-/// Limits the queries in flight: each acquires a slot and releases it.
+/// Limit on the number of queries in flight. Each query acquires a slot before it is sent and
+/// releases the slot when it ends.
 #[derive(Clone)]
 struct QuerySlots {
-    /// Holds a message for each free slot.
+    /// Contains one message for each free slot.
     free: Receiver<()>,
     released: Sender<()>,
 }
@@ -145,16 +149,18 @@
         slots
     }
 
+    /// Waits for a free slot and takes it.
     async fn acquire(&self) {
         let slot = self.free.recv().await;
-        slot.expect("the channel is open: this value holds a sender");
+        slot.expect("the channel of free slots should be open, because `self` owns a sender");
     }
 
     fn release(&self) {
         let _ = self.released.try_send(());
     }
 
-    /// Waits until this number of slots is free, for each of them no longer than [`ANSWER_GRACE`].
+    /// Takes `count` slots as they become free. Gives up if one of them does not become free within
+    /// [`ANSWER_GRACE`].
     async fn wait_until_free(&self, count: usize) {
         for _ in 0..count {
             let acquired = async {
--- a/crates/load-generator/src/open_loop/arrivals.rs
+++ b/crates/load-generator/src/open_loop/arrivals.rs
@@ -1,11 +1,13 @@
-//! When the queries of a load are due.
+//! The times at which the queries of a load are due.
 
 use rand::RngExt;
 use rand_pcg::Pcg64Mcg;
 use std::time::{Duration, Instant};
 
-/// The arrival times of a Poisson process, or of a load without a rate.
+/// Generator of arrival times. With a rate they form a Poisson process; without one, each query is
+/// due when its time is requested.
 pub(super) struct Arrivals {
+    /// Mean number of arrivals per second.
     rate: Option<f64>,
     last_due: Instant,
     random: Pcg64Mcg,
@@ -20,7 +22,7 @@
         }
     }
 
-    /// When the next query is due. Without a rate that is now.
+    /// Returns the time at which the next query is due. Without a rate that is the current time.
     pub(super) fn next_due(&mut self) -> Instant {
         match self.rate {
             Some(rate) => self.last_due += exponential_gap(rate, &mut self.random),
@@ -30,8 +32,8 @@
     }
 }
 
-/// An exponentially distributed time between two arrivals, so that they are independent of each
-/// other.
+/// Returns a random time between two arrivals. It is exponentially distributed, so arrivals are
+/// independent of each other.
 fn exponential_gap(rate: f64, random: &mut Pcg64Mcg) -> Duration {
     Duration::from_secs_f64(-(1.0 - random.random::<f64>()).ln() / rate)
 }
--- a/crates/load-generator/src/open_loop/recorder.rs
+++ b/crates/load-generator/src/open_loop/recorder.rs
@@ -1,4 +1,4 @@
-//! Counts outcomes and latencies of a load.
+//! Recorder of the outcomes and latencies of a load.
 
 use super::{ANSWER_GRACE, LoadProfile, LoadReport};
 use crate::query::QueryOutcome;
@@ -7,17 +7,19 @@
 use std::io;
 use std::time::Instant;
 
-/// The shortest latency that the histogram distinguishes from zero, in microseconds.
+/// Minimum latency that the histogram distinguishes from zero, in microseconds.
 const MIN_LATENCY_US: u64 = 1;
-/// The longest latency that the histogram holds, in microseconds; longer ones count as this one.
+/// Maximum latency in the histogram, in microseconds. Longer latencies are recorded as this one.
 const MAX_LATENCY_US: u64 = 60_000_000;
-/// Significant decimal digits of the histogram.
+/// Number of significant decimal digits that the histogram keeps of a latency.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// The report of a load that is running.
+/// Report of a load that is still running.
 pub(super) struct Recorder {
     report: RefCell<LoadReport>,
+    /// End of the warm-up. Queries that were due earlier are not counted.
     counted_from: Instant,
+    /// Outcomes that are recorded later are not counted.
     counted_until: Instant,
 }
 
@@ -38,8 +40,9 @@
         })
     }
 
-    /// Records the outcome of a query that has just ended, unless it belongs to the warm-up or
-    /// comes too late.
+    /// Records the outcome of a query that was due at `due` and has just ended. Has no effect if
+    /// the query was due during the warm-up, or if it ended more than [`ANSWER_GRACE`] after the
+    /// load.
     pub(super) fn record(&self, due: Instant, outcome: &QueryOutcome) {
         if due < self.counted_from || Instant::now() > self.counted_until {
             return;
@@ -54,6 +57,7 @@
         }
     }
 
+    /// Returns the report of the outcomes that were recorded so far.
     pub(super) fn report(&self) -> LoadReport {
         self.report.borrow().clone()
     }
--- a/crates/load-generator/src/open_loop/transport.rs
+++ b/crates/load-generator/src/open_loop/transport.rs
@@ -1,4 +1,4 @@
-//! The connections that carry a load.
+//! The connections over which a load is sent.
 
 use super::Target;
 use crate::direct::DirectClient;
@@ -10,14 +10,20 @@
 use std::io;
 use std::net::SocketAddr;
 
+/// Reason for which a second concurrent query to a data server is not sent.
+const DIRECT_CONNECTION_IN_USE: &str =
+    "the connection to the data server carries another query; the maximum is one in flight";
+
+/// The connections to one target.
 pub(super) enum Transport {
     Http1(Http1Pool),
     Http2(Http2Pool),
-    /// One query at a time; `None` while it is in flight.
+    /// Connection to a data server; `None` while it carries a query.
     Direct(RefCell<Option<DirectClient>>),
 }
 
 impl Transport {
+    /// Connects to the target.
     pub(super) async fn open(
         target: Target,
         executor: &LocalExecutor<'static>,
@@ -42,6 +48,7 @@
         }
     }
 
+    /// Sends a query and waits for its outcome.
     pub(super) async fn send_query(&self, query: &LoadQuery) -> QueryOutcome {
         match self {
             Transport::Http1(pool) => pool
@@ -51,7 +58,7 @@
             Transport::Http2(pool) => pool.next().send_query(query).await,
             Transport::Direct(idle) => {
                 let Some(mut client) = idle.take() else {
-                    return QueryOutcome::Aborted("one at a time".to_owned());
+                    return QueryOutcome::Aborted(DIRECT_CONNECTION_IN_USE.to_owned());
                 };
                 let result = client.send_query(query).await;
                 idle.replace(Some(client));
@@ -61,9 +68,10 @@
     }
 }
 
-/// HTTP/1.1 connections, each of which carries one query at a time.
+/// Pool of HTTP/1.1 connections, each of which carries one query at a time.
 pub(super) struct Http1Pool {
     address: SocketAddr,
+    /// Connections that carry no query.
     idle: RefCell<Vec<Http1Client>>,
 }
 
@@ -79,7 +87,8 @@
         })
     }
 
-    /// Sends a query on an idle connection, or on a new one if none is idle.
+    /// Sends a query on an idle connection, or on a new one if no connection is idle. A connection
+    /// that fails is closed.
     async fn send_query(&self, query: &LoadQuery) -> io::Result<QueryOutcome> {
         let idle = self.idle.borrow_mut().pop();
         let mut client = match idle {
@@ -92,9 +101,10 @@
     }
 }
 
-/// HTTP/2 connections, which are used in rotation.
+/// Pool of HTTP/2 connections, which are used in rotation.
 pub(super) struct Http2Pool {
     clients: Vec<Http2Client>,
+    /// Index in `clients` of the connection that carried the last query.
     last_used: Cell<usize>,
 }
 
@@ -114,6 +124,7 @@
         })
     }
 
+    /// Returns the connection for the next query.
     fn next(&self) -> &Http2Client {
         let next = (self.last_used.get() + 1) % self.clients.len();
         self.last_used.set(next);
--- a/crates/load-generator/src/query.rs
+++ b/crates/load-generator/src/query.rs
@@ -1,4 +1,4 @@
-//! Queries as clients send them, and how they end.
+//! Queries of clients, and their outcomes.
 
 use crate::wire::{
     AUTHORITY, CLASS_HEADER, COMPLETE_FIELD, DEADLINE_HEADER, IDEMPOTENCY_KEY_HEADER,
@@ -10,29 +10,29 @@
 use serde_json::{Value, json};
 use std::time::Duration;
 
-/// The text that the parts of all queries carry.
+/// Text of each query. The broker sends it to the data servers with each part.
 pub const QUERY_TEXT: &str = "c41e77d0";
 
-/// Default for how long a client waits.
+/// Default time for which a client waits for the answer.
 const DEFAULT_CLIENT_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// A query that a client sends.
 #[derive(Clone, Debug)]
 pub struct LoadQuery {
-    /// The request id; each query has its own.
+    /// Request id. Each query needs one of its own.
     pub id: String,
-    /// The class.
+    /// Name of the query's class.
     pub class: String,
-    /// The shards, each with the same portion of the query's value.
+    /// Shards that the query reads. Each has the same portion of the query's value.
     pub shards: Vec<usize>,
-    /// How long the client waits for the answer.
+    /// Time for which the client waits for the answer.
     pub client_timeout: Duration,
-    /// The idempotency key, which some classes need.
+    /// Idempotency key, which some classes require.
     pub idempotency_key: Option<String>,
 }
 
 impl LoadQuery {
-    /// A query without an idempotency key, whose client waits for four seconds.
+    /// Creates a query without an idempotency key, whose client waits for four seconds.
     #[must_use]
     pub fn new(id: impl Into<String>, class: &str, shards: &[usize]) -> Self {
         LoadQuery {
@@ -51,14 +51,14 @@
         self
     }
 
-    /// Sets how long the client waits.
+    /// Sets the time for which the client waits for the answer.
     #[must_use]
     pub fn with_client_timeout(mut self, client_timeout: Duration) -> Self {
         self.client_timeout = client_timeout;
         self
     }
 
-    /// Returns the HTTP request of the query, with an absolute URI.
+    /// Returns the query as an HTTP request with an absolute URI.
     #[must_use]
     pub fn request(&self) -> Request<Vec<u8>> {
         let body = self.body();
@@ -77,6 +77,7 @@
         builder.body(body).unwrap_or_default()
     }
 
+    /// Returns the JSON body of the request.
     fn body(&self) -> Vec<u8> {
         let portion = 1.0 / self.shards.len() as f64;
         let shards = self
@@ -91,35 +92,37 @@
     }
 }
 
-/// The value of one shard in an answer.
+/// Value of one shard in an answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ShardValue {
-    /// The shard.
+    /// Index of the shard.
     pub shard: usize,
-    /// Its value.
+    /// Value of the shard.
     pub value: String,
 }
 
-/// How a query ended for its client.
+/// Outcome of a query for its client.
 #[derive(Clone, Debug, PartialEq)]
 pub enum QueryOutcome {
-    /// The query was answered.
+    /// The query was answered (status 200).
     Answered {
         /// Whether the answer is marked as complete.
         complete: bool,
-        /// The values that the answer holds.
+        /// Values in the answer.
         values: Vec<ShardValue>,
     },
-    /// The query was rejected, with the seconds of its `Retry-After`.
+    /// The query was rejected (status 429 or 503). Contains the number of seconds from the header
+    /// `Retry-After`, if the response has one.
     Rejected(Option<f64>),
-    /// The query ended with another status.
+    /// The response has another status than those above. Contains that status.
     Failed(u16),
-    /// No answer came: the stream was reset or the connection ended, for this reason.
+    /// The client received no response, for example because the stream was reset or the connection
+    /// ended. Contains the error as text.
     Aborted(String),
 }
 
 impl QueryOutcome {
-    /// Reads a response.
+    /// Returns the outcome that an HTTP response stands for.
     #[must_use]
     pub fn from_response(response: &Response<Vec<u8>>) -> Self {
         match response.status().as_u16() {
@@ -129,7 +132,7 @@
         }
     }
 
-    /// Whether the query was answered.
+    /// Returns whether the query was answered.
     #[must_use]
     pub fn is_answered(&self) -> bool {
         matches!(self, QueryOutcome::Answered { .. })
--- a/crates/load-generator/src/raw_http2.rs
+++ b/crates/load-generator/src/raw_http2.rs
@@ -1,7 +1,7 @@
-//! An HTTP/2 client that writes its frames by itself, so that it can break the rules of RFC 9113 as
-//! no library does.
+//! HTTP/2 client for tests whose frames the caller writes, so that it can break the rules of
+//! RFC 9113. HTTP libraries do not permit that.
 //!
-//! It is made for tests: if an expected frame does not arrive, it panics with the frames that did.
+//! If an expected frame does not arrive, the client panics and names the frames that did.
 
 mod fields;
 mod frame;
@@ -20,19 +20,20 @@
 /// The connection preface of a client (RFC 9113, section 3.4).
 pub const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-/// The payload of SETTINGS with `SETTINGS_HEADER_TABLE_SIZE` (1) set to 0, so that the peer indexes
-/// no fields.
+/// Payload of SETTINGS that sets `SETTINGS_HEADER_TABLE_SIZE` (identifier 1) to 0. The peer then
+/// does not add fields to the dynamic table, which this client does not implement.
 const SETTINGS_WITHOUT_INDEXING: [u8; 6] = [0, 1, 0, 0, 0, 0];
-/// Longest wait for the peer to take what is written.
+/// Maximum time that a write waits for the peer to read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Longest wait for an expected frame or text.
+/// Maximum wait for an expected frame, or for the end of the connection.
 const READ_TIMEOUT: Duration = Duration::from_secs(30);
-/// The shortest timeout of a read; sockets interpret zero as no timeout.
+/// Minimum timeout of a read. The standard library rejects a timeout of zero, because sockets
+/// interpret zero as no timeout.
 const MIN_READ_TIMEOUT: Duration = Duration::from_millis(1);
-/// Bytes that are read at once.
+/// Maximum number of bytes that one read returns.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
 
-/// Encodes a whole query on a stream: HEADERS and DATA.
+/// Encodes the frames of a whole query on a stream: HEADERS and DATA.
 #[must_use]
 pub fn query_frames(stream_id: u32, request_id: &str) -> Vec<u8> {
     let fields = query_fields(request_id, &[]);
@@ -43,48 +44,50 @@
     .concat()
 }
 
-/// What a read of the connection led to.
+/// Outcome of one read of the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum ReadOutcome {
-    /// The connection may be read again.
+    /// The connection is open and can be read again.
     Continued,
-    /// The connection has ended, or nothing came until the deadline.
+    /// The connection has ended or failed, or no bytes arrived before the deadline.
     Ended,
 }
 
-/// A connection whose frames the caller writes.
+/// HTTP/2 connection whose frames the caller writes.
 pub struct RawHttp2Client {
     stream: TcpStream,
-    /// Received bytes that are not yet taken as frames.
+    /// Received bytes that are not decoded as frames yet.
     input: Vec<u8>,
 }
 
 impl RawHttp2Client {
-    /// Connects and sends nothing.
+    /// Connects without sending anything.
     ///
     /// # Panics
     ///
-    /// If the connection cannot be made.
+    /// Panics if the connection cannot be established.
     #[must_use]
     pub fn connect(address: SocketAddr) -> RawHttp2Client {
-        let stream = TcpStream::connect(address).expect("the address is that of a listener");
+        let stream = TcpStream::connect(address)
+            .unwrap_or_else(|error| panic!("expected a listener on {address}: {error}"));
         stream
             .set_nodelay(true)
-            .expect("the option exists on every TCP socket");
+            .expect("TCP_NODELAY should be supported on each TCP socket");
         stream
             .set_write_timeout(Some(WRITE_TIMEOUT))
-            .expect("the timeout is not zero");
+            .expect("the write timeout should be accepted, because it is not zero");
         RawHttp2Client {
             stream,
             input: Vec::new(),
         }
     }
 
-    /// Connects and sends the preface and SETTINGS, with which the peer indexes no fields.
+    /// Connects and sends the preface and SETTINGS. The SETTINGS make the peer encode its fields
+    /// without the dynamic table.
     ///
     /// # Panics
     ///
-    /// If the connection cannot be made.
+    /// Panics if the connection cannot be established.
     #[must_use]
     pub fn connect_with_preface(address: SocketAddr) -> RawHttp2Client {
         let mut client = RawHttp2Client::connect(address);
@@ -97,25 +100,26 @@
     ///
     /// # Panics
     ///
-    /// If the connection fails or the peer does not read in time.
+    /// Panics if the connection fails or the peer does not read for 20 seconds.
     pub fn send(&mut self, bytes: &[u8]) {
         self.stream
             .write_all(bytes)
-            .expect("the peer keeps the connection open and reads");
+            .expect("the peer should keep the connection open and read within 20 s");
     }
 
     /// Sends all bytes.
     ///
     /// # Errors
     ///
-    /// If the connection has ended or the peer does not read in time.
+    /// Returns an error if the connection has ended or the peer does not read for 20 seconds.
     pub fn try_send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.stream.write_all(bytes)
     }
 
-    /// Waits for the next frame; `None` if the connection ends or no frame comes within this time.
-    pub fn next_frame(&mut self, within: Duration) -> Option<Frame> {
-        let deadline = Instant::now() + within;
+    /// Waits for the next frame. Returns `None` if the connection ends or no frame arrives within
+    /// `timeout`.
+    pub fn next_frame(&mut self, timeout: Duration) -> Option<Frame> {
+        let deadline = Instant::now() + timeout;
         loop {
             if let Some(frame) = Frame::take_from(&mut self.input) {
                 return Some(frame);
@@ -126,12 +130,12 @@
         }
     }
 
-    /// Reads once.
+    /// Reads from the connection once and appends the bytes to the input.
     fn read(&mut self, deadline: Instant) -> ReadOutcome {
         let remaining = deadline.saturating_duration_since(Instant::now());
         self.stream
             .set_read_timeout(Some(remaining.max(MIN_READ_TIMEOUT)))
-            .expect("the timeout is not zero");
+            .expect("the read timeout should be accepted, because it is not zero");
         let mut chunk = [0; READ_CHUNK_BYTES];
         match self.stream.read(&mut chunk) {
             Ok(0) => ReadOutcome::Ended,
@@ -144,16 +148,19 @@
         }
     }
 
-    /// Waits for a frame of this type and skips others.
+    /// Waits for a frame of the type `frame_type` and skips frames of other types.
     ///
     /// # Panics
     ///
-    /// If the connection ends or no such frame comes in time.
+    /// Panics if the connection ends, or if no frame at all arrives for 30 seconds.
     pub fn expect_frame(&mut self, frame_type: u8) -> Frame {
         let mut skipped: Vec<Frame> = Vec::new();
         loop {
             let Some(frame) = self.next_frame(READ_TIMEOUT) else {
-                panic!("no frame of kind {frame_type}, but {skipped:?}");
+                panic!(
+                    "expected a frame of type {frame_type}, but the connection ended or sent \
+                     nothing for {READ_TIMEOUT:?}; it sent before: {skipped:?}"
+                );
             };
             if frame.frame_type == frame_type {
                 return frame;
@@ -162,34 +169,38 @@
         }
     }
 
-    /// Collects all frames until the connection ends.
+    /// Returns all frames that arrive until the connection ends.
     ///
     /// # Panics
     ///
-    /// If the connection does not end within this time.
-    pub fn frames_until_close(&mut self, within: Duration) -> Vec<Frame> {
+    /// Panics if the connection does not end within `timeout`.
+    pub fn frames_until_close(&mut self, timeout: Duration) -> Vec<Frame> {
         let start = Instant::now();
         let mut frames = Vec::new();
-        while let Some(frame) = self.next_frame(within.saturating_sub(start.elapsed())) {
+        while let Some(frame) = self.next_frame(timeout.saturating_sub(start.elapsed())) {
             frames.push(frame);
         }
         assert!(
-            start.elapsed() < within,
-            "the connection stays open; it sent {frames:?}"
+            start.elapsed() < timeout,
+            "expected the connection to end within {timeout:?}, but it is open; it sent {frames:?}"
         );
         frames
     }
 
-    /// Reads until the connection ends, and returns all bytes that were not taken as frames, as
-    /// text.
+    /// Reads until the connection ends, and returns all bytes that were not decoded as frames. They
+    /// are converted to text.
     ///
     /// # Panics
     ///
-    /// If the connection does not end in time.
+    /// Panics if the connection does not end within 30 seconds.
     pub fn text_until_close(&mut self) -> String {
         let deadline = Instant::now() + READ_TIMEOUT;
         while self.read(deadline) == ReadOutcome::Continued {}
-        assert!(Instant::now() < deadline, "the connection stays open");
+        assert!(
+            Instant::now() < deadline,
+            "expected the connection to end within {READ_TIMEOUT:?}, but it is open; it sent {:?}",
+            String::from_utf8_lossy(&self.input)
+        );
         String::from_utf8_lossy(&self.input).into_owned()
     }
 }
--- a/crates/load-generator/src/raw_http2/fields.rs
+++ b/crates/load-generator/src/raw_http2/fields.rs
@@ -1,15 +1,15 @@
-//! Field blocks: as much of HPACK (RFC 7541) as a test client needs.
+//! Encoder and decoder of field blocks, with the part of HPACK (RFC 7541) that a test client needs.
 
 use super::Frame;
 use crate::wire::{AUTHORITY, REQUEST_ID_HEADER, TENANT, TENANT_HEADER};
 
-/// Longest string whose length fits into one byte of HPACK (section 5.1).
+/// Maximum length of a string whose length HPACK encodes in one byte (section 5.1).
 const MAX_STRING_BYTES: usize = 126;
-/// First byte of a literal without indexing whose name is a literal too (section 6.2.2).
+/// First byte of a literal field without indexing whose name is also a literal (section 6.2.2).
 const LITERAL_WITH_NEW_NAME: u8 = 0;
-/// Flag of a string's length: the string is Huffman coded (section 5.2).
+/// Flag in the length byte of a string: the string is Huffman coded (section 5.2).
 const HUFFMAN_FLAG: u8 = 0x80;
-/// The Huffman codes of the digits, 0 first (appendix B).
+/// Huffman codes of the digits 0 to 9 (appendix B).
 const HUFFMAN_DIGITS: [&str; 10] = [
     "00000", "00001", "00010", "011001", "011010", "011011", "011100", "011101", "011110", "011111",
 ];
@@ -18,14 +18,17 @@
 ///
 /// # Panics
 ///
-/// If a name or a value is longer than 126 bytes.
+/// Panics if a name or a value is longer than 126 bytes.
 #[must_use]
 pub fn encode_fields(pairs: &[(&str, &str)]) -> Vec<u8> {
     let mut block = Vec::new();
     for (name, value) in pairs {
         block.push(LITERAL_WITH_NEW_NAME);
         for string in [name, value] {
-            assert!(string.len() <= MAX_STRING_BYTES);
+            assert!(
+                string.len() <= MAX_STRING_BYTES,
+                "expected a string of at most {MAX_STRING_BYTES} bytes, found {string:?}"
+            );
             block.push(string.len() as u8);
             block.extend(string.as_bytes());
         }
@@ -33,15 +36,16 @@
     block
 }
 
-/// Encodes the fields of a query. A change with the name of a usual field replaces its value, or
-/// leaves the field out if the new value is empty; other changes are appended.
+/// Encodes the fields of a query: the default fields, changed by `changes`. A change with the name
+/// of a default field replaces the value, or removes the field if the new value is empty. A change
+/// with another name adds a field.
 ///
 /// # Panics
 ///
-/// If a name or a value is longer than 126 bytes.
+/// Panics if a name or a value is longer than 126 bytes.
 #[must_use]
 pub fn query_fields(request_id: &str, changes: &[(&str, &str)]) -> Vec<u8> {
-    let usual_fields = [
+    let default_fields = [
         (":method", "POST"),
         (":scheme", "http"),
         (":path", "/lookup"),
@@ -49,32 +53,33 @@
         (REQUEST_ID_HEADER, request_id),
         (TENANT_HEADER, TENANT),
     ];
-    let is_usual = |name: &str| usual_fields.iter().any(|(usual, _)| *usual == name);
+    let is_default = |name: &str| default_fields.iter().any(|(default, _)| *default == name);
     let replacement = |name: &str| {
         let change = changes.iter().find(|(changed, _)| *changed == name);
         change.map(|(_, value)| *value)
     };
-    let mut fields: Vec<(&str, &str)> = usual_fields
+    let mut fields: Vec<(&str, &str)> = default_fields
         .iter()
         .map(|(name, value)| (*name, replacement(name).unwrap_or(value)))
         .collect();
-    fields.extend(changes.iter().filter(|(name, _)| !is_usual(name)));
+    fields.extend(changes.iter().filter(|(name, _)| !is_default(name)));
     fields.retain(|(_, value)| !value.is_empty());
     encode_fields(&fields)
 }
 
-/// Decodes the status from HEADERS of a response, where it is the first field.
+/// Decodes the status of a response from its HEADERS frame. The status is the first field.
 ///
 /// # Panics
 ///
-/// If the field block does not begin with a status that this decoder knows.
+/// Panics if the first field is not a status in an encoding that this decoder supports: indexed, or
+/// a literal whose name is indexed.
 #[must_use]
 pub fn response_status(headers: &Frame) -> u16 {
-    // Updates of the dynamic table's size may come first (section 6.3).
+    // The block may start with updates of the dynamic table's size (section 6.3).
     let is_size_update = |byte: &&u8| **byte & 0xe0 == 0x20;
     let size_updates = headers.payload.iter().take_while(is_size_update).count();
     let field = &headers.payload[size_updates..];
-    // Indexed fields of the static table (appendix A).
+    // Indexed fields of the static table with a status (appendix A).
     match field[0] {
         0x88 => 200,
         0x89 => 204,
@@ -86,7 +91,7 @@
     }
 }
 
-/// Decodes a status that is a literal string.
+/// Decodes a status whose value is a literal string, with or without Huffman coding.
 fn literal_status(string: &[u8]) -> u16 {
     let length = usize::from(string[0] & !HUFFMAN_FLAG);
     let bytes = &string[1..=length];
@@ -95,10 +100,12 @@
     } else {
         decode_huffman_digits(bytes, 3)
     };
-    digits.parse().expect("a status is a number")
+    digits
+        .parse()
+        .unwrap_or_else(|_| panic!("expected a number as the response status, found {digits:?}"))
 }
 
-/// Decodes this number of Huffman coded digits.
+/// Decodes the first `count` digits of a Huffman coded string.
 fn decode_huffman_digits(bytes: &[u8], count: usize) -> String {
     let bits: String = bytes.iter().map(|byte| format!("{byte:08b}")).collect();
     let mut rest = bits.as_str();
@@ -107,7 +114,9 @@
         let digit = HUFFMAN_DIGITS
             .iter()
             .position(|code| rest.starts_with(code))
-            .expect("a status consists of digits");
+            .unwrap_or_else(|| {
+                panic!("expected the Huffman code of a digit in the response status, found {rest}")
+            });
         digits += &digit.to_string();
         rest = &rest[HUFFMAN_DIGITS[digit].len()..];
     }
--- a/crates/load-generator/src/raw_http2/frame.rs
+++ b/crates/load-generator/src/raw_http2/frame.rs
@@ -1,4 +1,4 @@
-//! Frames of HTTP/2 (RFC 9113, section 4.1).
+//! Encoder and decoder of HTTP/2 frames (RFC 9113, section 4.1).
 
 /// Type of DATA frames.
 pub const DATA: u8 = 0;
@@ -16,30 +16,30 @@
 pub const WINDOW_UPDATE: u8 = 8;
 /// Type of CONTINUATION frames.
 pub const CONTINUATION: u8 = 9;
-/// Flag of DATA and HEADERS: the last frame of the stream in this direction.
+/// Flag of DATA and HEADERS: the sender sends nothing more on the stream.
 pub const END_STREAM: u8 = 1;
-/// Flag of HEADERS and CONTINUATION: the last frame of the field block.
+/// Flag of HEADERS and CONTINUATION: the frame is the last one of its field block.
 pub const END_HEADERS: u8 = 4;
 
-/// Length of a frame's header: three bytes of length, the type, the flags, and four bytes of stream
-/// id.
+/// Length of a frame's header: three bytes for the length of the payload, one for the type, one for
+/// the flags, and four for the stream id.
 const HEADER_BYTES: usize = 9;
 
 /// A received frame.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Frame {
-    /// The type, for instance [`DATA`].
+    /// Type of the frame, for example [`DATA`].
     pub frame_type: u8,
-    /// The flags, for instance [`END_STREAM`].
+    /// Flags of the frame, for example [`END_STREAM`].
     pub flags: u8,
-    /// The stream; 0 is the connection.
+    /// Id of the stream, or 0 if the frame applies to the connection.
     pub stream_id: u32,
-    /// What follows the header.
+    /// Bytes after the frame's header.
     pub payload: Vec<u8>,
 }
 
 impl Frame {
-    /// Removes the first frame from received bytes, if it is complete.
+    /// Removes and returns the first frame of the received bytes, if it is complete.
     pub(super) fn take_from(input: &mut Vec<u8>) -> Option<Frame> {
         let header: [u8; HEADER_BYTES] = input.get(..HEADER_BYTES)?.try_into().ok()?;
         let [length_0, length_1, length_2, frame_type, flags, id @ ..] = header;
@@ -56,31 +56,35 @@
         })
     }
 
-    /// The error code of `RST_STREAM` or GOAWAY.
+    /// Returns the error code of an `RST_STREAM` or GOAWAY frame.
     ///
     /// # Panics
     ///
-    /// If the payload is too short for one.
+    /// Panics if the payload is too short to contain one.
     #[must_use]
     pub fn error_code(&self) -> u32 {
-        // In GOAWAY the last stream id comes first.
+        // In GOAWAY the four bytes of the last stream id precede the error code.
         let offset = if self.frame_type == GOAWAY { 4 } else { 0 };
         self.payload_u32(offset)
     }
 
-    /// The last stream id of GOAWAY.
+    /// Returns the last stream id of a GOAWAY frame.
     ///
     /// # Panics
     ///
-    /// If the payload is too short for one.
+    /// Panics if the payload is too short to contain one.
     #[must_use]
     pub fn last_stream_id(&self) -> u32 {
         self.payload_u32(0)
     }
 
+    /// Returns the big-endian number at this offset of the payload.
     fn payload_u32(&self, offset: usize) -> u32 {
         let bytes = self.payload.get(offset..).and_then(<[u8]>::first_chunk);
-        u32::from_be_bytes(*bytes.expect("the frame is of a type that carries this number"))
+        let bytes = bytes.unwrap_or_else(|| {
+            panic!("expected a number of four bytes at offset {offset} of the payload of {self:?}")
+        });
+        u32::from_be_bytes(*bytes)
     }
 }
 
--- a/crates/load-generator/tests/query_outcome.rs
+++ b/crates/load-generator/tests/query_outcome.rs
@@ -1,4 +1,4 @@
-//! How responses are read as outcomes.
+//! Tests of the outcomes that a client derives from responses.
 
 use http::Response;
 use load_generator::{QueryOutcome, ShardValue};
--- a/crates/load-generator/tests/query_request.rs
+++ b/crates/load-generator/tests/query_request.rs
@@ -1,4 +1,4 @@
-//! How queries are written as requests.
+//! Tests of the requests that a client sends for queries.
 
 use load_generator::{LoadQuery, raw_http2};
 use std::time::Duration;
--- a/crates/load-generator/tests/raw_http2.rs
+++ b/crates/load-generator/tests/raw_http2.rs
@@ -1,4 +1,4 @@
-//! The field blocks that the raw client encodes and decodes.
+//! Tests of the field blocks and frames that the raw client encodes and decodes.
 
 use load_generator::raw_http2::{
     Frame, HEADERS, encode_fields, encode_frame, query_fields, response_status,
@@ -17,12 +17,12 @@
 fn status_is_decoded_from_static_table_literal_and_huffman_code() {
     assert_eq!(response_status(&headers(&[0x88])), 200);
     assert_eq!(response_status(&headers(b"\x08\x03429")), 429);
-    // "502" in the code of RFC 7541, appendix B: 011011, 00000 and 00010.
+    // "502" in the Huffman code of RFC 7541, appendix B: 011011, 00000 and 00010.
     assert_eq!(
         response_status(&headers(&[0x08, 0x82, 0b0110_1100, 0b0000_0010])),
         502
     );
-    // A size update of the dynamic table comes first.
+    // The block starts with an update of the dynamic table's size.
     assert_eq!(response_status(&headers(&[0x20, 0x8c])), 400);
 }
 
