--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -99,7 +99,7 @@
         })
     }
 
-    /// Returns the handles of the data servers, by server number.
+    /// Returns the handles of the data servers.
     #[must_use]
     pub fn servers(&self) -> &[ServerHandle] {
         &self.servers
@@ -122,8 +122,8 @@
         self.attempt_log(AttemptLog::counts)
     }
 
-    /// Publishes in the endpoint list that a server drains. `server` is the server's number, from
-    /// 0.
+    /// Publishes in the endpoint list that a server drains. `server` is the index of the server in
+    /// [`Fleet::servers`].
     ///
     /// # Panics
     ///
@@ -138,7 +138,8 @@
     }
 
     /// Simulates the sudden end of a server's process: its connections are reset and new ones
-    /// refused. The endpoint list does not change. `server` is the server's number, from 0.
+    /// refused. The endpoint list does not change. `server` is the index of the server in
+    /// [`Fleet::servers`].
     ///
     /// # Panics
     ///
@@ -149,7 +150,8 @@
     }
 
     /// Restarts a killed server, which then warms up. The endpoint list contains its new start
-    /// time. Has no effect on a server that is not down. `server` is the server's number, from 0.
+    /// time. Has no effect on a server that is not down, or while its closing connections still
+    /// occupy its address. `server` is the index of the server in [`Fleet::servers`].
     pub fn restart(&self, server: usize) {
         self.send(FleetCommand::Restart(server));
     }
