--- a/crates/query-broker/src/bench/broker_build.rs
+++ b/crates/query-broker/src/bench/broker_build.rs
@@ -1,36 +1,37 @@
-//! The build that is measured, and how it is started.
+//! The build of the broker that is measured, and the processes that are started for a measurement.
 
 use super::error::BenchError;
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use test_fleet::{BrokerProcess, Deployment, Fleet, FleetPlan};
 
-/// Most queries and parts in flight: more than any measurement has.
+/// Maximum number of queries and parts in flight, which no measurement reaches.
 const MAX_IN_FLIGHT: usize = 20_000;
 
-/// The broker's memory limit: more than any measurement needs.
+/// The broker's memory limit in MB, which no measurement reaches.
 const MEMORY_LIMIT_MB: usize = 1024;
 
 /// The listeners of a build.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Listeners {
-    /// HTTP/1.1 only, as in builds from before HTTP/2 and the batch window.
+    /// HTTP/1.1 only. Builds that lack HTTP/2 also lack the batch window.
     Http1Only,
-    /// HTTP/1.1 and HTTP/2.
+    /// Both HTTP/1.1 and HTTP/2.
     Http1AndHttp2,
 }
 
-/// How the broker's iterations are paced in a measurement.
+/// What determines the time between two iterations of the broker's event loop.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Pacing {
-    /// A tick apart, as without an operator's file.
+    /// The iterations are one tick apart, which is the default without an operator's file.
     Ticks,
-    /// By the batch window, with `gather-time`.
+    /// Each iteration waits for the batch window (`gather-time` in the operator's file) to gather
+    /// events.
     BatchWindow,
 }
 
 impl Pacing {
-    /// The name in the figures.
+    /// Returns the name of the pacing in the printed figures.
     pub(super) fn name(self) -> &'static str {
         match self {
             Pacing::Ticks => "ticks",
@@ -41,20 +42,24 @@
 
 /// The build that is measured.
 pub(super) struct BrokerBuild {
-    /// Its executable.
+    /// Path of the build's executable.
     pub(super) executable: PathBuf,
-    /// Its listeners.
+    /// The listeners that the build supports.
     pub(super) listeners: Listeners,
 }
 
-/// A broker of the build, with a fleet of its own.
+/// A running broker of the build, and the fleet of test doubles that it calls.
 pub(super) struct Testbed {
     pub(super) fleet: Fleet,
     pub(super) broker: BrokerProcess,
 }
 
 impl BrokerBuild {
-    /// Starts a fleet, and a broker with all listeners that the build has.
+    /// Starts a fleet, and a broker for it with all listeners that the build supports.
+    ///
+    /// # Errors
+    ///
+    /// The fleet or the broker cannot be started.
     pub(super) fn start(&self, plan: FleetPlan, pacing: Pacing) -> Result<Testbed, BenchError> {
         let deployment = Deployment {
             max_in_flight: MAX_IN_FLIGHT,
@@ -67,6 +72,7 @@
         Ok(Testbed { fleet, broker })
     }
 
+    /// Returns the contents of the operator's file.
     fn operator_config(&self, pacing: Pacing) -> String {
         let mut text = String::new();
         if self.listeners == Listeners::Http1AndHttp2 {
@@ -80,7 +86,11 @@
     }
 }
 
-/// Where a broker listens for HTTP/2.
+/// Returns the address of a broker's HTTP/2 listener.
+///
+/// # Errors
+///
+/// The broker has no HTTP/2 listener.
 pub(super) fn http2_address(broker: &BrokerProcess) -> Result<SocketAddr, BenchError> {
     broker.http2.ok_or(BenchError::NoHttp2Listener)
 }
--- a/crates/query-broker/src/bench/error.rs
+++ b/crates/query-broker/src/bench/error.rs
@@ -1,22 +1,25 @@
-//! Errors of the benchmark.
+//! Errors that end the benchmark.
 
 use std::io;
 use test_fleet::BrokerProcessError;
 use thiserror::Error;
 
-/// A measurement that could not be made.
+/// The reason why a measurement failed.
 #[derive(Debug, Error)]
 pub(super) enum BenchError {
-    /// The fleet, a client or the output failed.
+    /// The fleet could not be started, a client's connection failed, or the figures could not be
+    /// printed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The broker's process failed.
+    /// The broker's process could not be started, or its resource usage could not be read.
     #[error(transparent)]
     Broker(#[from] BrokerProcessError),
-    /// The broker was started without a listener that the measurement needs.
-    #[error("the broker does not listen for HTTP/2")]
+    /// The measurement needs the HTTP/2 listener, and the broker has none.
+    #[error(
+        "the measurement needs the HTTP/2 listener, which the broker has not started; use --http1-only"
+    )]
     NoHttp2Listener,
     /// The thread that sends a flood panicked.
-    #[error("the attacker thread panicked")]
+    #[error("the thread that sends the flood panicked")]
     AttackerPanicked,
 }
--- a/crates/query-broker/src/bench/flood.rs
+++ b/crates/query-broker/src/bench/flood.rs
@@ -1,4 +1,4 @@
-//! Effect of a flood on one connection on the clients of others.
+//! Measures how a flood of frames on one HTTP/2 connection affects clients on other connections.
 
 use super::WARM_UP_SHARE;
 use super::broker_build::{BrokerBuild, Pacing, http2_address};
@@ -15,37 +15,37 @@
 use std::time::{Duration, Instant};
 use test_fleet::FleetPlan;
 
-/// Queries a second that regular clients send.
+/// Rate at which regular clients send queries, per second.
 const CLIENT_QUERIES_PER_SECOND: f64 = 500.0;
 
-/// Largest number of queries in flight of regular clients.
+/// Maximum number of queries that regular clients have in flight.
 const CLIENT_CONCURRENCY: usize = 100;
 
 /// Number of connections of regular clients.
 const CLIENT_CONNECTIONS: usize = 2;
 
-/// Seed of the arrivals of regular clients.
+/// Seed of the random arrival times of the queries of regular clients.
 const SEED: u64 = 9;
 
-/// How long a data server takes for a part.
+/// Time that a data server takes for a part.
 const PART_DURATION: Duration = Duration::from_millis(2);
 
-/// Frames, or pairs of them, that the attacker sends in one write.
+/// Number of units (see [`FloodKind::unit`]) that the attacker sends in one write.
 const BURST_LENGTH: u32 = 64;
 
 /// The error code CANCEL (RFC 9113, section 7).
 const CANCEL: u32 = 8;
 
-/// What the attacker sends.
+/// The kind of frames that the attacker sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FloodKind {
-    /// Nothing, for comparison.
+    /// No flood: the figures of regular clients for comparison.
     None,
     /// PING frames.
     Ping,
     /// SETTINGS frames.
     Settings,
-    /// Queries, each of which is reset at once.
+    /// Queries, each followed by a `RST_STREAM` frame that cancels it.
     RapidReset,
 }
 
@@ -58,7 +58,7 @@
         FloodKind::RapidReset,
     ];
 
-    /// The name in the figures.
+    /// Returns the name of the flood in the printed figures.
     pub(super) fn name(self) -> &'static str {
         match self {
             FloodKind::None => "none",
@@ -68,8 +68,9 @@
         }
     }
 
-    /// The attacker's next bytes, by their number on the connection.
-    fn bytes(self, number: u32) -> Vec<u8> {
+    /// Returns the bytes of one unit of the flood: a frame, or a query with the frame that resets
+    /// it. `number` counts the units on the connection from 0, and determines the stream.
+    fn unit(self, number: u32) -> Vec<u8> {
         match self {
             FloodKind::None => Vec::new(),
             FloodKind::Ping => encode_frame(PING, 0, 0, &[0; 8]),
@@ -84,29 +85,33 @@
     }
 }
 
-/// What the attacker saw of its connections.
+/// Figures of the attacker's connections.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct AttackFigures {
-    /// Connections that the broker ended.
-    pub(super) ended: u32,
-    /// The longest that one of them lasted.
-    pub(super) longest: Duration,
+    /// Number of connections that the broker closed.
+    pub(super) closed_connections: u32,
+    /// Duration of the longest of these connections, from the connect to the failed write.
+    pub(super) longest_connection: Duration,
 }
 
-/// Effect of a flood on regular clients and on the attacker.
+/// The figures of a measurement with a flood.
 pub(super) struct FloodFigures {
-    /// The flood.
+    /// The kind of flood.
     pub(super) kind: FloodKind,
     /// Latency of regular clients, in microseconds.
     pub(super) latency: Histogram<u64>,
     /// Queries of regular clients that were not served.
     pub(super) unserved: u64,
-    /// The attacker's connections.
+    /// Figures of the attacker's connections.
     pub(super) attack: AttackFigures,
 }
 
-/// Measures the load of regular clients beside an attacker that reconnects as soon as its
-/// connection is closed.
+/// Measures the latency of regular clients while an attacker floods the broker over one connection
+/// at a time, and reconnects as soon as the broker has closed it.
+///
+/// # Errors
+///
+/// The processes cannot be started, a client cannot connect, or the attacker's thread panicked.
 pub(super) fn measure(
     build: &BrokerBuild,
     kind: FloodKind,
@@ -145,6 +150,7 @@
     })
 }
 
+/// Starts a thread that floods the broker until `stop` is set, and returns its figures.
 fn start_attacker(
     kind: FloodKind,
     broker: SocketAddr,
@@ -156,16 +162,16 @@
     })
 }
 
-/// Attacks until it is stopped.
+/// Floods one connection after another until `stop` is set.
 fn attack(kind: FloodKind, broker: SocketAddr, stop: &AtomicBool) -> AttackFigures {
     let mut figures = AttackFigures::default();
     while !stop.load(Ordering::Relaxed) {
         let start = Instant::now();
         match flood_connection(kind, broker, stop) {
             FloodEnd::Stopped => break,
-            FloodEnd::ConnectionEnded => {
-                figures.ended += 1;
-                figures.longest = figures.longest.max(start.elapsed());
+            FloodEnd::ConnectionClosed => {
+                figures.closed_connections += 1;
+                figures.longest_connection = figures.longest_connection.max(start.elapsed());
             }
         }
     }
@@ -174,23 +180,23 @@
 
 /// Why the flood of a connection ended.
 enum FloodEnd {
-    /// The broker ended the connection.
-    ConnectionEnded,
-    /// The attack was stopped.
+    /// The broker closed the connection.
+    ConnectionClosed,
+    /// `stop` was set.
     Stopped,
 }
 
-/// Floods one connection until the broker ends it or the attack is stopped.
+/// Floods one connection until the broker closes it or `stop` is set.
 fn flood_connection(kind: FloodKind, broker: SocketAddr, stop: &AtomicBool) -> FloodEnd {
     let mut client = RawHttp2Client::connect_with_preface(broker);
     let mut sent = 0;
     loop {
         let burst: Vec<u8> = (sent..sent + BURST_LENGTH)
-            .flat_map(|number| kind.bytes(number))
+            .flat_map(|number| kind.unit(number))
             .collect();
         sent += BURST_LENGTH;
         if client.try_send(&burst).is_err() {
-            return FloodEnd::ConnectionEnded;
+            return FloodEnd::ConnectionClosed;
         }
         if stop.load(Ordering::Relaxed) {
             return FloodEnd::Stopped;
--- a/crates/query-broker/src/bench/load.rs
+++ b/crates/query-broker/src/bench/load.rs
@@ -1,4 +1,4 @@
-//! Latency, rate and processor time under load.
+//! Measures latency, throughput and processor time under load.
 
 use super::WARM_UP_SHARE;
 use super::broker_build::{BrokerBuild, Testbed, http2_address};
@@ -9,34 +9,40 @@
 use std::time::Duration;
 use test_fleet::{BrokerProcess, Fleet, FleetPlan, ReceivedCounts};
 
-/// Shortest processor time from which a figure is derived, since the system counts it in hundredths
-/// of a second.
+/// Minimum processor time from which the time per query is computed. The system counts processor time
+/// in hundredths of a second, so that a shorter time would be too inexact.
 const MIN_CPU_TIME: Duration = Duration::from_millis(200);
 
-/// Seed of the arrivals in the warm-up.
+/// Seed of the random arrival times of the queries in the warm-up.
 const WARM_UP_SEED: u64 = 7;
 
-/// Seed of the arrivals that count.
+/// Seed of the random arrival times of the queries that are measured.
 const SEED: u64 = 8;
 
-/// The figures of a measurement.
+/// The figures of a measurement under load.
 pub(super) struct LoadFigures {
-    /// What was measured.
+    /// The measurement that the figures belong to.
     pub(super) measurement: LoadMeasurement,
-    /// Queries that were served a second.
+    /// Throughput: number of queries served per second.
     pub(super) served_per_second: f64,
-    /// The broker's processor time for each query, in microseconds; `None` if it is too short to be
-    /// measured with the system's clock ticks.
+    /// The broker's processor time for each query, in microseconds; `None` if the total is less than
+    /// [`MIN_CPU_TIME`].
     pub(super) cpu_us_per_query: Option<f64>,
-    /// Latency in microseconds.
+    /// Latency of the queries, in microseconds.
     pub(super) latency: Histogram<u64>,
-    /// Queries that were not served.
+    /// Number of queries that were not served.
     pub(super) unserved: u64,
     /// Mean number of parts in a call to a data server.
     pub(super) parts_per_call: f64,
 }
 
-/// Measures with a broker and a fleet of its own, so that no measurement inherits from another.
+/// Runs a measurement with a newly started broker and fleet, so that no state is left from the
+/// measurement before.
+///
+/// # Errors
+///
+/// The processes cannot be started, a client cannot connect, or the broker's processor time cannot be
+/// read.
 pub(super) fn measure(
     build: &BrokerBuild,
     measurement: LoadMeasurement,
@@ -64,6 +70,7 @@
     })
 }
 
+/// Returns the address and the connections to which the load is sent.
 fn target(route: Route, fleet: &Fleet, broker: &BrokerProcess) -> Result<Target, BenchError> {
     Ok(match route {
         Route::Direct => Target::Direct(fleet.servers()[0].address),
@@ -78,6 +85,8 @@
     })
 }
 
+/// Returns the load of a measurement. Its warm-up is zero because the warm-up is a load of its own:
+/// the broker's processor time and the received counts are read between the two.
 fn load_profile(measurement: LoadMeasurement, duration: Duration, seed: u64) -> LoadProfile {
     LoadProfile {
         rate: measurement.rate,
@@ -90,11 +99,14 @@
     }
 }
 
+/// Returns the processor time for each query in microseconds, or `None` if the total is less than
+/// [`MIN_CPU_TIME`].
 fn cpu_us_per_query(cpu_time: Duration, report: &LoadReport) -> Option<f64> {
     let queries = (report.served + report.unserved).max(1) as f64;
     (cpu_time >= MIN_CPU_TIME).then(|| cpu_time.as_secs_f64() * 1e6 / queries)
 }
 
+/// Returns the mean number of parts in a call that the data servers received between two counts.
 fn parts_per_call(before: ReceivedCounts, after: ReceivedCounts) -> f64 {
     let calls = (after.calls - before.calls).max(1);
     (after.parts - before.parts) as f64 / calls as f64
--- a/crates/query-broker/src/bench/measurements.rs
+++ b/crates/query-broker/src/bench/measurements.rs
@@ -1,30 +1,30 @@
-//! What is measured: routes, rates and sizes.
+//! The list of measurements of the benchmark, with the route, rate and size of each.
 
 use super::broker_build::{Listeners, Pacing};
 use super::flood::FloodKind;
 
-/// Queries a second of a single client, far below the capacity.
+/// Rate of queries per second of a single client, which is far below the broker's capacity.
 const SINGLE_CLIENT_QUERIES_PER_SECOND: f64 = 50.0;
 
-/// Queries a second under a steady load.
+/// Rate of queries per second under a steady load.
 const STEADY_QUERIES_PER_SECOND: f64 = 4000.0;
 
-/// Largest number of queries in flight under a steady load.
+/// Maximum number of queries in flight under a steady load.
 const STEADY_CONCURRENCY: usize = 256;
 
-/// How queries reach the data servers, and over how many client connections.
+/// The way on which queries reach the data servers, and the number of client connections.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Route {
-    /// Without a broker, to a data server.
+    /// From the client to a data server, without a broker.
     Direct,
-    /// Over HTTP/1.1.
+    /// To the broker over HTTP/1.1.
     Http1 { connections: usize },
-    /// Over HTTP/2.
+    /// To the broker over HTTP/2.
     Http2 { connections: usize },
 }
 
 impl Route {
-    /// The name in the figures.
+    /// Returns the name of the route in the printed figures.
     pub(super) fn name(self) -> String {
         match self {
             Route::Direct => "no broker".to_owned(),
@@ -34,20 +34,21 @@
     }
 }
 
-/// A measurement of latency, rate and processor time.
+/// A measurement of latency, throughput and processor time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadMeasurement {
-    /// How queries travel.
+    /// The way on which queries reach the data servers.
     pub(super) route: Route,
-    /// How the broker's iterations are paced.
+    /// What determines the time between two iterations of the broker's event loop.
     pub(super) pacing: Pacing,
-    /// Queries a second; `None` sends a query as soon as another one has ended.
+    /// Rate at which queries are sent, per second; `None` for a closed loop, in which each query is
+    /// sent as soon as an earlier one has ended.
     pub(super) rate: Option<f64>,
-    /// Largest number of queries in flight.
+    /// Maximum number of queries in flight.
     pub(super) max_concurrent: usize,
 }
 
-/// Version of HTTP that clients speak.
+/// The HTTP version that clients use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum HttpVersion {
     /// HTTP/1.1.
@@ -56,17 +57,18 @@
     Http2,
 }
 
-/// A measurement of the memory of requests that wait for their bodies.
+/// A measurement of the memory that the broker uses for requests whose bodies have not arrived.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct MemoryMeasurement {
-    /// What clients speak.
+    /// The HTTP version that clients use.
     pub(super) version: HttpVersion,
-    /// Number of concurrent requests; over HTTP/1.1 at most the number of connection slots.
+    /// Number of concurrent requests. Over HTTP/1.1 each takes a connection, so that this must not
+    /// exceed the number of connection slots.
     pub(super) requests: usize,
 }
 
-/// All measurements of load that a build with these listeners can take part in. One without HTTP/2
-/// has no batch window either.
+/// Returns all measurements of load that a build with these listeners supports. A build without
+/// HTTP/2 has no batch window either, and is measured with ticks only.
 pub(super) fn load_measurements(listeners: Listeners) -> Vec<LoadMeasurement> {
     match listeners {
         Listeners::Http1AndHttp2 => [Pacing::Ticks, Pacing::BatchWindow]
@@ -80,19 +82,22 @@
     }
 }
 
+/// Returns all measurements of load with this pacing.
 fn load_measurements_with(pacing: Pacing) -> Vec<LoadMeasurement> {
     let http1 = |connections| Route::Http1 { connections };
     let http2 = |connections| Route::Http2 { connections };
     let single = Some(SINGLE_CLIENT_QUERIES_PER_SECOND);
     let steady = Some(STEADY_QUERIES_PER_SECOND);
     [
-        // One after another: what the broker adds by itself.
+        // One query at a time: the difference to the route without a broker is the latency that the
+        // broker adds.
         (Route::Direct, single, 1),
         (http1(1), single, 1),
         (http2(1), single, 1),
+        // A steady load.
         (http1(256), steady, STEADY_CONCURRENCY),
         (http2(4), steady, STEADY_CONCURRENCY),
-        // As many as are answered.
+        // Closed loop: the maximum throughput at this concurrency.
         (http1(16), None, 16),
         (http2(1), None, 16),
         (http1(100), None, 100),
@@ -110,7 +115,7 @@
     .collect()
 }
 
-/// All measurements of memory that a build with these listeners can take part in.
+/// Returns all measurements of memory that a build with these listeners supports.
 pub(super) fn memory_measurements(listeners: Listeners) -> Vec<MemoryMeasurement> {
     let mut measurements = [
         (HttpVersion::Http1, 250),
@@ -127,7 +132,8 @@
     measurements
 }
 
-/// All floods that a build with these listeners can be exposed to.
+/// Returns all floods to which a build with these listeners is exposed. All of them are HTTP/2
+/// floods.
 pub(super) fn flood_kinds(listeners: Listeners) -> &'static [FloodKind] {
     match listeners {
         Listeners::Http1AndHttp2 => &FloodKind::ALL,
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -1,5 +1,5 @@
-//! What an idle request costs in memory, over both listeners: its head has arrived, its body has
-//! not.
+//! Measures the memory that the broker uses for a request whose head has arrived and whose body has
+//! not, over both listeners.
 
 use super::broker_build::{BrokerBuild, Pacing};
 use super::error::BenchError;
@@ -11,31 +11,33 @@
 use std::time::Duration;
 use test_fleet::{BrokerProcess, FleetPlan};
 
-/// Streams of an HTTP/2 connection.
+/// Number of streams, each with one request, on an HTTP/2 connection.
 const STREAMS_PER_CONNECTION: usize = 100;
 
-/// Time for the broker to read what was sent. The broker abandons an incomplete request after 2 s.
+/// Time between the last request and the reading of the memory, in which the broker reads the
+/// requests. It must be well below 2 s, after which the broker abandons an incomplete request.
 const SETTLE_TIME: Duration = Duration::from_millis(700);
 
-/// The broker's resident memory, in bytes.
+/// The figures of a measurement of memory.
 pub(super) struct MemoryFigures {
-    /// What was measured.
+    /// The measurement that the figures belong to.
     pub(super) measurement: MemoryMeasurement,
-    /// Without requests.
-    pub(super) before: u64,
-    /// With all requests waiting.
-    pub(super) with_requests: u64,
+    /// The broker's resident memory before the requests, in bytes.
+    pub(super) bytes_before: u64,
+    /// The broker's resident memory with all requests waiting for their bodies, in bytes.
+    pub(super) bytes_with_requests: u64,
 }
 
 impl MemoryFigures {
-    /// Memory of a request, in KiB.
+    /// Returns the mean memory of a request, in KiB.
     pub(super) fn kib_per_request(&self) -> f64 {
-        let bytes = self.with_requests.saturating_sub(self.before);
+        let bytes = self.bytes_with_requests.saturating_sub(self.bytes_before);
         bytes as f64 / self.measurement.requests as f64 / 1024.0
     }
 }
 
-/// Connections and streams that stay open while the memory is read.
+/// Requests that wait for their bodies, with the connections and streams that keep them open while
+/// the memory is read.
 #[derive(Default)]
 struct WaitingRequests {
     http1: Vec<Http1Client>,
@@ -44,7 +46,7 @@
 }
 
 impl WaitingRequests {
-    /// Sends one more over a connection of its own.
+    /// Sends the head of another request over a new HTTP/1.1 connection.
     async fn add_http1(&mut self, broker: SocketAddr) -> io::Result<()> {
         let request = self.next_query().request();
         let mut client = Http1Client::connect(broker).await?;
@@ -53,7 +55,8 @@
         Ok(())
     }
 
-    /// Sends one more on a stream of its own.
+    /// Sends the head of another request on a new HTTP/2 stream, and opens a new connection if the
+    /// last one has [`STREAMS_PER_CONNECTION`] streams.
     async fn add_http2(
         &mut self,
         broker: SocketAddr,
@@ -64,19 +67,27 @@
             self.http2
                 .push(Http2Client::connect(broker, executor).await?);
         }
-        let client = self.http2.last().expect("the first stream connects");
+        let client = self
+            .http2
+            .last()
+            .expect("the first stream opens a connection");
         let stream = client.open_without_body(&request).await;
         self.streams.push(stream.map_err(io::Error::other)?);
         Ok(())
     }
 
+    /// Returns a query with a new id.
     fn next_query(&self) -> LoadQuery {
         let number = self.http1.len() + self.streams.len();
         LoadQuery::new(format!("memory{number}"), "lookup", &[number % 8])
     }
 }
 
-/// Measures with a broker of its own.
+/// Runs a measurement with a newly started broker and fleet.
+///
+/// # Errors
+///
+/// The processes cannot be started, a client cannot connect, or the broker's memory cannot be read.
 pub(super) fn measure(
     build: &BrokerBuild,
     measurement: MemoryMeasurement,
@@ -88,16 +99,18 @@
     let testbed = build.start(plan, Pacing::Ticks)?;
     let broker = &testbed.broker;
     let executor = LocalExecutor::new();
-    let before = broker.resident_memory()?;
+    let bytes_before = broker.resident_memory()?;
     let with_requests = memory_with_requests(broker, measurement, &executor);
-    let with_requests = async_io::block_on(executor.run(with_requests))?;
+    let bytes_with_requests = async_io::block_on(executor.run(with_requests))?;
     Ok(MemoryFigures {
         measurement,
-        before,
-        with_requests,
+        bytes_before,
+        bytes_with_requests,
     })
 }
 
+/// Sends the heads of all requests, and returns the broker's resident memory in bytes while it waits
+/// for their bodies.
 async fn memory_with_requests(
     broker: &BrokerProcess,
     measurement: MemoryMeasurement,
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -1,5 +1,5 @@
-//! `query-broker bench`: what both listeners cost, side by side in one run, against a fleet on
-//! loopback.
+//! The command `query-broker bench`: measures latency, throughput, processor time and memory of the
+//! HTTP/1.1 and HTTP/2 listeners in one run, against a fleet of test doubles on loopback.
 
 mod broker_build;
 mod error;
@@ -18,10 +18,11 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Duration of the warm-up before a measurement, as a share of the measurement's duration.
+/// Duration of the load that precedes a measurement and is left out of its figures, as a share of
+/// the measurement's duration.
 const WARM_UP_SHARE: f64 = 0.2;
 
-/// Runs all measurements and prints them.
+/// Runs all measurements, prints their figures and returns the exit code of the program.
 pub(crate) fn run(arguments: &BenchArguments) -> ExitCode {
     match measure_and_print(arguments) {
         Ok(()) => ExitCode::SUCCESS,
@@ -33,6 +34,7 @@
 }
 
 impl BenchArguments {
+    /// Returns the listeners of the build that is measured.
     fn listeners(&self) -> Listeners {
         if self.http1_only {
             Listeners::Http1Only
@@ -42,6 +44,7 @@
     }
 }
 
+/// Runs all measurements, and prints their figures as a table or as JSON.
 fn measure_and_print(arguments: &BenchArguments) -> Result<(), BenchError> {
     let executable = arguments
         .exe
@@ -61,7 +64,8 @@
     Ok(())
 }
 
-/// Runs the measurements one after another, each of which takes about this long.
+/// Runs all measurements that suit the build, one after another. `duration` is the length of each
+/// measurement of load or of a flood, without the start of the processes and the warm-up.
 fn measure_all(build: &BrokerBuild, duration: Duration) -> Result<Results, BenchError> {
     let loads = measurements::load_measurements(build.listeners);
     let memory = measurements::memory_measurements(build.listeners);
@@ -89,8 +93,9 @@
     Ok(results)
 }
 
-fn progress_bar(steps: usize) -> Result<ProgressBar, BenchError> {
-    let bar = ProgressBar::new(steps as u64);
+/// Creates a progress bar on standard error for this number of measurements.
+fn progress_bar(measurements: usize) -> Result<ProgressBar, BenchError> {
+    let bar = ProgressBar::new(measurements as u64);
     let style = ProgressStyle::with_template("{pos}/{len} {wide_bar} {msg} {eta}")
         .map_err(io::Error::other)?;
     bar.set_style(style);
--- a/crates/query-broker/src/bench/report.rs
+++ b/crates/query-broker/src/bench/report.rs
@@ -1,4 +1,4 @@
-//! The figures of all measurements, as tables and as JSON.
+//! Formats the figures of all measurements as tables and as JSON.
 
 use super::flood::FloodFigures;
 use super::load::LoadFigures;
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use serde_json::{Value, json};
 
-/// Bytes of a MiB.
+/// Number of bytes in a MiB.
 const MIB: f64 = (1 << 20) as f64;
 
 /// The figures of all measurements.
@@ -19,7 +19,7 @@
 }
 
 impl Results {
-    /// All figures as JSON.
+    /// Returns all figures as JSON.
     pub(super) fn to_json(&self) -> Value {
         let loads: Vec<Value> = self.loads.iter().map(load_json).collect();
         let memory: Vec<Value> = self.memory.iter().map(memory_json).collect();
@@ -27,17 +27,18 @@
         json!({"load": loads, "memory": memory, "floods": floods})
     }
 
-    /// All figures as tables.
+    /// Returns all figures as tables, with a note on what was measured below each.
     pub(super) fn to_table(&self) -> String {
         load_table(&self.loads) + &memory_table(&self.memory) + &flood_table(&self.floods)
     }
 }
 
-/// A quantile of a latency, in milliseconds.
+/// Returns a quantile of latencies in milliseconds; the histogram counts microseconds.
 fn quantile_ms(latency: &Histogram<u64>, quantile: f64) -> f64 {
     latency.value_at_quantile(quantile) as f64 / 1000.0
 }
 
+/// Returns the name of a measurement of load, which does not include its pacing and its rate.
 fn load_name(figures: &LoadFigures) -> String {
     let measurement = &figures.measurement;
     let route = measurement.route.name();
@@ -62,7 +63,7 @@
         "served/s",
         "p50 ms",
         "p99 ms",
-        "p99.9",
+        "p99.9 ms",
         "CPU us",
         "parts/call",
         "unserved"
@@ -84,10 +85,11 @@
             figures.unserved
         );
     }
-    text + "Latency is measured from the time at which a query was due. CPU is the broker's processor time for each query.\n\
+    text + "Latency is measured from the time at which a query was due. CPU us is the broker's processor time for each query.\n\
          Each query has two parts, and the data servers respond immediately.\n"
 }
 
+/// Returns the name of the listener in the figures of memory.
 fn version_name(version: HttpVersion) -> &'static str {
     match version {
         HttpVersion::Http1 => "HTTP/1.1",
@@ -98,7 +100,7 @@
 fn memory_json(figures: &MemoryFigures) -> Value {
     let measurement = &figures.measurement;
     json!({"front": version_name(measurement.version), "queries": measurement.requests,
-        "bytes_before": figures.before, "bytes_with": figures.with_requests,
+        "bytes_before": figures.bytes_before, "bytes_with": figures.bytes_with_requests,
         "kib_each": figures.kib_per_request()})
 }
 
@@ -112,26 +114,26 @@
             "{:<26} {:>8} {:>11.1} {:>11.1} {:>9.1}\n",
             version_name(figures.measurement.version),
             figures.measurement.requests,
-            figures.before as f64 / MIB,
-            figures.with_requests as f64 / MIB,
+            figures.bytes_before as f64 / MIB,
+            figures.bytes_with_requests as f64 / MIB,
             figures.kib_per_request()
         );
     }
-    text + "Resident memory of the broker with this number of requests whose bodies have not arrived.\n"
+    text + "Resident memory of the broker before and with this number of requests whose bodies have not arrived.\n"
 }
 
 fn flood_json(figures: &FloodFigures) -> Value {
     let quantile = |q| quantile_ms(&figures.latency, q);
     json!({"flood": figures.kind.name(),
         "p50_ms": quantile(0.5), "p99_ms": quantile(0.99), "p999_ms": quantile(0.999),
-        "unserved": figures.unserved, "ended": figures.attack.ended,
-        "longest_s": figures.attack.longest.as_secs_f64()})
+        "unserved": figures.unserved, "ended": figures.attack.closed_connections,
+        "longest_s": figures.attack.longest_connection.as_secs_f64()})
 }
 
 fn flood_table(rows: &[FloodFigures]) -> String {
     let mut text = format!(
         "\n{:<14} {:>8} {:>8} {:>8} {:>9} {:>7} {:>10}\n",
-        "flood", "p50 ms", "p99 ms", "p99.9", "unserved", "ended", "longest s"
+        "flood", "p50 ms", "p99 ms", "p99.9 ms", "unserved", "closed", "longest s"
     );
     for figures in rows {
         text += &format!(
@@ -141,10 +143,11 @@
             quantile_ms(&figures.latency, 0.99),
             quantile_ms(&figures.latency, 0.999),
             figures.unserved,
-            figures.attack.ended,
-            figures.attack.longest.as_secs_f64()
+            figures.attack.closed_connections,
+            figures.attack.longest_connection.as_secs_f64()
         );
     }
-    text + "Regular clients send 500 queries a second over two connections. One attacker reconnects as soon as its connection\n\
-         is closed.\n"
+    text + "Regular clients send 500 queries a second over two connections. One attacker floods the broker\n\
+         and reconnects as soon as the broker closes its connection. closed: attacker's connections that the broker closed;\n\
+         longest s: duration of the longest of them.\n"
 }
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -1,4 +1,5 @@
-//! `query-broker check`.
+//! The command `query-broker check`: reports the errors in an operator's file, or lists the keywords
+//! of such files.
 
 use crate::cli::CheckArguments;
 use broker::operator::{OperatorConfigError, read_text};
@@ -9,36 +10,38 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Result of checking a file.
+/// The result of checking an operator's file.
 enum CheckResult {
-    /// The file can be used.
-    Usable,
-    /// It cannot be read, for this reason.
+    /// The file has no errors.
+    Valid,
+    /// The file cannot be read.
     Unreadable(OperatorConfigError),
-    /// It has errors.
+    /// The file has been read and has errors.
     Invalid(ConfigFileErrors),
 }
 
 impl CheckResult {
+    /// Reads and checks a file.
     fn of_file(file: &Path) -> Self {
         match read_text(file) {
             Err(error) => CheckResult::Unreadable(error),
             Ok(text) => match parse(&file.display().to_string(), &text) {
                 Err(errors) if !errors.errors.is_empty() => CheckResult::Invalid(errors),
-                _ => CheckResult::Usable,
+                _ => CheckResult::Valid,
             },
         }
     }
 
     fn exit_code(&self) -> ExitCode {
         match self {
-            CheckResult::Usable => ExitCode::SUCCESS,
+            CheckResult::Valid => ExitCode::SUCCESS,
             CheckResult::Unreadable(_) | CheckResult::Invalid(_) => ExitCode::FAILURE,
         }
     }
 }
 
-/// Checks a file and prints the result.
+/// Checks a file and prints the result; without a file, prints the table of keywords. Returns the
+/// exit code of the program.
 pub(crate) fn run(arguments: &CheckArguments) -> ExitCode {
     let Some(file) = &arguments.file else {
         print(&keyword_table());
@@ -53,27 +56,30 @@
     result.exit_code()
 }
 
-/// Prints to standard output. An error is ignored, because a closed pipe does not change the result
-/// of the check.
+/// Prints to standard output. A write error is ignored: that the reader of a pipe has closed it does
+/// not change the result of the check.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
+/// Prints to standard error. A write error is ignored, as in [`print`].
 fn print_error(text: &str) {
     let _ = std::io::stderr().write_all(text.as_bytes());
 }
 
+/// Prints the result for people: success to standard output, errors to standard error.
 fn print_report(file: &Path, result: &CheckResult) {
     match result {
-        CheckResult::Usable => print(&format!("{}: valid\n", file.display())),
+        CheckResult::Valid => print(&format!("{}: valid\n", file.display())),
         CheckResult::Unreadable(error) => print_error(&format!("{error}\n")),
         CheckResult::Invalid(errors) => print_error(&graphical_report(errors)),
     }
 }
 
+/// Returns the result as JSON. A file that cannot be read has a single error without a line.
 fn json_report(file: &Path, result: &CheckResult) -> Value {
     let errors: Vec<Value> = match result {
-        CheckResult::Usable => Vec::new(),
+        CheckResult::Valid => Vec::new(),
         CheckResult::Unreadable(error) => vec![json!({"what": error.to_string()})],
         CheckResult::Invalid(errors) => errors.errors.iter().map(json_error).collect(),
     };
@@ -85,7 +91,8 @@
     json!({"line": error.line, "column": error.column, "what": error.kind.to_string(), "expected": expected})
 }
 
-/// Displays every error with its line of the file and the word underlined.
+/// Returns a text that shows every error with its line of the file, the word in question underlined,
+/// and the number of errors. Line-drawing characters are used only if standard error is a terminal.
 fn graphical_report(errors: &ConfigFileErrors) -> String {
     let theme = if std::io::stderr().is_terminal() {
         GraphicalTheme::unicode()
@@ -106,7 +113,7 @@
     text + &count + "\n"
 }
 
-/// All keywords of an operator's file.
+/// Returns a table of all keywords of an operator's file.
 fn keyword_table() -> String {
     let mut text = keyword_row("keyword", "argument", "change takes effect", "description");
     for keyword in KEYWORDS {
@@ -124,7 +131,7 @@
     format!("{name:<24} {argument:<38} {effect:<20} {description}\n")
 }
 
-/// When a change takes effect.
+/// Returns the table's text for when a change of a keyword takes effect.
 fn effect_name(effect: Effect) -> &'static str {
     match effect {
         Effect::Immediate => "immediately",
--- a/crates/query-broker/src/cli/tests.rs
+++ b/crates/query-broker/src/cli/tests.rs
@@ -1,26 +1,26 @@
-//! The inputs that the command line's values accept and reject.
+//! Tests of the values that the command line's options accept and reject.
 
 use super::{BenchArguments, Cli, Command, DemoArguments};
 use clap::Parser;
 
-/// Parses the command line `query-broker COMMAND OPTION=VALUE`.
+/// Parses the command line `query-broker COMMAND OPTION=VALUE`, and returns its sub-command.
 fn parse(command: &str, option: &str, value: &str) -> Result<Command, clap::Error> {
     let option = format!("{option}={value}");
     let cli = Cli::try_parse_from(["query-broker", command, &option])?;
-    Ok(cli.command.expect("the command is given"))
+    Ok(cli.command.expect("the command line names a sub-command"))
 }
 
 fn parse_bench(option: &str, value: &str) -> Result<BenchArguments, clap::Error> {
     match parse("bench", option, value)? {
         Command::Bench(arguments) => Ok(arguments),
-        other => panic!("{other:?}"),
+        other => panic!("expected the sub-command bench, found {other:?}"),
     }
 }
 
 fn parse_demo(option: &str, value: &str) -> Result<DemoArguments, clap::Error> {
     match parse("demo", option, value)? {
         Command::Demo(arguments) => Ok(arguments),
-        other => panic!("{other:?}"),
+        other => panic!("expected the sub-command demo, found {other:?}"),
     }
 }
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn measurement_duration_of_any_other_form_is_rejected_with_the_expected_one() {
+fn invalid_measurement_duration_is_rejected_with_the_expected_range() {
     for text in [
         "", "0", "0.49", "600.1", "1e3", "-1", "nan", "inf", "five", "5s", "500ms", "5 s", " 5",
         "1,5", "1_0", "0x5",
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn number_of_servers_from_1_to_64_is_accepted() {
+fn number_of_servers_is_accepted_only_from_1_to_64() {
     for (text, servers) in [("1", 1), ("04", 4), ("+4", 4), ("64", 64)] {
         let arguments = parse_demo("--servers", text).unwrap();
         assert_eq!(arguments.servers, servers, "{text}");
--- a/crates/query-broker/src/demo.rs
+++ b/crates/query-broker/src/demo.rs
@@ -1,4 +1,5 @@
-//! `query-broker demo`: a broker and test doubles of data servers in one process, without set-up.
+//! The command `query-broker demo`: runs a broker and test doubles of data servers in one process,
+//! without any configuration files.
 
 use crate::cli::DemoArguments;
 use crate::configuration::{Configuration, ConfigurationError};
@@ -10,9 +11,9 @@
 use std::process::ExitCode;
 use test_fleet::{Deployment, Fleet, FleetPlan};
 
-/// Serves with data servers of its own until Ctrl-C.
+/// Starts test doubles of data servers, and runs a broker for them until Ctrl-C.
 pub(crate) fn run(arguments: &DemoArguments) -> ExitCode {
-    // Before the fleet starts, so that an error of its start is logged too.
+    // The log is set up before the fleet starts, so that an error while it starts is logged too.
     logging::init(logging::Format::Logfmt, tracing::Level::INFO);
     let plan = FleetPlan {
         servers: arguments.servers.into(),
@@ -29,6 +30,7 @@
     )
 }
 
+/// Returns the configuration of a broker for this fleet, with both listeners and the batch window.
 fn configuration(
     arguments: &DemoArguments,
     fleet: &Fleet,
@@ -41,15 +43,16 @@
     Ok(Configuration { platform, operator })
 }
 
+/// Prints where the broker listens, and a command to send a query to each listener.
 fn print_welcome(servers: usize, addresses: &ListenAddresses) {
     let ListenAddresses { http1, http2 } = *addresses;
     let mut text = format!(
-        "\nA broker with {servers} test doubles of data servers. HTTP/1.1 on {http1}:\n\n  {}",
+        "\nThe broker is running with {servers} test doubles of data servers.\nTo send a query over HTTP/1.1 to {http1}:\n\n  {}",
         curl_command("", http1)
     );
     if let Some(http2) = http2 {
         text += &format!(
-            "\nHTTP/2 on {http2}:\n\n  {}",
+            "\nTo send a query over HTTP/2 to {http2}:\n\n  {}",
             curl_command("--http2-prior-knowledge ", http2)
         );
     }
@@ -57,7 +60,7 @@
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// A command that sends a query of two parts.
+/// Returns a shell command that sends a query of two parts with a new request id.
 fn curl_command(options: &str, address: SocketAddr) -> String {
     format!(
         "curl -sS {options}http://{address}/lookup -H \"X-Request-Id: demo-$(date +%s%N)\" -H 'X-Tenant: public-site' \
--- a/crates/query-broker/src/main.rs
+++ b/crates/query-broker/src/main.rs
@@ -1,4 +1,5 @@
-//! The program `query-broker`. Without a sub-command it serves, as the platform starts it.
+//! The program `query-broker`. The platform starts it without a sub-command; it then serves
+//! clients, as with `query-broker serve`, but without an operator's file.
 
 mod bench;
 mod check;
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -1,4 +1,4 @@
-//! `query-broker` and `query-broker serve`.
+//! The commands `query-broker` and `query-broker serve`: run a broker.
 
 use crate::configuration::{Configuration, ConfigurationError};
 use broker::event_loop::{self, ListenAddresses};
@@ -6,13 +6,16 @@
 use std::process::ExitCode;
 use tracing::{Level, error};
 
-/// Serves until a signal ends the program.
+/// Runs a broker until a signal (SIGTERM or SIGINT) shuts it down.
 pub(crate) fn run(operator_file: Option<PathBuf>) -> ExitCode {
     run_with(|| Configuration::load(operator_file), |_| ())
 }
 
-/// Serves by a configuration that is loaded once signals are caught: a SIGHUP before that would end
-/// the program. `started` is called with the addresses for clients once the broker listens.
+/// Runs a broker with the configuration that `load` returns, and calls `started` with the addresses
+/// for clients once the broker listens on them.
+///
+/// `load` is called after the signal handlers are installed. A SIGHUP that arrives before that
+/// ends the program.
 pub(crate) fn run_with(
     load: impl FnOnce() -> Result<Configuration, ConfigurationError>,
     started: impl FnOnce(ListenAddresses),
@@ -33,13 +36,13 @@
     }
 }
 
-/// Logs that the program cannot start.
+/// Logs an error that prevents the program from starting, and returns the exit code for it.
 pub(crate) fn startup_failed(error: &dyn std::error::Error) -> ExitCode {
     error!(name: "startup_failed", error = %error);
     ExitCode::FAILURE
 }
 
-/// Logs that the configuration cannot be used.
+/// Logs an error in the configuration, and returns the exit code for it.
 fn configuration_invalid(error: &ConfigurationError) -> ExitCode {
     let error = error.to_string();
     error!(name: "configuration_invalid", error);
