--- a/crates/query-broker/tests/scenarios/broker_process.rs
+++ b/crates/query-broker/tests/scenarios/broker_process.rs
@@ -1,6 +1,6 @@
-//! The program as a process, with its configuration's file and its log.
+//! The process of the program, with its configuration file and its log.
 
-use crate::BOUND;
+use crate::WAIT_TIMEOUT;
 use serde_json::{Value, json};
 use std::collections::VecDeque;
 use std::io::{BufRead, BufReader};
@@ -10,24 +10,27 @@
 use std::sync::mpsc::{Receiver, channel};
 use std::time::{Duration, Instant};
 
-/// Pause between two looks at a process that is to end.
+/// Time between two checks of whether the process has exited.
 const EXIT_POLL: Duration = Duration::from_millis(5);
 
-/// A running broker. Dropped, it is killed and its file is removed.
+/// A running broker. When it is dropped, its process is killed and its configuration file removed.
 pub(crate) struct BrokerProcess {
     child: Child,
+    /// Lines of the log as they arrive.
     log: Receiver<String>,
-    /// Lines of the log that were read so far.
-    seen: VecDeque<String>,
-    /// Where clients connect.
+    /// Lines of the log that a wait has already read.
+    lines_read: VecDeque<String>,
+    /// Address at which clients connect.
     address: SocketAddr,
+    /// Path of the configuration file.
     file: PathBuf,
+    /// The configuration that the program was started with, after [`Self::replace_discovery`].
     config: Value,
 }
 
 impl BrokerProcess {
-    /// Starts the program with this configuration and the discovery that its environment names, and
-    /// waits until it listens.
+    /// Starts the program with this configuration file, and waits until it listens. The environment
+    /// overrides the address of discovery with `discovery`.
     pub(crate) fn start(config: Value, discovery: SocketAddr) -> Self {
         let file = std::env::temp_dir().join(format!(
             "query-broker-{}-{discovery}.json",
@@ -45,7 +48,7 @@
         let mut broker = BrokerProcess {
             log: read_lines(&mut child),
             child,
-            seen: VecDeque::new(),
+            lines_read: VecDeque::new(),
             address: SocketAddr::from(([127, 0, 0, 1], 0)),
             file,
             config,
@@ -54,60 +57,64 @@
         broker
     }
 
-    /// Waits for the line that says where the program listens.
+    /// Waits for the log event `broker_started`, and returns the address in its field `listen`.
     fn wait_until_started(&mut self) -> SocketAddr {
         self.expect_log_line(&["event=broker_started"]);
-        let line = self.seen.back().expect("a line was just seen");
+        let line = self.lines_read.back().expect("a line was just read");
         line.split(' ')
             .find_map(|pair| pair.strip_prefix("listen="))
             .and_then(|address| address.parse().ok())
-            .unwrap_or_else(|| panic!("no address in {line}"))
+            .unwrap_or_else(|| panic!("expected a field listen=ADDRESS in {line:?}"))
     }
 
-    /// Connects as a client does.
+    /// Opens a connection of a client.
     pub(crate) fn connect(&self) -> TcpStream {
         TcpStream::connect(self.address).unwrap()
     }
 
-    /// Waits until no client can connect any more.
+    /// Waits until the program accepts no more connections of clients.
     pub(crate) fn expect_not_listening(&self) {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while TcpStream::connect(self.address).is_ok() {
-            assert!(Instant::now() < until, "it still listens");
+            assert!(
+                Instant::now() < until,
+                "the broker still accepts connections"
+            );
         }
     }
 
-    /// Waits for a line of the log that holds these words.
+    /// Waits for a line of the log that contains all these words. Lines that an earlier wait has read
+    /// are not searched again.
     pub(crate) fn expect_log_line<S: AsRef<str> + std::fmt::Debug>(&mut self, words: &[S]) {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             let time_left = until.saturating_duration_since(Instant::now());
             let Ok(line) = self.log.recv_timeout(time_left) else {
                 panic!(
-                    "the log has no line with {words:?}; its lines are {:?}",
-                    self.seen
+                    "expected a log line with all of {words:?}, found {:?}",
+                    self.lines_read
                 )
             };
-            self.seen.push_back(line.clone());
+            self.lines_read.push_back(line.clone());
             if words.iter().all(|word| line.contains(word.as_ref())) {
                 return;
             }
         }
     }
 
-    /// Waits until the process has ended, with success.
+    /// Waits until the process exits, and checks that it does so with success.
     pub(crate) fn expect_exit(&mut self) {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
-                return assert!(status.success(), "{status}");
+                return assert!(status.success(), "expected success, found {status}");
             }
             assert!(Instant::now() < until, "the process did not exit in time");
             std::thread::sleep(EXIT_POLL);
         }
     }
 
-    /// Sends a signal, by its name.
+    /// Sends the process a signal, given by its name without `SIG`.
     pub(crate) fn signal(&self, name: &str) {
         let sent = Command::new("sh")
             .args(["-c", &format!("kill -s {name} {}", self.child.id())])
@@ -116,14 +123,14 @@
         assert!(sent.success());
     }
 
-    /// Replaces the configuration by one that names this discovery.
+    /// Replaces the configuration file with one that has this address of discovery.
     pub(crate) fn replace_discovery(&mut self, discovery: SocketAddr) {
         self.config["discovery"] = json!(discovery.to_string());
         self.replace_config_text(&self.config.to_string());
     }
 
-    /// Replaces the configuration's text, as deployments do it: the new file is moved over the old
-    /// one.
+    /// Replaces the text of the configuration file. As in deployments, a new file is written and moved
+    /// over the old one.
     pub(crate) fn replace_config_text(&self, text: &str) {
         let new = self.file.with_extension("new");
         std::fs::write(&new, text).unwrap();
@@ -139,7 +146,7 @@
     }
 }
 
-/// Reads the log on a thread of its own, until the process ends.
+/// Starts a thread that reads the log until the process exits, and returns its lines as they arrive.
 fn read_lines(child: &mut Child) -> Receiver<String> {
     let (sender, receiver) = channel();
     let stderr = BufReader::new(child.stderr.take().expect("stderr is piped"));
--- a/crates/query-broker/tests/scenarios/clients.rs
+++ b/crates/query-broker/tests/scenarios/clients.rs
@@ -1,10 +1,10 @@
-//! What clients send.
+//! The requests of clients.
 
 use crate::script::{ConnectionName, PeerName, Query};
-use crate::world::World;
+use crate::testbed::Testbed;
 use serde_json::{Value, json};
 
-/// The request of a query over HTTP/1.1.
+/// Returns the HTTP/1.1 request of a query.
 pub(crate) fn request(query: &Query) -> Vec<u8> {
     let Query {
         id,
@@ -26,8 +26,8 @@
     .into_bytes()
 }
 
-/// Starts clients that send a query each and wait for its response.
-pub(crate) fn start_busy_clients(world: &mut World, count: usize) {
+/// Connects clients, each of which sends a query to shard 0 and leaves its connection open.
+pub(crate) fn start_busy_clients(testbed: &mut Testbed, count: usize) {
     for index in 0..count {
         let name = ConnectionName {
             peer: PeerName::BusyClient(index),
@@ -39,6 +39,6 @@
             shards: vec![0],
             deadline: "60000m".to_owned(),
         };
-        world.connection(name).send(&request(&query));
+        testbed.connection(name).send(&request(&query));
     }
 }
--- a/crates/query-broker/tests/scenarios/connection.rs
+++ b/crates/query-broker/tests/scenarios/connection.rs
@@ -1,38 +1,41 @@
-//! A connection of the program, seen from the other end.
+//! A connection of the program to a client, a data server or discovery, at the end of that peer.
 
-use crate::BOUND;
+use crate::WAIT_TIMEOUT;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// Pause between two looks for a connection.
+/// Time between two attempts to accept a connection.
 const ACCEPT_POLL: Duration = Duration::from_millis(1);
 
-/// A connection, and what has arrived on it and was not yet expected.
+/// A connection, with the bytes that have arrived on it and that no step has consumed yet.
 pub(crate) struct Connection {
     stream: TcpStream,
     input: Vec<u8>,
 }
 
-/// A frame of the protocol of data servers: its letter and the text behind it.
+/// A frame of the protocol between the broker and data servers.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Frame {
-    pub(crate) letter: char,
+    /// The character that identifies the kind of frame.
+    pub(crate) kind: char,
+    /// The rest of the frame.
     pub(crate) text: String,
 }
 
 impl Connection {
+    /// Creates a connection whose reads fail after [`WAIT_TIMEOUT`].
     pub(crate) fn new(stream: TcpStream) -> Self {
-        stream.set_read_timeout(Some(BOUND)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Connection {
             stream,
             input: Vec::new(),
         }
     }
 
-    /// Accepts from whichever listener is connected to first.
+    /// Accepts the first connection that arrives at any of the listeners.
     pub(crate) fn accept(listeners: &[&TcpListener]) -> Self {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             for listener in listeners {
                 listener.set_nonblocking(true).unwrap();
@@ -41,7 +44,7 @@
                     return Connection::new(stream);
                 }
             }
-            assert!(Instant::now() < until, "nobody connected");
+            assert!(Instant::now() < until, "the broker did not connect in time");
             std::thread::sleep(ACCEPT_POLL);
         }
     }
@@ -50,8 +53,8 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// Reads on; false: the program has closed the connection.
-    fn read(&mut self) -> bool {
+    /// Reads more bytes. Returns whether any arrived; if not, the program has closed the connection.
+    fn read_more(&mut self) -> bool {
         let mut chunk = [0; 4096];
         match self.stream.read(&mut chunk) {
             Ok(length) => {
@@ -59,24 +62,25 @@
                 length > 0
             }
             Err(error) if error.kind() == ErrorKind::ConnectionReset => false,
-            Err(error) => panic!("nothing came in time: {error}"),
+            Err(error) => panic!("cannot read from the connection: {error}"),
         }
     }
 
-    /// Waits for the end of the connection; nothing more may come before it.
+    /// Waits until the program closes the connection, and checks that no bytes are left that no step
+    /// has consumed.
     pub(crate) fn expect_closed(&mut self) {
-        while self.read() {}
+        while self.read_more() {}
         assert!(
             self.input.is_empty(),
-            "more came: {:?}",
+            "unexpected bytes before the end of the connection: {:?}",
             String::from_utf8_lossy(&self.input)
         );
     }
 
-    /// Waits for the end of the connection, which must not be a reset.
+    /// Waits until the program closes the connection, and checks that it does so without a reset.
     pub(crate) fn expect_closed_without_reset(&mut self) {
         while self.stream.read(&mut [0; 4096]).unwrap() > 0 {}
-        // One that was reset behind its end takes no more bytes.
+        // If a reset has followed the orderly end, this write fails.
         self.send(b"\r\n");
     }
 
@@ -85,7 +89,7 @@
         rustix::net::sockopt::set_socket_linger(&self.stream, Some(Duration::ZERO)).unwrap();
     }
 
-    /// Waits for an HTTP message: its head, and its body if it has a length.
+    /// Waits for an HTTP message, and returns its head, and its body if the head gives its length.
     pub(crate) fn read_http_message(&mut self) -> String {
         loop {
             let text = String::from_utf8_lossy(&self.input).into_owned();
@@ -96,28 +100,35 @@
                     return format!("{head}\r\n\r\n{}", &body[..length]);
                 }
             }
-            assert!(self.read(), "closed after {text:?}");
+            assert!(
+                self.read_more(),
+                "the connection was closed before the end of an HTTP message: {text:?}"
+            );
         }
     }
 
-    /// Waits for a frame of the protocol of data servers: four bytes of length, a letter, and text.
+    /// Waits for a frame of the protocol between the broker and data servers. It consists of four
+    /// bytes of length, a character for the kind of frame, and text.
     pub(crate) fn read_frame(&mut self) -> Frame {
         loop {
             if let Some((length, rest)) = self.input.split_first_chunk::<4>() {
                 let length = u32::from_be_bytes(*length) as usize;
                 if let Some(bytes) = rest.get(..length) {
                     let text = String::from_utf8(bytes[1..].to_vec()).unwrap();
-                    let letter = char::from(bytes[0]);
+                    let kind = char::from(bytes[0]);
                     self.input.drain(..4 + length);
-                    return Frame { letter, text };
+                    return Frame { kind, text };
                 }
             }
-            assert!(self.read(), "closed before a frame");
+            assert!(
+                self.read_more(),
+                "the connection was closed before the end of a frame"
+            );
         }
     }
 }
 
-/// The length of a message's body; 0 if its head gives none.
+/// Returns the length of a message's body; 0 if the head does not give it.
 fn content_length(head: &str) -> usize {
     head.lines()
         .find_map(|line| line.strip_prefix("Content-Length: "))
--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -1,25 +1,25 @@
-//! The data servers of a scenario: what they send, what they are sent, and connections to them that
-//! come up late.
+//! The data servers of a scenario: the frames that they send and expect, and connections to them that
+//! are established late.
 
-use crate::BOUND;
+use crate::WAIT_TIMEOUT;
 use crate::connection::{Connection, Frame};
 use crate::script::PartOutcome;
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// The letter of a frame that calls parts.
+/// The kind of frame that carries a call.
 const CALL: char = 'm';
-/// The letter of a frame that cancels an attempt.
+/// The kind of frame that cancels an attempt.
 const CANCEL: char = 'n';
-/// The state of a connection in the system's table that waits to come up (`/proc/net/tcp`).
+/// The state in `/proc/net/tcp` of a connection that is not established yet.
 const SYN_SENT: &str = "02";
-/// Pause between two looks at the system's table.
-const TABLE_POLL: Duration = Duration::from_millis(1);
+/// Time between two reads of `/proc/net/tcp`.
+const CONNECTING_POLL: Duration = Duration::from_millis(1);
 
-/// A data server, which listens on a port of its own.
+/// A data server, which listens on its own port.
 pub(crate) struct DataServer {
     pub(crate) listener: TcpListener,
-    /// A connection that fills the listener's queue, while others are to be delayed.
+    /// A connection that fills the listener's queue while other connections are delayed.
     queue_filler: Option<TcpStream>,
 }
 
@@ -31,84 +31,93 @@
         }
     }
 
-    /// Fills the listener's queue: the system then leaves further connections unanswered.
+    /// Delays further connections: fills the listener's queue, upon which the system no longer
+    /// answers connection requests.
     pub(crate) fn delay_connections(&mut self) {
         rustix::net::listen(&self.listener, 0).unwrap();
         let address = self.listener.local_addr().unwrap();
         self.queue_filler = Some(TcpStream::connect(address).unwrap());
     }
 
-    /// Frees the listener's queue: connections come up when the system tries them again.
+    /// Ends the delay: frees the listener's queue. Delayed connections are established when the
+    /// system repeats their connection requests.
     pub(crate) fn accept_delayed(&mut self) {
         drop(Connection::accept(&[&self.listener]));
         self.queue_filler = None;
     }
 
-    /// The end of a line in the system's table that names this server's port.
+    /// Returns the end of the addresses in `/proc/net/tcp` that have this server's port.
     fn port_suffix(&self) -> String {
         format!(":{:04X}", self.listener.local_addr().unwrap().port())
     }
 }
 
-/// Waits until a connection to one of these servers is waiting to come up.
+/// Waits until a connection to one of these servers is requested and not established yet.
 pub(crate) fn expect_connecting(servers: &[&DataServer]) {
     let ports: Vec<String> = servers.iter().map(|server| server.port_suffix()).collect();
     let is_connecting = |line: &str| {
         let words: Vec<&str> = line.split_whitespace().collect();
         words.len() > 3 && words[3] == SYN_SENT && ports.iter().any(|port| words[2].ends_with(port))
     };
-    let until = Instant::now() + BOUND;
+    let until = Instant::now() + WAIT_TIMEOUT;
     loop {
         let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
         if table.lines().any(is_connecting) {
             return;
         }
-        assert!(Instant::now() < until, "nobody is connecting");
-        std::thread::sleep(TABLE_POLL);
+        assert!(
+            Instant::now() < until,
+            "no connection to any of these servers is waiting to be established"
+        );
+        std::thread::sleep(CONNECTING_POLL);
     }
 }
 
-/// The frame that ends an attempt at a part, with a load report.
+/// Returns the frame with the outcome of an attempt at a part and a load report.
 pub(crate) fn outcome_frame(part: &str, outcome: &PartOutcome) -> Vec<u8> {
-    let (word, value) = match outcome {
+    let (outcome, value) = match outcome {
         PartOutcome::Value(value) => ("good", value.as_str()),
         PartOutcome::Error => ("bad", ""),
         PartOutcome::Overloaded => ("later", ""),
     };
-    let text = format!("q{part} {word} 7 rif=1,rate=2\n{value}");
+    let text = format!("q{part} {outcome} 7 rif=1,rate=2\n{value}");
     let length = u32::try_from(text.len()).expect("a script's value is short");
     let mut bytes = length.to_be_bytes().to_vec();
     bytes.extend(text.into_bytes());
     bytes
 }
 
-/// Waits for one call of these parts.
+/// Waits for a call that has exactly these parts in this order, and returns its frame.
 pub(crate) fn expect_call(connection: &mut Connection, parts: &[String]) -> Frame {
     let frame = connection.read_frame();
-    assert_eq!(frame.letter, CALL, "{frame:?}");
+    assert_eq!(frame.kind, CALL, "{frame:?}");
     assert_eq!(called_parts(&frame.text), parts, "{frame:?}");
     frame
 }
 
-/// Waits for one call of this part, and checks the time that it says is left.
+/// Waits for a call that has only this part, and checks that its time left is at most `at_most_ms`.
 pub(crate) fn expect_call_with_time_left(connection: &mut Connection, part: &str, at_most_ms: u64) {
     let frame = expect_call(connection, &[part.to_owned()]);
     let (_, time_left) = frame.text.split_once(" d=").unwrap();
     let time_left = time_left.split([',', ' ']).next().unwrap();
     let time_left: u64 = time_left.parse().unwrap();
-    assert!(time_left <= at_most_ms, "{time_left} ms are left");
+    assert!(
+        time_left <= at_most_ms,
+        "the call has {time_left} ms left, expected at most {at_most_ms} ms"
+    );
 }
 
-/// Waits until an attempt at this part is cancelled.
+/// Waits for the frame that cancels an attempt at this part.
 pub(crate) fn expect_cancel(connection: &mut Connection, part: &str) {
     let expected = Frame {
-        letter: CANCEL,
+        kind: CANCEL,
         text: part.to_owned(),
     };
     assert_eq!(connection.read_frame(), expected);
 }
 
-/// The ids of a call's parts; each has to carry the query's text unchanged.
+/// Returns the ids of a call's parts, and checks that each part has a time left and the query's text
+/// unchanged.
 fn called_parts(mut rest: &str) -> Vec<String> {
     let mut ids = Vec::new();
     while let Some((line, text)) = rest.split_once('\n') {
--- a/crates/query-broker/tests/scenarios/discovery.rs
+++ b/crates/query-broker/tests/scenarios/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's side of the watch on the list of endpoints.
+//! Discovery's side of the protocol: the requests that it expects and the responses that it sends.
 
 use crate::connection::Connection;
 use crate::script::{EndpointState, EndpointUpdate};
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 
 impl EndpointState {
-    /// The state's word on the wire.
+    /// Returns the value of `state` in discovery's responses.
     fn wire_name(self) -> &'static str {
         match self {
             EndpointState::Active => "active",
@@ -16,13 +16,13 @@
     }
 }
 
-/// A data server's entry on the list.
+/// Returns a data server's entry on the endpoint list.
 pub(crate) fn endpoint_entry(server: usize, address: SocketAddr, state: EndpointState) -> Value {
     json!({"uid": format!("s{server}"), "endpoint": address.to_string(), "az": "z", "model": "m", "pod_group": 0,
         "state": state.wire_name(), "capacity_hint": 1.0, "boot_ms": 0})
 }
 
-/// The response that carries an update of the list.
+/// Returns the response with an update of the endpoint list.
 pub(crate) fn update_response(update: &EndpointUpdate, addresses: &[SocketAddr]) -> String {
     let endpoints = update.endpoints.iter();
     let targets: Vec<Value> = endpoints
@@ -34,16 +34,22 @@
     format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n{body}")
 }
 
-/// Waits for a request for what changed since this revision.
+/// Waits for a request for the changes since a revision.
 pub(crate) fn expect_watch(connection: &mut Connection, revision: u64) {
     let request = connection.read_http_message();
     let start = format!("GET /api/targets?index={revision}&wait=");
-    assert!(request.starts_with(&start), "{request}");
+    assert!(
+        request.starts_with(&start),
+        "expected a watch from revision {revision}, found {request}"
+    );
 }
 
-/// Waits for a request for the whole list.
+/// Waits for a request for the full list.
 pub(crate) fn expect_full_list(connection: &mut Connection) {
     let request = connection.read_http_message();
     assert!(request.starts_with("GET /api/targets"), "{request}");
-    assert!(!request.contains('?'), "{request}");
+    assert!(
+        !request.contains('?'),
+        "expected a request for the full list, found {request}"
+    );
 }
--- a/crates/query-broker/tests/scenarios/main.rs
+++ b/crates/query-broker/tests/scenarios/main.rs
@@ -1,45 +1,55 @@
-//! Runs the scripts in `tests/scenarios/scripts` against the real program on loopback.
+//! Runs the scripts in `tests/scenarios/scripts` against the real program on loopback. A script plays
+//! the clients, the data servers and discovery, and states what the program has to send to each.
 //!
-//! A script is a text with one setting or step a line, settings first; `#` begins a comment. It is
-//! parsed whole before the program is started. Names of connections: `cN` is a client (connected by
-//! its first use), `sN` a data server, `any` whichever data server is connected to next, `d` the
-//! discovery that the environment names, and `e` another one. The name stands for the first
-//! connection to that peer, `s0.2` for the second.
+//! A script has one setting or step on each line, settings first; `#` begins a comment. The whole
+//! script is parsed before the program is started. The names of connections are:
+//!
+//! - `cN`: a client, which connects when its name is first used;
+//! - `sN`: a data server, from `s0`;
+//! - `any`: the data server to which the program connects next, whichever it is;
+//! - `d1`: the discovery whose address the program is started with;
+//! - `d2`: another discovery, to which `replace-config` can move the program.
+//!
+//! A name alone stands for the first connection to that peer, `s0.2` for the second one to `s0`.
 //!
 //! ```text
-//! servers N                         N data servers, each holding all four shards; 1 if not given
-//! max-open N                        most queries and parts in flight
-//! max-sockets N                     most file descriptors
-//! set POINTER JSON                  a setting, by its JSON pointer
+//! servers N                         N data servers, each of which holds all four shards; default 1
+//! max-in-flight N                   maximum number of queries and parts in flight
+//! max-sockets N                     maximum number of file descriptors
+//! set POINTER JSON                  replaces a value of the policy's settings, given by its JSON pointer
 //!
 //! send cN query ID CLASS SHARDS DEADLINE
-//! send PEER raw TEXT                with \r and \n; `*N` at the end repeats the last character
-//! send sN value PART VALUE          send sN error PART          send sN overloaded PART
-//! send d|e full-list|changes REVISION [sN=active|draining|removed ...]
-//! busy-clients N                    N clients, each of which has sent a query and waits
-//! close PEER                        reset PEER
-//! delay-connections sN              connections to it do not come up from now on
-//! accept-delayed sN                 and come up, when the system tries them again
-//! config d|e                        the configuration's file is replaced by one that names this discovery
-//! config raw TEXT                   or by this text
-//! signal NAME
+//! send PEER raw TEXT                sends TEXT, with \r and \n replaced; `*N` at the end stands for N times the
+//!                                   character before it
+//! send sN value PART VALUE          ends an attempt at a part with its value
+//! send sN error PART                ends an attempt at a part with an error
+//! send sN overloaded PART           rejects an attempt at a part because the server is overloaded
+//! send d1|d2 full-list|changes REVISION [sN=active|draining|removed ...]
+//! busy-clients N                    N clients connect, and each sends a query and waits for its response
+//! close PEER                        closes the connection
+//! reset PEER                        closes the connection with a reset
+//! delay-connections sN              new connections to sN are no longer established
+//! accept-delayed sN                 delayed connections are established when the system repeats their requests
+//! replace-config d1|d2              replaces the address of discovery in the configuration file
+//! replace-config raw TEXT           replaces the text of the configuration file
+//! signal TERM|HUP|STOP|CONT         sends the program a signal
 //!
-//! expect cN status STATUS [WORD ...]          a response that holds these words
-//! expect sN call PART ...                     one call of these parts
-//! expect sN call PART time-left-at-most MS    one call of this part, with no more time left for it
-//! expect sN cancel PART
-//! expect sN ... connecting                    a connection to one of them waits to come up
-//! expect d|e watch REVISION                   it is asked for what changed since this revision
-//! expect d|e full-list                        it is asked for the whole list
-//! expect log WORD ...                         a line of the log that holds these words
-//! expect PEER closed                          with nothing more sent
-//! expect PEER closed-without-reset            whatever was sent before
+//! expect cN status STATUS [WORD ...]          a response that contains all the words
+//! expect sN call PART ...                     a call that has exactly these parts in this order
+//! expect sN call PART time-left-at-most MS    a call that has only this part, and at most MS milliseconds left
+//! expect sN cancel PART                       the cancellation of an attempt at a part
+//! expect sN ... connecting                    a connection to one of these is requested and not established yet
+//! expect d1|d2 watch REVISION                 a request for the changes since this revision
+//! expect d1|d2 full-list                      a request for the full list
+//! expect log WORD ...                         a line of the log that contains all the words
+//! expect PEER closed                          the connection is closed, and nothing more was sent on it
+//! expect PEER closed-without-reset            the connection is closed without a reset, whatever was sent before
 //! expect not-listening                        no client can connect any more
-//! expect exit                                 the process ends with success
-//! within MS STEP                              the step takes no longer than that
+//! expect exit                                 the process exits with success
+//! within MS STEP                              runs a step, which must take at most MS milliseconds
 //! ```
 //!
-//! Waits are for events, with a bound far beyond what a slow machine needs.
+//! Steps wait for events rather than for a time. Each wait ends after [`WAIT_TIMEOUT`].
 
 mod broker_process;
 mod clients;
@@ -50,23 +60,23 @@
 mod parser;
 mod parser_tests;
 mod script;
-mod world;
+mod testbed;
 
 use parser::load_script;
 use rstest::rstest;
 use std::path::PathBuf;
 use std::time::Duration;
-use world::World;
+use testbed::Testbed;
 
-/// Far beyond what a slow machine needs for whatever is waited for.
-const BOUND: Duration = Duration::from_secs(30);
+/// Time limit of each wait for an event, which is far longer than a slow machine needs.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 #[rstest]
 fn scenario(#[files("tests/scenarios/scripts/*.txt")] path: PathBuf) {
     let script = load_script(&path).unwrap_or_else(|error| panic!("{error}"));
-    let mut world = World::start(&script.settings);
+    let mut testbed = Testbed::start(&script.settings);
     for step in &script.steps {
         eprintln!("{}:{}: {}", script.file, step.line, step.text);
-        world.run(&step.step);
+        testbed.run(&step.step);
     }
 }
--- a/crates/query-broker/tests/scenarios/parser.rs
+++ b/crates/query-broker/tests/scenarios/parser.rs
@@ -1,36 +1,45 @@
-//! Parses scripts: every line is a typed step before the first one runs.
+//! Parses scripts. A whole script is parsed into typed settings and steps before anything of it runs.
 
-mod problem;
-mod servers;
+mod arguments;
+mod line_error;
+mod server_numbers;
 mod setting;
 mod step;
-mod word;
 
-pub(crate) use problem::Problem;
+pub(crate) use line_error::LineError;
 
 use crate::script::{Script, ScriptStep, Settings};
-use servers::check_servers;
+use server_numbers::check_server_numbers;
 use setting::parse_setting;
 use std::path::Path;
 use step::parse_step;
 use thiserror::Error;
 
-/// A line that is no step, and why.
+/// An error in a script, with the file and the number of its line.
 #[derive(Debug, Error, PartialEq)]
-#[error("{file}:{line}: {problem}")]
+#[error("{file}:{line}: {cause}")]
 pub(crate) struct ScriptError {
+    /// Path of the script.
     pub(crate) file: String,
+    /// Number of the line, from 1.
     pub(crate) line: usize,
-    pub(crate) problem: Problem,
+    /// What is wrong with the line.
+    pub(crate) cause: LineError,
 }
 
-/// Reads and parses a script's file.
+/// Reads and parses the script at a path.
 pub(crate) fn load_script(path: &Path) -> Result<Script, ScriptError> {
-    let text = std::fs::read_to_string(path).expect("a script can be read");
+    let text = std::fs::read_to_string(path)
+        .unwrap_or_else(|error| panic!("cannot read the script {}: {error}", path.display()));
     parse_script(&path.display().to_string(), &text)
 }
 
-/// Parses a script's text; the file's name is for messages.
+/// Parses the text of a script. The file's name is for error messages.
+///
+/// # Errors
+///
+/// The first line that is neither a setting, a step, a comment nor empty, or that has a wrong
+/// argument.
 pub(crate) fn parse_script(file: &str, text: &str) -> Result<Script, ScriptError> {
     let mut script = Script {
         file: file.to_owned(),
@@ -38,30 +47,30 @@
         steps: Vec::new(),
     };
     for (line, text) in (1..).zip(text.lines()) {
-        parse_line(&mut script, line, text).map_err(|problem| ScriptError {
+        parse_line(&mut script, line, text).map_err(|cause| ScriptError {
             file: file.to_owned(),
             line,
-            problem,
+            cause,
         })?;
     }
     Ok(script)
 }
 
-/// Adds the setting or the step of a line, if it has one.
-fn parse_line(script: &mut Script, line: usize, text: &str) -> Result<(), Problem> {
+/// Parses a line, and adds its setting or step to the script. Empty lines and comments are skipped.
+fn parse_line(script: &mut Script, line: usize, text: &str) -> Result<(), LineError> {
     let words: Vec<&str> = uncommented(text).split_whitespace().collect();
     if words.is_empty() {
         return Ok(());
     }
     if let Some(setting) = parse_setting(&words)? {
         if !script.steps.is_empty() {
-            return Err(Problem::SettingAfterStep);
+            return Err(LineError::SettingAfterStep);
         }
         script.settings.apply(setting);
         return Ok(());
     }
     let step = parse_step(&words, text)?;
-    check_servers(&step, script.settings.servers)?;
+    check_server_numbers(&step, script.settings.servers)?;
     script.steps.push(ScriptStep {
         line,
         text: text.to_owned(),
@@ -70,7 +79,7 @@
     Ok(())
 }
 
-/// The part of a line before a comment.
+/// Returns the part of a line before its comment.
 fn uncommented(line: &str) -> &str {
     line.split_once('#').map_or(line, |(step, _)| step)
 }
--- a/crates/query-broker/tests/scenarios/parser/servers.rs
+++ b/crates/query-broker/tests/scenarios/parser/server_numbers.rs
@@ -1,16 +1,16 @@
-//! Checks that a script names only data servers that it has.
+//! Checks that the steps of a script name only data servers that the script has.
 
-use super::problem::Problem;
+use super::line_error::LineError;
 use crate::script::{ConnectionName, Expectation, PeerName, Step};
 
-/// Refuses a step that names a data server of which the script has none.
-pub(super) fn check_servers(step: &Step, servers: usize) -> Result<(), Problem> {
+/// Returns an error if a step names a data server whose number is not below `servers`.
+pub(super) fn check_server_numbers(step: &Step, servers: usize) -> Result<(), LineError> {
     let of_connection = |name: &ConnectionName| match name.peer {
         PeerName::Server(server) => vec![server],
         _ => Vec::new(),
     };
     let named = match step {
-        Step::Within { step, .. } => return check_servers(step, servers),
+        Step::Within { step, .. } => return check_server_numbers(step, servers),
         Step::DelayConnections(server) | Step::AcceptDelayed(server) => vec![*server],
         Step::SendEndpoints(_, update) => update
             .endpoints
@@ -32,7 +32,7 @@
         _ => Vec::new(),
     };
     match named.into_iter().find(|server| *server >= servers) {
-        Some(server) => Err(Problem::UnknownServer { server, servers }),
+        Some(server) => Err(LineError::UnknownServer { server, servers }),
         None => Ok(()),
     }
 }
--- a/crates/query-broker/tests/scenarios/parser/step.rs
+++ b/crates/query-broker/tests/scenarios/parser/step.rs
@@ -1,26 +1,27 @@
-//! Parses steps.
+//! Parses the steps of a script.
 
-use super::problem::Problem;
-use super::word::{
+use super::arguments::{
     client_name, discovery_connection, discovery_name, endpoint, number, owned, raw_text,
     server_connection, server_number, unescape,
 };
+use super::line_error::LineError;
 use crate::script::{EndpointUpdate, Expectation, NewConfig, PartOutcome, Query, Step};
 use std::time::Duration;
 
-/// Parses a step; the line is given as words, and as a text for what is taken literally.
-pub(super) fn parse_step(words: &[&str], line: &str) -> Result<Step, Problem> {
+/// Parses a step from the words of a line. `line` is the whole line, from which the text of `raw` is
+/// taken with its spaces.
+pub(super) fn parse_step(words: &[&str], line: &str) -> Result<Step, LineError> {
     match words {
         ["send", rest @ ..] => parse_send(rest, line),
         ["expect", rest @ ..] => parse_expectation(rest, line).map(Step::Expect),
         ["busy-clients", count] => Ok(Step::StartBusyClients(number(count)?)),
         ["delay-connections", server] => Ok(Step::DelayConnections(server_number(server)?)),
         ["accept-delayed", server] => Ok(Step::AcceptDelayed(server_number(server)?)),
-        ["config", "raw", ..] => {
+        ["replace-config", "raw", ..] => {
             let text = raw_text(line)?.to_owned();
             Ok(Step::ReplaceConfig(NewConfig::Text(text)))
         }
-        ["config", discovery] => {
+        ["replace-config", discovery] => {
             let discovery = discovery_name(discovery)?;
             Ok(Step::ReplaceConfig(NewConfig::Discovery(discovery)))
         }
@@ -33,15 +34,16 @@
             limit: Duration::from_millis(number(milliseconds)?),
             step: Box::new(parse_step(step, line)?),
         }),
-        _ => Err(Problem::UnknownStep(line.to_owned())),
+        _ => Err(LineError::UnknownStep(line.to_owned())),
     }
 }
 
-fn parse_send(words: &[&str], line: &str) -> Result<Step, Problem> {
+/// Parses the words behind `send`.
+fn parse_send(words: &[&str], line: &str) -> Result<Step, LineError> {
     match words {
         [peer, "raw", ..] => Ok(Step::SendRaw(peer.parse()?, unescape(raw_text(line)?)?)),
         [client, "query", id, class, shards, deadline] => {
-            let shards: Result<Vec<u64>, Problem> = shards.split(',').map(number).collect();
+            let shards: Result<Vec<u64>, LineError> = shards.split(',').map(number).collect();
             let query = Query {
                 id: (*id).to_owned(),
                 class: (*class).to_owned(),
@@ -72,11 +74,12 @@
                 update,
             ))
         }
-        _ => Err(Problem::UnknownStep(line.to_owned())),
+        _ => Err(LineError::UnknownStep(line.to_owned())),
     }
 }
 
-fn parse_expectation(words: &[&str], line: &str) -> Result<Expectation, Problem> {
+/// Parses the words behind `expect`.
+fn parse_expectation(words: &[&str], line: &str) -> Result<Expectation, LineError> {
     match words {
         ["exit"] => Ok(Expectation::Exit),
         ["not-listening"] => Ok(Expectation::NotListening),
@@ -112,11 +115,12 @@
             status: number(status)?,
             words: owned(words),
         }),
-        _ => Err(Problem::UnknownStep(line.to_owned())),
+        _ => Err(LineError::UnknownStep(line.to_owned())),
     }
 }
 
-fn part_outcome(server: &str, part: &str, outcome: PartOutcome) -> Result<Step, Problem> {
+/// Creates the step with which a data server ends an attempt at a part.
+fn part_outcome(server: &str, part: &str, outcome: PartOutcome) -> Result<Step, LineError> {
     Ok(Step::SendPartOutcome {
         server: server_connection(server)?,
         part: part.to_owned(),
--- a/crates/query-broker/tests/scenarios/parser_tests.rs
+++ b/crates/query-broker/tests/scenarios/parser_tests.rs
@@ -1,6 +1,7 @@
-//! Scripts that are not well formed fail with their file and line, before anything runs.
+//! Tests of the parser of scripts. A malformed script is rejected with its file and line before
+//! anything of it runs, so that a misspelt step cannot pass unnoticed.
 
-use crate::parser::{Problem, ScriptError, parse_script};
+use crate::parser::{LineError, ScriptError, parse_script};
 use crate::script::{ConnectionName, Expectation, PeerName, Script, Step};
 use rstest::rstest;
 use std::time::Duration;
@@ -10,24 +11,24 @@
 }
 
 #[test]
-fn unknown_step_fails_with_file_and_line() {
+fn unknown_step_is_rejected_with_file_and_line() {
     let error = parse("# A comment.\n\nexpect exit\nexpect miracle\n").unwrap_err();
     assert_eq!(
         error.to_string(),
-        "some.txt:4: no step is worded like this: expect miracle"
+        "some.txt:4: no step has the form of \"expect miracle\""
     );
 }
 
 #[rstest]
 #[case::unknown_verb("sned c1 raw x")]
 #[case::missing_word("send s0 error")]
-#[case::word_too_many("expect c1 closed now")]
+#[case::extra_word("expect c1 closed now")]
 #[case::call_without_parts("expect s0 call")]
 #[case::log_without_words("expect log")]
-#[case::signal_that_no_script_needs("signal KILL")]
-fn step_of_unknown_wording_is_rejected(#[case] line: &str) {
+#[case::unsupported_signal("signal KILL")]
+fn step_of_unknown_form_is_rejected(#[case] line: &str) {
     let error = parse(line).unwrap_err();
-    assert_eq!(error.problem, Problem::UnknownStep(line.to_owned()));
+    assert_eq!(error.cause, LineError::UnknownStep(line.to_owned()));
 }
 
 #[rstest]
@@ -40,38 +41,38 @@
 #[case::client_for_server("expect c1 call a1.0")]
 #[case::server_for_client("expect s0 status 200")]
 #[case::server_for_discovery("expect s0 watch 1")]
-#[case::endpoint_state("send d changes 2 s0=sleeping")]
-#[case::endpoint_without_state("send d changes 2 s0")]
-#[case::repetition("send c1 raw x*many")]
-#[case::repetition_of_nothing("send c1 raw x*0")]
-#[case::step_within("within soon expect exit")]
-fn malformed_word_is_rejected(#[case] line: &str) {
+#[case::endpoint_state("send d1 changes 2 s0=sleeping")]
+#[case::endpoint_without_state("send d1 changes 2 s0")]
+#[case::repetition_count("send c1 raw x*many")]
+#[case::repetition_count_of_zero("send c1 raw x*0")]
+#[case::time_limit("within soon expect exit")]
+fn malformed_argument_is_rejected(#[case] line: &str) {
     let error = parse(line).unwrap_err();
     assert!(
-        matches!(error.problem, Problem::Malformed { .. }),
+        matches!(error.cause, LineError::Malformed { .. }),
         "{error}"
     );
     assert_eq!(error.line, 1);
 }
 
 #[test]
-fn setting_behind_a_step_is_rejected() {
+fn setting_after_a_step_is_rejected() {
     let error = parse("expect exit\nservers 2\n").unwrap_err();
-    assert_eq!((error.line, error.problem), (2, Problem::SettingAfterStep));
+    assert_eq!((error.line, error.cause), (2, LineError::SettingAfterStep));
 }
 
 #[rstest]
 #[case("expect s2 call a1.0")]
 #[case("delay-connections s2")]
-#[case("send d changes 2 s2=active")]
+#[case("send d1 changes 2 s2=active")]
 #[case("within 10 expect s2 closed")]
-fn server_that_does_not_exist_is_rejected(#[case] line: &str) {
+fn step_with_an_unknown_server_is_rejected(#[case] line: &str) {
     let error = parse(&format!("servers 2\n{line}\n")).unwrap_err();
-    let problem = Problem::UnknownServer {
+    let expected = LineError::UnknownServer {
         server: 2,
         servers: 2,
     };
-    assert_eq!((error.line, error.problem), (2, problem));
+    assert_eq!((error.line, error.cause), (2, expected));
 }
 
 #[test]
@@ -86,7 +87,7 @@
 }
 
 #[test]
-fn limited_step_is_parsed_with_its_limit() {
+fn step_within_a_time_limit_is_parsed_with_the_limit() {
     let script = parse("within 250 expect any.2 closed").unwrap();
     let name = ConnectionName {
         peer: PeerName::AnyServer,
--- a/crates/query-broker/tests/scenarios/script.rs
+++ b/crates/query-broker/tests/scenarios/script.rs
@@ -1,29 +1,30 @@
-//! The typed form of a scenario's script.
+//! The typed form of a script, as the parser returns it.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
 
-/// A script, parsed whole before anything of it runs.
+/// A parsed script.
 #[derive(Debug)]
 pub(crate) struct Script {
-    /// The script's file, for messages.
+    /// Path of the script, for messages.
     pub(crate) file: String,
-    /// What the broker is started with.
+    /// Settings with which the program and its peers are started.
     pub(crate) settings: Settings,
-    /// The steps, in their order.
+    /// The steps, in the order in which they are run.
     pub(crate) steps: Vec<ScriptStep>,
 }
 
-/// What differs in the broker's configuration from scenario to scenario.
+/// The settings of a script: the number of data servers, and the values of the broker's configuration
+/// that differ from the default of all scripts.
 #[derive(Debug)]
 pub(crate) struct Settings {
-    /// Data servers, each of which holds all four shards.
+    /// Number of data servers, each of which holds all four shards.
     pub(crate) servers: usize,
-    /// Most queries and parts in flight.
-    pub(crate) max_open: Option<u64>,
-    /// Most file descriptors.
+    /// Maximum number of queries and parts in flight; `None` for the default.
+    pub(crate) max_in_flight: Option<u64>,
+    /// Maximum number of file descriptors; `None` for the default.
     pub(crate) max_sockets: Option<u64>,
-    /// Further settings.
+    /// Values of the policy's settings that are replaced.
     pub(crate) overrides: Vec<SettingOverride>,
 }
 
@@ -31,59 +32,60 @@
     fn default() -> Self {
         Settings {
             servers: 1,
-            max_open: None,
+            max_in_flight: None,
             max_sockets: None,
             overrides: Vec::new(),
         }
     }
 }
 
-/// One of the settings.
+/// A setting on a line of a script.
 #[derive(Debug)]
 pub(crate) enum Setting {
     Servers(usize),
-    MaxOpen(u64),
+    MaxInFlight(u64),
     MaxSockets(u64),
     Override(SettingOverride),
 }
 
 impl Settings {
+    /// Applies the setting of a line.
     pub(crate) fn apply(&mut self, setting: Setting) {
         match setting {
             Setting::Servers(count) => self.servers = count,
-            Setting::MaxOpen(count) => self.max_open = Some(count),
+            Setting::MaxInFlight(count) => self.max_in_flight = Some(count),
             Setting::MaxSockets(count) => self.max_sockets = Some(count),
             Setting::Override(setting) => self.overrides.push(setting),
         }
     }
 }
 
-/// One setting that is replaced.
+/// A value of the policy's settings that is replaced.
 #[derive(Debug)]
 pub(crate) struct SettingOverride {
-    /// The setting's place, as a JSON pointer (RFC 6901).
+    /// Location of the value in the settings, as a JSON pointer (RFC 6901).
     pub(crate) pointer: String,
-    /// Its value.
+    /// The new value.
     pub(crate) value: serde_json::Value,
 }
 
-/// A step with its place in the script.
+/// A step with its line in the script.
 #[derive(Debug)]
 pub(crate) struct ScriptStep {
-    /// The line's number, from 1.
+    /// Number of the line, from 1.
     pub(crate) line: usize,
-    /// The line as it is written.
+    /// Text of the line.
     pub(crate) text: String,
-    /// What it asks for.
+    /// The parsed step.
     pub(crate) step: Step,
 }
 
-/// Something that the runner does or waits for.
+/// A step of a script: an action of a peer, or an event that is waited for.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Step {
     /// A client sends a query.
     SendQuery(ConnectionName, Query),
-    /// A peer sends these bytes.
+    /// A client, a data server or discovery sends these bytes.
     SendRaw(ConnectionName, Vec<u8>),
     /// A data server ends an attempt at a part.
     SendPartOutcome {
@@ -91,13 +93,14 @@
         part: String,
         outcome: PartOutcome,
     },
-    /// Discovery sends a list of endpoints.
+    /// Discovery sends an update of the endpoint list.
     SendEndpoints(ConnectionName, EndpointUpdate),
-    /// So many clients send a query each and wait.
+    /// This number of clients connect, and each sends a query and waits for its response.
     StartBusyClients(usize),
-    /// Connections to this server do not come up from now on.
+    /// New connections to this data server are no longer established.
     DelayConnections(usize),
-    /// They come up, when the system tries them again.
+    /// Connections to this data server are established again. One that was requested during the
+    /// delay is established when the system repeats its request.
     AcceptDelayed(usize),
     /// The platform's configuration file is replaced.
     ReplaceConfig(NewConfig),
@@ -107,97 +110,99 @@
     Reset(ConnectionName),
     /// The broker is sent a signal, by its name.
     Signal(String),
-    /// Something that has to happen.
+    /// The runner waits for an event.
     Expect(Expectation),
-    /// The step takes no longer than the limit.
+    /// The runner runs a step, which must take no longer than the limit.
     Within { limit: Duration, step: Box<Step> },
 }
 
-/// Something that has to happen.
+/// An event that has to happen for the script to go on.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Expectation {
-    /// A client is answered with this status, and the response holds these words.
+    /// A client receives a response that has this status and contains these words.
     Response {
         client: ConnectionName,
         status: u16,
         words: Vec<String>,
     },
-    /// One call of these parts.
+    /// A data server receives a call that has exactly these parts in this order.
     Call {
         server: ConnectionName,
         parts: Vec<String>,
     },
-    /// One call of this part, whose time left is no more than this many milliseconds.
+    /// A data server receives a call that has only this part, with a time left of at most
+    /// `at_most_ms` milliseconds.
     CallWithTimeLeft {
         server: ConnectionName,
         part: String,
         at_most_ms: u64,
     },
-    /// An attempt at this part is cancelled.
+    /// A data server receives the cancellation of an attempt at this part.
     Cancel {
         server: ConnectionName,
         part: String,
     },
-    /// Discovery is asked for what changed since this revision.
+    /// Discovery receives a request for the changes since this revision.
     Watch {
         discovery: ConnectionName,
         revision: u64,
     },
-    /// Discovery is asked for the whole list.
+    /// Discovery receives a request for the full list.
     FullList(ConnectionName),
-    /// The broker is connecting to one of these servers, and the connection has not come up.
+    /// The broker has requested a connection to one of these data servers, and it is not established
+    /// yet.
     Connecting(Vec<usize>),
-    /// A line of the broker's log holds these words.
+    /// The broker logs a line that contains all these words.
     LogLine(Vec<String>),
-    /// The broker closes a connection, with nothing more sent on it.
+    /// The broker closes a connection, and has sent no bytes on it that no step has consumed.
     Closed(ConnectionName),
-    /// The broker closes a connection, with no reset behind its end.
+    /// The broker closes a connection without a reset, whatever it has sent before.
     ClosedWithoutReset(ConnectionName),
     /// The broker accepts no more connections.
     NotListening,
-    /// The broker's process ends with success.
+    /// The broker's process exits with success.
     Exit,
 }
 
-/// A query of a client, as it is written: some are invalid on purpose.
+/// A query of a client, as the script gives it. Some scripts send invalid queries.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Query {
     pub(crate) id: String,
     pub(crate) class: String,
-    /// The shards; each has an even portion.
+    /// The shards of the query, among which the portions are divided evenly.
     pub(crate) shards: Vec<u64>,
-    /// The text of the deadline's field.
+    /// The value of the header `X-Deadline`.
     pub(crate) deadline: String,
 }
 
 /// How a data server ends an attempt at a part.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum PartOutcome {
-    /// It has the part's value.
+    /// The server sends the part's value.
     Value(String),
-    /// The attempt failed.
+    /// The server reports that the attempt failed.
     Error,
-    /// The server is overloaded and has not begun the attempt.
+    /// The server reports that it is overloaded and has not begun the attempt.
     Overloaded,
 }
 
-/// What discovery sends.
+/// An update of the endpoint list that discovery sends.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct EndpointUpdate {
     pub(crate) revision: u64,
-    /// Whether these are all endpoints, or those that changed.
+    /// Whether the update has all endpoints, or only those that have changed.
     pub(crate) is_full: bool,
     pub(crate) endpoints: Vec<ListedEndpoint>,
 }
 
-/// A data server on discovery's list.
+/// A data server on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ListedEndpoint {
     pub(crate) server: usize,
     pub(crate) state: EndpointState,
 }
 
-/// The state of a data server on discovery's list.
+/// The state of a data server on the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum EndpointState {
     Active,
@@ -205,45 +210,45 @@
     Removed,
 }
 
-/// What the configuration file is replaced by.
+/// The new contents of the configuration file.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum NewConfig {
-    /// The same, but for the address of discovery.
+    /// The old contents with the address of this discovery.
     Discovery(DiscoveryName),
     /// This text.
     Text(String),
 }
 
-/// Who is at the other end of a connection of the broker.
+/// The peer at the other end of a connection of the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum PeerName {
-    /// A client that a script names.
+    /// A client that is named in the script.
     Client(usize),
-    /// One of those that [`Step::StartBusyClients`] starts.
+    /// A client that [`Step::StartBusyClients`] starts.
     BusyClient(usize),
     /// A data server.
     Server(usize),
-    /// The data server that is connected to next.
+    /// The data server to which the broker connects next, whichever it is.
     AnyServer,
     /// A discovery.
     Discovery(DiscoveryName),
 }
 
-/// One of the two discoveries.
+/// One of the two discovery services of a scenario.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum DiscoveryName {
-    /// The one that the broker is started with.
+    /// The discovery that the broker is started with.
     First,
-    /// The one to which a reload may move it.
+    /// Another discovery, which a reload of the configuration can name.
     Second,
 }
 
-/// A connection of the broker.
+/// The name of a connection of the broker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ConnectionName {
-    /// The other end.
+    /// The peer at the other end.
     pub(crate) peer: PeerName,
-    /// Which of the connections to it, from 1.
+    /// Number of the connection among those of the peer, from 1.
     pub(crate) number: usize,
 }
 
@@ -254,8 +259,8 @@
             PeerName::BusyClient(n) => write!(f, "busy{n}")?,
             PeerName::Server(n) => write!(f, "s{n}")?,
             PeerName::AnyServer => write!(f, "any")?,
-            PeerName::Discovery(DiscoveryName::First) => write!(f, "d")?,
-            PeerName::Discovery(DiscoveryName::Second) => write!(f, "e")?,
+            PeerName::Discovery(DiscoveryName::First) => write!(f, "d1")?,
+            PeerName::Discovery(DiscoveryName::Second) => write!(f, "d2")?,
         }
         if self.number > 1 {
             write!(f, ".{}", self.number)?;
--- a/crates/query-broker/tests/scenarios/world.rs
+++ b/crates/query-broker/tests/scenarios/testbed.rs
@@ -1,4 +1,4 @@
-//! A running scenario: the program, its peers, and the steps of a script.
+//! The running program and its peers, on which the steps of a script are run.
 
 use crate::broker_process::BrokerProcess;
 use crate::connection::Connection;
@@ -13,11 +13,12 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::Instant;
 
-/// Most file descriptors, where a script does not say otherwise.
+/// Maximum number of file descriptors if the script does not set another.
 const DEFAULT_MAX_SOCKETS: u64 = 1024;
 
-/// The program and everything round it.
-pub(crate) struct World {
+/// The running program, its data servers, two discoveries, and the peers' connections to the
+/// program.
+pub(crate) struct Testbed {
     pub(crate) broker: BrokerProcess,
     pub(crate) servers: Vec<DataServer>,
     first_discovery: TcpListener,
@@ -25,14 +26,14 @@
     connections: BTreeMap<ConnectionName, Connection>,
 }
 
-impl World {
-    /// Starts the peers and the program.
+impl Testbed {
+    /// Starts the listeners of the peers, and then the program.
     pub(crate) fn start(settings: &Settings) -> Self {
         let servers: Vec<DataServer> = (0..settings.servers).map(|_| DataServer::start()).collect();
         let first_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let second_discovery = TcpListener::bind("127.0.0.1:0").unwrap();
         let config = configuration(settings, &addresses(&servers));
-        World {
+        Testbed {
             broker: BrokerProcess::start(config, first_discovery.local_addr().unwrap()),
             servers,
             first_discovery,
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Runs a step; panics if it does not end as the script says.
+    /// Runs a step. Panics if an expectation is not met or a time limit is exceeded.
     pub(crate) fn run(&mut self, step: &Step) {
         match step {
             Step::SendQuery(client, query) => {
@@ -69,12 +70,16 @@
                 let start = Instant::now();
                 self.run(step);
                 let elapsed = start.elapsed();
-                assert!(elapsed <= *limit, "it took {elapsed:?}");
+                assert!(
+                    elapsed <= *limit,
+                    "the step took {elapsed:?}, expected at most {limit:?}"
+                );
             }
         }
     }
 
-    /// A connection by its name. One that is new is opened: clients connect, other peers accept.
+    /// Returns the connection with this name. On its first use it is opened: clients connect, and
+    /// other peers accept a connection of the program.
     pub(crate) fn connection(&mut self, name: ConnectionName) -> &mut Connection {
         if !self.connections.contains_key(&name) {
             let connection = self.open(name.peer);
@@ -82,9 +87,10 @@
         }
         self.connections
             .get_mut(&name)
-            .expect("it was just inserted")
+            .expect("the connection has just been inserted")
     }
 
+    /// Opens a new connection of a client, or accepts a new connection at another peer.
     fn open(&self, peer: PeerName) -> Connection {
         match peer {
             PeerName::Client(_) | PeerName::BusyClient(_) => Connection::new(self.broker.connect()),
@@ -97,12 +103,14 @@
         }
     }
 
+    /// Removes the connection with this name, and returns it.
     fn take_connection(&mut self, name: ConnectionName) -> Connection {
         self.connections
             .remove(&name)
-            .unwrap_or_else(|| panic!("{name} is not connected"))
+            .unwrap_or_else(|| panic!("{name} has no open connection"))
     }
 
+    /// Returns the listener of a discovery.
     fn discovery(&self, name: DiscoveryName) -> &TcpListener {
         match name {
             DiscoveryName::First => &self.first_discovery,
@@ -121,6 +129,7 @@
     }
 }
 
+/// Returns the addresses of the data servers, in the order of their numbers.
 fn addresses(servers: &[DataServer]) -> Vec<SocketAddr> {
     servers
         .iter()
@@ -128,8 +137,8 @@
         .collect()
 }
 
-/// The program's configuration. The discovery that it names does not exist: the environment names
-/// the right one, which goes first at the start.
+/// Returns the program's configuration. Its address of discovery is one at which nothing listens: at
+/// the start, the address in the environment overrides it.
 fn configuration(settings: &Settings, addresses: &[SocketAddr]) -> Value {
     let endpoints: Vec<Value> = addresses
         .iter()
@@ -138,12 +147,13 @@
         .collect();
     let text = include_str!("../../../broker-types/tests/settings.json");
     let mut policy: Value = serde_json::from_str(text).unwrap();
-    if let Some(max_open) = settings.max_open {
-        policy["Allowed"]["MaxOpen"] = json!(max_open);
+    if let Some(max_in_flight) = settings.max_in_flight {
+        policy["Allowed"]["MaxOpen"] = json!(max_in_flight);
     }
     for setting in &settings.overrides {
         let place = policy.pointer_mut(&setting.pointer);
-        *place.unwrap_or_else(|| panic!("no setting {}", setting.pointer)) = setting.value.clone();
+        *place.unwrap_or_else(|| panic!("the settings have no value at {}", setting.pointer)) =
+            setting.value.clone();
     }
     let max_sockets = settings.max_sockets.unwrap_or(DEFAULT_MAX_SOCKETS);
     json!({"name": "n0", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "seed": "8c1f30d27a5be964",
