--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -62,7 +62,7 @@
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
 
-/// Prints to standard error. A write error is ignored, as in [`print`].
+/// Prints to standard error. A write error is ignored, as in [`print()`].
 fn print_error(text: &str) {
     let _ = std::io::stderr().write_all(text.as_bytes());
 }
--- a/crates/query-broker/tests/http2/arbitrary_frames.rs
+++ b/crates/query-broker/tests/http2/arbitrary_frames.rs
@@ -1,5 +1,5 @@
-//! Arbitrary frames, in any order and cut anywhere: the program survives, other clients are served,
-//! and no memory is lost.
+//! A property test with arbitrary frames, in any order and cut into pieces anywhere. Guards against a
+//! program that crashes, stops serving other clients, or leaks memory.
 
 use crate::fixture::Fixture;
 use load_generator::raw_http2::{
@@ -14,22 +14,24 @@
 const PRIORITY: u8 = 2;
 /// The flag PADDED of DATA frames (RFC 9113, section 6.1).
 const PADDED: u8 = 8;
-/// Memory that the allocator may keep after all connections, in bytes.
+/// Growth of the resident memory that is accepted after all connections are closed, in bytes: the
+/// allocator may keep some memory.
 const MEMORY_TOLERANCE: u64 = 16 << 20;
 
-/// Ids of client streams, of streams that a client may not open, and of the connection.
+/// Generates ids of streams that a client may open, of streams that it may not open, and 0 for the
+/// connection.
 fn stream_ids() -> impl Strategy<Value = u32> + Clone {
     prop::sample::select(vec![0u32, 1, 3, 5, 7, 2, 0x7fff_ffff])
 }
 
-/// A frame of any content.
+/// Generates a frame with any type, flags and payload.
 fn any_frame() -> impl Strategy<Value = Vec<u8>> {
     let payload = prop::collection::vec(any::<u8>(), 0..60);
     (0u8..12, any::<u8>(), stream_ids(), payload)
         .prop_map(|(kind, flags, stream, payload)| encode_frame(kind, flags, stream, &payload))
 }
 
-/// The head of a query, which may lack its flags.
+/// Generates the HEADERS frame of a query, some without their flags.
 fn headers_frame() -> impl Strategy<Value = Vec<u8>> {
     let flags = prop::sample::select(vec![END_HEADERS, END_HEADERS | END_STREAM, 0, END_STREAM]);
     (stream_ids(), flags, 0u32..1000).prop_map(|(stream, flags, id)| {
@@ -38,14 +40,14 @@
     })
 }
 
-/// The end of a query's body, which may be padded.
+/// Generates a DATA frame with the end of a query's body, some with the flag for padding.
 fn data_frame() -> impl Strategy<Value = Vec<u8>> {
     let flags = prop::sample::select(vec![0, END_STREAM, PADDED]);
     (stream_ids(), flags, 0..QUERY_BODY.len())
         .prop_map(|(stream, flags, cut)| encode_frame(DATA, flags, stream, &QUERY_BODY[cut..]))
 }
 
-/// A control frame of the right length and any content.
+/// Generates a control frame of the correct length with any content.
 fn control_frame() -> impl Strategy<Value = Vec<u8>> {
     let kinds = vec![PRIORITY, RST_STREAM, SETTINGS, PING, GOAWAY, WINDOW_UPDATE];
     let kind = prop::sample::select(kinds);
@@ -65,11 +67,12 @@
     })
 }
 
-/// A valid query.
+/// Generates the frames of a valid query.
 fn whole_query() -> impl Strategy<Value = Vec<u8>> {
     (0u32..50, 0u32..1000).prop_map(|(n, id)| query_frames(1 + 2 * n, &format!("w{id}")))
 }
 
+/// Generates sequences of up to 29 frames or valid queries.
 fn frame_sequences() -> impl Strategy<Value = Vec<Vec<u8>>> {
     let any_item = prop_oneof![
         2 => any_frame(),
@@ -82,15 +85,15 @@
 }
 
 #[test]
-fn arbitrary_frames_leave_no_memory_behind_and_other_clients_are_served() {
+fn arbitrary_frames_leak_no_memory_and_other_clients_are_served() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let check_served = |n: usize| fixture.run(fixture.expect_served(&format!("serves{n}"), n % 8));
     (0..50).for_each(check_served);
     let before = fixture.broker.resident_memory().unwrap();
-    let found = FileFailurePersistence::Direct("tests/http2/arbitrary_frames.regressions");
+    let regressions = FileFailurePersistence::Direct("tests/http2/arbitrary_frames.regressions");
     let config = Config {
         cases: 150,
-        failure_persistence: Some(Box::new(found)),
+        failure_persistence: Some(Box::new(regressions)),
         ..Config::default()
     };
     let n = std::cell::Cell::new(50);
@@ -102,7 +105,7 @@
                     break;
                 }
             }
-            // Half of the connections read a frame; the others are closed at once.
+            // About half of the connections read a frame; the others are closed immediately.
             if cut % 2 == 0 {
                 raw.next_frame(Duration::from_millis(20));
             }
@@ -115,6 +118,6 @@
     let after = fixture.broker.resident_memory().unwrap();
     assert!(
         after < before + MEMORY_TOLERANCE,
-        "{before} bytes before, {after} after"
+        "the resident memory grew from {before} to {after} bytes"
     );
 }
--- a/crates/query-broker/tests/http2/fault_injection.rs
+++ b/crates/query-broker/tests/http2/fault_injection.rs
@@ -1,5 +1,6 @@
-//! Three connections with a hundred streams each, seeded random resets, failing data servers, and a
-//! drain in the middle: every query ends exactly once, for its client and for the data servers.
+//! A test with many concurrent queries under injected faults. Three connections have a hundred streams
+//! each; clients reset random streams, data servers fail, and one is drained in the middle, all by a
+//! seed. Guards against queries that never end or end twice, for the client or at the data servers.
 
 use crate::fixture::Fixture;
 use async_io::Timer;
@@ -13,28 +14,35 @@
 use std::time::Duration;
 use test_fleet::{Deployment, Fault, FleetPlan, part_value};
 
+/// Number of client connections.
 const CONNECTIONS: usize = 3;
+/// Number of clients on a connection, each of which uses one stream at a time.
 const STREAMS: usize = 100;
+/// Number of queries that each client sends, one after another.
 const QUERIES_PER_STREAM: usize = 4;
 
-/// Pause between two faults.
+/// Time between two faults.
 const FAULT_INTERVAL: Duration = Duration::from_millis(60);
 
 /// How a query ended for its client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum QueryEnd {
+    /// The client received an answer.
     Answered,
     /// The client reset its stream.
     Reset,
+    /// The broker rejected the query, or refused its stream.
     Rejected,
+    /// The broker responded with 502.
     Failed,
-    /// The connection took no more streams.
+    /// The client could not open a stream on the connection.
     NotOpened,
 }
 
-/// How queries ended, by id.
+/// The ends of each query, by the query's id. A query must have exactly one.
 type QueryEnds = Rc<RefCell<BTreeMap<String, Vec<QueryEnd>>>>;
 
+/// Creates a query of a random class for one to three random shards, with a random client timeout.
 fn random_query(random: &mut Pcg64Mcg, id: String) -> LoadQuery {
     let from = random.random_range(0..6);
     let shards: Vec<usize> = (from..from + random.random_range(1..=3))
@@ -51,7 +59,8 @@
     .with_client_timeout(Duration::from_millis(random.random_range(300..2500)))
 }
 
-/// Sends one query after another; some are reset after a random while.
+/// Sends one query after another, and records how each ends. Resets the stream of about a quarter of
+/// them after a random time.
 async fn run_client(http2: Rc<Http2Client>, ends: QueryEnds, name: String, seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     for round in 0..QUERIES_PER_STREAM {
@@ -71,14 +80,15 @@
     }
 }
 
+/// Waits for the response to a query, checks it, and returns how the query ended.
 async fn wait_for_end(stream: Http2Stream, query: &LoadQuery) -> QueryEnd {
     let id = &query.id;
     let response = match stream.response().await {
         Ok(response) => response,
-        // The broker may count a stream that was just reset for a moment longer than the client
-        // does.
+        // The stream limit was exceeded: the broker may still count a stream that the client has just
+        // reset.
         Err(error) if error.reason() == Some(Reason::REFUSED_STREAM) => return QueryEnd::Rejected,
-        Err(error) => panic!("{id}: {error}"),
+        Err(error) => panic!("{id}: no response: {error}"),
     };
     match QueryOutcome::from_response(&response) {
         QueryOutcome::Answered { complete, values } => {
@@ -87,24 +97,26 @@
         }
         QueryOutcome::Rejected(_) => QueryEnd::Rejected,
         QueryOutcome::Failed(502) => QueryEnd::Failed,
-        other => panic!("{id}: {other:?}"),
+        other => panic!("{id}: unexpected outcome {other:?}"),
     }
 }
 
-/// Checks that all values are right, and that the answer is marked complete if and only if it is.
+/// Checks that all values of an answer are correct, and that the answer is marked complete if and only
+/// if it has a value for each shard of the query.
 fn check_answer(query: &LoadQuery, complete: bool, values: &[ShardValue]) {
-    let is_right = |value: &ShardValue| {
+    let is_correct = |value: &ShardValue| {
         query.shards.contains(&value.shard) && value.value == part_value(value.shard, QUERY_TEXT)
     };
     let has_value = |shard: &usize| values.iter().any(|value| value.shard == *shard);
     assert!(
-        values.iter().all(is_right) && complete == query.shards.iter().all(has_value),
+        values.iter().all(is_correct) && complete == query.shards.iter().all(has_value),
         "{}: a wrong answer, marked complete: {complete}: {values:?}",
         query.id
     );
 }
 
-/// Injects faults by seed, and drains one server in the middle.
+/// Injects faults that are chosen by the seed. In the middle, drains one data server, and kills and
+/// restarts another one.
 async fn inject_faults(fixture: &Fixture, seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let faults = [
@@ -134,13 +146,14 @@
     }
 }
 
-/// A broker whose clients have sent all their queries while faults were injected.
-struct FaultyRun {
+/// The result of a run in which clients sent all their queries while faults were injected.
+struct FaultInjectionRun {
     fixture: Fixture,
     ends: QueryEnds,
 }
 
-fn run(seed: u64) -> FaultyRun {
+/// Starts a broker and a fleet, and runs all clients while faults are injected.
+fn run(seed: u64) -> FaultInjectionRun {
     let plan = FleetPlan {
         servers: 6,
         part_duration: Duration::from_millis(10),
@@ -169,9 +182,11 @@
             client.await;
         }
     });
-    FaultyRun { fixture, ends }
+    FaultInjectionRun { fixture, ends }
 }
 
+/// Checks that each query ended exactly once for its client, and that enough queries were answered and
+/// enough were reset for the run to be meaningful.
 fn check_ends(fixture: &mut Fixture, ends: &BTreeMap<String, Vec<QueryEnd>>) {
     assert_eq!(ends.len(), CONNECTIONS * STREAMS * QUERIES_PER_STREAM);
     assert!(
@@ -194,13 +209,13 @@
 #[test]
 fn every_query_ends_exactly_once_under_faults_and_resets() {
     for seed in [1, 2] {
-        let FaultyRun { mut fixture, ends } = run(seed);
+        let FaultInjectionRun { mut fixture, ends } = run(seed);
         fixture.broker.signal("TERM").unwrap();
         assert!(fixture.broker.wait_for_exit().unwrap().success());
         check_ends(&mut fixture, &ends.take());
         fixture.check_invariants();
-        // Each accepted query ended in the broker too: a query in flight would have delayed the
-        // exit, or the log would show its expiry.
+        // Each accepted query has ended in the broker too: a query that was left in flight would have
+        // delayed the exit, or the log would have an event for its expiry.
         let log = fixture.broker.log_lines();
         let has_expired = log
             .iter()
--- a/crates/query-broker/tests/http2/fixture.rs
+++ b/crates/query-broker/tests/http2/fixture.rs
@@ -1,4 +1,5 @@
-//! A broker with a fleet of data servers, and an executor for its clients.
+//! A running broker with a fleet of data servers and an executor for its clients, and helpers to send
+//! queries and to check their answers.
 
 use async_executor::LocalExecutor;
 use async_io::Timer;
@@ -13,27 +14,28 @@
 use std::time::{Duration, Instant};
 use test_fleet::{AttemptLimits, BrokerProcess, Deployment, Fault, Fleet, FleetPlan, part_value};
 
-/// Bound on every wait, far longer than a slow machine needs.
-pub(crate) const BOUND: Duration = Duration::from_secs(30);
+/// Time limit of each wait for an event, which is far longer than a slow machine needs.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// An operator's file that configures the HTTP/2 listener only.
+/// The text of an operator's file that configures only the HTTP/2 listener.
 pub(crate) const OPERATOR_CONFIG: &str = "listen-http2 127.0.0.1:0\n";
 
 /// Interval at which the attempt log is polled.
-const ATTEMPT_POLL: Duration = Duration::from_millis(1);
+const ATTEMPT_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Pause between two attempts to connect.
-const CONNECT_POLL: Duration = Duration::from_millis(20);
+/// Interval at which connects are repeated until the broker accepts none.
+const CONNECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running broker with its fleet.
 pub(crate) struct Fixture {
     pub(crate) broker: BrokerProcess,
     pub(crate) fleet: Fleet,
+    /// Executor on which the clients run.
     pub(crate) executor: Rc<LocalExecutor<'static>>,
 }
 
 impl Fixture {
-    /// Starts the default deployment, whose data servers take this long for a part.
+    /// Starts the default deployment. Its data servers take `part_duration` for a part.
     pub(crate) fn with_part_duration(part_duration: Duration) -> Self {
         let plan = FleetPlan {
             part_duration,
@@ -42,7 +44,7 @@
         Fixture::start(plan, Deployment::default(), OPERATOR_CONFIG)
     }
 
-    /// Starts a fleet and a broker with this operator's file.
+    /// Starts a fleet, and a broker with this text of its operator's file.
     pub(crate) fn start(plan: FleetPlan, deployment: Deployment, operator_config: &str) -> Self {
         let fleet = Fleet::start(plan).unwrap();
         let executable = Path::new(env!("CARGO_BIN_EXE_query-broker"));
@@ -54,40 +56,43 @@
         }
     }
 
-    /// Runs clients to their end.
+    /// Runs clients until they have finished. Panics after [`WAIT_TIMEOUT`].
     pub(crate) fn run<T>(&self, clients: impl Future<Output = T>) -> T {
         let timeout = async {
-            Timer::after(BOUND).await;
-            panic!("the clients do not come to an end");
+            Timer::after(WAIT_TIMEOUT).await;
+            panic!("the clients have not finished within {WAIT_TIMEOUT:?}");
         };
         async_io::block_on(self.executor.run(clients.or(timeout)))
     }
 
-    /// Where the broker listens for HTTP/2.
+    /// Returns the address of the broker's HTTP/2 listener.
     pub(crate) fn http2_address(&self) -> SocketAddr {
         self.broker.http2.unwrap()
     }
 
+    /// Connects an HTTP/2 client.
     pub(crate) async fn connect(&self) -> Http2Client {
         self.connect_with(&Builder::new()).await
     }
 
+    /// Connects an HTTP/2 client with the settings of `builder`.
     pub(crate) async fn connect_with(&self, builder: &Builder) -> Http2Client {
         Http2Client::connect_with(self.http2_address(), &self.executor, builder)
             .await
             .unwrap()
     }
 
+    /// Connects an HTTP/1.1 client.
     pub(crate) async fn connect_http1(&self) -> Http1Client {
         Http1Client::connect(self.broker.http1).await.unwrap()
     }
 
-    /// Connects a client that writes its frames by hand; the preface and SETTINGS are sent.
+    /// Connects a client that sends single frames, and sends the preface and SETTINGS.
     pub(crate) fn connect_raw(&self) -> RawHttp2Client {
         RawHttp2Client::connect_with_preface(self.http2_address())
     }
 
-    /// Connects a client that has sent nothing.
+    /// Connects a client that sends single frames, and sends nothing yet.
     pub(crate) fn connect_silent(&self) -> RawHttp2Client {
         RawHttp2Client::connect(self.http2_address())
     }
@@ -99,15 +104,15 @@
         }
     }
 
-    /// Sets how long all data servers take for a part.
+    /// Sets the time that all data servers take for a part.
     pub(crate) fn set_part_duration(&self, part_duration: Duration) {
         for server in self.fleet.servers() {
             server.set_part_duration(part_duration);
         }
     }
 
-    /// Waits until the broker's SETTINGS apply to the connection. They are the first frame that a
-    /// server sends (RFC 9113, section 3.4), so that they are known with the first response.
+    /// Waits until the client has received the broker's SETTINGS. They are the first frame that a
+    /// server sends (RFC 9113, section 3.4), so that they have arrived once a response has.
     pub(crate) async fn wait_for_settings(&self, http2: &Http2Client) {
         let ready = http::Request::get("http://broker.svc/-/ready");
         let response = http2.send(&ready.body(Vec::new()).unwrap()).await.unwrap();
@@ -115,45 +120,49 @@
         assert_ne!(http2.peer_stream_limit(), usize::MAX);
     }
 
-    /// Number of attempts that the data servers have seen.
+    /// Returns the number of attempts that the data servers have received.
     pub(crate) fn attempt_count(&self) -> usize {
         self.fleet.attempt_log(|log| log.attempts().len())
     }
 
-    /// Waits until the data servers have seen this many attempts.
+    /// Waits until the data servers have received `count` attempts since the start.
     pub(crate) async fn wait_for_attempts(&self, count: usize) {
         while self.attempt_count() < count {
-            Timer::after(ATTEMPT_POLL).await;
+            Timer::after(ATTEMPT_POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until all attempts that the data servers have seen are over.
+    /// Waits until all attempts that the data servers have received have ended.
     pub(crate) async fn wait_until_attempts_end(&self) {
         while self
             .fleet
             .attempt_log(|log| log.attempts().iter().any(|attempt| attempt.end.is_none()))
         {
-            Timer::after(ATTEMPT_POLL).await;
+            Timer::after(ATTEMPT_POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until the broker accepts no new connections over HTTP/2.
+    /// Waits until the broker accepts no new connections at its HTTP/2 listener.
     pub(crate) fn wait_until_not_listening(&self) {
-        let until = Instant::now() + BOUND;
+        let until = Instant::now() + WAIT_TIMEOUT;
         while TcpStream::connect(self.http2_address()).is_ok() {
-            assert!(Instant::now() < until, "it still listens");
-            std::thread::sleep(CONNECT_POLL);
+            assert!(
+                Instant::now() < until,
+                "the HTTP/2 listener still accepts connections"
+            );
+            std::thread::sleep(CONNECT_POLL_INTERVAL);
         }
     }
 
-    /// Checks that a client on a new connection is answered.
+    /// Checks that a query on a new connection gets its complete answer.
     pub(crate) async fn expect_served(&self, id: &str, shard: usize) {
         let http2 = self.connect().await;
         let answer = http2.send_query(&lookup(id, &[shard])).await;
         assert_eq!(answer, complete_answer(&[shard]), "{id}");
     }
 
-    /// Checks that the attempts that the data servers have seen keep all limits.
+    /// Checks that the attempts that the data servers have received violate no invariant, such as the
+    /// limits of [`AttemptLimits`].
     pub(crate) fn check_invariants(&self) {
         let violations = self
             .fleet
@@ -162,12 +171,12 @@
     }
 }
 
-/// Sends queries at once on a connection, and waits for all their outcomes.
+/// Sends queries concurrently on a connection, and returns their outcomes in the order of `queries`.
 pub(crate) async fn send_all(http2: &Http2Client, queries: &[LoadQuery]) -> Vec<QueryOutcome> {
     join_all(queries.iter().map(|query| http2.send_query(query))).await
 }
 
-/// The complete answer to a query for these shards.
+/// Returns the complete answer to a query for these shards.
 pub(crate) fn complete_answer(shards: &[usize]) -> QueryOutcome {
     let shard_value = |shard: &usize| ShardValue {
         shard: *shard,
@@ -179,13 +188,13 @@
     }
 }
 
-/// A query of a class that is safe to repeat.
+/// Returns a query of the class `lookup`, whose parts are safe to repeat.
 pub(crate) fn lookup(id: &str, shards: &[usize]) -> LoadQuery {
     LoadQuery::new(id, "lookup", shards)
 }
 
-/// The head of a query, with some fields replaced, left out (an empty value) or added. Its body is
-/// still to come.
+/// Returns the HEADERS frame of a query, whose body has to follow. `changes` replaces or adds header
+/// fields; an empty value leaves the field out.
 pub(crate) fn query_headers(stream: u32, id: &str, changes: &[(&str, &str)]) -> Vec<u8> {
     encode_frame(HEADERS, END_HEADERS, stream, &query_fields(id, changes))
 }
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -1,6 +1,7 @@
-//! Floods: each is bounded, ended within three seconds and logged, and other clients are served.
+//! Tests of floods of frames on a connection. The broker has to close such a connection within three
+//! seconds and to log the flood, and other clients must be served.
 
-use crate::fixture::{BOUND, Fixture, query_headers};
+use crate::fixture::{Fixture, WAIT_TIMEOUT, query_headers};
 use load_generator::raw_http2::{
     CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, PREFACE, QUERY_BODY, RST_STREAM,
     RawHttp2Client, SETTINGS, WINDOW_UPDATE, encode_fields, encode_frame, query_fields,
@@ -10,17 +11,19 @@
 
 /// The error code `ENHANCE_YOUR_CALM` (RFC 9113, section 7).
 const ENHANCE_YOUR_CALM: u32 = 11;
-/// Bound on the end of a flooded or silent connection.
-const CLOSE_BOUND: Duration = Duration::from_secs(20);
+/// Time limit within which the broker has to close a flooded or silent connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Sends the same frames again and again until the connection ends. A slow machine needs longer
-/// than the three seconds in which the broker has to end it, so that the bound is far longer;
-/// `query-broker bench` shows the real duration.
-fn flood(fixture: &Fixture, what: &str, bytes: impl Fn(u32) -> Vec<u8>) {
+/// Floods a connection until the broker closes it, and checks that other clients are served then.
+/// `bytes` returns the next frames by their number. `flood_name` is for messages.
+///
+/// The broker has to close the connection within three seconds. A slow machine needs longer, so the
+/// time limit of the test is far longer; `query-broker bench` shows the real duration.
+fn flood(fixture: &Fixture, flood_name: &str, bytes: impl Fn(u32) -> Vec<u8>) {
     let mut raw = fixture.connect_raw();
     let start = Instant::now();
     let mut n = 0;
-    while start.elapsed() < CLOSE_BOUND {
+    while start.elapsed() < CLOSE_TIMEOUT {
         let mut burst = Vec::new();
         for _ in 0..64 {
             burst.extend(bytes(n));
@@ -31,21 +34,21 @@
         }
     }
     assert!(
-        start.elapsed() < CLOSE_BOUND,
-        "{what}: the connection is not ended"
+        start.elapsed() < CLOSE_TIMEOUT,
+        "{flood_name}: the connection has not been closed within {CLOSE_TIMEOUT:?}"
     );
-    let frames = raw.frames_until_close(CLOSE_BOUND);
+    let frames = raw.frames_until_close(CLOSE_TIMEOUT);
     if let Some(goaway) = frames.iter().rfind(|f| f.frame_type == GOAWAY) {
-        assert_eq!(goaway.error_code(), ENHANCE_YOUR_CALM, "{what}");
+        assert_eq!(goaway.error_code(), ENHANCE_YOUR_CALM, "{flood_name}");
     }
-    let id = format!("after {what}").replace(' ', "-");
+    let id = format!("after {flood_name}").replace(' ', "-");
     fixture.run(fixture.expect_served(&id, 1));
 }
 
 #[test]
 fn floods_of_frames_without_payload_end_the_connection() {
     let mut fixture = Fixture::with_part_duration(Duration::ZERO);
-    for (what, bytes) in [
+    for (flood_name, bytes) in [
         ("PING", encode_frame(PING, 0, 0, &[0; 8])),
         ("SETTINGS", encode_frame(SETTINGS, 0, 0, &[])),
         ("PRIORITY", encode_frame(2, 0, 1, &[0, 0, 0, 3, 1])),
@@ -55,12 +58,12 @@
         ),
         ("unknown frames", encode_frame(77, 0, 0, b"x")),
     ] {
-        // An event has one line a second.
+        // The log has at most one line a second for the same event.
         std::thread::sleep(Duration::from_millis(1100));
-        flood(&fixture, what, |_| bytes.clone());
+        flood(&fixture, flood_name, |_| bytes.clone());
         fixture
             .broker
-            .wait_for_log(&format!("reason=\"a flood of {what}\""))
+            .wait_for_log(&format!("reason=\"a flood of {flood_name}\""))
             .or_else(|_| fixture.broker.wait_for_log("event=http2_flood_detected"))
             .unwrap();
     }
@@ -88,12 +91,12 @@
 fn flood_of_empty_data_ends_the_connection() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     flood(&fixture, "empty DATA", |n| {
-        let open = if n == 0 {
+        let headers = if n == 0 {
             query_headers(1, "e", &[])
         } else {
             Vec::new()
         };
-        [open, encode_frame(DATA, 0, 1, &[])].concat()
+        [headers, encode_frame(DATA, 0, 1, &[])].concat()
     });
 }
 
@@ -115,15 +118,15 @@
     });
 }
 
-/// A few bytes that decode to a long list: a field in the dynamic table, and hundreds of references
-/// to it.
+/// Guards against a header block of a few bytes that decodes to a long list: it adds a field to the
+/// dynamic table of HPACK, and refers to that field 2000 times.
 #[test]
 fn header_bomb_is_not_served() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let mut raw = fixture.connect_raw();
     let mut block = query_fields("bomb", &[]);
-    // A literal with incremental indexing (RFC 7541, section 6.2.1): the entry that 0xbe then
-    // names.
+    // A literal field with incremental indexing (RFC 7541, section 6.2.1). 0xbe then refers to its
+    // entry in the dynamic table.
     block.extend([0x40, 4]);
     block.extend(b"long");
     block.push(120);
@@ -133,7 +136,7 @@
     raw.send(&encode_frame(DATA, 1, 1, QUERY_BODY));
     raw.send(&query_frames(3, "usual"));
     let mut ended_streams = Vec::new();
-    while let Some(next) = raw.next_frame(BOUND) {
+    while let Some(next) = raw.next_frame(WAIT_TIMEOUT) {
         if next.frame_type == HEADERS || next.frame_type == RST_STREAM {
             ended_streams.push(next.stream_id);
         }
@@ -145,26 +148,27 @@
         fixture
             .fleet
             .attempt_log(|log| !log.attempts().iter().any(|a| a.part_id.starts_with("bomb"))),
-        "it was served"
+        "the request with the oversized header list was served"
     );
     fixture.run(fixture.expect_served("after", 1));
 }
 
-/// Connections that send nothing, or stop in the middle of the preface or of a frame.
+/// Guards against connections that take a slot for ever: they send nothing, or stop in the middle of
+/// the preface, of a frame or of a header block. The broker must close them.
 #[test]
 fn silent_connections_are_closed() {
     let mut fixture = Fixture::with_part_duration(Duration::ZERO);
     let half_frame = &query_headers(1, "a", &[])[..20];
     let open_block = encode_frame(HEADERS, 0, 1, &query_fields("b", &[]));
     let preface = PREFACE;
-    let settled = [preface, &encode_frame(SETTINGS, 0, 0, &[])].concat();
+    let preface_and_settings = [preface, &encode_frame(SETTINGS, 0, 0, &[])].concat();
     let mut clients: Vec<RawHttp2Client> = [
         Vec::new(),
         preface[..10].to_vec(),
         preface.to_vec(),
-        settled.clone(),
-        [&settled, half_frame].concat(),
-        [settled, open_block].concat(),
+        preface_and_settings.clone(),
+        [&preface_and_settings, half_frame].concat(),
+        [preface_and_settings, open_block].concat(),
     ]
     .iter()
     .map(|bytes| {
@@ -174,7 +178,7 @@
     })
     .collect();
     for raw in &mut clients {
-        raw.frames_until_close(CLOSE_BOUND);
+        raw.frames_until_close(CLOSE_TIMEOUT);
     }
     fixture
         .broker
@@ -182,8 +186,8 @@
         .unwrap();
 }
 
-/// More connections than there are slots: those that send queries are served in place of those that
-/// send nothing.
+/// Silent connections take all slots. Guards against shutting out regular clients: for a connection
+/// that sends a query, the broker must close one that has sent nothing.
 #[test]
 fn silent_connections_are_evicted_when_slots_are_exhausted() {
     let fixture = Fixture::start(
--- a/crates/query-broker/tests/http2/graceful_shutdown.rs
+++ b/crates/query-broker/tests/http2/graceful_shutdown.rs
@@ -1,6 +1,7 @@
-//! SIGTERM: GOAWAY is sent twice, accepted queries are answered, the process ends.
+//! Tests of the graceful shutdown on SIGTERM: the broker sends GOAWAY twice, answers the queries that
+//! it has accepted, and exits.
 
-use crate::fixture::{BOUND, Fixture, complete_answer, lookup, send_all};
+use crate::fixture::{Fixture, WAIT_TIMEOUT, complete_answer, lookup, send_all};
 use load_generator::raw_http2::{
     DATA, END_STREAM, GOAWAY, HEADERS, PING, RST_STREAM, RawHttp2Client, encode_frame,
     query_frames, response_status,
@@ -10,49 +11,51 @@
 /// The flag ACK of a PING frame.
 const ACK: u8 = 1;
 
-/// The highest id of a stream.
+/// The highest stream id (RFC 9113, section 5.1.1).
 const HIGHEST_STREAM_ID: u32 = 0x7fff_ffff;
 
-/// Bound on the end of a connection.
-const CLOSE_BOUND: Duration = Duration::from_secs(20);
+/// Time limit within which the broker has to close a connection.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// A broker that was told to shut down, and the client of a query that it serves on stream 1.
-struct ShuttingDown {
+/// A broker that has been sent SIGTERM while it serves a query on stream 1, and the client of that
+/// query.
+struct BrokerInShutdown {
     fixture: Fixture,
     raw: RawHttp2Client,
 }
 
-impl ShuttingDown {
-    /// Sends SIGTERM once the query's attempt has reached a data server, which takes this long for
-    /// it.
+impl BrokerInShutdown {
+    /// Starts a broker, sends a query, and sends SIGTERM once a data server has received the query's
+    /// attempt. The data server takes `part_duration` for it.
     fn with_part_duration(part_duration: Duration) -> Self {
         let fixture = Fixture::with_part_duration(part_duration);
         let mut raw = fixture.connect_raw();
         raw.send(&query_frames(1, "a"));
         fixture.run(fixture.wait_for_attempts(1));
         fixture.broker.signal("TERM").unwrap();
-        ShuttingDown { fixture, raw }
+        BrokerInShutdown { fixture, raw }
     }
 }
 
 #[test]
 fn goaway_is_sent_and_accepted_queries_are_answered_on_shutdown() {
-    let ShuttingDown {
+    let BrokerInShutdown {
         mut fixture,
         mut raw,
-    } = ShuttingDown::with_part_duration(Duration::from_millis(300));
+    } = BrokerInShutdown::with_part_duration(Duration::from_millis(300));
     let first = raw.expect_frame(GOAWAY);
     assert_eq!(
         (first.last_stream_id(), first.error_code()),
         (HIGHEST_STREAM_ID, 0)
     );
     let ping = raw.expect_frame(PING);
-    // A query that crosses the GOAWAY on its way counts as accepted.
+    // A query that the client sends before it acknowledges the PING counts as accepted: the client may
+    // not have received the GOAWAY yet.
     raw.send(&query_frames(3, "b"));
     raw.send(&encode_frame(PING, ACK, 0, &ping.payload));
     let mut answered = Vec::new();
     let mut last = None;
-    while let Some(next) = raw.next_frame(BOUND) {
+    while let Some(next) = raw.next_frame(WAIT_TIMEOUT) {
         match next.frame_type {
             HEADERS => assert_eq!(response_status(&next), 200),
             DATA if next.flags & END_STREAM != 0 => answered.push(next.stream_id),
@@ -66,18 +69,18 @@
     fixture.check_invariants();
 }
 
-/// A client that never acknowledges the PING has its later streams refused, and does not delay the
-/// exit.
+/// A client never acknowledges the PING. Guards against a shutdown that waits for it: later streams of
+/// this client must be refused, and the process must exit.
 #[test]
 fn late_streams_are_refused_and_the_process_ends_without_ping_ack() {
-    // Long enough that the first query is still being served when the second comes.
-    let ShuttingDown {
+    // The part takes so long that the first query is still being served when the second arrives.
+    let BrokerInShutdown {
         mut fixture,
         mut raw,
-    } = ShuttingDown::with_part_duration(Duration::from_millis(1500));
+    } = BrokerInShutdown::with_part_duration(Duration::from_millis(1500));
     assert_eq!(raw.expect_frame(GOAWAY).last_stream_id(), HIGHEST_STREAM_ID);
-    // New connections are accepted for 600 ms; when they no longer are, new streams of old ones are
-    // refused too.
+    // The broker accepts new connections for 600 ms after SIGTERM. When it no longer does, it also
+    // refuses new streams on open connections.
     fixture.wait_until_not_listening();
     raw.send(&query_frames(3, "b"));
     let reset = raw.expect_frame(RST_STREAM);
@@ -87,14 +90,15 @@
         "REFUSED_STREAM"
     );
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
-    raw.frames_until_close(CLOSE_BOUND);
+    raw.frames_until_close(CLOSE_TIMEOUT);
     assert!(fixture.broker.wait_for_exit().unwrap().success());
     fixture
         .fleet
         .attempt_log(|log| assert!(log.attempts().iter().all(|a| a.part_id.starts_with("a."))));
 }
 
-/// Idle clients, and ones that never sent anything, do not delay the exit either.
+/// Guards against an exit that waits for clients without queries: one that has sent only its preface,
+/// one that has sent nothing, and one whose queries have all been answered.
 #[test]
 fn idle_clients_do_not_delay_the_exit() {
     let mut fixture = Fixture::with_part_duration(Duration::ZERO);
@@ -108,8 +112,8 @@
         http2
     });
     fixture.broker.signal("TERM").unwrap();
-    idle.frames_until_close(CLOSE_BOUND);
-    silent.frames_until_close(CLOSE_BOUND);
+    idle.frames_until_close(CLOSE_TIMEOUT);
+    silent.frames_until_close(CLOSE_TIMEOUT);
     assert!(fixture.broker.wait_for_exit().unwrap().success());
     drop(served);
 }
--- a/crates/query-broker/tests/http2/idempotency_keys.rs
+++ b/crates/query-broker/tests/http2/idempotency_keys.rs
@@ -1,15 +1,18 @@
-//! Idempotency keys of clients that cancel a query and send it again.
+//! Tests of idempotency keys: a client cancels a query and sends another with the same key. Guards
+//! against running a part twice that must be run at most once.
 
 use crate::fixture::{Fixture, complete_answer};
 use load_generator::{Http2Client, LoadQuery, QueryOutcome};
 use std::time::Duration;
 use test_fleet::Fault;
 
+/// Returns a query of a class whose parts are safe to repeat only under the same idempotency key.
 fn save(id: &str, key: &str) -> LoadQuery {
     LoadQuery::new(id, "watchlist-save", &[0]).with_idempotency_key(key)
 }
 
-/// Sends a query under the key `k1`, and resets its stream once its attempt hangs at a data server.
+/// Sends a query with the key `k1`, and resets its stream once a data server has received its attempt,
+/// which stays without an answer.
 async fn send_and_cancel(fixture: &Fixture, http2: &Http2Client, client_timeout: Duration) {
     fixture.set_fault(Fault::Hang);
     let query = save("a", "k1").with_client_timeout(client_timeout);
@@ -18,8 +21,8 @@
     stream.reset();
 }
 
-/// Sends queries under this key, each after the time that the rejection before it advised, until
-/// one is not rejected.
+/// Sends queries with this key until one is not rejected, and returns its outcome. After a rejection,
+/// waits for the time in its Retry-After.
 async fn retry_until_served(http2: &Http2Client, key: &str) -> QueryOutcome {
     let mut number = 0;
     loop {
@@ -33,8 +36,8 @@
     }
 }
 
-/// The part was sent when the client reset its stream. The same key is rejected while that attempt
-/// may run, and served afterwards.
+/// When the client resets its stream, a data server has already received the attempt. A query with the
+/// same key must be rejected while that attempt may run, and served afterwards.
 #[test]
 fn repeated_key_is_rejected_while_the_first_attempt_may_run() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
@@ -42,11 +45,14 @@
         let http2 = fixture.connect().await;
         send_and_cancel(&fixture, &http2, Duration::from_millis(3000)).await;
         let QueryOutcome::Rejected(Some(after)) = http2.send_query(&save("b", "k1")).await else {
-            panic!("it was not rejected")
+            panic!("the query with the key of a running attempt was not rejected")
         };
-        assert!(after > 0.0 && after <= 3.0, "{after}");
+        assert!(
+            after > 0.0 && after <= 3.0,
+            "expected a Retry-After within the client timeout of 3 s, found {after} s"
+        );
         fixture.set_fault(Fault::None);
-        // Another key is not affected.
+        // A query with another key is served.
         assert_eq!(
             http2.send_query(&save("c", "k2")).await,
             complete_answer(&[0])
@@ -57,7 +63,8 @@
     fixture.check_invariants();
 }
 
-/// The part is not sent again once data servers no longer drop repeats of it.
+/// After the deduplication window, data servers no longer drop repeats of the part. The broker must
+/// then fail a query with the same key instead of sending the part again.
 #[test]
 fn repeated_key_fails_after_the_deduplication_window() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
--- a/crates/query-broker/tests/http2/main.rs
+++ b/crates/query-broker/tests/http2/main.rs
@@ -1,5 +1,5 @@
-//! The HTTP/2 listener of the real program, against a fleet on loopback. Waits are for events, with
-//! bounds far beyond what a slow machine needs.
+//! Tests of the HTTP/2 listener of the real program, against a fleet of test doubles on loopback.
+//! Tests wait for events, with time limits that are far longer than a slow machine needs.
 
 mod arbitrary_frames;
 mod fault_injection;
--- a/crates/query-broker/tests/http2/malformed_requests.rs
+++ b/crates/query-broker/tests/http2/malformed_requests.rs
@@ -1,6 +1,7 @@
-//! Malformed requests end their stream and nothing else (RFC 9113, section 8.1.1).
+//! Tests of malformed requests (RFC 9113, section 8.1.1). The broker must reject such a request without
+//! sending a call for it, and go on serving the other streams of the connection.
 
-use crate::fixture::{BOUND, Fixture, query_headers};
+use crate::fixture::{Fixture, WAIT_TIMEOUT, query_headers};
 use load_generator::raw_http2::{
     DATA, END_STREAM, Frame, GOAWAY, HEADERS, QUERY_BODY, RST_STREAM, RawHttp2Client, encode_frame,
     query_frames, response_status,
@@ -10,17 +11,18 @@
 /// The error code `PROTOCOL_ERROR` (RFC 9113, section 7).
 const PROTOCOL_ERROR: u32 = 1;
 
-/// A request with an error in its fields.
+/// A request with an error in its header fields.
 struct MalformedRequest {
-    /// What is wrong.
+    /// Description of the error, for messages.
     fault: &'static str,
-    /// Fields that are replaced, left out (an empty value) or added.
+    /// Header fields that are replaced or added; an empty value leaves the field out.
     changes: &'static [(&'static str, &'static str)],
-    /// Whether the library may end the connection, since it cannot decode the field's name. RFC
-    /// 9113 allows this (section 5.4.2).
+    /// Whether the broker may close the connection. Its HTTP/2 library does so if it cannot decode a
+    /// field's name, which RFC 9113 allows (section 5.4.2).
     may_end_connection: bool,
 }
 
+/// Creates a malformed request after which the connection must stay open.
 const fn malformed(
     fault: &'static str,
     changes: &'static [(&'static str, &'static str)],
@@ -33,7 +35,8 @@
 }
 
 impl MalformedRequest {
-    /// The same request, whose field has an invalid name.
+    /// Marks the request as one whose field has an invalid name, so that the broker may close the
+    /// connection.
     const fn with_invalid_name(self) -> Self {
         MalformedRequest {
             may_end_connection: true,
@@ -42,14 +45,22 @@
     }
 }
 
+/// The requests that the test sends.
 const MALFORMED_REQUESTS: [MalformedRequest; 15] = [
     malformed("no method", &[(":method", "")]),
     malformed("no scheme", &[(":scheme", "")]),
     malformed("no path", &[(":path", "")]),
-    malformed("a pseudo-header behind the others", &[(":protocol", "x")]),
-    malformed("a name that no pseudo-header has", &[(":odd", "x")]).with_invalid_name(),
     malformed(
-        "two methods",
+        "a pseudo-header after the regular fields",
+        &[(":protocol", "x")],
+    ),
+    malformed(
+        "an unknown pseudo-header after the regular fields",
+        &[(":odd", "x")],
+    )
+    .with_invalid_name(),
+    malformed(
+        "a pseudo-header of responses in a request",
         &[(":method", "POST"), ("a", "b"), (":status", "200")],
     ),
     malformed("connection", &[("connection", "close")]),
@@ -94,14 +105,14 @@
     });
 }
 
-/// What a malformed request ended.
+/// The scope that the broker ended upon a malformed request.
 enum Rejection {
     OfStream,
     OfConnection,
 }
 
-/// Waits until the request on this stream is rejected and the one on the next stream is answered,
-/// in any order, or until the connection is ended where the request allows it.
+/// Waits until the malformed request on `stream` is rejected and the valid one on the next stream is
+/// answered, in any order, or until the connection is closed if the request allows that.
 fn expect_rejection_and_answer(
     raw: &mut RawHttp2Client,
     stream: u32,
@@ -111,13 +122,13 @@
     let (mut is_rejected, mut is_answered) = (false, false);
     while !(is_rejected && is_answered) {
         let frame = raw
-            .next_frame(BOUND)
-            .unwrap_or_else(|| panic!("{fault}: the connection ended"));
+            .next_frame(WAIT_TIMEOUT)
+            .unwrap_or_else(|| panic!("{fault}: the connection was closed without GOAWAY"));
         if frame.frame_type == GOAWAY {
             let code = frame.error_code();
             assert!(
                 code == PROTOCOL_ERROR && request.may_end_connection,
-                "{fault}: GOAWAY {code}"
+                "{fault}: unexpected GOAWAY with error code {code}"
             );
             return Rejection::OfConnection;
         }
@@ -129,8 +140,8 @@
     Rejection::OfStream
 }
 
-/// Whether a frame on a malformed request's stream rejects it. Panics if it does so in another way
-/// than it should.
+/// Returns whether a frame on a malformed request's stream rejects the request. Panics if it does so
+/// with another error code or status than it should.
 fn is_rejection(frame: &Frame, fault: &str) -> bool {
     match frame.frame_type {
         RST_STREAM => assert_eq!(frame.error_code(), PROTOCOL_ERROR, "{fault}"),
--- a/crates/query-broker/tests/http2/operator_reload.rs
+++ b/crates/query-broker/tests/http2/operator_reload.rs
@@ -1,4 +1,4 @@
-//! SIGHUP: the operator's file is read again.
+//! Test of the reload of the operator's file on SIGHUP.
 
 use crate::fixture::Fixture;
 use load_generator::raw_http2::SETTINGS;
@@ -7,13 +7,13 @@
 /// `SETTINGS_MAX_CONCURRENT_STREAMS` (RFC 9113, section 6.5.2).
 const MAX_CONCURRENT_STREAMS: [u8; 2] = [0, 3];
 
-/// An event has one line a second in the log.
+/// Time after which the log has another line for the same event; it has at most one a second.
 const LOG_INTERVAL: Duration = Duration::from_millis(1100);
 
-/// The limit of streams that a new connection is given.
+/// Returns the stream limit in the SETTINGS of a new connection.
 fn stream_limit(fixture: &Fixture) -> u32 {
     let settings = fixture.connect_raw().expect_frame(SETTINGS);
-    // Each setting has two bytes of name and four of value.
+    // A setting consists of an identifier of two bytes and a value of four bytes.
     let setting = settings
         .payload
         .chunks(6)
@@ -22,17 +22,19 @@
     u32::from_be_bytes(setting[2..].try_into().unwrap())
 }
 
-/// Replaces the operator's file and waits until the log holds these words.
-fn reload(fixture: &mut Fixture, operator_config: &str, log_words: &str) {
+/// Replaces the operator's file, sends SIGHUP, and waits until the log has a line with `log_text`.
+fn reload(fixture: &mut Fixture, operator_config: &str, log_text: &str) {
     fixture
         .broker
         .replace_operator_config(operator_config)
         .unwrap();
     fixture.broker.signal("HUP").unwrap();
-    fixture.broker.wait_for_log(log_words).unwrap();
+    fixture.broker.wait_for_log(log_text).unwrap();
 }
 
-/// What waits for a restart is logged.
+/// A valid file takes effect for new connections. Guards against a file that takes effect in part: one
+/// that has an error, needs more resources than the platform grants, or changes a keyword that needs a
+/// restart, is logged and leaves the stream limit unchanged.
 #[test]
 fn operator_config_is_reloaded_completely_or_not_at_all() {
     let mut fixture = Fixture::with_part_duration(Duration::ZERO);
@@ -43,7 +45,7 @@
         "event=operator_config_changed changed=log-level,http2-streams",
     );
     assert_eq!(stream_limit(&fixture), 7);
-    for (operator_config, log_words) in [
+    for (operator_config, log_text) in [
         (
             "listen-http2 127.0.0.1:0\nhttp2-streams 9\nlog-levle info\n",
             "event=reload_failed",
@@ -58,7 +60,7 @@
         ),
     ] {
         std::thread::sleep(LOG_INTERVAL);
-        reload(&mut fixture, operator_config, log_words);
+        reload(&mut fixture, operator_config, log_text);
         assert_eq!(stream_limit(&fixture), 7, "{operator_config}");
     }
 }
--- a/crates/query-broker/tests/http2/requests.rs
+++ b/crates/query-broker/tests/http2/requests.rs
@@ -1,4 +1,4 @@
-//! Single requests: what is served, and how others are answered.
+//! Tests of single requests: the responses to queries, to other requests and to invalid input.
 
 use crate::fixture::{Fixture, complete_answer, lookup, query_headers};
 use load_generator::QueryOutcome;
@@ -26,7 +26,7 @@
     fixture.check_invariants();
 }
 
-/// A request with an empty body.
+/// Returns a request with an empty body.
 fn empty_request(method: &str, path: &str) -> http::Request<Vec<u8>> {
     http::Request::builder()
         .method(method)
@@ -56,8 +56,8 @@
             let over_http1 = http1.send(&request).await;
             assert_eq!(over_http2.status().as_u16(), expected, "{method} {path}");
             assert!(over_http2.headers().contains_key("date"), "{method} {path}");
-            // A response to HEAD has no body, whatever its length says: this client would wait for
-            // one.
+            // The status of HEAD is not compared. Its response has no body whatever its length says,
+            // and the HTTP/1.1 client of the test would wait for one.
             if method != "HEAD" {
                 assert_eq!(
                     over_http1.unwrap().status(),
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn id_of_a_request_in_flight_is_rejected_over_both_listeners() {
+fn request_id_already_in_flight_is_rejected_over_both_listeners() {
     let fixture = Fixture::with_part_duration(Duration::from_millis(1000));
     fixture.run(async {
         let http2 = fixture.connect().await;
@@ -96,13 +96,13 @@
 }
 
 #[test]
-fn host_unlike_authority_is_rejected_and_trailers_are_accepted() {
+fn host_that_differs_from_authority_is_rejected_and_trailers_are_accepted() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let mut raw = fixture.connect_raw();
     raw.send(&query_headers(1, "a", &[("host", "other.svc")]));
     raw.send(&encode_frame(DATA, END_STREAM, 1, QUERY_BODY));
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 400);
-    // Fields in a CONTINUATION, and trailers behind the body.
+    // A request with a part of its header block in CONTINUATION, and with trailers after its body.
     let block = query_fields("b", &[("host", "broker.svc")]);
     raw.send(&encode_frame(HEADERS, 0, 3, &block[..20]));
     raw.send(&encode_frame(CONTINUATION, END_HEADERS, 3, &block[20..]));
@@ -116,12 +116,13 @@
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
 }
 
-/// The response does not wait for the rest of a body that is longer than the limit.
+/// Guards against a broker that waits for the rest of a body that exceeds the limit: the response must
+/// be sent as soon as the declared or the received length is too large.
 #[test]
 fn oversized_body_is_answered_before_it_has_arrived() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let mut raw = fixture.connect_raw();
-    // The windows of the SETTINGS apply once these are acknowledged.
+    // The windows in the broker's SETTINGS apply once these are acknowledged.
     raw.expect_frame(SETTINGS);
     raw.send(&encode_frame(SETTINGS, 1, 0, &[]));
     raw.send(&query_headers(1, "a", &[("content-length", "60000000")]));
@@ -137,9 +138,9 @@
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
 }
 
-/// A request whose body stops in the middle is answered with 408.
+/// A request whose body stops in the middle gets 408, and the connection stays usable.
 #[test]
-fn incomplete_body_times_out_and_the_connection_serves_on() {
+fn incomplete_body_times_out_and_the_connection_stays_usable() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let mut raw = fixture.connect_raw();
     raw.send(&query_headers(1, "a", &[]));
@@ -149,7 +150,8 @@
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
 }
 
-/// HTTP/1.1 on the port for HTTP/2, and the other way round.
+/// A client uses HTTP/1.1 on the port for HTTP/2, HTTP/2 on the port for HTTP/1.1, or TLS. The first
+/// two get a response that names the error; the connection is closed in all cases.
 #[test]
 fn wrong_protocol_is_answered_and_the_connection_closed() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
@@ -164,7 +166,8 @@
     http2.send(&[PREFACE, &encode_frame(SETTINGS, 0, 0, &[])].concat());
     let text = http2.text_until_close();
     assert!(text.starts_with("HTTP/1.1 505 "), "{text}");
-    let mut noise = fixture.connect_silent();
-    noise.send(b"\x16\x03\x01\x02\x00\x01\x00");
-    noise.text_until_close();
+    // The start of a TLS handshake.
+    let mut tls = fixture.connect_silent();
+    tls.send(b"\x16\x03\x01\x02\x00\x01\x00");
+    tls.text_until_close();
 }
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -1,6 +1,7 @@
-//! Many streams on a connection: flow control, resets, fair use of the capacity.
+//! Tests of several streams on a connection: flow control, resets, the stream limit and the quota of a
+//! connection.
 
-use crate::fixture::{BOUND, Fixture, OPERATOR_CONFIG, complete_answer, lookup, send_all};
+use crate::fixture::{Fixture, OPERATOR_CONFIG, WAIT_TIMEOUT, complete_answer, lookup, send_all};
 use futures_lite::future::zip;
 use futures_util::future::join_all;
 use h2::client::Builder;
@@ -22,8 +23,8 @@
 
 #[test]
 fn hundreds_of_streams_share_a_connection() {
-    // Objective and timeouts are beyond what a busy machine needs: this test is not about
-    // admission, which rejects queries whose forecast misses their objective.
+    // The objective and the timeouts are longer than a busy machine needs. Otherwise admission would
+    // reject queries whose forecast misses their objective, which this test is not about.
     let deployment = Deployment {
         latency_objective_ms: 20_000.0,
         client_timeout_ms: 30_000.0,
@@ -36,10 +37,11 @@
     let mut fixture = Fixture::start(plan, deployment, OPERATOR_CONFIG);
     let answers = fixture.run(async {
         let http2 = fixture.connect().await;
-        // More than the limit of streams: a client that does not know it yet would be refused.
+        // The queries exceed the stream limit. A client that has not received the limit yet would open
+        // too many streams and have some refused.
         fixture.wait_for_settings(&http2).await;
         let queries: Vec<_> = (0..300)
-            .map(|n| lookup(&format!("q{n}"), &[n % 8]).with_client_timeout(BOUND))
+            .map(|n| lookup(&format!("q{n}"), &[n % 8]).with_client_timeout(WAIT_TIMEOUT))
             .collect();
         send_all(&http2, &queries).await
     });
@@ -50,9 +52,11 @@
     fixture.check_invariants();
 }
 
-/// A stream whose client does not read holds up no other one, and is reset at its deadline.
+/// A client grants a small window on one stream and never enlarges it. Guards against a response that
+/// blocks the other streams of the connection, or that stays open for ever: its stream must be reset
+/// at the deadline of its query.
 #[test]
-fn slow_reader_stalls_no_other_stream_and_is_reset_at_its_deadline() {
+fn slow_reader_blocks_no_other_stream_and_is_reset_at_its_deadline() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let mut raw = fixture.connect_silent();
     // Windows of streams are 10 bytes: SETTINGS_INITIAL_WINDOW_SIZE is setting 4.
@@ -68,7 +72,7 @@
         let next = raw.expect_frame(DATA);
         assert_eq!(
             next.stream_id, 3,
-            "the slow one was sent more than its window"
+            "the slow stream was sent more than its window"
         );
         length += next.payload.len();
         if next.flags & END_STREAM != 0 {
@@ -80,13 +84,14 @@
     assert_eq!(
         (reset.stream_id, reset.error_code()),
         (1, 8),
-        "CANCEL at the deadline"
+        "expected CANCEL on the slow stream at its deadline"
     );
     raw.send(&query_frames(5, "after"));
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
 }
 
-/// The client's reset ends the query: its attempts are cancelled, and their capacity is free again.
+/// When a client resets a stream, the broker must cancel the attempts of its query. Guards against
+/// capacity that is not released: each round then needs the capacity of the round before.
 #[test]
 fn reset_cancels_attempts_and_frees_their_capacity() {
     let plan = FleetPlan {
@@ -108,8 +113,8 @@
                 let query = lookup(&format!("r{round}q{n}"), &[0, 1]);
                 streams.push(http2.open(&query.request()).await.unwrap());
             }
-            // Without the capacity of earlier rounds these would be rejected, and their attempts
-            // never sent.
+            // If earlier rounds had not released their capacity, these queries would be rejected and
+            // their attempts never sent.
             fixture.wait_for_attempts(before + 8).await;
             streams
                 .into_iter()
@@ -120,23 +125,25 @@
     fixture.check_invariants();
 }
 
-/// What clients saw while one connection sent more queries at once than its quota.
-struct OverQuota {
-    /// Outcomes of 100 queries on the connection that is over its quota.
+/// Outcomes of the queries of all clients while one connection exceeds its quota of concurrent
+/// queries.
+struct QuotaRun {
+    /// Outcomes of 100 queries on the connection that exceeds its quota.
     over_quota: Vec<QueryOutcome>,
-    others: OtherOutcomes,
+    /// Outcomes on the other connections.
+    others: OtherConnections,
 }
 
-/// What clients on other connections saw.
-struct OtherOutcomes {
-    /// Outcomes of one query on each of five connections, for shards 0 to 4.
+/// Outcomes of the queries on the connections that keep to their quota.
+struct OtherConnections {
+    /// Outcomes of one query on each of five HTTP/2 connections, for shards 0 to 4.
     over_http2: Vec<QueryOutcome>,
-    /// Outcome of a query over HTTP/1.1, for shard 6.
+    /// Outcome of a query on an HTTP/1.1 connection, for shard 6.
     over_http1: QueryOutcome,
 }
 
-impl OverQuota {
-    /// Runs the clients against a broker with a capacity of 90 queries and parts.
+impl QuotaRun {
+    /// Starts a broker that may have 90 queries and parts in flight, and runs the clients.
     fn run() -> Self {
         let deployment = Deployment {
             max_in_flight: 90,
@@ -159,17 +166,17 @@
                 send_on_others(&fixture, &others, http1),
             )
             .await;
-            OverQuota { over_quota, others }
+            QuotaRun { over_quota, others }
         })
     }
 }
 
-/// Once the data servers have seen ten attempts, sends a query on each of these connections.
+/// Sends a query on each of these connections once the data servers have received ten attempts.
 async fn send_on_others(
     fixture: &Fixture,
     others: &[Http2Client],
     mut http1: Http1Client,
-) -> OtherOutcomes {
+) -> OtherConnections {
     fixture.wait_for_attempts(10).await;
     let queries: Vec<_> = (0..5).map(|n| lookup(&format!("o{n}"), &[n])).collect();
     let over_http2 = join_all(
@@ -178,42 +185,44 @@
             .zip(&queries)
             .map(|(client, query)| client.send_query(query)),
     );
-    // Sent with the others: an unused connection is closed after 2 s.
+    // The HTTP/1.1 query is sent together with the others, because the broker closes an unused
+    // connection after 2 s.
     let request = lookup("http1", &[6]).request();
     let (over_http2, over_http1) = zip(over_http2, http1.send(&request)).await;
-    OtherOutcomes {
+    OtherConnections {
         over_http2,
         over_http1: QueryOutcome::from_response(&over_http1.unwrap()),
     }
 }
 
 #[test]
-fn connection_over_its_quota_is_rejected_with_retry_after() {
-    let outcomes = OverQuota::run().over_quota;
+fn queries_beyond_the_quota_of_a_connection_are_rejected_with_retry_after() {
+    let outcomes = QuotaRun::run().over_quota;
     let answered = outcomes.iter().filter(|o| is_complete(o)).count();
     let rejected = outcomes.iter().filter(|o| has_retry_after(o)).count();
     assert_eq!(
         (answered, rejected),
         (30, 70),
-        "two thirds of 90, two for each query"
+        "(answered, rejected): the quota is two thirds of 90, and a query with its part takes two"
     );
 }
 
 #[test]
 fn other_connections_are_served_while_one_is_over_its_quota() {
-    let outcomes = OverQuota::run().others;
+    let outcomes = QuotaRun::run().others;
     for (shard, answer) in outcomes.over_http2.iter().enumerate() {
         assert_eq!(
             *answer,
             complete_answer(&[shard]),
-            "another connection was shut out"
+            "the query on another connection for shard {shard}"
         );
     }
     assert_eq!(outcomes.over_http2.len(), 5);
     assert_eq!(outcomes.over_http1, complete_answer(&[6]));
 }
 
-/// Streams beyond the limit are refused with `REFUSED_STREAM`, after which they are safe to repeat.
+/// Streams beyond the limit must be refused with `REFUSED_STREAM`, which tells the client that it is
+/// safe to repeat the request.
 #[test]
 fn streams_beyond_the_limit_are_refused() {
     let fixture = Fixture::start(
@@ -223,7 +232,8 @@
     );
     fixture.set_part_duration(Duration::from_millis(300));
     let mut raw = fixture.connect_raw();
-    // In one write, so that all three arrive while the first two are being served.
+    // The three queries are sent in one write, so that the third arrives while the first two are being
+    // served.
     let queries: Vec<Vec<u8>> = (0..3)
         .map(|n| query_frames(1 + 2 * n, &format!("q{n}")))
         .collect();
@@ -235,7 +245,7 @@
         "REFUSED_STREAM"
     );
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
-    // A client that keeps to the limit is never refused.
+    // No stream of a client that keeps to the limit is refused.
     fixture.run(async {
         let http2 = fixture.connect_with(&Builder::new()).await;
         fixture.wait_for_settings(&http2).await;
