--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -53,6 +53,7 @@
 /// The end of an attempt, as the caller reports it in [`Event::AttemptEnded`].
 struct AttemptReport {
     part: PartId,
+    /// Index of the attempt among those of its part.
     number: u32,
     outcome: Outcome,
     elapsed: Ms,
--- a/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
+++ b/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
@@ -15,6 +15,8 @@
         attempt: &InFlightAttempt,
         end: AttemptEnd,
     ) {
+        // One random number is drawn for each end of an attempt, whether or not it causes an
+        // ejection.
         let jitter = EjectionJitter::draw(&mut self.random);
         let health = self.fleet.server(attempt.server).health();
         let ended = EndedAttempt::new(batch, attempt, end, health.last_served_sent_at());
@@ -47,8 +49,9 @@
         }
     }
 
-    /// Applies the load, in requests, that a server reported with the end of an attempt. The
-    /// report arrives late and may be wrong, so it is used for latency forecasts only.
+    /// Applies the load report that a server sent with the end of an attempt: `load` is the
+    /// number of requests that wait or run there. The report arrives late and may be wrong, so it
+    /// is used only for latency forecasts and the latency estimates that they depend on.
     pub(super) fn record_load_report(
         &mut self,
         batch: &BatchContext,
--- a/crates/fanout-policy/src/api/actions.rs
+++ b/crates/fanout-policy/src/api/actions.rs
@@ -37,8 +37,8 @@
     Reject {
         /// Identifier of the query.
         query: QueryId,
-        /// Delay after which the client should retry; `None` if retry-after values do
-        /// not reach the clients.
+        /// Delay after which the client should retry; `None` if the settings have no
+        /// [`max_retry_after`](super::Settings::max_retry_after).
         retry_after: Option<Ms>,
     },
     /// End the query without an answer. The client is not told that a retry is safe.
--- a/crates/fanout-policy/src/api/endpoints.rs
+++ b/crates/fanout-policy/src/api/endpoints.rs
@@ -18,13 +18,14 @@
 pub struct Endpoint {
     /// Name of the server.
     pub node: NodeId,
-    /// Index of its cell.
+    /// Index of the cell that it belongs to, see [`Settings::cells`](super::Settings::cells).
     pub cell: usize,
     /// Its serving state.
     pub state: ServingState,
     /// Index of its zone; `None` if the list names no zones.
     pub zone: Option<usize>,
-    /// Time of the last start of its process; `None` if that is long ago.
+    /// Time of the last start of its process; `None` if the list states no recent start. It is
+    /// used only until the warm-up after that start is over.
     pub started: Option<Ms>,
 }
 
--- a/crates/fanout-policy/src/api/queries.rs
+++ b/crates/fanout-policy/src/api/queries.rs
@@ -7,13 +7,15 @@
 pub struct Query {
     /// Identifier of the query.
     pub id: QueryId,
-    /// Group number that the query shares with its parts.
+    /// Group number of the query. A [`Part`] names its query by this number and not by its
+    /// identifier.
     pub group: u64,
     /// Index of its class.
     pub class: ClassIndex,
     /// Index of its tenant.
     pub tenant: TenantIndex,
-    /// When the client stops waiting for an answer. A retry arrives as a new query.
+    /// When the client stops waiting for an answer. A retry of the client arrives as a new query
+    /// with the same deadline.
     pub client_deadline: Ms,
     /// Whether the client marked the query as a retry.
     pub is_retry: bool,
@@ -24,7 +26,7 @@
 pub struct Part {
     /// Identifier of the part.
     pub id: PartId,
-    /// Group number of the query that it belongs to.
+    /// Group number of the query that it belongs to, see [`Query::group`].
     pub group: u64,
     /// Number of the shard that it reads.
     pub shard: usize,
--- a/crates/fanout-policy/src/api/settings.rs
+++ b/crates/fanout-policy/src/api/settings.rs
@@ -7,7 +7,7 @@
 pub enum EndpointListSource {
     /// Updates arrive without a request of the aggregator.
     Pushed,
-    /// Updates arrive only once the aggregator polls for them.
+    /// Updates arrive only after the aggregator has polled for them.
     Polled,
 }
 
--- a/crates/fanout-policy/src/fleet.rs
+++ b/crates/fanout-policy/src/fleet.rs
@@ -95,12 +95,13 @@
         &self.rows
     }
 
-    /// Returns the servers that hold a shard, in row order.
+    /// Returns the servers that hold a shard, in row order: the server at position `r` is in
+    /// replica row `r`.
     pub(crate) fn holders(&self, shard: usize) -> &[ServerIndex] {
         self.rows.holders(shard)
     }
 
-    /// Returns the median latency of the servers.
+    /// Returns the median latency per work of the servers.
     pub(crate) fn latency(&self) -> &FleetLatency {
         &self.latency
     }
--- a/crates/fanout-policy/src/fleet/replica_rows.rs
+++ b/crates/fanout-policy/src/fleet/replica_rows.rs
@@ -1,5 +1,8 @@
-//! The replica rows: which servers hold each shard, in row order. A row consists of one holder of
-//! each shard.
+//! The replica rows. A row consists of one holder of each shard.
+//!
+//! The holders of a shard form a list in row order: by the distance of their cell from the shard's
+//! home cell, which is the first cell that holds the shard, then by name. Row `r` consists of the
+//! holder at position `r` of each list. If a list is shorter, its positions repeat.
 
 use super::ServerIndex;
 use std::collections::BTreeSet;
@@ -15,15 +18,16 @@
 /// The holders of each shard. They are determined anew with each update of the endpoint list.
 #[derive(Default)]
 pub(crate) struct ReplicaRows {
-    /// Holders of the shards by home cell, the first cell that holds a shard. The holders are in
-    /// order of the distance of their cell from the home cell, then in order of name.
+    /// Holders of the shards in row order, by the index of the home cell. The home cell of a shard
+    /// is its number modulo the number of cells.
     holders: Vec<Vec<ServerIndex>>,
     /// Number of different servers that hold any shard.
     server_count: usize,
 }
 
 impl ReplicaRows {
-    /// Creates the rows of the servers in `serving`, which must be in order of name.
+    /// Creates the rows of the servers in `serving`, which must be in order of name. A server whose
+    /// cell index is not below `cells` holds no shard.
     pub(super) fn new(
         cells: usize,
         replica_cells: usize,
@@ -48,7 +52,8 @@
         }
     }
 
-    /// Returns the servers that hold the shard, in row order.
+    /// Returns the servers that hold the shard, in row order: the server at position `r` is in
+    /// row `r`.
     pub(crate) fn holders(&self, shard: usize) -> &[ServerIndex] {
         if self.holders.is_empty() {
             &[]
--- a/crates/fanout-policy/src/fleet/server.rs
+++ b/crates/fanout-policy/src/fleet/server.rs
@@ -102,8 +102,10 @@
     /// oldest unanswered attempt is later than its own forecast, plus the time left of an ejection
     /// for overload or for being unreachable.
     pub(crate) fn known_delay(&self, now: Ms) -> Ms {
-        let answered_until = self.health.last_served_sent_at();
-        self.outstanding.lateness(now, answered_until) + self.outliers.remaining_unavailability(now)
+        let lateness = self
+            .outstanding
+            .lateness(now, self.health.last_served_sent_at());
+        lateness + self.outliers.remaining_unavailability(now)
     }
 
     /// Returns whether the server is ejected and unresponsive, that is, an attempt timed out or its
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -4,9 +4,10 @@
 //! replica row consists of one holder of each shard. For each query the policy decides
 //! whether to admit it, how many replica rows to contact (the fan-out width) and to which row each
 //! part goes. Parts for the same server are sent together in one call. The policy detects failing
-//! and slow servers from the outcomes of its own attempts, and sends retries and hedged requests
-//! within a budget. It answers a query as soon as enough parts are served, and rejects a query that
-//! is unlikely to be answered in time.
+//! and slow servers from the outcomes of attempts (its own and those that other programs report)
+//! and from the gossip of other aggregators. It sends retries and hedged requests within a budget.
+//! It answers a query as soon as enough parts are served, and rejects a query that is unlikely to
+//! be answered in time.
 //!
 //! The crate performs no input or output: the caller passes events in and carries out the
 //! actions that are returned.
@@ -14,14 +15,14 @@
 //! # Main types
 //!
 //! [`Aggregator`] composes the components. It processes each batch of events in a fixed order:
-//! events, control loops, queries, gossip, timer. The types of its input and output are in [`api`],
-//! those of its statistics in [`view`].
+//! events, poll of the endpoint list, control loops, queries, gossip, timer. The types of its input
+//! and output are in [`api`], those of its statistics in [`view`].
 //!
-//! The private module `policy` contains the components that make decisions. Each owns the state for
-//! one kind of decision, and receives time, settings and random numbers as arguments. `fleet`
-//! contains the servers of the endpoint list; each server composes its components for health,
-//! ejections, slow start, latency and outstanding work. `queries` contains the queries in flight,
-//! their parts and attempts.
+//! The private module `policy` contains the components that make decisions. Each makes one kind of
+//! decision and owns the state that only this decision needs, if any. Time, settings and random
+//! numbers are passed to it as arguments. `fleet` contains the servers of the endpoint list; each
+//! server composes its components for health, ejections, slow start, latency and outstanding work.
+//! `queries` contains the queries in flight, their parts and attempts.
 //!
 //! # Example
 //!
--- a/crates/fanout-policy/src/policy/batch_timer.rs
+++ b/crates/fanout-policy/src/policy/batch_timer.rs
@@ -1,17 +1,17 @@
 //! Timers of batches and control intervals, and detection of a pause of this aggregator.
 //!
-//! [`BatchTimer`] owns the time for which the batch timer is set, [`ControlTimer`] the start of the
-//! next control interval.
+//! [`BatchTimer`] owns the time at which the batch timer should fire, [`ControlTimer`] the start of
+//! the next control interval.
 
 use super::batch_context::BatchContext;
 use crate::api::Ms;
 
 /// Control interval: time between two runs of the control loops, in ms.
 pub(crate) const CONTROL_INTERVAL_MS: Ms = 1000.0;
-/// Time after the set time of the timer from which a batch counts as delayed by a pause of this
-/// aggregator, in multiples of the shortest latency objective. Timeouts that are reported in such a
-/// batch are not attributed to the servers.
-const PAUSE_OBJECTIVES: f64 = 0.05;
+/// Delay of a batch after the time at which the timer should have fired, above which this
+/// aggregator is assumed to have been paused before the batch. In multiples of the shortest latency
+/// objective. Timeouts that are reported in such a batch are not attributed to the servers.
+const MIN_PAUSE_OBJECTIVES: f64 = 0.05;
 /// Number of ticks for which the timer is set while no query is in flight.
 const IDLE_INTERVAL_TICKS: f64 = 50.0;
 /// Number of ticks for which the timer is set while queries are in flight.
@@ -22,16 +22,16 @@
 /// Whether this aggregator was paused before the current batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum BatchTiming {
-    /// The batch started before the set time of the timer, or at most slightly after it.
+    /// The batch started before the time at which the timer should fire, or only slightly later.
     OnTime,
     /// The batch started so late that this aggregator itself must have been paused. The times
     /// measured for attempts then include the pause and do not show how fast the servers are.
     AfterPause,
 }
 
-/// Timer of the next batch.
+/// Timer that makes the caller start another batch even if no other event occurs.
 pub(crate) struct BatchTimer {
-    /// Time at which the timer fires; infinite while it is not set.
+    /// Time at which the timer should fire; infinite while it is not set.
     fires_at: Ms,
     /// Whether this aggregator was paused before the current batch.
     timing: BatchTiming,
@@ -48,7 +48,7 @@
 
     /// Starts a batch, and detects whether this aggregator was paused before it.
     pub(crate) fn on_batch(&mut self, batch: &BatchContext) {
-        let is_late = batch.now > self.fires_at + PAUSE_OBJECTIVES * batch.shortest_objective();
+        let is_late = batch.now > self.fires_at + MIN_PAUSE_OBJECTIVES * batch.shortest_objective();
         self.timing = if is_late {
             BatchTiming::AfterPause
         } else {
--- a/crates/fanout-policy/src/policy/class_estimates.rs
+++ b/crates/fanout-policy/src/policy/class_estimates.rs
@@ -22,8 +22,8 @@
 /// Maximum forecast error, in latency objectives. It is below the minimum share of the time left
 /// that admission control allows for a forecast, so that an idle fleet always admits queries.
 const MAX_FORECAST_ERROR_OBJECTIVES: f64 = 0.45;
-/// Maximum time reserved for a second step, in latency objectives. The first step has more parts,
-/// so that at least the rest of the objective is left to it.
+/// Maximum time reserved for a second step, in latency objectives. At least the rest of the
+/// objective is left to the first step, which has more parts.
 const MAX_SECOND_STEP_OBJECTIVES: f64 = 0.5;
 
 /// Estimates for one query class, updated with each observation.
--- a/crates/fanout-policy/src/policy/completion.rs
+++ b/crates/fanout-policy/src/policy/completion.rs
@@ -119,30 +119,35 @@
         } else {
             class.required_share
         };
-        // After a partial first answer, the second answer counts as partial whether its own step
-        // is complete or not. The partial weight is then the same for an answer now and for one
-        // later, so only the served share of the second step is compared with the late weight.
-        let weight = match query.first_answer() {
+        // After a partial first answer, the second answer counts as partial even if its own step
+        // is complete. The partial weight is then a factor of both weights that are compared: that
+        // of an answer now, and that of a late one. It is left out of the comparison.
+        let partial_weight = match query.first_answer() {
             Some(AnswerKind::Partial) => 1.0,
             Some(AnswerKind::Complete) | None => class.partial_weight,
         };
+        // The lower bound prevents a division by zero.
         let required_share = class.required_share.max(SHARE_TOLERANCE);
-        let partial_answer_weight = weight * progress.served / required_share;
+        let partial_answer_weight = partial_weight * progress.served / required_share;
         let can_complete = progress.possible + SHARE_TOLERANCE >= required_for_step;
         can_complete && partial_answer_weight < class.late_weight
     }
 
-    /// Returns whether to end the query without an answer: no useful answer can be given
-    /// any more, or the query seems to crash the servers that run it.
+    /// Returns whether to end the query without an answer. This is so in each of these cases:
+    ///
+    /// - An answer would reach the client too late to be useful, or after the client's deadline.
+    /// - The parts that may still be served are too few for any answer.
+    /// - No part of the current step has been served, and the query is a poison query: it seems
+    ///   to crash the servers that run it.
     fn should_give_up(&self, query: &InFlightQuery, progress: &StepProgress) -> bool {
         let now = self.batch.now;
         let class = self.batch.class_of(query);
-        let smallest_answer = class.minimum_share.min(class.required_share);
+        let min_answer_share = class.minimum_share.min(class.required_share);
         // Until the parts of the second step have arrived, their weight is 0, which does not mean
         // that the step cannot be answered.
         let awaits_parts = query.in_second_step() && query.step_parts().is_empty();
         let cannot_reach_minimum =
-            !awaits_parts && progress.possible + SHARE_TOLERANCE < smallest_answer;
+            !awaits_parts && progress.possible + SHARE_TOLERANCE < min_answer_share;
         let is_past_client_deadline = now >= query.client_deadline() - self.limits.reply_margin();
         let is_answer_too_late = now >= self.limits.useful_until(query);
         let is_poison = progress.served == 0.0 && self.retries.is_poison_query(query);
--- a/crates/fanout-policy/src/policy/fanout_width.rs
+++ b/crates/fanout-policy/src/policy/fanout_width.rs
@@ -6,9 +6,12 @@
 use crate::random::RandomSource;
 
 /// Set point of the controller: the share of attempts that are rejected for lack of capacity or
-/// time out.
+/// time out. The relative error is the set point less the measured share, divided by the set point.
+/// It is negative if more attempts fail than the set point allows.
 const TARGET_FAILURE_SHARE: f64 = 0.02;
-/// Proportional gain, in units of controller output per unit of relative error.
+/// Proportional gain, in units of controller output per unit of relative error. The controller
+/// output is the sum of a proportional and a derivative term, from which the change of the width is
+/// computed.
 const PROPORTIONAL_GAIN: f64 = 1.0;
 /// Derivative gain, in units of controller output per change of the relative error in one
 /// control interval.
@@ -61,8 +64,9 @@
         self.failed_attempts += 1;
     }
 
-    /// Ends a control interval: adjusts the width by the share of failed attempts, between 1
-    /// and `max_rows`. The width stays the same if no attempt ended in the interval.
+    /// Ends a control interval: adjusts the width according to the share of failed attempts, and
+    /// limits it to the range from 1 to `max_rows` (1 if that is 0). The width stays the same if
+    /// no attempt ended in the interval.
     pub(crate) fn adjust(&mut self, max_rows: usize) {
         if self.ended_attempts == 0 {
             return;
@@ -77,8 +81,9 @@
         self.failed_attempts = 0;
     }
 
-    /// Draws the number of rows that one query contacts, at most `available`. This is the width
-    /// rounded up or down at random, so that the mean over many queries is the width.
+    /// Draws the number of rows that one query contacts, at most `available`, which must not be 0.
+    /// This is the width rounded up or down at random, so that the mean over many queries is the
+    /// width.
     pub(crate) fn draw(&self, available: usize, random: &mut RandomSource) -> usize {
         let target_rows = self.rows.clamp(1.0, available as f64);
         let extra = usize::from(random.fraction() < target_rows.fract());
--- a/crates/fanout-policy/src/policy/latency.rs
+++ b/crates/fanout-policy/src/policy/latency.rs
@@ -69,8 +69,8 @@
 
     /// Adds an attempt that timed out after `elapsed` to the average. Its answer would have
     /// taken longer than that, so the sample can raise the average but not lower it. If
-    /// timeouts did not count, only the answers in time of an overloaded server would, and the
-    /// server would look fast.
+    /// timeouts did not count, the average of an overloaded server would contain only those of its
+    /// answers that came in time, and the server would look fast.
     pub(crate) fn record_timeout(
         &mut self,
         now: Ms,
@@ -84,9 +84,9 @@
         self.last_observed_at = now;
     }
 
-    /// Raises the latency after the recovery of the server to that of a server that has just
-    /// started with a share `initial_capacity` of its full capacity. All aggregators send to
-    /// the recovered server again at the same time, so it is slow at first.
+    /// Raises the estimate of a server that has recovered, since the server is slow at first: all
+    /// aggregators send to it again at the same time. The estimate becomes at least that of a
+    /// server with the capacity share `initial_capacity`: the fleet's median divided by this share.
     pub(crate) fn on_recovery(&mut self, initial_capacity: f64, fleet: &FleetLatency) {
         let capacity = initial_capacity.max(MIN_INITIAL_CAPACITY_SHARE);
         self.per_work = self.per_work.max(fleet.per_work() / capacity);
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -16,11 +16,13 @@
 /// this aggregator to one server, if that is longer than the general maximum.
 const MAX_UNREACHABLE_EJECTION_SENDS: f64 = 8.0;
 /// Length of the first ejection of a server that rejected a part for lack of capacity, in multiples
-/// of the shortest latency objective.
+/// of the shortest latency objective. A part that is sent to an overloaded server again waits this
+/// long for each attempt that it has had, see [`capacity_wait`].
 const FIRST_OVERLOAD_EJECTION_OBJECTIVES: f64 = 0.15;
 /// Minimum length of the first ejection of a server that rejected a part for lack of capacity, in
-/// mean intervals between two sends of this aggregator to one server. It applies if it is longer
-/// than [`FIRST_OVERLOAD_EJECTION_OBJECTIVES`].
+/// mean intervals between two sends of this aggregator to one server. The ejection has this length
+/// if it is longer than the length that [`FIRST_OVERLOAD_EJECTION_OBJECTIVES`] gives, but at most
+/// the length that [`MAX_EJECTION_OBJECTIVES`] gives.
 const FIRST_OVERLOAD_EJECTION_SENDS: f64 = 0.5;
 /// Factor by which each ejection is longer than the previous one, until an attempt is served.
 const EJECTION_GROWTH_FACTOR: f64 = 2.0;
@@ -76,8 +78,9 @@
     }
 }
 
-/// Returns the time to wait after the last of `attempts` attempts for a part before the part is
-/// sent to an overloaded server, in ms.
+/// Returns the minimum time between the last attempt for a part and its next attempt at an
+/// overloaded server, in ms. It is proportional to `attempts`, the number of attempts for the part
+/// so far.
 pub(crate) fn capacity_wait(shortest_objective: Ms, attempts: usize) -> Ms {
     FIRST_OVERLOAD_EJECTION_OBJECTIVES * shortest_objective * attempts as f64
 }
@@ -149,8 +152,9 @@
 
     /// Ejects a server that is failing or unreachable, unless it is already ejected.
     pub(crate) fn on_failure(&mut self, verdict: FailureVerdict, context: &EjectionContext) {
-        // The ejection of an unreachable server lasts at least one interval between sends. If it
-        // were shorter, it would be over at each next send, and each send would fail.
+        // The ejection of an unreachable server lasts at least one mean interval between sends,
+        // before jitter. A shorter ejection would end before the next send, so that every send
+        // would go to the unreachable server and fail.
         let interval = match verdict {
             FailureVerdict::Tolerable => return,
             FailureVerdict::Failing => 0.0,
--- a/crates/fanout-policy/src/policy/outstanding_work.rs
+++ b/crates/fanout-policy/src/policy/outstanding_work.rs
@@ -140,11 +140,12 @@
     }
 
     /// Returns by how much the oldest attempt in flight has exceeded its forecast latency, in ms;
-    /// 0 if it has not. `answered_until` is the send time of the newest attempt that was served.
-    /// Attempts sent up to then are left out, since the server has been up after they were sent.
-    pub(crate) fn lateness(&self, now: Ms, answered_until: Ms) -> Ms {
+    /// 0 if it has not. `last_served_sent_at` is the send time of the newest attempt that was
+    /// served. Attempts sent at that time or earlier are left out: the server was up after they
+    /// had been sent, since it answered that newest attempt.
+    pub(crate) fn lateness(&self, now: Ms, last_served_sent_at: Ms) -> Ms {
         let mut in_flight = self.in_flight.iter();
-        let oldest = in_flight.find(|attempt| attempt.sent_at > answered_until);
+        let oldest = in_flight.find(|attempt| attempt.sent_at > last_served_sent_at);
         let lateness = |attempt: &SentAttempt| now - attempt.sent_at - attempt.expected_latency;
         oldest.map_or(0.0, lateness).max(0.0)
     }
--- a/crates/fanout-policy/src/policy/retry_after.rs
+++ b/crates/fanout-policy/src/policy/retry_after.rs
@@ -18,8 +18,9 @@
 const RETRY_DELAY_FACTOR: f64 = 2.0;
 
 /// Returns the retry-after value for a query that the caller rejects for lack of capacity without
-/// passing it to the policy. `class` is the index of the query's class in the settings. Returns
-/// `None` where retry-after values do not reach clients.
+/// passing it to the policy. `class` is the index of the query's class in the settings; for an
+/// unknown class the value is [`Settings::max_retry_after`]. Returns `None` if the settings have no
+/// such maximum.
 #[must_use]
 pub fn over_capacity_retry_after(settings: &Settings, class: usize) -> Option<Ms> {
     let class = settings.classes.get(class);
@@ -33,7 +34,8 @@
 pub(crate) enum EndWithoutAnswer {
     /// The query is rejected, and its client may retry.
     Reject {
-        /// Time after which the client should retry; `None` where it does not reach clients.
+        /// Time after which the client should retry; `None` if the settings have no
+        /// [`Settings::max_retry_after`].
         retry_after: Option<Ms>,
     },
     /// The query fails, and its client should not retry: a part may have run already, and
@@ -66,7 +68,7 @@
 
     /// Returns the retry-after value for a query that ends now. It is the maximum that clients
     /// respect if a retry could not be answered within the latency objective any more, or if the
-    /// query is a poison query. `None` where retry-after values do not reach clients.
+    /// query is a poison query. `None` if the settings have no such maximum.
     fn retry_after(&self, query: &InFlightQuery) -> Option<Ms> {
         let min_time_left = MIN_TIME_LEFT_OBJECTIVES * self.batch.objective(query);
         let time_left = self.batch.objective_end(query) - self.batch.now;
@@ -80,10 +82,11 @@
         max_retry_after.map(|max| max.min(retry_after))
     }
 
-    /// Returns whether the client may safely repeat the query. In an idempotent class it always
-    /// may. In other classes it may if no attempt of the query may have run. With idempotency
-    /// keys it also may if its retry is expected so early that servers still deduplicate repeats
-    /// of every attempt that may have run.
+    /// Returns whether it is safe for the client to repeat the query. In an idempotent class it
+    /// always is. In other classes it is safe if no attempt of the query may have run. With
+    /// idempotency keys it is also safe if the retry is expected before the end of the replay
+    /// window of the earliest attempt that may have run: until then servers recognize repeats and
+    /// do not execute them.
     fn is_retry_safe(&self, query: &InFlightQuery, retry_after: Option<Ms>) -> bool {
         let delay = RETRY_DELAY_FACTOR * retry_after.unwrap_or(f64::INFINITY);
         let retried_by = self.batch.now + delay;
--- a/crates/fanout-policy/src/policy/retry_policy.rs
+++ b/crates/fanout-policy/src/policy/retry_policy.rs
@@ -162,7 +162,7 @@
     }
 
     /// Returns whether a part that was never sent needs its first attempt now. A deferred part
-    /// needs it only once another part of the query needs a retry.
+    /// does not need it until another part of the query needs a retry.
     fn first_attempt(&self, query: &InFlightQuery, part: &PartState) -> NextAttempt {
         let needs_retry = |part: &PartState| self.needs_retry(query, part);
         if part.is_deferred() && !query.parts().iter().any(needs_retry) {
--- a/crates/fanout-policy/src/policy/row_planner.rs
+++ b/crates/fanout-policy/src/policy/row_planner.rs
@@ -56,11 +56,13 @@
     /// Assigns the parts of the current step to adjacent rows. The first of these rows is
     /// random, and their number is drawn from `width`.
     ///
-    /// Parts of shards with the same home cell have the same holders and go to the same row.
-    /// The home cells take the rows in round-robin order, in descending order of the rows and
-    /// starting at a random one of them.
+    /// The home cell of a shard is the first cell that holds it. Parts of shards with the same
+    /// home cell have the same holders and go to the same row. The first home cell among the
+    /// parts gets a random one of the rows. Each further home cell gets the next lower row, and
+    /// the highest row follows after the lowest.
+    ///
     /// Where the holders of neighbouring shards overlap, a server that is in row `r` of one
-    /// shard is in row `r - 1` of the next shard. Taking the rows in descending order therefore
+    /// shard is in row `r - 1` of the next shard. The descending order of the rows therefore
     /// sends the parts of neighbouring shards to the same server, where they share a call.
     fn assign_rows(
         &self,
--- a/crates/fanout-policy/src/policy/slow_start.rs
+++ b/crates/fanout-policy/src/policy/slow_start.rs
@@ -74,11 +74,11 @@
     /// Starts a control interval, and ends the slow start once the warm-up is over. `draw` is a
     /// random number from 0 to below 1 for the new interval.
     pub(crate) fn start_interval(&mut self, batch: &BatchContext, draw: f64) {
-        let rule = &batch.settings.warm_up;
-        let window_start = batch.now - rule.overload_window;
+        let warm_up = &batch.settings.warm_up;
+        let window_start = batch.now - warm_up.overload_window;
         self.draw = draw;
         self.sends.retain(|send| send.sent_at >= window_start);
-        let is_warming = |since: &Ms| since + rule.duration > batch.now;
+        let is_warming = |since: &Ms| since + warm_up.duration > batch.now;
         self.warming_since = self.warming_since.filter(is_warming);
     }
 
@@ -88,11 +88,13 @@
     ///
     /// A warming server fails if all aggregators together send it more, within the overload
     /// window, than `overload_factor` times the work that it can serve in that time. Each
-    /// aggregator therefore keeps to its own allowance: the limit of a server with one core,
-    /// times the rate at which a warm server serves the work of this aggregator, in ms of work
-    /// per ms. The rates of all aggregators add up to at most the full speed of one server, so
-    /// their allowances add up to at most the limit of that server. Until this aggregator has
-    /// measured a higher rate, it uses an even share of one core.
+    /// aggregator therefore keeps to its own allowance. This is the product of two values: the
+    /// limit for a server with one core, which serves 1 ms of work per ms once it is warm, and
+    /// the rate at which a warm server serves the work of this aggregator, in ms of work per ms.
+    /// The rates of all aggregators add up to at most the full speed of one server, which is
+    /// above 1 if it has several cores. Their allowances therefore add up to at most the limit
+    /// of that server. Until this aggregator has measured a higher rate, it uses an even share
+    /// of one core.
     pub(crate) fn allows(
         &self,
         batch: &BatchContext,
@@ -100,36 +102,38 @@
         served_rate: &ServedRate,
         peer_work: Option<Ms>,
     ) -> bool {
-        let rule = &batch.settings.warm_up;
-        let Some(capacity) = self.capacity(batch.now, rule) else {
+        let warm_up = &batch.settings.warm_up;
+        let Some(capacity) = self.capacity(batch.now, warm_up) else {
             return true;
         };
-        let limit = LIMIT_SAFETY_SHARE * rule.overload_factor * capacity * rule.overload_window;
+        let limit =
+            LIMIT_SAFETY_SHARE * warm_up.overload_factor * capacity * warm_up.overload_window;
         let even_share = 1.0 / batch.settings.aggregators.max(1) as f64;
         let allowance = limit * even_share.max(served_rate.rate);
-        let sent = self.work_sent_since(batch.now - rule.overload_window);
+        let sent = self.work_sent_since(batch.now - warm_up.overload_window);
         if sent + work <= allowance {
             return true;
         }
         // The allowance may be smaller than the work of one part. If nothing was sent within
         // the window, one part may then exceed the allowance in either of two cases:
-        // - The work that other aggregators published and this part together fit into what
-        //   the server may receive in a window beyond what it can serve meanwhile.
+        // - The published work of the other aggregators and the work of this part together are
+        //   at most `spare`: the work that a server with one core may receive within a window
+        //   in addition to the work that it serves in that time.
         // - The random draw permits it. There is one draw per control interval, with a
         //   probability for which the expected work per window equals the allowance.
-        let spare = (rule.overload_factor - 1.0) * capacity * rule.overload_window;
+        let spare = (warm_up.overload_factor - 1.0) * capacity * warm_up.overload_window;
         let has_spare = peer_work.is_some_and(|peer_work| peer_work + work <= spare);
-        let probability = allowance / work * CONTROL_INTERVAL_MS / rule.overload_window;
+        let probability = allowance / work * CONTROL_INTERVAL_MS / warm_up.overload_window;
         sent == 0.0 && (has_spare || self.draw < probability)
     }
 
     /// Returns the share of its full capacity that the server has now, or `None` if it is warm.
     /// The share grows linearly from the initial capacity to 1 during the warm-up.
-    fn capacity(&self, now: Ms, rule: &WarmUp) -> Option<f64> {
+    fn capacity(&self, now: Ms, warm_up: &WarmUp) -> Option<f64> {
         let since = self.warming_since?;
-        let progress = (now - since).max(0.0) / rule.duration.max(MIN_WARM_UP_MS);
+        let progress = (now - since).max(0.0) / warm_up.duration.max(MIN_WARM_UP_MS);
         let is_warming = progress < 1.0;
-        is_warming.then_some(rule.initial_capacity + (1.0 - rule.initial_capacity) * progress)
+        is_warming.then_some(warm_up.initial_capacity + (1.0 - warm_up.initial_capacity) * progress)
     }
 
     /// Returns the work that this aggregator has sent to the server at or after `start`.
--- a/crates/fanout-policy/src/policy/time_limits.rs
+++ b/crates/fanout-policy/src/policy/time_limits.rs
@@ -9,13 +9,13 @@
 use crate::api::Ms;
 use crate::queries::InFlightQuery;
 
-/// Queries of a class are given up at the end of their latency objective if the late weight of the
-/// class is at most this limit. The limit applies in full to an aggregator that observes nothing of
-/// the servers' load; the more of the load the aggregator observes, the lower the limit. Without
-/// it, overloaded servers would spend much of their time on late answers of little weight.
+/// Late weight of a class up to which its queries are given up at the end of their latency
+/// objective. Otherwise overloaded servers would spend much of their time on late answers of little
+/// weight. The value is multiplied by the share of the servers' load that the aggregator does not
+/// observe, so that it is 0 for an aggregator that observes all of the load.
 const MIN_LATE_WEIGHT: f64 = 0.2;
-/// Time reserved before a client's deadline, in ticks. It covers the way of the reply to the client
-/// and the batch in which the end of an attempt is processed.
+/// Time reserved before a client's deadline, in ticks. It covers the transmission of the reply to
+/// the client and the batch in which the end of an attempt is processed.
 const REPLY_MARGIN_TICKS: f64 = 2.0;
 
 /// Time limits of queries in one batch.
@@ -68,9 +68,10 @@
         (time_left - self.second_step_reserve(query)).max(tick)
     }
 
-    /// Returns the timeout of an attempt that is sent now, which ends when answers stop being
-    /// useful and is at least one tick. `None` if that is not before the client's deadline,
-    /// which then ends the attempt.
+    /// Returns the timeout of an attempt that is sent now: the time for which an answer to the
+    /// query stays useful, and at least one tick. `None` if answers stay useful until the
+    /// client's deadline, which then ends the attempt; since the margin for the reply is
+    /// subtracted, this requires a margin of 0 or an infinite deadline.
     pub(crate) fn attempt_timeout(&self, query: &InFlightQuery) -> Option<Ms> {
         let end = self.useful_until(query).min(query.client_deadline());
         let wait = (end - self.batch.now).max(self.batch.settings.tick);
--- a/crates/fanout-policy/src/queries/attempt.rs
+++ b/crates/fanout-policy/src/queries/attempt.rs
@@ -19,7 +19,8 @@
     pub(crate) expected_latency: Ms,
 }
 
-/// An attempt in the record of its part, in flight or ended.
+/// Record of an attempt, kept with its part. It remains after the attempt has ended, together with
+/// the outcome.
 pub(crate) struct Attempt {
     server: ServerIndex,
     sent_at: Ms,
@@ -69,7 +70,8 @@
         self.outcome == Some(Outcome::ConnectionLost)
     }
 
-    /// Returns whether the server may have executed the part. An attempt in flight may have.
+    /// Returns whether the server may have executed the part. This is also true while the attempt
+    /// is in flight.
     pub(crate) fn may_have_run(&self) -> bool {
         !matches!(
             self.outcome,
--- a/crates/fanout-policy/src/queries/attempt_table.rs
+++ b/crates/fanout-policy/src/queries/attempt_table.rs
@@ -5,7 +5,7 @@
 use crate::fleet::ServerIndex;
 use std::collections::BTreeMap;
 
-/// Key of an attempt: its part, and its index among the attempts for that part.
+/// Key of an attempt: its part, and its number, which is its index among the attempts of that part.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct AttemptKey {
     part: PartId,
--- a/crates/fanout-policy/src/queries/part_state.rs
+++ b/crates/fanout-policy/src/queries/part_state.rs
@@ -12,10 +12,10 @@
     cost_hint: Option<Ms>,
     /// Server that holds the part's shard in the row that the part is assigned to.
     row_server: Option<ServerIndex>,
-    /// Attempts so far, in order of sending.
+    /// Attempts so far, in order of sending. The number of an attempt is its index here.
     attempts: Vec<Attempt>,
     is_served: bool,
-    /// Whether the part is sent only once another part needs a retry, since the answer can be
+    /// Whether the part is not sent until another part needs a retry, since the answer can be
     /// complete without it.
     is_deferred: bool,
 }
@@ -84,7 +84,7 @@
         self.is_deferred
     }
 
-    /// Defers the part: it is sent only once another part needs a retry.
+    /// Defers the part: it is not sent until another part needs a retry.
     pub(crate) fn defer(&mut self) {
         self.is_deferred = true;
     }
@@ -94,13 +94,14 @@
         &self.attempts
     }
 
-    /// Records an attempt that is being sent, and returns its index among those of the part.
+    /// Records an attempt that is being sent, and returns its number: its index among the attempts
+    /// of the part.
     pub(crate) fn record_send(&mut self, attempt: &InFlightAttempt) -> u32 {
         self.attempts.push(Attempt::sent(attempt));
         self.attempts.len() as u32 - 1
     }
 
-    /// Records the outcome of the attempt with this number. An unknown number is ignored.
+    /// Records the outcome of the attempt with the number `number`. An unknown number is ignored.
     pub(crate) fn record_outcome(&mut self, number: u32, outcome: Outcome) {
         if let Some(attempt) = self.attempts.get_mut(number as usize) {
             attempt.record_outcome(outcome);
--- a/crates/fanout-policy/src/settings.rs
+++ b/crates/fanout-policy/src/settings.rs
@@ -24,8 +24,8 @@
     pub tenant_names: Vec<String>,
     /// Names of the zones, in order of their indexes.
     pub zone_names: Vec<String>,
-    /// Maximum number of queries and parts that one aggregator may have in flight; `None` if the
-    /// site sets no limit.
+    /// Maximum number of queries and parts, added together, that one aggregator may have in flight;
+    /// `None` if the site sets no limit.
     pub max_in_flight: Option<u64>,
     /// Maximum number of parts in flight on one connection; `None` if the site sets no limit.
     pub max_parts_per_connection: Option<u64>,
--- a/crates/fanout-policy/src/view.rs
+++ b/crates/fanout-policy/src/view.rs
@@ -12,7 +12,7 @@
 pub struct ServerView {
     /// Name of the server.
     pub node: NodeId,
-    /// Its cell.
+    /// Index of the cell that it belongs to, see [`Settings::cells`](crate::api::Settings::cells).
     pub cell: usize,
     /// Index of its zone, where the endpoint list names zones.
     pub zone: Option<usize>,
