--- a/crates/broker/src/event_loop/startup.rs
+++ b/crates/broker/src/event_loop/startup.rs
@@ -27,8 +27,18 @@
 #[derive(Debug, Error)]
 pub enum StartupError {
     /// A listener could not be opened on its configured address.
-    #[error(transparent)]
-    Listener(#[from] io::Error),
+    #[error("cannot listen for {protocol} on {address}: {source}")]
+    Listener {
+        /// Protocol of the listener.
+        protocol: &'static str,
+        /// The configured address.
+        address: SocketAddr,
+        /// Error of opening the listener.
+        source: io::Error,
+    },
+    /// The address of an open listener could not be determined.
+    #[error("cannot determine the address of an open listener: {0}")]
+    ListenerAddress(#[source] io::Error),
     /// The operator's settings need more resources than the platform grants.
     #[error(transparent)]
     Resources(#[from] AllocationError),
@@ -63,7 +73,7 @@
     let limits = allocate(config.clients, operator.http2_overrides())?;
     let http2_address = operator.settings().http2.map(|http2| http2.listen);
     let listeners = bind_listeners(config.listen, http2_address, limits)?;
-    let addresses = listen_addresses(&listeners)?;
+    let addresses = listen_addresses(&listeners).map_err(StartupError::ListenerAddress)?;
     runtime.spawn_signal_handler(signals);
     let mut event_loop = EventLoop::new(config, operator, listeners, &runtime);
     info!(name: "broker_started", name = %name, listen = %addresses.http1, revision, servers);
@@ -79,14 +89,28 @@
     http1: SocketAddr,
     http2: Option<SocketAddr>,
     limits: ListenerLimits,
-) -> io::Result<ListenerConfig> {
+) -> Result<ListenerConfig, StartupError> {
     Ok(ListenerConfig {
-        http1: Async::<TcpListener>::bind(http1)?,
-        http2: http2.map(Async::<TcpListener>::bind).transpose()?,
+        http1: bind_listener("HTTP/1.1", http1)?,
+        http2: http2
+            .map(|address| bind_listener("HTTP/2", address))
+            .transpose()?,
         limits,
     })
 }
 
+/// Opens a listener for `protocol` on `address`.
+fn bind_listener(
+    protocol: &'static str,
+    address: SocketAddr,
+) -> Result<Async<TcpListener>, StartupError> {
+    Async::<TcpListener>::bind(address).map_err(|source| StartupError::Listener {
+        protocol,
+        address,
+        source,
+    })
+}
+
 /// Returns the addresses of the open listeners. If port 0 is configured, the address contains the
 /// port that the operating system has chosen.
 fn listen_addresses(listeners: &ListenerConfig) -> io::Result<ListenAddresses> {
