--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -49,14 +49,15 @@
         }
     }
 
-    /// Starts to watch the list at `address` by requesting the changes since `revision`. A task
-    /// that watches already is replaced.
+    /// Starts to watch the list at `address` by requesting the changes since `revision`. If a watch
+    /// is running, it is replaced.
     pub fn continue_from(&mut self, address: SocketAddr, revision: u64) {
         self.start(address, Some(revision));
     }
 
-    /// Watches the list at another address instead. The full list is requested first, because a
-    /// revision of the previous discovery service may have no meaning at the new one.
+    /// Ends the running watch, if any, and watches the list at `address`. The full list is
+    /// requested first, because a revision of the previous discovery service may have no meaning at
+    /// the new one.
     pub fn move_to(&mut self, address: SocketAddr) {
         self.start(address, None);
     }
--- a/crates/broker/src/discovery/backoff.rs
+++ b/crates/broker/src/discovery/backoff.rs
@@ -3,16 +3,18 @@
 use fastrand::Rng;
 use std::time::Duration;
 
-/// The first delay. It must be well below 200 ms, the maximum time for which a watch may pause.
+/// The first delay, and the pause after a response that came early. It must be well below 200 ms:
+/// in the discovery protocol, a watch continues only if the next poll is sent within 200 ms of the
+/// last response, and a later poll starts a new watch.
 pub(super) const MIN_DELAY: Duration = Duration::from_millis(20);
-/// The maximum delay. It is short because the broker counts as notified of a change of the list
-/// after a fixed time, even if it is waiting for this delay to end and has not received the change.
+/// The maximum delay. It is short because the delays count towards the 6 s within which a failed
+/// watch must be replaced; see [`POLL_WAIT`](super::client::POLL_WAIT).
 const MAX_DELAY: Duration = Duration::from_millis(250);
 /// Maximum share of a delay that is subtracted at random. It prevents brokers whose watches failed
 /// at the same time from also reconnecting at the same time.
 const JITTER: f64 = 0.5;
 
-/// The delays between consecutive failures of the watch.
+/// The delays between failed polls and the polls that follow them.
 pub(super) struct Backoff {
     delay: Duration,
     rng: Rng,
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Returns the delay before the next attempt, and doubles the delay that follows it up to
+    /// Returns the delay before the next poll. Doubles the full delay for the next call, up to
     /// [`MAX_DELAY`].
     pub(super) fn next_delay(&mut self) -> Duration {
         let delay = self.delay.mul_f64(1.0 - self.rng.f64() * JITTER);
--- a/crates/broker/src/discovery/client.rs
+++ b/crates/broker/src/discovery/client.rs
@@ -15,8 +15,11 @@
 /// Time for which discovery may delay its response while the list does not change. The broker
 /// requests this time with each poll.
 ///
-/// The broker counts as notified of a change of the list 6 s after the change, even if its watch
-/// has failed. The sum of the following times must be well below these 6 s: this time and
+/// If the broker's watch becomes silent, the discovery protocol counts the broker as notified of a
+/// change of the list at the latest 6 s after that, whether or not the change has arrived. From
+/// then on, apart from a grace period, an attempt that is sent to a draining or removed server
+/// breaks the rule on drains. The broker must therefore have a working watch again before the 6 s
+/// have passed. The sum of the following times must stay well below 6 s: this time and
 /// [`RESPONSE_GRACE`], after which the broker detects that a watch has failed, a backoff delay, a
 /// failed connect and another backoff delay.
 pub(super) const POLL_WAIT: Duration = Duration::from_secs(2);
--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -1,10 +1,10 @@
 //! The event loop, which drains the event queue, calls the policy and executes the policy's
 //! decisions. It runs on the one thread of the broker.
 //!
-//! An iteration handles all queued events, then reports ended attempts, submits new queries and
-//! polls the policy, in this order. The decisions of each of these steps are executed before the
-//! next step. Only the dispatched attempts are sent at the end of the iteration, so that attempts
-//! to the same server share a call.
+//! An iteration handles all queued events. It then reports ended attempts to the policy, submits
+//! new queries to it and polls it, in this order. The policy's decisions in each of these steps are
+//! executed before the next step, except that dispatched attempts are sent at the end of the
+//! iteration, so that attempts to the same server share a call.
 //!
 //! - `iteration`: the steps of an iteration, and the time at which the next iteration starts;
 //! - `query_processor`: the policy, the clients' queries and the server pools, with
--- a/crates/broker/src/event_loop/configuration.rs
+++ b/crates/broker/src/event_loop/configuration.rs
@@ -100,8 +100,8 @@
 
     /// Reloads the configuration if a reload was requested, or if the time to repeat a failed
     /// reload has come, and applies it to the listeners and to discovery. If the platform's
-    /// configuration or the operator's file is missing or invalid, the change of neither takes
-    /// effect, and the reload is repeated after [`RETRY_DELAY`].
+    /// configuration or the operator's file is missing or invalid, nothing is applied from either
+    /// of them, and the reload is repeated after [`RETRY_DELAY`].
     pub(super) fn reload_if_due(
         &mut self,
         now: Timestamp,
--- a/crates/broker/src/event_loop/dispatch_queue.rs
+++ b/crates/broker/src/event_loop/dispatch_queue.rs
@@ -18,16 +18,16 @@
     /// Attempts that are sent at the end of the iteration unless they are cancelled before.
     dispatches: BTreeMap<AttemptId, Dispatch>,
     /// Attempts that ended without having been sent and have not been reported to the policy.
-    unsent: Vec<EndedAttempt>,
+    ended_unsent: Vec<EndedAttempt>,
 }
 
 /// The result of cancelling an attempt in the [`DispatchQueue`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Cancellation {
     /// The attempt was waiting in the queue, and has ended without having been sent.
-    Unsent,
+    EndedUnsent,
     /// The attempt is not in the queue. It may have been passed to the server pools.
-    NotWaiting,
+    NotQueued,
 }
 
 impl DispatchQueue {
@@ -41,15 +41,15 @@
     /// Cancels an attempt if it waits in the queue.
     pub(super) fn cancel(&mut self, attempt: AttemptId) -> Cancellation {
         if self.dispatches.remove(&attempt).is_none() {
-            return Cancellation::NotWaiting;
+            return Cancellation::NotQueued;
         }
-        self.record_unsent(attempt);
-        Cancellation::Unsent
+        self.record_ended_unsent(attempt);
+        Cancellation::EndedUnsent
     }
 
     /// Records that an attempt ended without having been sent.
-    pub(super) fn record_unsent(&mut self, attempt: AttemptId) {
-        self.unsent
+    pub(super) fn record_ended_unsent(&mut self, attempt: AttemptId) {
+        self.ended_unsent
             .push(EndedAttempt::unsent(attempt, Outcome::NotSent));
     }
 
@@ -60,14 +60,14 @@
 
     /// Removes and returns the attempts that ended without having been sent, so that they can be
     /// reported to the policy.
-    pub(super) fn take_unsent(&mut self) -> Vec<EndedAttempt> {
-        std::mem::take(&mut self.unsent)
+    pub(super) fn take_ended_unsent(&mut self) -> Vec<EndedAttempt> {
+        std::mem::take(&mut self.ended_unsent)
     }
 
     /// Returns whether there are attempts that ended without having been sent and have not been
     /// reported.
-    pub(super) fn has_unsent(&self) -> bool {
-        !self.unsent.is_empty()
+    pub(super) fn has_ended_unsent(&self) -> bool {
+        !self.ended_unsent.is_empty()
     }
 }
 
--- a/crates/broker/src/event_loop/dispatch_queue/tests.rs
+++ b/crates/broker/src/event_loop/dispatch_queue/tests.rs
@@ -27,13 +27,13 @@
     let mut queue = DispatchQueue::default();
     queue.extend(vec![dispatch(2), dispatch(1)]);
     queue.extend(vec![dispatch(0)]);
-    assert_eq!(queue.cancel(attempt(1)), Cancellation::Unsent);
-    assert_eq!(queue.cancel(attempt(1)), Cancellation::NotWaiting);
+    assert_eq!(queue.cancel(attempt(1)), Cancellation::EndedUnsent);
+    assert_eq!(queue.cancel(attempt(1)), Cancellation::NotQueued);
     let sent: Vec<Dispatch> = queue.take_dispatches().collect();
     assert_eq!(sent, [dispatch(0), dispatch(2)]);
     assert_eq!(queue.take_dispatches().count(), 0);
-    assert!(queue.has_unsent());
+    assert!(queue.has_ended_unsent());
     let unsent = EndedAttempt::unsent(attempt(1), Outcome::NotSent);
-    assert_eq!(queue.take_unsent(), [unsent]);
-    assert!(!queue.has_unsent());
+    assert_eq!(queue.take_ended_unsent(), [unsent]);
+    assert!(!queue.has_ended_unsent());
 }
--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -109,13 +109,13 @@
     /// Reports to the policy the attempts that have ended since the last iteration, including those
     /// that have timed out.
     ///
-    /// In an iteration this is the first call of the policy that returns decisions. The policy ends
-    /// a query at the same time at which the query's attempts time out. If the policy ran before
-    /// the time-outs are reported, it would end the query and cancel the attempts. They would be
-    /// reported as cancelled instead of timed out, and the policy would not detect that their
-    /// servers do not respond.
+    /// In each iteration, this must be the first call of the policy that returns decisions. The
+    /// policy ends a query at the same time at which the query's attempts time out. If the policy
+    /// ran before the time-outs are reported, it would end the query and cancel the attempts. They
+    /// would be reported as cancelled instead of timed out, and the policy would not detect that
+    /// their servers do not respond.
     pub(super) fn report_ended_attempts(&mut self, now: Timestamp) {
-        let mut ended = self.dispatches.take_unsent();
+        let mut ended = self.dispatches.take_ended_unsent();
         ended.extend(self.servers.take_ended_attempts(now));
         let reports = ended
             .into_iter()
@@ -163,7 +163,7 @@
     /// Ends an iteration: cancels the unsent attempts that are not needed any more, sends the
     /// dispatched attempts, closes expired connections and logs the policy's state if that is due.
     pub(super) fn end_iteration(&mut self, now: Timestamp) {
-        self.cancel_completed(now);
+        self.cancel_unneeded_attempts(now);
         self.send_dispatches(now);
         self.servers.close_expired_connections(now);
         let server_connections = self.servers.open_connections();
@@ -174,7 +174,7 @@
     /// Returns the time at which the next iteration must start even if no event occurs, or `None`
     /// if there is no such time.
     pub(super) fn next_deadline(&self, now: Timestamp) -> Option<Timestamp> {
-        let has_reports = self.servers.has_ended_attempts() || self.dispatches.has_unsent();
+        let has_reports = self.servers.has_ended_attempts() || self.dispatches.has_ended_unsent();
         let deadlines = [
             self.policy.next_deadline(),
             self.servers.next_deadline(),
@@ -186,7 +186,7 @@
     /// Executes decisions of the policy. Dispatched attempts are queued until the end of the
     /// iteration.
     fn execute(&mut self, now: Timestamp, decisions: Decisions) {
-        self.log_capacity(&decisions);
+        self.log_undecided_queries(&decisions);
         for attempt in decisions.cancellations {
             self.cancel_attempt(now, attempt);
         }
@@ -196,9 +196,10 @@
         self.dispatches.extend(decisions.dispatches);
     }
 
-    /// Logs the number of queries that were rejected for lack of capacity and the number of those
-    /// that failed because the policy had not decided before their deadline.
-    fn log_capacity(&self, decisions: &Decisions) {
+    /// Logs the numbers of queries that ended without a decision of the policy: those that were
+    /// rejected for lack of capacity, and those that failed because the policy had not decided
+    /// before their deadline.
+    fn log_undecided_queries(&self, decisions: &Decisions) {
         if decisions.over_capacity > 0 {
             warn!(
                 name: "capacity_exhausted",
@@ -214,8 +215,8 @@
     /// Cancels an attempt, either in the dispatch queue or in the server pools.
     fn cancel_attempt(&mut self, now: Timestamp, attempt: AttemptId) {
         match self.dispatches.cancel(attempt) {
-            Cancellation::Unsent => {}
-            Cancellation::NotWaiting => self.servers.cancel(now, attempt),
+            Cancellation::EndedUnsent => {}
+            Cancellation::NotQueued => self.servers.cancel(now, attempt),
         }
     }
 
@@ -235,7 +236,7 @@
     }
 
     /// Cancels the unsent attempts of the queries and parts that were completed in this iteration.
-    fn cancel_completed(&mut self, now: Timestamp) {
+    fn cancel_unneeded_attempts(&mut self, now: Timestamp) {
         for CompletedQueryOrPart { query, part } in std::mem::take(&mut self.completed) {
             self.servers.cancel_unsent(now, query, part);
         }
@@ -266,7 +267,7 @@
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
             }
         }
-        self.dispatches.record_unsent(attempt);
+        self.dispatches.record_ended_unsent(attempt);
         None
     }
 }
--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -24,7 +24,7 @@
         /// Id of the query.
         query: QueryId,
     },
-    /// A connection to a data server received a frame, or was closed.
+    /// A connection to a data server received data, or was closed.
     ServerConnection {
         /// Id of the connection.
         connection: ServerConnectionId,
@@ -59,8 +59,9 @@
 pub enum ConnectionEvent {
     /// A complete frame was received.
     FrameReceived(ServerMessage),
-    /// The input buffer ends with an incomplete frame, the rest of which is still to be received.
-    FrameStarted,
+    /// Bytes of an incomplete frame were received. Reported after each read unless the received
+    /// bytes end with a complete frame, so the event shows that the incomplete frame has grown.
+    PartialFrameReceived,
     /// The connection was closed, or could not be opened.
     Closed(io::Error),
     /// A frame could not be decoded. The connection is closed, because the broker cannot determine
--- a/crates/broker/src/listeners/date.rs
+++ b/crates/broker/src/listeners/date.rs
@@ -13,7 +13,7 @@
     cached: RefCell<CachedDate>,
 }
 
-/// A formatted value and its age.
+/// A formatted value and the time at which it was formatted.
 struct CachedDate {
     value: HeaderValue,
     formatted_at: Instant,
--- a/crates/broker/src/listeners/http1/mod.rs
+++ b/crates/broker/src/listeners/http1/mod.rs
@@ -34,6 +34,7 @@
     /// has already been cancelled.
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>, slot: Slot) {
         let linger_time = self.serve_requests(&stream).await.unwrap_or(LINGER);
+        // Counts the connection as open until it is closed, but frees its slot now if possible.
         let _closing = slot.close();
         let _ = linger(&stream, linger_time).await;
     }
--- a/crates/broker/src/listeners/http2/guarded_connection.rs
+++ b/crates/broker/src/listeners/http2/guarded_connection.rs
@@ -58,7 +58,8 @@
         })
     }
 
-    /// Returns since when the preface, a frame or a header block has been incomplete.
+    /// Returns the time since which the preface, a frame or a header block has been incomplete, or
+    /// `None` if none of them is.
     pub(super) fn incomplete_since(&self) -> Option<Timestamp> {
         self.guard.borrow().incomplete_since()
     }
--- a/crates/broker/src/listeners/http2/guarded_socket.rs
+++ b/crates/broker/src/listeners/http2/guarded_socket.rs
@@ -20,8 +20,8 @@
     violation: Option<Violation>,
 }
 
-/// The guard as it is shared by the socket, which passes the input to it, and the connection, which
-/// handles violations.
+/// The state of the guard, shared by two owners: the socket passes the input to the guard, and the
+/// connection handles the violation.
 pub(super) type SharedGuard = Rc<RefCell<GuardState>>;
 
 impl GuardState {
@@ -38,12 +38,14 @@
         self.violation
     }
 
-    /// Returns since when the preface, a frame or a header block has been incomplete.
+    /// Returns the time since which the preface, a frame or a header block has been incomplete, or
+    /// `None` if none of them is.
     pub(super) fn incomplete_since(&self) -> Option<Timestamp> {
         self.guard.incomplete_since()
     }
 
-    /// Adds the guard's tokens for a response with a body of `body_bytes`.
+    /// Records in the guard that a response with a body of `body_bytes` was sent. The guard then
+    /// permits the client more control frames.
     pub(super) fn on_response_sent(&mut self, body_bytes: usize) {
         self.guard.on_response_sent(body_bytes);
     }
@@ -56,8 +58,8 @@
 }
 
 /// A socket whose input is inspected by the flood guard. After a violation, reads return
-/// [`Poll::Pending`] without a wake-up: the connection checks for a violation after each poll of
-/// the `h2` library, and is then closed.
+/// [`Poll::Pending`] and register no wake-up. None is needed, because the connection checks for a
+/// violation after each poll of the `h2` library and is closed if there is one.
 pub(super) struct GuardedSocket {
     stream: Rc<Async<TcpStream>>,
     /// Bytes that were read from the stream before the `h2` library was started, and that the
--- a/crates/broker/src/listeners/http2/lifetime.rs
+++ b/crates/broker/src/listeners/http2/lifetime.rs
@@ -32,12 +32,14 @@
     },
 }
 
-/// State of a connection on which its deadlines depend, apart from [`ConnectionLifetime`].
+/// What a connection is doing at present. Its deadlines depend on this and on its
+/// [`ConnectionLifetime`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionActivity {
     /// Number of open streams.
     pub(super) open_streams: usize,
-    /// Since when the preface, a frame or a header block has been incomplete.
+    /// Time since which the preface, a frame or a header block has been incomplete; `None` if none
+    /// of them is.
     pub(super) incomplete_since: Option<Timestamp>,
 }
 
@@ -49,9 +51,11 @@
     AbortStalled,
     /// Start graceful shutdown, because the idle timeout has passed.
     ShutDownGracefully,
-    /// Close the connection, because the client has had time to receive GOAWAY.
+    /// Write the last frames and then close the connection, because the client has had time to
+    /// receive GOAWAY.
     Close,
-    /// Drop the connection, because the last frames could not be written in time.
+    /// Drop the connection with frames that have not been written, because they could not be
+    /// written in time.
     Drop,
 }
 
--- a/crates/broker/src/listeners/http2/lifetime/tests.rs
+++ b/crates/broker/src/listeners/http2/lifetime/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn draining_connection_is_closed_and_closing_one_dropped_after_their_time_limits() {
+fn connection_is_closed_after_graceful_shutdown_timeout_and_dropped_after_close_timeout() {
     let mut lifetime = ConnectionLifetime::new(START);
     lifetime.start_draining(START);
     assert!(!lifetime.is_serving());
--- a/crates/broker/src/listeners/http2/stream.rs
+++ b/crates/broker/src/listeners/http2/stream.rs
@@ -23,8 +23,8 @@
 
 /// Minimum time that a client has to read a response, even if its timeout has already passed.
 const MIN_SEND_TIME: Duration = Duration::from_millis(250);
-/// Maximum number of body bytes that are passed to the `h2` library at a time. The library would
-/// otherwise buffer a second copy of the whole part that a slow client has not read.
+/// Maximum number of body bytes that are passed to the `h2` library at a time. Without this limit,
+/// the library would buffer a second copy of all body bytes that a slow client has not read yet.
 const SEND_CHUNK_BYTES: usize = 16 * 1024;
 
 /// Outcome of a stream.
@@ -53,7 +53,8 @@
 /// A reply that has to be sent.
 struct PendingReply {
     reply: Reply,
-    /// Time until which the client waits for the response.
+    /// Time until which the response may be sent; see [`OutgoingResponse::send`]. For a query, the
+    /// end of the client's timeout.
     deadline: Instant,
 }
 
@@ -123,9 +124,9 @@
     }
 }
 
-/// Decodes a request after the attempt to receive its body, and determines the next step. The
-/// request is dropped here, so that it uses no memory while its query is processed. Fails if the
-/// client cancelled the stream.
+/// Determines the next step for a request from its head and the result of receiving its body. The
+/// request is dropped here, so that it uses no memory while its query is processed. Returns an
+/// error if the client cancelled the stream.
 fn route(
     context: &ListenerContext,
     head: Parts,
@@ -146,7 +147,7 @@
     Ok(RoutedRequest::Immediate(reply))
 }
 
-/// Rule whether the body of a response is sent.
+/// Whether the body of a response is sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum BodyPolicy {
     /// The body is sent.
--- a/crates/broker/src/listeners/slots.rs
+++ b/crates/broker/src/listeners/slots.rs
@@ -65,8 +65,8 @@
     next_registration: Cell<u64>,
     /// The connections that may be evicted. Dropping a connection's sender evicts it.
     evictable: RefCell<BTreeMap<EvictionKey, Sender<()>>>,
-    /// When a new connection first found all slots in use, if none has obtained a slot by
-    /// [`Self::wait_for_slot`] since.
+    /// Time at which a new connection first found all slots in use. `None` if
+    /// [`Self::wait_for_slot`] has returned a slot since then.
     exhausted_since: Cell<Option<Instant>>,
     /// Notified when a slot is freed.
     slot_freed: Notify,
--- a/crates/broker/src/listeners/slots/tests.rs
+++ b/crates/broker/src/listeners/slots/tests.rs
@@ -1,3 +1,5 @@
+//! Tests of the idle timeout, and of the order in which connections are evicted.
+
 use super::*;
 
 /// Clients that send one request and never close their connection also hold file descriptors of
--- a/crates/broker/src/listeners/tests.rs
+++ b/crates/broker/src/listeners/tests.rs
@@ -1,3 +1,6 @@
+//! Tests that a new connection is accepted or gets a response when all slots are in use and when
+//! the listener is closed.
+
 use super::accept::accept_connections;
 use super::slots::{ConnectionSlots, EvictionPriority};
 use super::*;
@@ -26,16 +29,17 @@
     ListenerContext::new(Rc::default(), site.settings, names, Clock::start())
 }
 
-/// A connection that receives a request at the moment of its eviction stays open and keeps its
-/// slot. Guards against a listener that waits until this connection is closed and accepts no other
-/// meanwhile.
+/// Both slots are in use by connections that may be evicted. The one that is evicted first receives
+/// a request at that moment, so it stays open and keeps its slot; the other one is closed when it
+/// is evicted. Guards against a listener that waits for the first one to close instead of evicting
+/// the second one, and accepts no connection meanwhile.
 #[test]
 fn accepting_continues_when_evicted_connection_stays_open() {
     let executor = Rc::new(LocalExecutor::new());
     let listener = Rc::new(Http1Listener::new(context(), 2));
     let slots: Rc<ConnectionSlots> = listener.slots().clone();
     let kept_slot = slots.take();
-    let _staying = slots.evictable(EvictionPriority::Unused);
+    let _evictable_that_stays_open = slots.evictable(EvictionPriority::Unused);
     let (slots_of_evicted, slot) = (slots.clone(), slots.take());
     let evicted_connection = executor.spawn(async move {
         let evictable = slots_of_evicted.evictable(EvictionPriority::Idle);
--- a/crates/broker/src/net.rs
+++ b/crates/broker/src/net.rs
@@ -17,8 +17,8 @@
 /// side. Closing a socket that holds unread data resets the connection, and a reset can destroy the
 /// last response before the client has read it (RFC 9112, section 9.6).
 pub const LINGER: Duration = Duration::from_millis(500);
-/// The same time as [`LINGER`], for a connection whose last response the client read long ago, so
-/// that a reset can no longer destroy it.
+/// Shorter time that is used in place of [`LINGER`] for a connection that was idle. Its client has
+/// already read the last response, if there was one, so a reset can no longer destroy it.
 pub const LINGER_IDLE: Duration = Duration::from_millis(100);
 /// Maximum number of bytes that one read takes from a socket.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
--- a/crates/broker/src/queries/idempotency_guard.rs
+++ b/crates/broker/src/queries/idempotency_guard.rs
@@ -42,7 +42,9 @@
 
 impl IdempotencyGuard {
     /// Creates a guard for the classes of the settings. The register has a single replay window:
-    /// the shortest one of all classes with idempotency keys applies to each of them.
+    /// the shortest one of all classes with idempotency keys applies to each of them. After the
+    /// window the register keeps a key for the longest client timeout of all classes, so that it
+    /// can still reject a late retry.
     pub(super) fn new(settings: &Settings) -> Self {
         let windows = settings
             .classes
@@ -81,7 +83,7 @@
 
     /// Registers an attempt that is about to be sent. If an earlier attempt at the same part may
     /// have been executed, returns the end of the replay window: from then on the new attempt must
-    /// not be sent any more.
+    /// not be sent any more. Otherwise returns `None`.
     ///
     /// # Errors
     ///
@@ -126,8 +128,7 @@
     }
 }
 
-/// Returns whether an attempt with this outcome was executed by the data server, as far as the
-/// outcome proves it.
+/// Returns what the outcome of an attempt shows about its execution by the data server.
 fn execution_evidence(outcome: Outcome) -> ExecutionEvidence {
     match outcome {
         Outcome::Served | Outcome::Error => ExecutionEvidence::Executed,
--- a/crates/broker/src/queries/reservations.rs
+++ b/crates/broker/src/queries/reservations.rs
@@ -151,6 +151,7 @@
                     .max_retry_after
                     .map(|max| max.min(time.saturating_since(now))),
             },
+            // Not a rejection, which would tell the client that nothing was executed.
             KeyAdmission::WindowExpired => FinalResponse::Failed,
         };
         info!(
--- a/crates/broker/src/upstream/cancelled_parts.rs
+++ b/crates/broker/src/upstream/cancelled_parts.rs
@@ -21,7 +21,8 @@
     }
 
     /// Adds a part. If the maximum number of parts is reached, removes the part that was added
-    /// first.
+    /// first. A response to the removed part that still arrives counts as a violation of the
+    /// protocol.
     pub(super) fn insert(&mut self, wire_id: String) {
         if self.wire_ids.len() >= MAX_CANCELLED_PARTS {
             self.wire_ids.pop_front();
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -40,8 +40,8 @@
     }
 }
 
-/// Outcome of an attempt for whose response the broker stops waiting, and whether its connection
-/// must be closed.
+/// Result of [`ServerConnection::stop_waiting`]: the outcome of the attempt, and whether its
+/// connection must be closed.
 pub(super) enum StopResult {
     /// The attempt ends with this outcome. The connection stays open.
     KeepConnection(Outcome),
@@ -176,8 +176,8 @@
     /// Stops waiting for the response to an attempt. Withdraws its part, or cancels it on the
     /// server if any byte of it was written. The caller ends the attempt.
     ///
-    /// If nothing was received since the attempt was assigned, and that is longer ago than the
-    /// maximum silence, the connection starts to drain: its link may be severed.
+    /// Starts to drain the connection if the attempt was assigned at least the maximum silence ago
+    /// and nothing was received since then: the link to the server may be severed.
     pub(super) fn stop_waiting(
         &mut self,
         now: Timestamp,
@@ -234,7 +234,7 @@
                 warn!(name: "server_connection_rejected", server = %self.server.0, reason);
                 EventEffect::Continue
             }
-            ConnectionEvent::FrameStarted => self.on_partial_frame(now),
+            ConnectionEvent::PartialFrameReceived => self.on_partial_frame(now),
             ConnectionEvent::Closed(error) => {
                 if !self.is_idle() {
                     warn!(
@@ -308,10 +308,10 @@
     /// Returns the outcomes of all attempts in flight after the server has violated the protocol.
     /// `oldest_first` contains all attempts in flight, in the order in which they were assigned.
     ///
-    /// The oldest sent attempt ends with an error, because the server has failed once. The other
-    /// sent attempts end as cancelled, so that the one failure is counted neither against the
-    /// server again nor against their queries. Every sent part may have run. Attempts whose frames
-    /// were not written completely end as not sent.
+    /// The violation is one failure of the server, so only the oldest sent attempt ends with an
+    /// error. The other sent attempts end as cancelled: this outcome counts neither as a further
+    /// failure of the server nor as a failure of their queries, and it does not deny that their
+    /// parts may have run. Attempts whose frames were not written completely end as not sent.
     ///
     /// If no attempt is in flight, the server sent surplus data after a complete response, and no
     /// attempt fails.
--- a/crates/broker/src/upstream/pools.rs
+++ b/crates/broker/src/upstream/pools.rs
@@ -1,4 +1,4 @@
-//! The interface of this module for the event loop.
+//! The interface through which the event loop uses the connections to data servers.
 //!
 //! [`ServerPools`] composes the [`ConnectionPool`] and the [`AttemptTracker`] and keeps them
 //! consistent: when an attempt ends, it is removed from its connection and from the tracker.
--- a/crates/broker/src/upstream/receive_progress.rs
+++ b/crates/broker/src/upstream/receive_progress.rs
@@ -37,8 +37,8 @@
         self.last_event_at <= time
     }
 
-    /// Returns the time at which the incomplete frame will not have grown for `max_stall`, or
-    /// `None` if there is no incomplete frame.
+    /// Returns the time at which the incomplete frame counts as stalled unless it grows before:
+    /// `max_stall` after its last growth. Returns `None` if there is no incomplete frame.
     pub(super) fn stall_deadline(&self, max_stall: Duration) -> Option<Timestamp> {
         Some(self.partial_frame_grew_at? + max_stall)
     }
--- a/crates/broker/src/upstream/selection.rs
+++ b/crates/broker/src/upstream/selection.rs
@@ -8,10 +8,10 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Maximum number of connections to one server, if the limit of connections to all servers allows
-/// as many. Calls are spread over several connections because an invalid response ends all attempts
-/// in flight on its connection.
-const MAX_CONNECTIONS_PER_SERVER: usize = 4;
+/// Maximum number of connections to one server over which its calls are spread. Calls are spread
+/// because an invalid response ends all attempts in flight on its connection. Beyond this number, a
+/// connection to the server is opened only if none of the existing ones has capacity for the call.
+const MAX_SPREAD_CONNECTIONS_PER_SERVER: usize = 4;
 
 /// Result of the selection of a connection for a call.
 pub(super) enum Selection {
@@ -57,15 +57,16 @@
     /// Among the connections to the server, prefers the one that has been idle for longest. A
     /// server may close a connection right after its response, and an attempt that is sent at that
     /// moment ends with a connection reset; this is least likely on the connection that has been
-    /// idle for longest. If none is idle, selects a new connection if a further one is allowed, and
-    /// otherwise the connection with the fewest attempts in flight. If none has capacity and the
-    /// limit of connections is reached, an idle connection to another server must be closed first.
+    /// idle for longest. If none is idle, selects a new connection if calls may be spread over a
+    /// further one, and otherwise the connection with the fewest attempts in flight. If none has
+    /// capacity, selects a new connection; if the limit of connections to all servers is reached,
+    /// an idle connection must be closed first.
     pub(super) fn select(&self, server: &NodeId, parts: usize) -> Selection {
         let Some(address) = self.servers.endpoint(server) else {
             return Selection::NotServing;
         };
         if let Some(connection) = self.least_used(server, parts)
-            && (connection.is_idle() || !self.may_open(server))
+            && (connection.is_idle() || !self.may_open_to_spread(server))
         {
             return Selection::Existing(connection.id());
         }
@@ -89,13 +90,14 @@
             .min_by_key(|connection| connection.usage())
     }
 
-    /// Returns whether a further connection to a server may be opened without closing another one.
-    /// Each server may have an equal share of the connections to all servers, but at least one and
-    /// at most [`MAX_CONNECTIONS_PER_SERVER`].
-    fn may_open(&self, server: &NodeId) -> bool {
+    /// Returns whether a further connection to a server may be opened although an existing one has
+    /// capacity. Calls are spread over as many connections as the server's equal share of the
+    /// connections to all servers, but over at least one and at most
+    /// [`MAX_SPREAD_CONNECTIONS_PER_SERVER`]. No other connection is closed for this purpose.
+    fn may_open_to_spread(&self, server: &NodeId) -> bool {
         let max_open = self.limits.max_connections;
         let fair_share = max_open / self.servers.len().max(1);
-        let max_connections = fair_share.clamp(1, MAX_CONNECTIONS_PER_SERVER);
+        let max_connections = fair_share.clamp(1, MAX_SPREAD_CONNECTIONS_PER_SERVER);
         let is_below_share = self.servers.connections_to(server).len() < max_connections;
         is_below_share && self.connections.len() < max_open
     }
--- a/crates/broker/src/upstream/send_queue.rs
+++ b/crates/broker/src/upstream/send_queue.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Minimum time until the deadline with which a part is still sent. A frame contains this time in
-/// whole milliseconds, so any shorter time would be sent as zero.
+/// Minimum time that must be left until a part's deadline when the part is sent. A frame contains
+/// the time left in whole milliseconds, so any shorter time would be sent as zero.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 /// A frame to be written to a connection.
@@ -167,7 +167,7 @@
         self.is_socket_full.set(false);
     }
 
-    /// Returns whether the socket does not accept all data of the queued frames at present.
+    /// Returns whether frames are held up at present because the socket accepts no more data.
     ///
     /// The socket task runs between event loop iterations and then writes as much as the socket
     /// accepts. A frame that is still being written during an iteration is therefore held up by the
--- a/crates/broker/src/upstream/socket.rs
+++ b/crates/broker/src/upstream/socket.rs
@@ -133,7 +133,7 @@
                 // Frees the buffer's memory while no frame is being received.
                 input = Vec::new();
             } else {
-                self.report(ConnectionEvent::FrameStarted);
+                self.report(ConnectionEvent::PartialFrameReceived);
             }
             match read_some(stream, &mut input).await {
                 Ok(0) => return ConnectionEvent::Closed(io::ErrorKind::UnexpectedEof.into()),
--- a/crates/broker/src/upstream/tests/deadlines.rs
+++ b/crates/broker/src/upstream/tests/deadlines.rs
@@ -2,8 +2,9 @@
 
 use super::*;
 
-/// If an attempt on an established connection has no time left when it could be written, this shows
-/// nothing about the server. The attempt must not end as timed out or unreachable.
+/// The deadline of an attempt can pass while the attempt waits in the send queue of an established
+/// connection. This shows nothing about the server, so the attempt must not end as timed out or
+/// unreachable.
 #[test]
 fn attempt_that_expires_before_it_is_written_ends_as_not_sent() {
     let mut pools = TestPools::new(limits());
@@ -21,7 +22,7 @@
 /// An unsent attempt must end at the time after which it must no longer be sent. An attempt that
 /// was sent before must remain in flight until its deadline.
 #[test]
-fn attempt_ends_after_its_send_period_unless_it_was_sent() {
+fn unsent_attempt_ends_at_its_send_limit_and_sent_attempt_at_its_deadline() {
     let mut pools = TestPools::new(limits());
     pools.send(START, attempts_of(1).send_before(at(SECOND / 2)));
     pools.send(START, attempts_of(2).send_before(at(SECOND / 2)));
@@ -46,7 +47,11 @@
     });
     pools.send(at(HOUR), attempts_of(1).parts(2).deadline(Timestamp::MAX));
     pools.write_frame(CONNECTION_0);
-    pools.on_connection_event(at(HOUR), CONNECTION_0, ConnectionEvent::FrameStarted);
+    pools.on_connection_event(
+        at(HOUR),
+        CONNECTION_0,
+        ConnectionEvent::PartialFrameReceived,
+    );
     assert_eq!(pools.next_deadline(), Some(Timestamp::MAX));
     pools.cancel(at(2 * HOUR), attempt(1, 0));
     pools.receive_response(at(2 * HOUR), CONNECTION_0, "q1.1");
--- a/crates/broker/src/upstream/tests/responses.rs
+++ b/crates/broker/src/upstream/tests/responses.rs
@@ -1,11 +1,11 @@
-//! Valid and invalid responses.
+//! Invalid, surplus, late and incomplete responses.
 
 use super::*;
 use server_protocol::InvalidFrame;
 
-/// A server that responds to a part that is not in flight has sent this response in place of
-/// another one, which will not arrive: its attempt must not wait until its deadline. This must
-/// count as one failure of the server, however many attempts are in flight, and not as a failure of
+/// If a server responds to a part that is not in flight, the response to one of the parts in flight
+/// will not arrive, and the attempt at that part must not wait until its deadline. However many
+/// attempts are in flight, this must count as one failure of the server and not as a failure of
 /// their queries.
 #[test]
 fn invalid_response_fails_one_attempt_and_closes_its_connection() {
@@ -34,7 +34,7 @@
 fn surplus_data_after_a_valid_response_closes_the_connection_and_fails_no_attempt() {
     for surplus in [
         response("q1.0"),
-        ConnectionEvent::FrameStarted,
+        ConnectionEvent::PartialFrameReceived,
         ConnectionEvent::FrameInvalid(InvalidFrame::UnknownKind),
     ] {
         let mut pools = TestPools::new(limits());
@@ -84,20 +84,19 @@
 }
 
 /// If the length of a frame is wrong, the rest of the frame may never arrive. The attempt must end
-/// after the maximum stall time and not wait until its deadline.
+/// after the maximum stall time, which is the dial timeout, and not wait until its deadline.
 #[test]
 fn frame_that_makes_no_progress_is_invalid() {
+    let max_stall = limits().dial_timeout;
     let mut pools = TestPools::new(limits());
     pools.send(START, attempts_of(1));
     pools.write_frame(CONNECTION_0);
-    pools.on_connection_event(at_micros(10), CONNECTION_0, ConnectionEvent::FrameStarted);
-    assert_eq!(
-        pools.next_deadline(),
-        Some(at_micros(10) + limits().dial_timeout)
-    );
-    pools.close_expired_connections(at_micros(9) + limits().dial_timeout);
+    let event = ConnectionEvent::PartialFrameReceived;
+    pools.on_connection_event(at_micros(10), CONNECTION_0, event);
+    assert_eq!(pools.next_deadline(), Some(at_micros(10) + max_stall));
+    pools.close_expired_connections(at_micros(9) + max_stall);
     assert_eq!(pools.open_connections(), 1);
-    pools.close_expired_connections(at_micros(10) + limits().dial_timeout);
+    pools.close_expired_connections(at_micros(10) + max_stall);
     assert_eq!(pools.take_outcomes(at(SECOND / 2)), [Outcome::Error]);
     assert_eq!(pools.open_connections(), 0);
 }
--- a/crates/broker/src/upstream/timeouts.rs
+++ b/crates/broker/src/upstream/timeouts.rs
@@ -6,10 +6,10 @@
 use broker_types::limits::PoolLimits;
 use std::time::Duration;
 
-/// Maximum silence of a connection, in multiples of the dial timeout. If nothing was received since
-/// an attempt was assigned, for this time or longer, and the attempt is then cancelled or times
-/// out, its connection is no longer used. A severed link leaves connections open and silent, and
-/// TCP does not detect this.
+/// Maximum silence of a connection, in multiples of the dial timeout. If an attempt is cancelled or
+/// times out at least this time after its assignment, and its connection has received nothing since
+/// the assignment, the connection is used for no further attempts. A severed link leaves
+/// connections open and silent, and TCP does not detect this.
 const MAX_SILENCE_DIAL_TIMEOUTS: u32 = 2;
 
 /// Maximum idle time of a connection, as a percentage of the servers' idle timeout. The broker
