--- a/crates/load-generator/src/direct.rs
+++ b/crates/load-generator/src/direct.rs
@@ -46,7 +46,9 @@
         })
     }
 
-    /// Sends all parts of a query in one call and waits for the response to each.
+    /// Sends all parts of a query in one call and waits for the response to each. The result is
+    /// always a complete answer, because the client does not check the outcomes of the parts: it is
+    /// the baseline of measurements, in which data servers have no faults.
     pub(crate) async fn send_query(
         &mut self,
         query: &LoadQuery,
--- a/crates/load-generator/src/open_loop/recorder.rs
+++ b/crates/load-generator/src/open_loop/recorder.rs
@@ -14,7 +14,7 @@
 /// Number of significant decimal digits that the histogram keeps of a latency.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Report of a load that is still running.
+/// Records the outcomes of a load's queries while the load runs.
 pub(super) struct Recorder {
     report: RefCell<LoadReport>,
     /// End of the warm-up. Queries that were due earlier are not counted.
@@ -42,7 +42,7 @@
 
     /// Records the outcome of a query that was due at `due` and has just ended. Has no effect if
     /// the query was due during the warm-up, or if it ended more than [`ANSWER_GRACE`] after the
-    /// load.
+    /// end of the load.
     pub(super) fn record(&self, due: Instant, outcome: &QueryOutcome) {
         if due < self.counted_from || Instant::now() > self.counted_until {
             return;
--- a/crates/load-generator/src/raw_http2.rs
+++ b/crates/load-generator/src/raw_http2.rs
@@ -1,5 +1,5 @@
-//! HTTP/2 client for tests whose frames the caller writes, so that it can break the rules of
-//! RFC 9113. HTTP libraries do not permit that.
+//! HTTP/2 client for tests. The test writes each frame itself and can therefore break the rules of
+//! RFC 9113, which HTTP libraries do not permit.
 //!
 //! If an expected frame does not arrive, the client panics and names the frames that did.
 
@@ -53,7 +53,7 @@
     Ended,
 }
 
-/// HTTP/2 connection whose frames the caller writes.
+/// HTTP/2 connection on which the caller writes each frame itself.
 pub struct RawHttp2Client {
     stream: TcpStream,
     /// Received bytes that are not decoded as frames yet.
@@ -87,7 +87,7 @@
     ///
     /// # Panics
     ///
-    /// Panics if the connection cannot be established.
+    /// Panics if the connection cannot be established, or fails before all bytes are sent.
     #[must_use]
     pub fn connect_with_preface(address: SocketAddr) -> RawHttp2Client {
         let mut client = RawHttp2Client::connect(address);
@@ -187,8 +187,8 @@
         frames
     }
 
-    /// Reads until the connection ends, and returns all bytes that were not decoded as frames. They
-    /// are converted to text.
+    /// Reads until the connection ends, and returns as text all bytes that were not decoded as
+    /// frames. A listener that expects another protocol may respond in the text of HTTP/1.1.
     ///
     /// # Panics
     ///
--- a/crates/load-generator/src/wire.rs
+++ b/crates/load-generator/src/wire.rs
@@ -1,4 +1,5 @@
-//! All names that clients and a broker have in common.
+//! The protocol between clients and a broker: names of header fields and JSON fields, and the
+//! values that all queries of this package have in common.
 
 use serde::Serialize;
 
--- a/crates/load-generator/tests/raw_http2.rs
+++ b/crates/load-generator/tests/raw_http2.rs
@@ -15,14 +15,16 @@
 
 #[test]
 fn status_is_decoded_from_static_table_literal_and_huffman_code() {
+    // Entry 8 of the static table: `:status: 200`.
     assert_eq!(response_status(&headers(&[0x88])), 200);
+    // A literal without indexing, with the name of entry 8 and a value of 3 bytes.
     assert_eq!(response_status(&headers(b"\x08\x03429")), 429);
     // "502" in the Huffman code of RFC 7541, appendix B: 011011, 00000 and 00010.
     assert_eq!(
         response_status(&headers(&[0x08, 0x82, 0b0110_1100, 0b0000_0010])),
         502
     );
-    // The block starts with an update of the dynamic table's size.
+    // An update of the dynamic table's size precedes entry 12, `:status: 400`.
     assert_eq!(response_status(&headers(&[0x20, 0x8c])), 400);
 }
 
