--- a/crates/test-fleet/src/attempt_log/violation.rs
+++ b/crates/test-fleet/src/attempt_log/violation.rs
@@ -14,7 +14,8 @@
         /// Number of attempts that arrived.
         received: u64,
     },
-    /// An attempt arrived at a draining server after the grace period.
+    /// An attempt arrived at a draining server after the grace period that follows the publication
+    /// of the drain.
     #[error(
         "part {part_id} was sent to draining server {server} {delay_ms} ms after the drain was \
          published; the maximum is {max_delay_ms} ms"
@@ -71,7 +72,7 @@
     },
 }
 
-/// What a group of attempts has in common, of which only one may be in flight at a time.
+/// Part, or shard under an idempotency key, for which only one attempt may be in flight at a time.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AttemptSubject {
     /// The part with this id.
--- a/crates/test-fleet/src/deployment.rs
+++ b/crates/test-fleet/src/deployment.rs
@@ -15,7 +15,7 @@
     pub cells: usize,
     /// Number of shards. With n cells, each cell holds every n-th shard.
     pub shards: usize,
-    /// Maximum number of queries in flight, and also of parts in flight.
+    /// Maximum number of queries and parts in flight, counted together.
     pub max_in_flight: usize,
     /// Maximum number of parts in a call.
     pub max_parts_per_call: usize,
--- a/crates/test-fleet/src/discovery.rs
+++ b/crates/test-fleet/src/discovery.rs
@@ -180,8 +180,8 @@
         Ok(())
     }
 
-    /// Returns the response to a request, after its watch. A path other than that of the endpoint
-    /// list gets status 404.
+    /// Waits until the watch of a request has ended, and returns the response. A request without a
+    /// watch is answered immediately. A path other than that of the endpoint list gets status 404.
     async fn respond(&self, request: &Request<Vec<u8>>) -> Response<Vec<u8>> {
         if request.uri().path() != LIST_PATH {
             let mut response = Response::new(Vec::new());
--- a/crates/test-fleet/src/fleet.rs
+++ b/crates/test-fleet/src/fleet.rs
@@ -127,11 +127,11 @@
     ///
     /// # Panics
     ///
-    /// Panics if the fleet has no server with this number.
+    /// Panics if the fleet has no server with this index.
     pub fn drain(&self, server: usize) {
         assert!(
             server < self.servers.len(),
-            "expected the number of a server below {}, found {server}",
+            "expected the index of a server below {}, found {server}",
             self.servers.len()
         );
         self.send(FleetCommand::Drain(server));
@@ -143,15 +143,17 @@
     ///
     /// # Panics
     ///
-    /// Panics if the fleet has no server with this number.
+    /// Panics if the fleet has no server with this index.
     pub fn kill(&self, server: usize) {
         self.servers[server].set_fault(Fault::Down);
         self.send(FleetCommand::Kill(server));
     }
 
     /// Restarts a killed server, which then warms up. The endpoint list contains its new start
-    /// time. Has no effect on a server that is not down, or while its closing connections still
-    /// occupy its address. `server` is the index of the server in [`Fleet::servers`].
+    /// time. `server` is the index of the server in [`Fleet::servers`].
+    ///
+    /// Has no effect on a server that is not down. Also has no effect if the server's address
+    /// cannot be bound yet, because its earlier connections are still being closed.
     pub fn restart(&self, server: usize) {
         self.send(FleetCommand::Restart(server));
     }
--- a/crates/test-fleet/src/fleet/runtime.rs
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -16,7 +16,9 @@
 /// Time between two measurements of the thread's lag.
 const LAG_MEASUREMENT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Command for the fleet's thread. Each contains the number of a server.
+/// Command for the fleet's thread. Each contains the index of a server in [`Fleet::servers`].
+///
+/// [`Fleet::servers`]: super::Fleet::servers
 pub(super) enum FleetCommand {
     /// Publish in the endpoint list that the server drains.
     Drain(usize),
--- a/crates/test-fleet/src/server.rs
+++ b/crates/test-fleet/src/server.rs
@@ -60,10 +60,12 @@
         lock(&self.attempt_log)
     }
 
+    /// Adds one to the number of parts in flight.
     fn part_started(&self) {
         self.parts_in_flight.set(self.parts_in_flight.get() + 1);
     }
 
+    /// Subtracts one from the number of parts in flight.
     fn part_ended(&self) {
         self.parts_in_flight
             .set(self.parts_in_flight.get().saturating_sub(1));
@@ -89,11 +91,11 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Closes a connection. The peer receives a reset if the connection has unread bytes from it, and
-/// an ordinary close otherwise.
+/// Closes a connection, with a reset if possible. The system resets a connection that is closed
+/// while received bytes are unread; without unread bytes the peer receives an ordinary close.
 fn reset(stream: &Async<TcpStream>) {
-    // The standard library does not offer SO_LINGER, with which each connection could be reset. The
-    // system resets a connection that is closed while received bytes are unread.
+    // The option SO_LINGER would reset the connection in both cases, but the standard library does
+    // not offer it.
     let _ = stream.get_ref().shutdown(Shutdown::Both);
 }
 
