--- a/crates/query-broker/src/bench/broker_build.rs
+++ b/crates/query-broker/src/bench/broker_build.rs
@@ -5,10 +5,10 @@
 use std::path::PathBuf;
 use test_fleet::{BrokerProcess, Deployment, Fleet, FleetPlan};
 
-/// Maximum number of queries and parts in flight, which no measurement reaches.
+/// Maximum number of queries and parts in flight, counted together. No measurement reaches it.
 const MAX_IN_FLIGHT: usize = 20_000;
 
-/// The broker's memory limit in MB, which no measurement reaches.
+/// The broker's memory limit in MB. No measurement reaches it.
 const MEMORY_LIMIT_MB: usize = 1024;
 
 /// The listeners of a build.
--- a/crates/query-broker/src/bench/memory.rs
+++ b/crates/query-broker/src/bench/memory.rs
@@ -1,5 +1,5 @@
-//! Measures the memory that the broker uses for a request whose head has arrived and whose body has
-//! not, over both listeners.
+//! Measures the memory that the broker uses for an incomplete request, whose head has arrived and
+//! whose body has not. Each measurement uses either the HTTP/1.1 or the HTTP/2 listener.
 
 use super::broker_build::{BrokerBuild, Pacing};
 use super::error::BenchError;
@@ -70,7 +70,7 @@
         let client = self
             .http2
             .last()
-            .expect("the first stream opens a connection");
+            .expect("a connection should be open, because the first stream opens one");
         let stream = client.open_without_body(&request).await;
         self.streams.push(stream.map_err(io::Error::other)?);
         Ok(())
--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -26,6 +26,8 @@
         match read_text(file) {
             Err(error) => CheckResult::Unreadable(error),
             Ok(text) => match parse(&file.display().to_string(), &text) {
+                // `parse` fails only with at least one error. An empty list would mean a valid
+                // file, as in the JSON report.
                 Err(errors) if !errors.errors.is_empty() => CheckResult::Invalid(errors),
                 _ => CheckResult::Valid,
             },
@@ -56,8 +58,8 @@
     result.exit_code()
 }
 
-/// Prints to standard output. A write error is ignored: that the reader of a pipe has closed it does
-/// not change the result of the check.
+/// Prints to standard output. A write error is ignored: it can occur because the reader of a pipe has
+/// closed the pipe, which does not change the result of the check.
 fn print(text: &str) {
     let _ = std::io::stdout().write_all(text.as_bytes());
 }
@@ -131,7 +133,7 @@
     format!("{name:<24} {argument:<38} {effect:<20} {description}\n")
 }
 
-/// Returns the table's text for when a change of a keyword takes effect.
+/// Returns the text in the table's column `change takes effect`.
 fn effect_name(effect: Effect) -> &'static str {
     match effect {
         Effect::Immediate => "immediately",
--- a/crates/query-broker/src/configuration.rs
+++ b/crates/query-broker/src/configuration.rs
@@ -27,8 +27,8 @@
 
 impl Configuration {
     /// Loads the operator's file, if a path is given, and then the platform's file, whose path is
-    /// in the environment variable `RELAY_CONFIG`. The operator's log settings are applied between
-    /// the two, so that they hold for an error in the platform's file too.
+    /// in the environment variable `RELAY_CONFIG`. The operator's log settings are applied before
+    /// the platform's file is read, so that an error in that file is logged with these settings.
     ///
     /// # Errors
     ///
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -14,8 +14,8 @@
 /// Runs a broker with the configuration that `load` returns, and calls `started` with the addresses
 /// for clients once the broker listens on them.
 ///
-/// `load` is called after the signal handlers are installed. A SIGHUP that arrives before that
-/// ends the program.
+/// The signal handlers are installed before `load` is called. A SIGHUP that arrives before they are
+/// installed ends the program, which is the default effect of the signal.
 pub(crate) fn run_with(
     load: impl FnOnce() -> Result<Configuration, ConfigurationError>,
     started: impl FnOnce(ListenAddresses),
--- a/crates/query-broker/tests/http2/fixture.rs
+++ b/crates/query-broker/tests/http2/fixture.rs
@@ -23,7 +23,7 @@
 /// Interval at which the attempt log is polled.
 const ATTEMPT_POLL_INTERVAL: Duration = Duration::from_millis(1);
 
-/// Interval at which connects are repeated until the broker accepts none.
+/// Time between two checks of whether the broker still accepts connections.
 const CONNECT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// A running broker with its fleet.
@@ -87,12 +87,12 @@
         Http1Client::connect(self.broker.http1).await.unwrap()
     }
 
-    /// Connects a client that sends single frames, and sends the preface and SETTINGS.
+    /// Connects a client with which the test writes single frames, and sends its preface and SETTINGS.
     pub(crate) fn connect_raw(&self) -> RawHttp2Client {
         RawHttp2Client::connect_with_preface(self.http2_address())
     }
 
-    /// Connects a client that sends single frames, and sends nothing yet.
+    /// Connects a client with which the test writes single frames. Sends neither preface nor SETTINGS.
     pub(crate) fn connect_silent(&self) -> RawHttp2Client {
         RawHttp2Client::connect(self.http2_address())
     }
@@ -111,13 +111,17 @@
         }
     }
 
-    /// Waits until the client has received the broker's SETTINGS. They are the first frame that a
-    /// server sends (RFC 9113, section 3.4), so that they have arrived once a response has.
+    /// Waits until the client has received the broker's SETTINGS. A server sends SETTINGS as its first
+    /// frame (RFC 9113, section 3.4), so this waits for the response to any request.
     pub(crate) async fn wait_for_settings(&self, http2: &Http2Client) {
         let ready = http::Request::get("http://broker.svc/-/ready");
         let response = http2.send(&ready.body(Vec::new()).unwrap()).await.unwrap();
         assert_eq!(response.status(), 200);
-        assert_ne!(http2.peer_stream_limit(), usize::MAX);
+        assert_ne!(
+            http2.peer_stream_limit(),
+            usize::MAX,
+            "expected the stream limit of the broker's SETTINGS, found the value before SETTINGS"
+        );
     }
 
     /// Returns the number of attempts that the data servers have received.
@@ -148,7 +152,7 @@
         while TcpStream::connect(self.http2_address()).is_ok() {
             assert!(
                 Instant::now() < until,
-                "the HTTP/2 listener still accepts connections"
+                "expected the HTTP/2 listener to refuse connections within {WAIT_TIMEOUT:?}"
             );
             std::thread::sleep(CONNECT_POLL_INTERVAL);
         }
@@ -161,8 +165,8 @@
         assert_eq!(answer, complete_answer(&[shard]), "{id}");
     }
 
-    /// Checks that the attempts that the data servers have received violate no invariant, such as the
-    /// limits of [`AttemptLimits`].
+    /// Checks that the attempts that the data servers have received follow all rules for a broker's
+    /// attempts, with the default [`AttemptLimits`].
     pub(crate) fn check_invariants(&self) {
         let violations = self
             .fleet
@@ -193,8 +197,8 @@
     LoadQuery::new(id, "lookup", shards)
 }
 
-/// Returns the HEADERS frame of a query, whose body has to follow. `changes` replaces or adds header
-/// fields; an empty value leaves the field out.
+/// Returns the HEADERS frame of a query. It does not end the stream: the caller sends the body in DATA
+/// frames. `changes` replaces or adds header fields; an empty value leaves the field out.
 pub(crate) fn query_headers(stream: u32, id: &str, changes: &[(&str, &str)]) -> Vec<u8> {
     encode_frame(HEADERS, END_HEADERS, stream, &query_fields(id, changes))
 }
--- a/crates/query-broker/tests/http2/graceful_shutdown.rs
+++ b/crates/query-broker/tests/http2/graceful_shutdown.rs
@@ -87,7 +87,7 @@
     assert_eq!(
         (reset.stream_id, reset.error_code()),
         (3, 7),
-        "REFUSED_STREAM"
+        "expected REFUSED_STREAM on the stream of the late query"
     );
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
     raw.frames_until_close(CLOSE_TIMEOUT);
--- a/crates/query-broker/tests/http2/idempotency_keys.rs
+++ b/crates/query-broker/tests/http2/idempotency_keys.rs
@@ -1,5 +1,5 @@
 //! Tests of idempotency keys: a client cancels a query and sends another with the same key. Guards
-//! against running a part twice that must be run at most once.
+//! against a part that is executed twice although it must be executed at most once.
 
 use crate::fixture::{Fixture, complete_answer};
 use load_generator::{Http2Client, LoadQuery, QueryOutcome};
@@ -44,8 +44,12 @@
     fixture.run(async {
         let http2 = fixture.connect().await;
         send_and_cancel(&fixture, &http2, Duration::from_millis(3000)).await;
-        let QueryOutcome::Rejected(Some(after)) = http2.send_query(&save("b", "k1")).await else {
-            panic!("the query with the key of a running attempt was not rejected")
+        let repeated = http2.send_query(&save("b", "k1")).await;
+        let QueryOutcome::Rejected(Some(after)) = repeated else {
+            panic!(
+                "expected a rejection with Retry-After, since an attempt with the same key may \
+                 run; found {repeated:?}"
+            )
         };
         assert!(
             after > 0.0 && after <= 3.0,
@@ -73,6 +77,7 @@
         send_and_cancel(&fixture, &http2, Duration::from_millis(800)).await;
         let sent = fixture.attempt_count();
         fixture.set_fault(Fault::None);
+        // The deduplication window is 5 s; the client timeout of the first query is over before.
         async_io::Timer::after(Duration::from_millis(5100)).await;
         assert_eq!(
             http2.send_query(&save("b", "k1")).await,
--- a/crates/query-broker/tests/http2/operator_reload.rs
+++ b/crates/query-broker/tests/http2/operator_reload.rs
@@ -7,7 +7,8 @@
 /// `SETTINGS_MAX_CONCURRENT_STREAMS` (RFC 9113, section 6.5.2).
 const MAX_CONCURRENT_STREAMS: [u8; 2] = [0, 3];
 
-/// Time after which the log has another line for the same event; it has at most one a second.
+/// Time between two reloads. The log has at most one line a second for the same event, so a shorter
+/// time could leave out a line for which the test waits.
 const LOG_INTERVAL: Duration = Duration::from_millis(1100);
 
 /// Returns the stream limit in the SETTINGS of a new connection.
@@ -32,9 +33,9 @@
     fixture.broker.wait_for_log(log_text).unwrap();
 }
 
-/// A valid file takes effect for new connections. Guards against a file that takes effect in part: one
-/// that has an error, needs more resources than the platform grants, or changes a keyword that needs a
-/// restart, is logged and leaves the stream limit unchanged.
+/// A valid file takes effect for new connections. Guards against a file of which only a part takes
+/// effect. A file must leave the stream limit unchanged, and the reason must be logged, if the file has
+/// an error, needs more resources than the platform grants, or changes a keyword that needs a restart.
 #[test]
 fn operator_config_is_reloaded_completely_or_not_at_all() {
     let mut fixture = Fixture::with_part_duration(Duration::ZERO);
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -143,7 +143,8 @@
 }
 
 impl QuotaRun {
-    /// Starts a broker that may have 90 queries and parts in flight, and runs the clients.
+    /// Starts a broker that may have 90 queries and parts in flight, counted together, and runs the
+    /// clients.
     fn run() -> Self {
         let deployment = Deployment {
             max_in_flight: 90,
@@ -242,7 +243,7 @@
     assert_eq!(
         (reset.stream_id, reset.error_code()),
         (5, 7),
-        "REFUSED_STREAM"
+        "expected REFUSED_STREAM on the third stream"
     );
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
     // No stream of a client that keeps to the limit is refused.
--- a/crates/query-broker/tests/scenarios/broker_process.rs
+++ b/crates/query-broker/tests/scenarios/broker_process.rs
@@ -24,13 +24,15 @@
     address: SocketAddr,
     /// Path of the configuration file.
     file: PathBuf,
-    /// The configuration that the program was started with, after [`Self::replace_discovery`].
+    /// The configuration at the start, with the address of discovery that
+    /// [`Self::replace_discovery`] has set last.
     config: Value,
 }
 
 impl BrokerProcess {
-    /// Starts the program with this configuration file, and waits until it listens. The environment
-    /// overrides the address of discovery with `discovery`.
+    /// Writes `config` to a file, starts the program with it, and waits until the program listens. The
+    /// environment variable `RELAY_DISCOVERY` overrides the address of discovery in the file with
+    /// `discovery`.
     pub(crate) fn start(config: Value, discovery: SocketAddr) -> Self {
         let file = std::env::temp_dir().join(format!(
             "query-broker-{}-{discovery}.json",
@@ -78,7 +80,7 @@
         while TcpStream::connect(self.address).is_ok() {
             assert!(
                 Instant::now() < until,
-                "the broker still accepts connections"
+                "expected the broker to refuse connections within {WAIT_TIMEOUT:?}"
             );
         }
     }
@@ -107,9 +109,15 @@
         let until = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
-                return assert!(status.success(), "expected success, found {status}");
+                return assert!(
+                    status.success(),
+                    "expected the broker to exit with success, found {status}"
+                );
             }
-            assert!(Instant::now() < until, "the process did not exit in time");
+            assert!(
+                Instant::now() < until,
+                "expected the broker to exit within {WAIT_TIMEOUT:?}, but it is running"
+            );
             std::thread::sleep(EXIT_POLL);
         }
     }
@@ -120,7 +128,10 @@
             .args(["-c", &format!("kill -s {name} {}", self.child.id())])
             .status()
             .unwrap();
-        assert!(sent.success());
+        assert!(
+            sent.success(),
+            "cannot send SIG{name} to the broker: kill ended with {sent}"
+        );
     }
 
     /// Replaces the configuration file with one that has this address of discovery.
--- a/crates/query-broker/tests/scenarios/connection.rs
+++ b/crates/query-broker/tests/scenarios/connection.rs
@@ -44,7 +44,10 @@
                     return Connection::new(stream);
                 }
             }
-            assert!(Instant::now() < until, "the broker did not connect in time");
+            assert!(
+                Instant::now() < until,
+                "expected the broker to connect within {WAIT_TIMEOUT:?}"
+            );
             std::thread::sleep(ACCEPT_POLL);
         }
     }
--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -34,6 +34,7 @@
     /// Delays further connections: fills the listener's queue, upon which the system no longer
     /// answers connection requests.
     pub(crate) fn delay_connections(&mut self) {
+        // With a backlog of 0 the queue holds a single connection.
         rustix::net::listen(&self.listener, 0).unwrap();
         let address = self.listener.local_addr().unwrap();
         self.queue_filler = Some(TcpStream::connect(address).unwrap());
@@ -46,7 +47,7 @@
         self.queue_filler = None;
     }
 
-    /// Returns the end of the addresses in `/proc/net/tcp` that have this server's port.
+    /// Returns the text with which an address in `/proc/net/tcp` ends if it has this server's port.
     fn port_suffix(&self) -> String {
         format!(":{:04X}", self.listener.local_addr().unwrap().port())
     }
@@ -67,7 +68,8 @@
         }
         assert!(
             Instant::now() < until,
-            "no connection to any of these servers is waiting to be established"
+            "expected a requested connection to one of the ports {ports:?} (hexadecimal) that is not \
+             established yet, found none within {WAIT_TIMEOUT:?}"
         );
         std::thread::sleep(CONNECTING_POLL);
     }
@@ -80,6 +82,8 @@
         PartOutcome::Error => ("bad", ""),
         PartOutcome::Overloaded => ("later", ""),
     };
+    // After the outcome come a score of 7 and the load report. The broker uses only the entry `rif`,
+    // the number of requests in flight at the server.
     let text = format!("q{part} {outcome} 7 rif=1,rate=2\n{value}");
     let length = u32::try_from(text.len()).expect("a script's value is short");
     let mut bytes = length.to_be_bytes().to_vec();
@@ -117,12 +121,16 @@
 }
 
 /// Returns the ids of a call's parts, and checks that each part has a time left and the query's text
-/// unchanged.
+/// unchanged. A part has the form `ID SHARD OPTIONS LENGTH`, a line break and the text. The option `d`
+/// is the time left in milliseconds, and 8 is the length of the text.
 fn called_parts(mut rest: &str) -> Vec<String> {
     let mut ids = Vec::new();
     while let Some((line, text)) = rest.split_once('\n') {
         ids.push(line.split(' ').next().unwrap().to_owned());
-        assert!(line.ends_with(" 8") && line.contains(" d="), "{line}");
+        assert!(
+            line.ends_with(" 8") && line.contains(" d="),
+            "expected a part with the option d and a text of 8 bytes, found {line:?}"
+        );
         rest = text.strip_prefix("c41e77d0").unwrap();
     }
     ids
--- a/crates/query-broker/tests/scenarios/main.rs
+++ b/crates/query-broker/tests/scenarios/main.rs
@@ -14,11 +14,13 @@
 //!
 //! ```text
 //! servers N                         N data servers, each of which holds all four shards; default 1
-//! max-in-flight N                   maximum number of queries and parts in flight
+//! max-in-flight N                   maximum number of queries and parts in flight, counted together
 //! max-sockets N                     maximum number of file descriptors
 //! set POINTER JSON                  replaces a value of the policy's settings, given by its JSON pointer
 //!
 //! send cN query ID CLASS SHARDS DEADLINE
+//!                                   sends a query for SHARDS, separated by commas; DEADLINE is the time for
+//!                                   which the client waits, such as 2500m for 2500 milliseconds
 //! send PEER raw TEXT                sends TEXT, with \r and \n replaced; `*N` at the end stands for N times the
 //!                                   character before it
 //! send sN value PART VALUE          ends an attempt at a part with its value
--- a/crates/query-broker/tests/scenarios/parser/arguments.rs
+++ b/crates/query-broker/tests/scenarios/parser/arguments.rs
@@ -118,7 +118,7 @@
     words.iter().map(|word| (*word).to_owned()).collect()
 }
 
-/// Returns the text behind the word `raw`, up to the end of the line.
+/// Returns the text after the word `raw`, up to the end of the line.
 pub(super) fn raw_text(line: &str) -> Result<&str, LineError> {
     line.split_once(" raw ")
         .map(|(_, text)| text)
--- a/crates/query-broker/tests/scenarios/parser/line_error.rs
+++ b/crates/query-broker/tests/scenarios/parser/line_error.rs
@@ -5,8 +5,8 @@
 /// The reason why a line of a script is rejected.
 #[derive(Debug, Error, PartialEq)]
 pub(crate) enum LineError {
-    /// The line has the form of no step.
-    #[error("no step has the form of {0:?}")]
+    /// The line is neither a setting nor a step.
+    #[error("expected a setting or a step, found {0:?}")]
     UnknownStep(String),
     /// An argument cannot be parsed.
     #[error("expected {expected}, found {found:?}")]
@@ -14,8 +14,9 @@
         expected: &'static str,
         found: String,
     },
-    /// A setting stands behind a step, when the program has already been started.
-    #[error("a setting after the first step has no effect, since the program is already running")]
+    /// A setting follows a step. The program is started with all settings before the first step is
+    /// run.
+    #[error("expected all settings before the first step, found a setting after it")]
     SettingAfterStep,
     /// A step names a data server that the script does not have.
     #[error("s{server} does not exist: the script has {servers} data servers, numbered from s0")]
--- a/crates/query-broker/tests/scenarios/parser/step.rs
+++ b/crates/query-broker/tests/scenarios/parser/step.rs
@@ -8,8 +8,8 @@
 use crate::script::{EndpointUpdate, Expectation, NewConfig, PartOutcome, Query, Step};
 use std::time::Duration;
 
-/// Parses a step from the words of a line. `line` is the whole line, from which the text of `raw` is
-/// taken with its spaces.
+/// Parses a step from the words of a line. `line` is the whole line: the text after `raw` is taken from
+/// it, because the words no longer contain its spaces.
 pub(super) fn parse_step(words: &[&str], line: &str) -> Result<Step, LineError> {
     match words {
         ["send", rest @ ..] => parse_send(rest, line),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Parses the words behind `send`.
+/// Parses the words after `send`.
 fn parse_send(words: &[&str], line: &str) -> Result<Step, LineError> {
     match words {
         [peer, "raw", ..] => Ok(Step::SendRaw(peer.parse()?, unescape(raw_text(line)?)?)),
@@ -78,7 +78,7 @@
     }
 }
 
-/// Parses the words behind `expect`.
+/// Parses the words after `expect`.
 fn parse_expectation(words: &[&str], line: &str) -> Result<Expectation, LineError> {
     match words {
         ["exit"] => Ok(Expectation::Exit),
--- a/crates/query-broker/tests/scenarios/parser_tests.rs
+++ b/crates/query-broker/tests/scenarios/parser_tests.rs
@@ -15,7 +15,7 @@
     let error = parse("# A comment.\n\nexpect exit\nexpect miracle\n").unwrap_err();
     assert_eq!(
         error.to_string(),
-        "some.txt:4: no step has the form of \"expect miracle\""
+        "some.txt:4: expected a setting or a step, found \"expect miracle\""
     );
 }
 
--- a/crates/query-broker/tests/scenarios/script.rs
+++ b/crates/query-broker/tests/scenarios/script.rs
@@ -20,7 +20,7 @@
 pub(crate) struct Settings {
     /// Number of data servers, each of which holds all four shards.
     pub(crate) servers: usize,
-    /// Maximum number of queries and parts in flight; `None` for the default.
+    /// Maximum number of queries and parts in flight, counted together; `None` for the default.
     pub(crate) max_in_flight: Option<u64>,
     /// Maximum number of file descriptors; `None` for the default.
     pub(crate) max_sockets: Option<u64>,
