--- a/crates/query-broker/src/bench/measurements.rs
+++ b/crates/query-broker/src/bench/measurements.rs
@@ -12,7 +12,7 @@
 /// Maximum number of queries in flight under a steady load.
 const STEADY_CONCURRENCY: usize = 256;
 
-/// The way on which queries reach the data servers, and the number of client connections.
+/// The route of queries to the data servers, and the number of client connections.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Route {
     /// From the client to a data server, without a broker.
@@ -37,7 +37,7 @@
 /// A measurement of latency, throughput and processor time.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LoadMeasurement {
-    /// The way on which queries reach the data servers.
+    /// The route of queries to the data servers.
     pub(super) route: Route,
     /// What determines the time between two iterations of the broker's event loop.
     pub(super) pacing: Pacing,
--- a/crates/query-broker/src/bench/mod.rs
+++ b/crates/query-broker/src/bench/mod.rs
@@ -18,8 +18,8 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// Duration of the load that precedes a measurement and is left out of its figures, as a share of
-/// the measurement's duration.
+/// Duration of the warm-up as a share of a measurement's duration. The warm-up is left out of the
+/// figures. It precedes a measurement of load, and is the first part of a measurement of a flood.
 const WARM_UP_SHARE: f64 = 0.2;
 
 /// Runs all measurements, prints their figures and returns the exit code of the program.
@@ -65,7 +65,8 @@
 }
 
 /// Runs all measurements that suit the build, one after another. `duration` is the length of each
-/// measurement of load or of a flood, without the start of the processes and the warm-up.
+/// measurement of load or of a flood, without the start of the processes. It includes the warm-up
+/// of a flood, but not that of a load.
 fn measure_all(build: &BrokerBuild, duration: Duration) -> Result<Results, BenchError> {
     let loads = measurements::load_measurements(build.listeners);
     let memory = measurements::memory_measurements(build.listeners);
--- a/crates/query-broker/tests/http2/fault_injection.rs
+++ b/crates/query-broker/tests/http2/fault_injection.rs
@@ -1,6 +1,7 @@
 //! A test with many concurrent queries under injected faults. Three connections have a hundred streams
-//! each; clients reset random streams, data servers fail, and one is drained in the middle, all by a
-//! seed. Guards against queries that never end or end twice, for the client or at the data servers.
+//! each. Clients reset random streams, data servers fail, and one is drained in the middle; a seed
+//! determines the random choices. Guards against queries that never end or end twice, for the client
+//! or at the data servers.
 
 use crate::fixture::Fixture;
 use async_io::Timer;
@@ -189,9 +190,10 @@
 /// enough were reset for the run to be meaningful.
 fn check_ends(fixture: &mut Fixture, ends: &BTreeMap<String, Vec<QueryEnd>>) {
     assert_eq!(ends.len(), CONNECTIONS * STREAMS * QUERIES_PER_STREAM);
+    let ended_repeatedly: Vec<_> = ends.iter().filter(|(_, ends)| ends.len() != 1).collect();
     assert!(
-        ends.values().all(|ends| ends.len() == 1),
-        "a query ended twice for its client"
+        ended_repeatedly.is_empty(),
+        "expected one end of each query for its client, found {ended_repeatedly:?}"
     );
     let mut counts: BTreeMap<QueryEnd, usize> = BTreeMap::new();
     for ends in ends.values() {
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -14,8 +14,9 @@
 /// Time limit within which the broker has to close a flooded or silent connection.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Floods a connection until the broker closes it, and checks that other clients are served then.
-/// `bytes` returns the next frames by their number. `flood_name` is for messages.
+/// Floods a connection until the broker closes it, and then checks that other clients are served.
+/// `bytes` returns the n-th piece of the flood, counted from 0, which is one frame or a few frames.
+/// `flood_name` is for messages.
 ///
 /// The broker has to close the connection within three seconds. A slow machine needs longer, so the
 /// time limit of the test is far longer; `query-broker bench` shows the real duration.
--- a/crates/query-broker/tests/http2/malformed_requests.rs
+++ b/crates/query-broker/tests/http2/malformed_requests.rs
@@ -105,7 +105,7 @@
     });
 }
 
-/// The scope that the broker ended upon a malformed request.
+/// What the broker has ended because of a malformed request: the stream or the connection.
 enum Rejection {
     OfStream,
     OfConnection,
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -91,7 +91,7 @@
 }
 
 /// When a client resets a stream, the broker must cancel the attempts of its query. Guards against
-/// capacity that is not released: each round then needs the capacity of the round before.
+/// capacity that is not released: each round needs capacity that the round before has used.
 #[test]
 fn reset_cancels_attempts_and_frees_their_capacity() {
     let plan = FleetPlan {
--- a/crates/test-fleet/src/wire.rs
+++ b/crates/test-fleet/src/wire.rs
@@ -1,5 +1,6 @@
-//! All names and formats that the test doubles and a broker have in common, apart from the frames
-//! of data servers.
+//! Names and formats that the test doubles and a broker have in common: those of the platform file,
+//! of the environment variables and of discovery. The frames of data servers are in the package
+//! `server-protocol`.
 
 mod configuration;
 mod discovery;
