--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -91,7 +91,7 @@
 }
 
 /// When a client resets a stream, the broker must cancel the attempts of its query. Guards against
-/// capacity that is not released: each round then needs the capacity of the round before.
+/// capacity that is not released: each round needs capacity that the round before has used.
 #[test]
 fn reset_cancels_attempts_and_frees_their_capacity() {
     let plan = FleetPlan {
@@ -143,7 +143,8 @@
 }
 
 impl QuotaRun {
-    /// Starts a broker that may have 90 queries and parts in flight, and runs the clients.
+    /// Starts a broker that may have 90 queries and parts in flight, counted together, and runs the
+    /// clients.
     fn run() -> Self {
         let deployment = Deployment {
             max_in_flight: 90,
@@ -242,7 +243,7 @@
     assert_eq!(
         (reset.stream_id, reset.error_code()),
         (5, 7),
-        "REFUSED_STREAM"
+        "expected REFUSED_STREAM on the third stream"
     );
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
     // No stream of a client that keeps to the limit is refused.
