--- a/crates/broker/src/discovery/backoff/tests.rs
+++ b/crates/broker/src/discovery/backoff/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn delay_doubles_up_to_its_limit_less_at_most_half_and_restarts_after_reset() {
+fn delay_doubles_up_to_its_limit_with_jitter_of_at_most_half_and_restarts_after_reset() {
     let mut backoff = Backoff::new(Rng::with_seed(7));
     for full_ms in [20, 40, 80, 160, 250, 250] {
         let full = Duration::from_millis(full_ms);
--- a/crates/broker/src/event_loop/configuration.rs
+++ b/crates/broker/src/event_loop/configuration.rs
@@ -28,10 +28,11 @@
     client_resources: ClientResources,
     /// Minimum time from an iteration to the next one if no event occurs in between.
     tick: Duration,
-    /// Rule for the minimum time between the starts of two iterations, in which events are
-    /// gathered.
+    /// Rule for the minimum time between the starts of two iterations. The events that occur during
+    /// this time are handled together in the later iteration.
     batch_window: BatchWindow,
-    /// Time of the next reload; `None` if no reload is requested or has to be repeated.
+    /// Time of the next reload, or of its repetition after a failure. `None` if no reload is
+    /// pending.
     reload_at: Option<Timestamp>,
 }
 
@@ -81,8 +82,8 @@
         self.tick
     }
 
-    /// Returns the rule for the minimum time between the starts of two iterations, in which events
-    /// are gathered.
+    /// Returns the rule for the minimum time between the starts of two iterations. The events that
+    /// occur during this time are handled together in the later iteration.
     pub(super) fn batch_window(&self) -> BatchWindow {
         self.batch_window
     }
@@ -99,9 +100,9 @@
     }
 
     /// Reloads the configuration if a reload was requested, or if the time to repeat a failed
-    /// reload has come, and applies it to the listeners and to discovery. If the platform's
-    /// configuration or the operator's file is missing or invalid, nothing is applied from either
-    /// of them, and the reload is repeated after [`RETRY_DELAY`].
+    /// reload has come, and applies it to the listeners and to discovery. If the reload fails with
+    /// any [`ReloadError`], nothing is applied from the platform's configuration or from the
+    /// operator's file, and the reload is repeated after [`RETRY_DELAY`].
     pub(super) fn reload_if_due(
         &mut self,
         now: Timestamp,
--- a/crates/broker/src/event_loop/iteration.rs
+++ b/crates/broker/src/event_loop/iteration.rs
@@ -25,7 +25,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum time between two iterations.
+/// Maximum time from the start of an iteration until the event loop stops waiting for an event and
+/// starts the next iteration without one.
 const MAX_WAIT: Duration = Duration::from_secs(1000);
 
 /// The components of the broker, which all run on one thread.
@@ -151,22 +152,26 @@
             self.shutdown.next_deadline(now, &self.listeners, tick),
             self.configuration.next_reload(),
         ];
-        let earliest = deadlines.into_iter().flatten().min();
-        earliest.unwrap_or(Timestamp::MAX)
+        let deadline = deadlines.into_iter().flatten().min();
+        deadline.unwrap_or(Timestamp::MAX)
     }
 
     /// Waits until an event has occurred or `deadline` has passed, and then until the batch window
-    /// has ended. `now` is the start of the last iteration. Without an event, the wait takes at
-    /// least one tick.
-    async fn wait(&self, now: Timestamp, deadline: Timestamp) {
-        let earliest = now + self.configuration.tick();
-        let deadline = deadline.min(now + MAX_WAIT).max(earliest);
+    /// has ended. `last_start` is the start of the last iteration. Whatever the deadline is, the
+    /// wait for an event ends no later than [`MAX_WAIT`] after `last_start`. If no event occurs, it
+    /// ends no earlier than one tick after `last_start`.
+    async fn wait(&self, last_start: Timestamp, deadline: Timestamp) {
+        let earliest = last_start + self.configuration.tick();
+        let deadline = deadline.min(last_start + MAX_WAIT).max(earliest);
         let timer = async {
             Timer::at(self.clock.instant(deadline)).await;
         };
         self.event_queue.wait().or(timer).await;
         let queries = self.processor.queries_in_flight() + self.event_queue.pending_queries();
-        let next_start = self.configuration.batch_window().next_start(now, queries);
+        let next_start = self
+            .configuration
+            .batch_window()
+            .next_start(last_start, queries);
         if self.clock.now() < next_start {
             Timer::at(self.clock.instant(next_start)).await;
         } else {
--- a/crates/broker/src/event_queue.rs
+++ b/crates/broker/src/event_queue.rs
@@ -24,7 +24,7 @@
         /// Id of the query.
         query: QueryId,
     },
-    /// A connection to a data server received data, or was closed.
+    /// A connection to a data server received data, was closed or could not be opened.
     ServerConnection {
         /// Id of the connection.
         connection: ServerConnectionId,
@@ -70,8 +70,8 @@
 }
 
 /// The queue of events. It has no limit of its own, because its producers bound its length: each
-/// client connection has a limited number of queries in flight, and a data server connection only
-/// delivers responses to the attempts that are in flight on it.
+/// client connection has a limited number of queries in flight, and a data server that keeps to the
+/// protocol sends only responses to the attempts that are in flight on its connection.
 pub struct EventQueue {
     events: RefCell<Vec<Event>>,
     /// Wakes the event loop.
--- a/crates/broker/src/listeners/accept.rs
+++ b/crates/broker/src/listeners/accept.rs
@@ -23,8 +23,9 @@
     /// Serves a connection until it is closed.
     fn serve(self: Rc<Self>, stream: Async<TcpStream>, slot: Slot) -> impl Future<Output = ()>;
 
-    /// Sends the response to a client whose connection gets no slot, if the version of HTTP allows
-    /// one. It does not wait until the socket is writable.
+    /// Sends a response to a client whose connection gets no slot, if the version of HTTP allows a
+    /// response at this point. Does not wait until the socket is writable: whatever the socket does
+    /// not accept immediately is not sent.
     fn reject(&self, stream: &Async<TcpStream>);
 }
 
@@ -97,8 +98,9 @@
     }
 }
 
-/// Accepts the connections in the socket's backlog without waiting. Their clients regard them as
-/// established and may have sent requests already.
+/// Accepts the connections in the socket's backlog, because their clients regard them as
+/// established and may have sent requests already. Does not wait for further connections or for
+/// slots: a connection for which no slot is free is rejected.
 pub(super) fn accept_backlog<H: ConnectionHandler>(
     handler: &Rc<H>,
     socket: &Async<TcpListener>,
--- a/crates/broker/src/listeners/http1/connection.rs
+++ b/crates/broker/src/listeners/http1/connection.rs
@@ -22,8 +22,8 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Number of buffered bytes of pipelined requests from which on no more are read while a response
-/// is outstanding.
+/// Limit on reading pipelined requests while a response is outstanding: once at least this number
+/// of bytes is buffered, nothing more is read.
 const MAX_READ_AHEAD_BYTES: usize = MAX_HEAD_BYTES;
 /// Interval at which a connection is checked for the client's disconnection while
 /// [`MAX_READ_AHEAD_BYTES`] are buffered. Nothing is read then, so the disconnection cannot be
@@ -39,8 +39,8 @@
 }
 
 impl WaitOutcome {
-    /// Returns the outcome for the number of bytes that a read returned, which is 0 at the end of
-    /// the stream.
+    /// Returns the outcome for the number of received bytes. The number is 0 if the client has
+    /// closed its side, or if the wait ended by a timeout or an eviction.
     fn from_received_bytes(received: usize) -> Self {
         if received > 0 {
             WaitOutcome::RequestStarted
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Serves requests until the connection has to be closed. Returns the maximum time to wait for
-    /// the client to close its side when the connection is closed.
+    /// Serves requests until the connection has to be closed. Returns the time limit with which the
+    /// caller must call [`linger`](crate::net::linger) to close it.
     pub(super) async fn serve(&mut self) -> io::Result<Duration> {
         loop {
             if self.input.buffered_bytes() == 0
@@ -197,8 +197,8 @@
         })
     }
 
-    /// Determines the reply to a request. Queries are submitted, and their end is waited for. Fails
-    /// if the client disconnects before the reply is known.
+    /// Determines the reply to a request. If the request is a query, submits it and waits for its
+    /// final response. Fails if the client disconnects before the reply is known.
     async fn reply_to(&mut self, request: &Request<Vec<u8>>) -> io::Result<Reply> {
         let mut query = match self.context.route(request) {
             RoutedRequest::Query(query) => query,
@@ -215,8 +215,8 @@
     }
 
     /// Sends the reply to a request whose end is unknown. The connection has to be closed after
-    /// that, because no further request can be read from it. Returns the maximum time to wait for
-    /// the client to close its side.
+    /// that, because no further request can be read from it. Returns the time limit with which the
+    /// connection must be closed, as [`Self::serve`] does.
     async fn close_with(&self, reply: Reply) -> io::Result<Duration> {
         let response = self.context.with_date(reply.response);
         write(self.stream, &encode_response(&response, CLOSING_RESPONSE)).await?;
--- a/crates/broker/src/listeners/http1/mod.rs
+++ b/crates/broker/src/listeners/http1/mod.rs
@@ -66,8 +66,8 @@
         self.slots.close_idle();
     }
 
-    /// Serves the requests of a connection. Returns the maximum time to wait for the client to
-    /// close its side when the connection is closed.
+    /// Serves the requests of a connection until it has to be closed. Returns the time limit with
+    /// which the caller must call [`linger`] to close it.
     async fn serve_requests(&self, stream: &Async<TcpStream>) -> io::Result<Duration> {
         stream.get_ref().set_nodelay(true)?;
         Http1Connection::new(&self.context, &self.slots, stream)
--- a/crates/broker/src/listeners/http2/connection.rs
+++ b/crates/broker/src/listeners/http2/connection.rs
@@ -179,6 +179,11 @@
     }
 
     /// Logs the error that closed the connection. Errors of the socket are not logged.
+    ///
+    /// The `h2` library has flood limits of its own, for example on streams that the client resets.
+    /// If the client exceeds one of them, the library closes the connection with
+    /// `ENHANCE_YOUR_CALM`. This is logged as a flood, in the same way as a violation that the
+    /// flood guard reports.
     fn log_error(&self, error: &h2::Error) {
         if error.is_io() {
             return;
@@ -190,7 +195,8 @@
         }
     }
 
-    /// Returns what the connection is doing at present.
+    /// Returns the number of open streams and the time since which the client's input has been
+    /// incomplete. The deadlines of the connection depend on them.
     fn activity(&self) -> ConnectionActivity {
         ConnectionActivity {
             open_streams: self.streams.len(),
--- a/crates/broker/src/listeners/http2/handshake.rs
+++ b/crates/broker/src/listeners/http2/handshake.rs
@@ -59,8 +59,8 @@
     stream: &Async<TcpStream>,
     slots: &ConnectionSlots,
 ) -> Result<Vec<u8>, PrefaceError> {
-    // This guard checks only the preface. The preface costs no tokens, so the limits have no
-    // effect.
+    // This guard checks only the bytes of `PREFACE`, which precede the first frame. Its limits
+    // apply to frames and therefore have no effect.
     let mut guard = FloodGuard::new(Timestamp::ORIGIN, FloodLimits::new(1, 1));
     let mut received = Vec::new();
     let evictable = slots.evictable(EvictionPriority::Unused);
--- a/crates/broker/src/listeners/http2/lifetime.rs
+++ b/crates/broker/src/listeners/http2/lifetime.rs
@@ -32,8 +32,8 @@
     },
 }
 
-/// What a connection is doing at present. Its deadlines depend on this and on its
-/// [`ConnectionLifetime`].
+/// The open streams and the incomplete input of a connection. The connection's deadlines depend on
+/// them and on its [`ConnectionLifetime`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct ConnectionActivity {
     /// Number of open streams.
--- a/crates/broker/src/listeners/slots.rs
+++ b/crates/broker/src/listeners/slots.rs
@@ -161,7 +161,7 @@
         Some(ClosingConnection::WithoutSlot(self.clone()))
     }
 
-    /// Takes a slot, even if all slots are in use.
+    /// Takes a slot without a check of the limit: the caller must have checked that one is free.
     pub(super) fn take(self: &Rc<Self>) -> Slot {
         self.in_use.set(self.in_use.get() + 1);
         Slot(self.clone())
--- a/crates/broker/src/queries/reservations.rs
+++ b/crates/broker/src/queries/reservations.rs
@@ -44,8 +44,8 @@
         }
     }
 
-    /// Reserves the query's request id, the units that it needs of its connection's quota, and its
-    /// idempotency key.
+    /// Reserves the query's request id, its idempotency key and its units of the connection's
+    /// quota: one for the query itself and one for each of its parts.
     ///
     /// # Errors
     ///
@@ -85,8 +85,9 @@
         }
     }
 
-    /// Registers an attempt that is about to be sent for the query's part at `shard`. Returns the
-    /// time from which on the attempt must not be sent any more, if there is one.
+    /// Registers an attempt that is about to be sent for the query's part at `shard`, if the query
+    /// has an idempotency key. Returns the end of the period in which the attempt may be sent, or
+    /// `None` if only its deadline limits this period.
     ///
     /// # Errors
     ///
@@ -106,7 +107,8 @@
     }
 
     /// Records the end of an attempt. This must be called even if the attempt's query has ended
-    /// before.
+    /// before. Otherwise the attempt would still count as in flight under the query's idempotency
+    /// key, and a retry of the query could not send the part.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
@@ -151,7 +153,8 @@
                     .max_retry_after
                     .map(|max| max.min(time.saturating_since(now))),
             },
-            // Not a rejection, which would tell the client that nothing was executed.
+            // The query is not rejected, because a rejection tells the client that nothing was
+            // executed. A part may have been executed for an earlier query with the same key.
             KeyAdmission::WindowExpired => FinalResponse::Failed,
         };
         info!(
--- a/crates/broker/src/upstream/send_queue.rs
+++ b/crates/broker/src/upstream/send_queue.rs
@@ -76,8 +76,8 @@
     writing: RefCell<Option<Vec<String>>>,
     /// Whether the socket accepts no data at present.
     is_socket_full: Cell<bool>,
-    /// Whether the connection was established.
-    is_connected: Cell<bool>,
+    /// Whether the connection was ever established.
+    was_connected: Cell<bool>,
     wake_sender: Sender<()>,
     wake_receiver: Receiver<()>,
 }
@@ -90,7 +90,7 @@
             expired: RefCell::default(),
             writing: RefCell::default(),
             is_socket_full: Cell::new(false),
-            is_connected: Cell::new(false),
+            was_connected: Cell::new(false),
             wake_sender,
             wake_receiver,
         }
@@ -149,12 +149,12 @@
 
     /// Records that the connection is established.
     pub(super) fn on_connected(&self) {
-        self.is_connected.set(true);
+        self.was_connected.set(true);
     }
 
     /// Returns whether the connection was ever established. Stays true after its loss.
     pub(super) fn was_connected(&self) -> bool {
-        self.is_connected.get()
+        self.was_connected.get()
     }
 
     /// Records that the socket accepts no data at present.
--- a/crates/broker/src/upstream/tests/cancellation.rs
+++ b/crates/broker/src/upstream/tests/cancellation.rs
@@ -16,10 +16,11 @@
     assert!(pools.attempts().ids().all(|id| id.query == QueryId(2)));
 }
 
-/// When the only attempt on a connection has been withdrawn, the connection counts as idle. If its
-/// socket accepts no data, it must be closed, because a further attempt on it could not be sent.
+/// The socket accepts no byte of the only attempt on a connection until the attempt's deadline. The
+/// attempt is then withdrawn, which leaves the connection idle, so that it would be selected for
+/// further attempts. These could not be sent either, so the connection must be closed.
 #[test]
-fn connection_that_accepted_nothing_of_an_attempt_is_closed_at_its_deadline() {
+fn connection_is_closed_if_its_socket_is_full_at_the_deadline_of_an_unsent_attempt() {
     let (broker, _server) = socket_pair();
     fill_send_buffer(&broker);
     let mut pools = TestPools::new(limits());
--- a/crates/broker/src/upstream/tests/failures.rs
+++ b/crates/broker/src/upstream/tests/failures.rs
@@ -18,14 +18,18 @@
     );
 }
 
-/// A part whose frame was not written completely never ran, and its outcome must say so. A part
-/// that was written completely may have run or may still run.
+/// A part whose frame was not written completely never ran. Its attempt must end with an outcome
+/// that says so: as unreachable or, if the connection was ever established, as not sent. A part
+/// that was written completely may have run or may still run, so its attempt must end as one whose
+/// connection was lost.
 #[test]
 fn outcome_shows_whether_the_attempt_may_have_run() {
     let mut pools = TestPools::new(limits());
+    // No byte of the frame is written until the deadline.
     pools.send(START, attempts_of(1));
     assert_eq!(pools.take_outcomes(at(SECOND)), [Outcome::Unreachable]);
 
+    // The connection is lost while the frame is being written.
     pools.send(START, attempts_of(2).parts(2));
     pools.start_frame(CONNECTION_0);
     pools.reset_connection(at_micros(20), CONNECTION_0);
@@ -34,6 +38,7 @@
         [Outcome::Unreachable; 2]
     );
 
+    // The connection is lost after the frame was written.
     pools.send(at_micros(30), attempts_of(3));
     pools.run_until_written(CONNECTION_1);
     let events = pools.event_queue.drain();
--- a/crates/broker/src/upstream/tests/send_queue.rs
+++ b/crates/broker/src/upstream/tests/send_queue.rs
@@ -35,6 +35,7 @@
     let write_payload = |now| {
         let started = send_queue.start_frame(now)?;
         send_queue.finish_frame();
+        // The payload follows the length of the frame (4 bytes) and its kind (1 byte).
         Some(String::from_utf8_lossy(&started.bytes()[5..]).into_owned())
     };
     send_queue.push(call("q1.0", at(SECOND)));
