--- a/crates/broker/src/queries/idempotency_guard.rs
+++ b/crates/broker/src/queries/idempotency_guard.rs
@@ -109,7 +109,9 @@
     }
 
     /// Records the end of an attempt. This must be called even if the attempt's query has ended
-    /// before. Does nothing for an attempt without an idempotency key.
+    /// before. Otherwise the attempt would still count as in flight under the query's idempotency
+    /// key, and a retry of the query could not send the part. Does nothing for an attempt without
+    /// an idempotency key.
     pub(super) fn on_attempt_ended(
         &mut self,
         now: Timestamp,
