--- a/crates/fanout-policy/src/aggregator/query_driver.rs
+++ b/crates/fanout-policy/src/aggregator/query_driver.rs
@@ -1,4 +1,5 @@
-//! Advances the queries of a batch: turns the decisions of the components into actions.
+//! Advances the queries in flight in each batch: turns the decisions of the components into
+//! actions.
 
 use super::PolicyState;
 use crate::api::{Action, QueryId};
@@ -14,7 +15,7 @@
 use crate::policy::time_limits::TimeLimits;
 use crate::queries::{AnswerKind, InFlightQuery, PartState, QueryProgress};
 
-/// Advances the queries of one batch.
+/// Advances the queries in flight during one batch of events.
 pub(super) struct QueryDriver<'a> {
     batch: BatchContext<'a>,
     state: &'a mut PolicyState,
@@ -55,8 +56,9 @@
         QueryProgress::InFlight
     }
 
-    /// Cancels the attempts of an ended query that are still in flight, and updates the estimates
-    /// of its class with the query's forecast error and the duration of its second step.
+    /// Cancels the attempts of an ended query that are still in flight, if the settings allow
+    /// cancellation, and updates the estimates of its class with the query's forecast error and the
+    /// duration of its second step.
     pub(super) fn finish(&mut self, query: &InFlightQuery) {
         self.cancel_attempts(query);
         let objective = self.batch.objective(query);
@@ -149,8 +151,9 @@
         self.send(query, index, server);
     }
 
-    /// Sends a hedged request for a part whose attempt in flight is overdue, or cancels that
-    /// attempt so that a retry can follow.
+    /// Sends a hedged request for a part whose attempt in flight is overdue. Where the settings do
+    /// not allow hedging, cancels that attempt instead, so that a retry can follow. Does neither if
+    /// a second attempt would not be useful, see [`RetryPolicy::hedge_decision`].
     fn hedge(&mut self, query: &mut InFlightQuery, index: usize) {
         let part = &query.parts()[index];
         if !self.retry_policy().is_overdue(query, part) {
@@ -170,7 +173,7 @@
                 self.state.retry_budget.record_sent(self.batch.now, permit);
                 self.send(query, index, server);
             }
-            HedgeDecision::CancelFirst => self.cancel_last_attempt(part),
+            HedgeDecision::CancelAndRetry => self.cancel_last_attempt(part),
         }
     }
 
@@ -179,6 +182,8 @@
     fn select_for_hedge(&self, query: &InFlightQuery, part: &PartState) -> Option<ServerIndex> {
         let selector = self.selector();
         let server = selector.select(query, part)?;
+        // The selection has checked that slow start allows the part's work. What remains to be
+        // checked is independent of the work, which is therefore given as 0.
         let is_usable = !part.is_in_flight_to(server) && selector.is_eligible(server, 0.0);
         is_usable.then_some(server)
     }
--- a/crates/fanout-policy/src/api/actions.rs
+++ b/crates/fanout-policy/src/api/actions.rs
@@ -26,7 +26,8 @@
         /// Index of the attempt among those of its part, from 0.
         attempt: u32,
     },
-    /// Answer the query with the parts that have been served.
+    /// Answer the current step of the query with its parts that have been served. This ends the
+    /// query, unless its class has a second step and this is the first answer.
     Answer {
         /// Identifier of the query.
         query: QueryId,
@@ -54,7 +55,8 @@
     /// Start polling for changes of the endpoint list. Polling continues until it fails, which the
     /// caller reports by [`ListUpdate::Failed`](super::ListUpdate::Failed).
     PollEndpointList,
-    /// Send [`Event::TimerFired`](super::Event::TimerFired) after a delay.
+    /// Send [`Event::TimerFired`](super::Event::TimerFired) after a delay. At most one timer is set
+    /// at a time: the next action of this kind follows only after that event.
     SetTimer {
         /// Delay from the time of the batch.
         after: Ms,
--- a/crates/fanout-policy/src/api/events.rs
+++ b/crates/fanout-policy/src/api/events.rs
@@ -5,7 +5,7 @@
 /// An input of the policy.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// The endpoint list was updated.
+    /// An update of the endpoint list has arrived, or the updates have failed, see [`ListUpdate`].
     EndpointList {
         /// Kind of the update.
         update: ListUpdate,
--- a/crates/fanout-policy/src/api/settings.rs
+++ b/crates/fanout-policy/src/api/settings.rs
@@ -85,11 +85,12 @@
     pub tick: Ms,
     /// How the endpoint list reaches the aggregator.
     pub list_source: EndpointListSource,
-    /// Maximum time between polls of the endpoint list; infinite if the deployment sets none. An
-    /// aggregator that does not poll for this time counts as informed of each change that was
-    /// listed at least this time ago. After a failed poll, four times this time applies instead.
-    /// The grace period of a draining server starts when the aggregator counts as informed of the
-    /// change. The delays after failed polls are derived from this time.
+    /// Time within which the aggregator has to poll the endpoint list again; infinite if the
+    /// deployment sets none. An aggregator that has not polled for this time is treated as informed
+    /// of each change that has been in the list for this time. After a failed poll, four times this
+    /// time applies instead. The grace period of a server that starts to drain counts from the time
+    /// at which the aggregator is treated as informed of this change. The policy derives the delays
+    /// after failed polls from this setting.
     pub list_poll_deadline: Ms,
     /// Limit on retries and hedged requests; `None` if the deployment sets none, so that the policy
     /// uses its default budget.
--- a/crates/fanout-policy/src/fleet/server.rs
+++ b/crates/fanout-policy/src/fleet/server.rs
@@ -43,52 +43,52 @@
         }
     }
 
-    /// Returns its name.
+    /// Returns the name of the server.
     pub(crate) fn node(&self) -> &NodeId {
         &self.node
     }
 
-    /// Returns its cell.
+    /// Returns the index of the server's cell.
     pub(crate) fn cell(&self) -> usize {
         self.cell
     }
 
-    /// Returns its zone; `None` if the endpoint list names no zones.
+    /// Returns the index of the server's zone; `None` if the endpoint list names no zones.
     pub(crate) fn zone(&self) -> Option<usize> {
         self.zone
     }
 
-    /// Returns its state in the endpoint list.
+    /// Returns the state of the server in the endpoint list.
     pub(crate) fn state(&self) -> ServingState {
         self.state
     }
 
-    /// Returns its error rates and failures.
+    /// Returns the error rates and failures of the server.
     pub(crate) fn health(&self) -> &ServerHealth {
         &self.health
     }
 
-    /// Returns its ejections.
+    /// Returns the ejections of the server.
     pub(crate) fn outliers(&self) -> &OutlierDetector {
         &self.outliers
     }
 
-    /// Returns the state of its slow start.
+    /// Returns the state of the server's slow start.
     pub(crate) fn slow_start(&self) -> &SlowStart {
         &self.slow_start
     }
 
-    /// Returns the estimate of its latency per ms of outstanding work.
+    /// Returns the estimate of the server's latency per ms of outstanding work.
     pub(crate) fn latency(&self) -> &LatencyEstimator {
         &self.latency
     }
 
-    /// Returns its outstanding work.
+    /// Returns the outstanding work at the server.
     pub(crate) fn outstanding(&self) -> &OutstandingWork {
         &self.outstanding
     }
 
-    /// Returns whether it is in the state `Serving` and has warmed up.
+    /// Returns whether the server is in the state `Serving` and has warmed up.
     pub(super) fn is_warm(&self) -> bool {
         self.state == ServingState::Serving && self.slow_start.warming_since().is_none()
     }
@@ -143,7 +143,10 @@
     }
 
     /// Starts a control interval: decays the averages, expires old reports of other aggregators,
-    /// and updates the slow start, for which `draw` is a random number from 0 to below 1.
+    /// and updates the slow start. The error rates of the classes always decay, but the error rate
+    /// of the whole server only if this aggregator has no attempt in flight there. `draw` is a
+    /// random number from 0 to below 1, with which the slow start decides in this interval whether
+    /// the work sent to the server may exceed its allowance.
     pub(super) fn start_interval(
         &mut self,
         batch: &BatchContext,
@@ -224,8 +227,9 @@
             .record_load_report(batch, load, part_cost, fleet_latency.per_work());
     }
 
-    /// Applies a report that another aggregator published about the server. A first report of
-    /// answers after one of failures counts as a recovery.
+    /// Applies a report that another aggregator published about the server. The server counts as
+    /// recovered if that aggregator's previous report stated that it is failing, and the new one
+    /// does not.
     pub(super) fn on_peer_report(
         &mut self,
         batch: &BatchContext,
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -1,8 +1,8 @@
 //! Admission control: whether a query that has arrived is admitted or rejected.
 //!
-//! [`AdmissionController`] owns the estimates of client timeouts, from which it derives when a
-//! client first sent a query, the use of the tenants' quotas, and the maximum weight per work (the
-//! ratio of priority weight to work) of all queries so far.
+//! [`AdmissionController`] owns three kinds of state: the estimates of client timeouts, the use of
+//! the tenants' quotas, and the maximum weight per work (the ratio of priority weight to work) of
+//! all queries so far. From the estimates it derives when a client first sent a query.
 
 use super::batch_context::BatchContext;
 use super::client_timeout::ClientTimeoutEstimate;
@@ -20,9 +20,10 @@
 /// this share of the time left.
 const MAX_LIMIT_SHARE: f64 = 0.75;
 /// Weight of the slowest part's forecast, against the mean of all parts, in the expected latency
-/// of a query whose answer does not need all parts.
+/// of a query. It is larger for a query whose answer needs all parts if this aggregator observes
+/// only a share of the servers' load, see [`expected_latency`].
 const SLOWEST_PART_WEIGHT: f64 = 0.5;
-/// Lower bound of a query's work as the divisor of its weight per work.
+/// Minimum work by which the priority weight of a query is divided to give its weight per work.
 const MIN_WORK_MS: Ms = 1.0;
 
 /// Decision whether to admit a query.
@@ -86,8 +87,9 @@
     /// Records the arrival of a query and returns when its client first sent it.
     ///
     /// All attempts of a client at one query share one timeout, so a query that arrives with
-    /// less time left than clients usually give it is a retry, and its first attempt was sent
-    /// one client timeout before its deadline. If the latency objective of a retry counted from
+    /// less time left than clients usually give it is a retry. The estimated timeout only serves
+    /// to recognize a retry; the first attempt is assumed to have been sent before the deadline by
+    /// the class's client timeout in the settings. If the latency objective of a retry counted from
     /// the arrival of the retry, a retry storm would fill the fleet with answers that are late
     /// for the client. Where clients do not mark their retries, retries are recognized only
     /// once the estimate of the usual timeout is certain.
@@ -121,10 +123,11 @@
         let limit = self.limit_share(batch, query, forecast.work, quota_use);
         let class = batch.class_of(query);
         let latency = expected_latency(batch, class, &forecast);
-        // If a partial answer has some weight, the forecast latency may take more of the time
-        // left. If a partial or a late answer has some weight, less of the expected forecast
-        // error is added to the forecast. Neither applies if the client gives up before the
-        // objective ends, since the retries of such clients would fill the fleet.
+        // The more weight a partial answer has relative to a complete one in time, the more of the
+        // time left the forecast latency may take. The more weight a partial or a late answer has,
+        // the less of the expected forecast error is added to the forecast. Neither applies unless
+        // the client waits longer than the objective: the retries of clients that give up earlier
+        // would fill the fleet.
         let client_waits_for_objective = query.client_deadline() > batch.objective_end(query);
         let (partial_weight, late_weight) = if client_waits_for_objective {
             (min_partial_answer_weight(class), class.late_weight)
@@ -146,9 +149,9 @@
     /// Returns the share of the time left that the forecast latency of a query may take. It
     /// grows from [`MIN_LIMIT_SHARE`] to [`MAX_LIMIT_SHARE`] in proportion to the query's weight
     /// per work, relative to the maximum of all queries so far. A query over its tenant's quota
-    /// enters the maximum with its full weight, but its own limit follows from a reduced one. Where
-    /// the weight of a query is proportional to its work, the weight of the class is already a
-    /// weight per work.
+    /// enters the maximum with its full weight per work, but its own limit is computed from a
+    /// weight per work that is multiplied by [`Settings::over_quota_weight`]. Where the weight of
+    /// a query is proportional to its work, the weight of the class is already a weight per work.
     fn limit_share(
         &mut self,
         batch: &BatchContext,
--- a/crates/fanout-policy/src/policy/ended_attempt.rs
+++ b/crates/fanout-policy/src/policy/ended_attempt.rs
@@ -15,7 +15,8 @@
 /// multiple, attempts that only wait in a queue would count as overdue: a second attempt would
 /// double their work, and the wait would count against the health of the server.
 pub(crate) const OVERDUE_FORECAST_FACTOR: f64 = 3.0;
-/// Minimum age of an overdue attempt, in latency objectives.
+/// Minimum age of an overdue attempt, in latency objectives. For the health of a server this is the
+/// shortest latency objective, for a hedged request the objective of the query's current step.
 pub(crate) const MIN_OVERDUE_OBJECTIVES: f64 = 0.25;
 
 /// What the end of an attempt indicates about the health of its server.
@@ -27,14 +28,16 @@
     Answer,
     /// The server rejected the part for lack of capacity.
     Overload,
-    /// No answer came in time, and the server has answered no attempt that was sent later.
+    /// No answer came in time, and the server has answered no attempt that was sent at the same
+    /// time or later.
     Timeout,
-    /// No answer came in time, but the server has answered an attempt that was sent later. This
-    /// happens after a server has stalled: the attempts sent before or during the stall still
-    /// time out when the server answers again.
+    /// No answer came in time, but the server has answered an attempt that was sent at the same
+    /// time or later. This happens after a server has stalled: the attempts sent before or during
+    /// the stall still time out when the server answers again.
     OutdatedTimeout,
-    /// The attempt failed in another way. This indicates nothing about the load of the server,
-    /// since a server may also return errors quickly.
+    /// The server returned an error, the connection could not be made or was lost, or the attempt
+    /// was cancelled when it was overdue. This indicates nothing about the load of the server: a
+    /// server that returns errors may do so quickly.
     Failure,
 }
 
@@ -45,7 +48,8 @@
     elapsed: Ms,
     timing: BatchTiming,
     is_overdue: bool,
-    /// Whether the server has answered no attempt that was sent later than this one.
+    /// Whether the server has answered no attempt that was sent at the same time as this one or
+    /// later.
     has_no_later_answer: bool,
 }
 
@@ -110,7 +114,11 @@
         }
     }
 
-    /// Returns whether the server responded, or `None` if the end of the attempt does not show it.
+    /// Returns how the attempt counts in the share of unanswered attempts of its server's zone, or
+    /// `None` if it does not count there. An answer counts as a response. Timeouts, connections
+    /// that could not be made or were lost, and cancellations that count as a failure of the server
+    /// count as missing responses. Other outcomes do not count, and neither do attempts whose end
+    /// is reported after a pause of this aggregator.
     pub(crate) fn response(&self) -> Option<Response> {
         if self.timing == BatchTiming::AfterPause {
             return None;
@@ -144,9 +152,9 @@
         }
     }
 
-    /// Returns whether the attempt was overdue and the server has answered no later attempt. A
-    /// cancelled attempt of this kind counts as a failure of the server, even though it was
-    /// cancelled because a hedged request was answered first.
+    /// Returns whether the attempt was overdue and the server has answered no attempt that was sent
+    /// at the same time or later. If such an attempt is cancelled, it counts as a failure of the
+    /// server whatever the cause, for example that a hedged request was answered first.
     fn is_overdue_without_later_answer(&self) -> bool {
         self.is_overdue && self.has_no_later_answer
     }
@@ -171,8 +179,8 @@
         }
     }
 
-    /// Returns the reported elapsed time, and at least 0. If the reported time is not finite,
-    /// returns the time since the attempt was sent.
+    /// Returns the reported elapsed time, or 0 if that is negative. If the reported time is not
+    /// finite, returns the time since the attempt was sent.
     fn valid_elapsed(&self, now: Ms, sent_at: Ms) -> Ms {
         if self.elapsed.is_finite() {
             self.elapsed.max(0.0)
--- a/crates/fanout-policy/src/policy/forecast.rs
+++ b/crates/fanout-policy/src/policy/forecast.rs
@@ -9,9 +9,9 @@
 use crate::fleet::{Fleet, ServerIndex};
 use crate::queries::{InFlightAttempt, InFlightQuery, PartState};
 
-/// Penalty added to the forecast latency at a server with an error rate of 1, and in proportion at
-/// lower error rates, in multiples of the shortest latency objective. It stands for the time that a
-/// failed attempt costs.
+/// Penalty that is added to the forecast latency at a server with an error rate of 1, in multiples
+/// of the shortest latency objective. At a lower error rate the penalty is proportionally smaller.
+/// It stands for the time that a failed attempt costs.
 const ERROR_PENALTY_OBJECTIVES: f64 = 0.5;
 
 /// Forecasts latencies in one batch.
@@ -36,10 +36,12 @@
         }
     }
 
-    /// Forecasts how long a server takes to answer an attempt of a class that adds `work`. The
-    /// forecast is the sum of three terms: the server's latency per work times all work that is
-    /// then outstanding there, the delay that is already known, and the penalty for its error
-    /// rate.
+    /// Forecasts how long a server takes to answer an attempt that adds `work` to its outstanding
+    /// work. `class` is the index of the query's class. The forecast is the sum of three terms:
+    ///
+    /// - the server's latency per work times all outstanding work there, including `work`;
+    /// - the delay that is already known, see `Server::known_delay`;
+    /// - the penalty for the server's error rate.
     pub(crate) fn latency(&self, server: ServerIndex, class: usize, work: Ms) -> Ms {
         let server = self.fleet.server(server);
         let error_rate = self.fleet.error_rate(self.batch, server, class);
--- a/crates/fanout-policy/src/policy/load_gossip.rs
+++ b/crates/fanout-policy/src/policy/load_gossip.rs
@@ -136,8 +136,10 @@
     }
 }
 
-/// Returns the status of a server to publish. If its work were not published, the other aggregators
-/// would assume that a server is idle while it is busy with work of this aggregator.
+/// Returns the status of a server to publish: that it is failing if this aggregator has ejected it
+/// as unresponsive, and this aggregator's outstanding work there otherwise. Without the published
+/// work, the other aggregators would assume that the server is idle while it is busy with work of
+/// this aggregator.
 fn status_of(batch: &BatchContext, server: &Server) -> GossipStatus {
     if server.is_ejected_as_unresponsive(batch.now) {
         return GossipStatus::Failing;
--- a/crates/fanout-policy/src/policy/outstanding_work.rs
+++ b/crates/fanout-policy/src/policy/outstanding_work.rs
@@ -17,8 +17,9 @@
 /// Time after which a report of another aggregator expires, in ms. An aggregator publishes its
 /// outstanding work again in each control interval; one that does not may have failed.
 const PEER_REPORT_LIFETIME_MS: Ms = 1.5 * CONTROL_INTERVAL_MS;
-/// Maximum work that is taken from a load report, since the report may be wrong. It is given as
-/// the latency of that work at the fleet's median, in multiples of the shortest latency objective.
+/// Maximum work that is taken from a load report, since the report may be wrong. It is given as the
+/// latency of that work at a server with the median latency per work of the fleet, in multiples of
+/// the shortest latency objective.
 const MAX_REPORTED_WORK_OBJECTIVES: f64 = 3.0;
 
 /// Report that is assumed for an aggregator that has published nothing.
@@ -85,11 +86,11 @@
     published: Ms,
     /// Newest report of each other aggregator, by its index.
     peer_reports: BTreeMap<usize, ReceivedReport>,
-    /// Work of other aggregators according to the server's last load report, when it arrived.
+    /// Work of other aggregators that the server's last load report indicated on its arrival.
     reported: Ms,
-    /// Time at which that load report first arrived.
+    /// Time at which the last load report arrived. Reports that repeat it do not change the time.
     reported_at: Ms,
-    /// Number of requests that the load report stated; NaN before the first one.
+    /// Number of requests that the last load report stated; NaN before the first report.
     last_reported_load: f64,
 }
 
@@ -118,9 +119,10 @@
         self.published
     }
 
-    /// Returns the outstanding work of the other aggregators: what they published by gossip, and
-    /// what remains of the server's last load report. The work of the load report shrinks with
-    /// its age, the faster the lower the server's `latency_per_work` is.
+    /// Returns the outstanding work of the other aggregators: the sum of what they published by
+    /// gossip and of what remains of the server's last load report. Work that is in both counts
+    /// twice. The work of the load report shrinks with its age, the faster the lower the server's
+    /// `latency_per_work` is.
     pub(crate) fn peer_work(&self, now: Ms, latency_per_work: f64) -> Ms {
         let age = now - self.reported_at;
         let drained = REPORTED_WORK_DRAIN_SHARE * age / latency_per_work.max(MIN_LATENCY_PER_WORK);
--- a/crates/fanout-policy/src/policy/retry_budget.rs
+++ b/crates/fanout-policy/src/policy/retry_budget.rs
@@ -16,8 +16,9 @@
 /// Length of the window if the settings have no retry budget, in multiples of the shortest latency
 /// objective.
 const DEFAULT_WINDOW_OBJECTIVES: f64 = 1.5;
-/// Minimum number of hedged requests per accepted query or part to which the default budget is
-/// reduced where there are many aggregators.
+/// Lower limit of the number of hedged requests that a window allows per query or part accepted in
+/// it, if the settings have no retry budget. Down to this limit, the number is smaller the
+/// more aggregators there are, see [`RetryBudget::try_acquire_hedge`].
 const MIN_HEDGES_PER_REQUEST: f64 = 0.1;
 
 /// Permission to send one retry or hedged request. It counts against the budget only when it is
--- a/crates/fanout-policy/src/policy/retry_policy.rs
+++ b/crates/fanout-policy/src/policy/retry_policy.rs
@@ -47,8 +47,9 @@
     Wait,
     /// Send a hedged request while the attempt stays in flight.
     Send,
-    /// Cancel the attempt. The retry is sent in a later batch, once the cancellation is reported.
-    CancelFirst,
+    /// Cancel the attempt, so that a retry can replace it. The retry is sent in a later batch, once
+    /// the cancellation is reported.
+    CancelAndRetry,
 }
 
 /// Decides on retries and hedged requests in one batch.
@@ -122,7 +123,8 @@
     }
 
     /// Returns whether the last attempt of a part is overdue: older than its forecast latency
-    /// and older than [`MIN_OVERDUE_OBJECTIVES`] times the objective of the current step.
+    /// and older than [`MIN_OVERDUE_OBJECTIVES`] times the objective of the current step. Unlike
+    /// for the health of a server, the forecast is not multiplied by [`OVERDUE_FORECAST_FACTOR`].
     pub(crate) fn is_overdue(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let min_age = MIN_OVERDUE_OBJECTIVES * self.limits.step_objective(query);
         part.last_attempt_age(self.batch.now) > part.last_expected_latency().max(min_age)
@@ -155,7 +157,7 @@
         } else if self.batch.settings.hedging {
             HedgeDecision::Send
         } else if self.may_cancel_overdue(query, part, forecast) {
-            HedgeDecision::CancelFirst
+            HedgeDecision::CancelAndRetry
         } else {
             HedgeDecision::Wait
         }
--- a/crates/fanout-policy/src/policy/server_health.rs
+++ b/crates/fanout-policy/src/policy/server_health.rs
@@ -15,9 +15,10 @@
 /// Number of consecutive failures from which a server is suspect: it then receives one attempt at a
 /// time, and counts as failing if its error rate is above [`FAILING_ERROR_RATE`] as well.
 const FAILING_CONSECUTIVE_FAILURES: u32 = 2;
-/// A server whose connection is lost is still considered up if it has answered an attempt that was
-/// sent later than the failed one, or less than this time before it: the lost connection then says
-/// little about the server. In multiples of the shortest latency objective.
+/// Tolerance in the decision whether a server is up when an attempt has lost its connection, in
+/// multiples of the shortest latency objective. The server is considered up if it has answered an
+/// attempt that was sent later than the failed one, or that was sent earlier by less than this
+/// tolerance. The lost connection then says little about the server.
 const RECENT_ANSWER_OBJECTIVES: f64 = 0.25;
 /// Time without answers after which an unresponsive server that answers again is assumed to have
 /// restarted, in multiples of the shortest latency objective.
@@ -26,7 +27,8 @@
 /// State of a server after a failed attempt, on which its ejection depends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureVerdict {
-    /// Too few attempts have failed to eject the server.
+    /// There is no reason to eject the server: not enough attempts have failed in a row, or the
+    /// error rate is not high enough.
     Tolerable,
     /// Several attempts in a row have failed, and the error rate is high.
     Failing,
--- a/crates/fanout-policy/src/policy/zone_silence.rs
+++ b/crates/fanout-policy/src/policy/zone_silence.rs
@@ -1,8 +1,9 @@
 //! Share of attempts that get no response, by zone.
 //!
-//! In a network partition no server of a zone responds. The share of the zone then applies to its
-//! servers that were not observed recently, so that the partition is not detected at each server
-//! separately. [`ZoneSilence`] owns these shares.
+//! In a network partition no server of a zone responds. If the latency of a server has not been
+//! observed recently, its error rate is therefore assumed to be at least the share of its zone. The
+//! servers of the zone are then avoided without a failed attempt at each of them. [`ZoneSilence`]
+//! owns these shares.
 
 use crate::statistics::smooth;
 use std::collections::BTreeMap;
--- a/crates/fanout-policy/src/queries/attempt.rs
+++ b/crates/fanout-policy/src/queries/attempt.rs
@@ -5,17 +5,17 @@
 
 /// An attempt in flight, with the data that is needed to update the statistics when it ends.
 pub(crate) struct InFlightAttempt {
-    /// Index of the server that it is sent to.
+    /// Index of the server that the attempt is sent to.
     pub(crate) server: ServerIndex,
-    /// Index of the class of its query.
+    /// Index of the class of the attempt's query.
     pub(crate) class: usize,
     /// Work of the attempt itself: the part, and the call if the part opens one.
     pub(crate) work: Ms,
-    /// Outstanding work at the server when the attempt was sent, including its own work.
+    /// Outstanding work at the server when the attempt was sent, including the attempt's own work.
     pub(crate) work_ahead: Ms,
-    /// When it was sent.
+    /// Time at which the attempt was sent.
     pub(crate) sent_at: Ms,
-    /// Latency that was forecast when it was sent.
+    /// Latency that was forecast when the attempt was sent.
     pub(crate) expected_latency: Ms,
 }
 
@@ -25,7 +25,7 @@
     server: ServerIndex,
     sent_at: Ms,
     expected_latency: Ms,
-    /// How it ended; `None` while it is in flight.
+    /// How the attempt ended; `None` while it is in flight.
     outcome: Option<Outcome>,
 }
 
@@ -40,32 +40,32 @@
         }
     }
 
-    /// Returns the index of the server that it was sent to.
+    /// Returns the index of the server that the attempt was sent to.
     pub(crate) fn server(&self) -> ServerIndex {
         self.server
     }
 
-    /// Returns when it was sent.
+    /// Returns the time at which the attempt was sent.
     pub(crate) fn sent_at(&self) -> Ms {
         self.sent_at
     }
 
-    /// Returns the latency that was forecast when it was sent.
+    /// Returns the latency that was forecast when the attempt was sent.
     pub(crate) fn expected_latency(&self) -> Ms {
         self.expected_latency
     }
 
-    /// Records how it ended.
+    /// Records how the attempt ended.
     pub(crate) fn record_outcome(&mut self, outcome: Outcome) {
         self.outcome = Some(outcome);
     }
 
-    /// Returns whether it has not ended yet.
+    /// Returns whether the attempt has not ended yet.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.outcome.is_none()
     }
 
-    /// Returns whether it ended because its connection broke.
+    /// Returns whether the attempt ended because its connection broke.
     pub(crate) fn lost_connection(&self) -> bool {
         self.outcome == Some(Outcome::ConnectionLost)
     }
--- a/crates/fanout-policy/src/queries/in_flight_query.rs
+++ b/crates/fanout-policy/src/queries/in_flight_query.rs
@@ -27,9 +27,9 @@
 /// Data that the aggregator determines when a query arrives, in addition to the fields of
 /// [`Query`].
 pub(crate) struct Arrival {
-    /// Index of its class in the settings.
+    /// Index of the query's class in the settings.
     pub(crate) class: usize,
-    /// When it arrived.
+    /// Time at which the query arrived.
     pub(crate) arrived_at: Ms,
     /// When the client first sent the query, as far as can be determined: earlier than `arrived_at`
     /// for a retry. The latency objective counts from this time.
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Returns the index of its class.
+    /// Returns the index of the query's class.
     pub(crate) fn class(&self) -> usize {
         self.arrival.class
     }
 
-    /// Returns the index of its tenant.
+    /// Returns the index of the query's tenant.
     pub(crate) fn tenant(&self) -> usize {
         self.tenant
     }
--- a/crates/fanout-policy/src/queries/part_state.rs
+++ b/crates/fanout-policy/src/queries/part_state.rs
@@ -42,17 +42,17 @@
         }
     }
 
-    /// Returns its identifier.
+    /// Returns the identifier of the part.
     pub(crate) fn id(&self) -> &PartId {
         &self.id
     }
 
-    /// Returns its shard.
+    /// Returns the number of the shard that the part reads.
     pub(crate) fn shard(&self) -> usize {
         self.shard
     }
 
-    /// Returns its weight in the answer.
+    /// Returns the weight of the part in the answer.
     pub(crate) fn weight(&self) -> f64 {
         self.weight
     }
--- a/crates/fanout-policy/src/queries/query_table.rs
+++ b/crates/fanout-policy/src/queries/query_table.rs
@@ -98,8 +98,8 @@
         });
     }
 
-    /// Returns the servers that any query refers to, by an attempt or by a part's row, with
-    /// repetitions.
+    /// Returns the servers that any query refers to, with repetitions: those to which attempts were
+    /// sent, and those in the replica rows to which parts are assigned.
     pub(crate) fn servers(&self) -> impl Iterator<Item = ServerIndex> {
         let parts = || self.queries.values().flat_map(InFlightQuery::parts);
         let attempted = parts().flat_map(|part| part.attempts().iter().map(Attempt::server));
--- a/crates/fanout-policy/src/settings/wire.rs
+++ b/crates/fanout-policy/src/settings/wire.rs
@@ -170,8 +170,8 @@
     marks_retries: bool,
 }
 
-/// Quantity that the priority weight of a query is proportional to. Without it, all queries of a
-/// class have the same weight.
+/// Quantity to which the priority weight of a query is proportional. If the setting is absent, all
+/// queries of a class have the same weight.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq)]
 enum WeightBasisWire {
     #[serde(rename = "work")]
