--- a/crates/http1-codec/src/body.rs
+++ b/crates/http1-codec/src/body.rs
@@ -7,17 +7,18 @@
 const MAX_CHUNK_LINE_BYTES: usize = 256;
 /// Maximum length of a trailer section, in bytes.
 const MAX_TRAILER_BYTES: usize = 8 * 1024;
-/// Maximum number of bytes in chunk framing, as a multiple of the maximum body length. A body sent
-/// in chunks of one byte takes six bytes on the wire per byte of data, which the limit allows. It
-/// bounds chunk extensions, which a client could otherwise send without end.
+/// Maximum number of framing bytes in a chunked body, as a multiple of the maximum body length.
+/// Without this limit, a client could send chunk extensions without end, because they do not count
+/// towards the length of the body. The limit allows a body in chunks of one byte, which takes six
+/// bytes on the wire for each byte of data: five bytes of framing and the data.
 const MAX_CHUNK_OVERHEAD_RATIO: usize = 8;
 /// Maximum number of fields in a trailer section.
 const MAX_TRAILER_FIELDS: usize = 32;
 /// Minimum number of bytes by which the buffer of a body grows. The buffer grows only as data
 /// arrives: a client must not be able to make the broker reserve memory by declaring a length.
 const MIN_GROWTH_BYTES: usize = 4 * 1024;
-/// Bytes of a chunk's framing in addition to the content of its first line: the line ends after
-/// that line and after the chunk's data.
+/// Length of the two line ends of a chunk, in bytes. One ends the line that starts the chunk, the
+/// other follows the chunk's data.
 const CHUNK_LINE_ENDS_BYTES: usize = 4;
 /// Line end of HTTP/1.1.
 const CRLF: &[u8; 2] = b"\r\n";
@@ -205,6 +206,8 @@
         }
         let size = chunk_size(&rest[..line_length])?;
         self.chunk_overhead_bytes += line_length + CHUNK_LINE_ENDS_BYTES;
+        // The limit is at least that for a body of `MAX_CHUNK_LINE_BYTES`, so that a small maximum
+        // body length does not reject a chunk line of an allowed length.
         let max_overhead = MAX_CHUNK_OVERHEAD_RATIO * self.max_bytes.max(MAX_CHUNK_LINE_BYTES);
         let remaining = self.max_bytes - self.data.len();
         if size > remaining as u64 || self.chunk_overhead_bytes > max_overhead {
@@ -245,21 +248,23 @@
     }
 }
 
-/// Parses the chunk size in a chunk's first line, given without its line end. Extensions are
-/// ignored.
+/// Parses the chunk size in the line that starts a chunk, given without its line end. Extensions
+/// are ignored.
 fn chunk_size(line: &[u8]) -> Result<u64, ParseError> {
-    // Implementations disagree on whether a bare CR or LF in an extension ends the line, which
-    // allows request smuggling.
+    // Control characters other than tab are invalid. In particular, a bare CR or LF in an extension
+    // allows request smuggling, because implementations disagree on whether it ends the line.
     if line.iter().any(|b| b.is_ascii_control() && *b != b'\t') {
         return Err(ParseError::MalformedChunk);
     }
     let digits = line.iter().take_while(|b| b.is_ascii_hexdigit()).count();
-    let (size, extension) = line.split_at(digits);
+    let (size, after_size) = line.split_at(digits);
     let is_blank = |b: &&u8| matches!(**b, b' ' | b'\t');
-    let blanks = extension.iter().take_while(is_blank).count();
-    let starts_extension = matches!(extension[blanks..].first(), None | Some(b';'));
-    let has_only_blanks = blanks > 0 && blanks == extension.len();
-    if !starts_extension || has_only_blanks {
+    let blanks = after_size.iter().take_while(is_blank).count();
+    // Blanks are allowed before the `;` of an extension, but not if the line ends after them (RFC
+    // 9112, section 7.1.1).
+    let is_end_or_extension = matches!(after_size[blanks..].first(), None | Some(b';'));
+    let ends_with_blanks = blanks > 0 && blanks == after_size.len();
+    if !is_end_or_extension || ends_with_blanks {
         return Err(ParseError::MalformedChunk);
     }
     std::str::from_utf8(size)
--- a/crates/http1-codec/src/error.rs
+++ b/crates/http1-codec/src/error.rs
@@ -4,8 +4,9 @@
 
 /// Reason why a message cannot be decoded.
 ///
-/// The end of the message is unknown after any of these errors, so the connection has to be closed
-/// (RFC 9112, section 6.3). The text of an error in a request is sent to the client.
+/// The decoder stops at the error without finding the end of the message. The next message on the
+/// connection can therefore not be decoded, and the connection has to be closed (RFC 9112, section
+/// 6.3). The text of an error in a request is sent to the client.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum ParseError {
     /// The start line or a field line violates the grammar (RFC 9112, sections 2.2, 3 and 5).
