--- a/crates/http2-flood-guard/src/frame.rs
+++ b/crates/http2-flood-guard/src/frame.rs
@@ -93,7 +93,8 @@
         }
     }
 
-    /// Returns whether a DATA or HEADERS frame is the last one of its stream's request.
+    /// Returns whether a DATA or HEADERS frame ends the request of its stream. A HEADERS frame does
+    /// so together with the CONTINUATION frames that complete its header block.
     pub(crate) fn ends_stream(&self) -> bool {
         self.flags & FLAG_END_STREAM != 0
     }
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -3,11 +3,15 @@
 //! An HTTP/2 library enforces the limits that the protocol itself defines: the number of streams,
 //! the flow-control windows, and the size of header lists. The protocol does not limit the number
 //! of frames that cause work without carrying any part of a request (RFC 9113, section 10.5): PING,
-//! SETTINGS, PRIORITY, empty DATA frames, small window updates, resets of new streams, and an
-//! endless series of CONTINUATION frames. The [`FloodGuard`] reads the frame headers in the bytes
-//! that a client sends. A frame of these kinds takes a token from a token bucket, which is refilled
-//! at a constant rate and by every response. A client that sends requests and reads the responses
-//! never empties the bucket.
+//! SETTINGS, PRIORITY, empty DATA frames that do not end a request, window updates (a client may
+//! enlarge the window by one byte at a time), and stream resets (a client may reset each stream as
+//! soon as it has opened it). It does not limit the number of CONTINUATION frames in a header block
+//! either.
+//!
+//! The [`FloodGuard`] reads the frame headers in the bytes that a client sends. Each frame of these
+//! kinds, except an acknowledgement, takes a token from a token bucket, which is refilled at a
+//! constant rate and by every response. A client that sends requests and reads the responses never
+//! empties the bucket.
 //!
 //! The guard also reports since when a frame or a header block has been incomplete, and detects
 //! clients that do not speak HTTP/2.
--- a/crates/http2-flood-guard/src/token_bucket.rs
+++ b/crates/http2-flood-guard/src/token_bucket.rs
@@ -2,8 +2,9 @@
 
 use broker_types::time::{Timestamp, whole_micros};
 
-/// Number of the units in which a bucket counts, millionths of a token, in one token. A refill rate
-/// of one token per second adds one millionth per microsecond.
+/// Number of millionths in a token. A bucket counts in millionths of a token, because time is
+/// counted in microseconds: a refill rate of one token per second adds one millionth per
+/// microsecond.
 const MILLIONTHS_PER_TOKEN: u64 = 1_000_000;
 
 /// Tokens that refill at a constant rate up to a capacity.
--- a/crates/http2-flood-guard/src/violation.rs
+++ b/crates/http2-flood-guard/src/violation.rs
@@ -1,9 +1,9 @@
-//! Reasons for which a client's connection has to be closed.
+//! The violations that the flood guard reports.
 
 use crate::frame::FrameKind;
 use thiserror::Error;
 
-/// Reason for which a client's connection has to be closed.
+/// What a client did wrong on a connection. The owner of the connection has to close it.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Violation {
     /// The connection starts with an HTTP/1 request.
