--- a/crates/platform-config/src/error.rs
+++ b/crates/platform-config/src/error.rs
@@ -54,7 +54,8 @@
     /// There is no class, or a class has no name.
     #[error("settings: field Services is empty or contains a class without a name")]
     UnnamedClass,
-    /// A class has a second step.
+    /// A class has a second step, in which further parts are requested after the first answer: its
+    /// entry in `FetchParts` is greater than 0. The protocol does not support this.
     #[error(
         "settings: field FamilyInfo requests a second step (FetchParts), which the protocol does not support"
     )]
--- a/crates/platform-config/src/resources.rs
+++ b/crates/platform-config/src/resources.rs
@@ -25,8 +25,8 @@
 const CLIENT_MEMORY_DENOMINATOR: u64 = 5;
 /// Maximum memory of an HTTP/1.1 client connection while a request arrives on it, in bytes.
 const HTTP1_CONNECTION_BYTES: u64 = 128 * 1024;
-/// Minimum of the memory limit, in mebibytes: the fraction for client connections must suffice for
-/// one of them.
+/// Minimum of the memory limit, in mebibytes. With this limit, the fraction for client connections
+/// suffices for one HTTP/1.1 connection.
 const MIN_MEMORY_MEBIBYTES: u64 = (HTTP1_CONNECTION_BYTES * CLIENT_MEMORY_DENOMINATOR)
     .div_ceil(CLIENT_MEMORY_NUMERATOR * MEBIBYTE);
 
@@ -34,7 +34,7 @@
 /// settings have no `DialTimeout`.
 const DEFAULT_DIAL_TIMEOUT_MS: f64 = 250.0;
 /// Idle time after which a data server closes a connection, in milliseconds, if the settings have
-/// no `Keepalive`.
+/// no `Keepalive`. The broker closes its idle connections before the data server does.
 const DEFAULT_IDLE_TIMEOUT_MS: f64 = 15_000.0;
 /// Maximum number of parts in flight on one connection to a data server if the settings have no
 /// limit.
@@ -81,7 +81,9 @@
     }
 
     /// Returns the limits on connections to data servers, which may use a third of the descriptors.
-    /// A connection takes at least the parts of one call, even if the settings allow fewer.
+    /// If the settings allow fewer parts in flight on a connection than in a call, the limit on the
+    /// connection is raised to that of the call, because no connection would otherwise have room
+    /// for a full call.
     pub(crate) fn pool(&self, site: &SiteSettings) -> PoolLimits {
         let max_parts_per_call = site.settings.max_parts_per_call;
         let max_parts_per_connection =
--- a/crates/platform-config/src/tests/overrides_and_defaults.rs
+++ b/crates/platform-config/src/tests/overrides_and_defaults.rs
@@ -1,5 +1,5 @@
-//! Environment variables that override fields, defaults of absent fields, and the connections that
-//! the resource limits allow.
+//! Environment variables that override fields, limits that are set or absent, and the connections
+//! that the resource limits allow.
 
 use super::fixture::{config, config_with};
 use crate::from_json;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 #[test]
-fn environment_overrides_file_and_limits_have_defaults() {
+fn environment_overrides_file_and_limits_come_from_settings() {
     let env = |key: &str| (key == "RELAY_LISTEN").then(|| "127.0.0.1:3".to_owned());
     let config = from_json(&config(), env).unwrap();
     assert_eq!(
@@ -20,7 +20,9 @@
         ),
         (3, 2, "n3")
     );
+    // The file's limit on descriptors exceeds the maximum that the broker uses.
     assert!(config.clients.descriptors + (config.pool.max_connections as u64) < MAX_DESCRIPTORS);
+    // Fields `Batch`, `DialTimeout` and `MaxOpen` of the settings.
     assert_eq!(
         (
             config.pool.max_parts_per_call,
@@ -47,7 +49,7 @@
 }
 
 #[test]
-fn limits_may_be_missing_null_or_have_a_zero_fraction() {
+fn limits_may_be_missing_null_huge_or_have_a_zero_fraction() {
     for (object, field) in [
         ("", "limits"),
         ("/limits", "sockets"),
@@ -63,6 +65,7 @@
     assert_eq!(fraction.clients.memory_bytes, whole.clients.memory_bytes);
     let huge = config_with("/limits", "memory_mb", Some(&json!(u64::MAX)));
     let huge = from_json(&huge, |_| None).unwrap();
+    // In bytes, the limit exceeds 64 bits. Client connections get three fifths of the maximum.
     assert_eq!(huge.clients.memory_bytes, Some(u64::MAX / 5 * 3));
 }
 
@@ -71,12 +74,14 @@
 #[test]
 fn client_connections_fit_memory_limit() {
     let mut config = config();
-    let slots = |config: &Value| -> usize {
+    let max_connections = |config: &Value| -> usize {
         allocate(from_json(config, |_| None).unwrap().clients, None)
             .unwrap()
             .max_http1_connections
     };
-    assert_eq!(slots(&config), 661);
+    // Two thirds of the 992 descriptors for connections; the memory would suffice for more.
+    assert_eq!(max_connections(&config), 661);
     config["limits"]["memory_mb"] = json!(32);
-    assert_eq!(slots(&config), 153);
+    // Three fifths of 32 MiB, with 128 KiB for each connection.
+    assert_eq!(max_connections(&config), 153);
 }
