--- a/crates/query-api/src/lib.rs
+++ b/crates/query-api/src/lib.rs
@@ -1,8 +1,8 @@
 //! HTTP semantics of the broker (RFC 9110) for all versions of HTTP: routing of requests, decoding
 //! of queries and encoding of final responses.
 //!
-//! Other packages frame messages on connections. Each listener decodes its requests with [`route`]
-//! and encodes final responses with [`encode_final_response`].
+//! Other packages read and write the messages on connections. Each listener decodes its requests
+//! with [`route`] and encodes final responses with [`encode_final_response`].
 
 mod deadline;
 mod decode;
--- a/crates/query-api/src/parts.rs
+++ b/crates/query-api/src/parts.rs
@@ -24,8 +24,10 @@
 /// A part in the body of a query.
 #[derive(Deserialize)]
 pub(crate) struct RangeBody {
+    /// Index of the shard that the part reads.
     #[serde(rename = "range")]
     shard: usize,
+    /// Share of the complete answer that the part contributes, from 0 to 1.
     #[serde(rename = "portion")]
     weight: f64,
     /// Estimate of the work in the part, in microseconds.
@@ -34,8 +36,9 @@
 }
 
 impl RangeBody {
-    /// Checks the weight and the estimated work. An estimate of less than a microsecond counts as
-    /// no estimate.
+    /// Checks the weight and the estimated work, and converts the part. The estimate is rounded
+    /// down to whole microseconds. If this makes it zero, it is dropped, because the policy uses
+    /// only estimates greater than zero.
     fn check(self) -> Result<PartSpec, InvalidRequest> {
         if !(0.0..=1.0).contains(&self.weight) {
             return Err(InvalidRequest::WeightOutOfBounds);
