--- a/crates/server-protocol/src/broker.rs
+++ b/crates/server-protocol/src/broker.rs
@@ -11,10 +11,12 @@
 use std::fmt::{self, Write};
 
 /// Maximum length of the kind and payload of a frame from a data server, in bytes. It suffices for
-/// a response line and a value as long as the longest HTTP body.
+/// a response line of the maximum length and a value of 64 KiB, the maximum length of the body of
+/// an HTTP request to the broker.
 const MAX_BODY_LEN: usize = 66 * 1024;
-/// Maximum length of the first line of a response to a part, in bytes. The line consists of an id,
-/// whose length is limited because clients choose part of it, and of short fields.
+/// Maximum length of the first line of a response to a part, in bytes. The line consists of the id
+/// of the part and of short fields. The id contains the id that the client chose for its request,
+/// whose length the broker limits.
 pub const MAX_RESPONSE_LINE_LEN: usize = 1024;
 
 /// One part of a call that is to be encoded.
--- a/crates/server-protocol/src/server.rs
+++ b/crates/server-protocol/src/server.rs
@@ -18,8 +18,8 @@
     pub id: String,
     /// Index of the shard that the part reads.
     pub shard: usize,
-    /// Time for which the broker waits for the response, in milliseconds. Zero if the part has no
-    /// such option.
+    /// Time for which the broker waits for the response, in milliseconds. Zero if the options of
+    /// the part do not contain this time.
     pub wait_ms: u64,
     /// Idempotency key of the query, if its class uses one.
     pub idempotency_key: Option<String>,
