--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -71,7 +71,8 @@
         Ok(())
     }
 
-    /// Stores an endpoint list, in place of an earlier one with the same slot.
+    /// Stores an endpoint list under its slot number, by which later updates refer to it. The list
+    /// replaces an earlier one with the same slot number.
     fn declare_endpoint_list(&mut self, message: &Message) -> Result<(), MessageError> {
         let list: DeclaredListWire = message.decode()?;
         self.endpoint_lists.insert(list.slot(), list.into());
--- a/crates/simulator-adapter/src/wire/incoming/arrival.rs
+++ b/crates/simulator-adapter/src/wire/incoming/arrival.rs
@@ -13,8 +13,8 @@
     /// Index of the shard for a part, below 0 for a query.
     #[serde(rename = "Slice", deserialize_with = "number")]
     shard: f64,
-    #[serde(rename = "GroupNo", deserialize_with = "whole_number")]
     /// Number that a query and its parts have in common.
+    #[serde(rename = "GroupNo", deserialize_with = "whole_number")]
     group: u64,
 }
 
@@ -37,8 +37,10 @@
     id: Arc<str>,
     #[serde(rename = "Team", default, deserialize_with = "optional_whole_number")]
     tenant: Option<u64>,
+    /// Simulated time at which the client stops waiting for an answer.
     #[serde(rename = "GiveUpAt", deserialize_with = "number")]
     client_deadline_ms: f64,
+    /// Whether the client marked the query as a retry.
     #[serde(rename = "AgainByClient", default, deserialize_with = "flag")]
     is_retry: bool,
 }
@@ -64,8 +66,10 @@
     id: Arc<str>,
     #[serde(rename = "Slice", deserialize_with = "whole_number")]
     shard: u64,
+    /// Weight of the part in the answer, as a share of the total weight of the step's parts.
     #[serde(rename = "Measure", deserialize_with = "number")]
     weight: f64,
+    /// Approximate work of the part.
     #[serde(rename = "Effort", default, deserialize_with = "optional_number")]
     cost_hint_ms: Option<f64>,
 }
--- a/crates/simulator-adapter/src/wire/incoming/attempt_ended.rs
+++ b/crates/simulator-adapter/src/wire/incoming/attempt_ended.rs
@@ -70,9 +70,9 @@
     }
 }
 
-/// A server's report of its load. A field that is null counts as present, so that a malformed
-/// report is ignored as a whole: the number of waiting requests is used only if the field with the
-/// number in flight is absent.
+/// A server's report of its load. The number of waiting requests is used only if the field with the
+/// number in flight is absent. If that field is present but malformed, the whole report is ignored.
+/// A field that is null counts as present and malformed.
 #[derive(Debug, Deserialize)]
 struct LoadReportWire {
     #[serde(rename = "rif", default, deserialize_with = "value_or_null")]
--- a/crates/simulator-adapter/src/wire/incoming/gossip.rs
+++ b/crates/simulator-adapter/src/wire/incoming/gossip.rs
@@ -6,14 +6,15 @@
 /// The contents of a gossip message.
 #[derive(Debug, Deserialize)]
 pub(crate) struct GossipContentsWire {
+    /// Encoded message, as pairs of hexadecimal digits.
     #[serde(rename = "Contents", deserialize_with = "text")]
-    hexadecimal: String,
+    contents: String,
 }
 
 impl GossipContentsWire {
     /// Returns the decoded bytes, or `None` if the contents are not pairs of hexadecimal digits.
     pub(crate) fn bytes(&self) -> Option<Vec<u8>> {
-        hex::decode(&self.hexadecimal).ok()
+        hex::decode(&self.contents).ok()
     }
 }
 
--- a/crates/simulator-adapter/src/wire/incoming/launch.rs
+++ b/crates/simulator-adapter/src/wire/incoming/launch.rs
@@ -32,8 +32,8 @@
         self.seed
     }
 
-    /// Returns the settings of the instance. Fails if a field of the settings is missing that other
-    /// fields make necessary, or if a list is too short.
+    /// Returns the settings of the instance. Fails if a field that another field requires is
+    /// missing or has a wrong type, or if a list of the data layout has no entry for a class.
     pub(crate) fn site_settings(self) -> Result<SiteSettings, FieldError> {
         self.settings.try_into()
     }
--- a/crates/simulator-adapter/src/wire/outgoing.rs
+++ b/crates/simulator-adapter/src/wire/outgoing.rs
@@ -66,16 +66,18 @@
         instance: u64,
         #[serde(rename = "Dst")]
         receivers: &'static str,
+        /// Encoded message, as pairs of hexadecimal digits.
         #[serde(rename = "Contents")]
-        hexadecimal: String,
+        contents: String,
     },
     #[serde(rename = "KeepInformed")]
     PollEndpointList {
         #[serde(rename = "I")]
         instance: u64,
-        /// `true` to request updates, `false` to stop them. The adapter only requests them.
+        /// `true` to start polling for changes of the endpoint list, `false` to stop it. The
+        /// adapter never stops it.
         #[serde(rename = "Full")]
-        subscribe: bool,
+        starts_polling: bool,
     },
     #[serde(rename = "After")]
     SetTimer {
@@ -124,11 +126,11 @@
             Action::PublishLoad { bytes } => ActionWire::PublishLoad {
                 instance,
                 receivers: ALL_AGGREGATORS,
-                hexadecimal: hex::encode(bytes),
+                contents: hex::encode(bytes),
             },
             Action::PollEndpointList => ActionWire::PollEndpointList {
                 instance,
-                subscribe: true,
+                starts_polling: true,
             },
             Action::SetTimer { after } => ActionWire::SetTimer {
                 instance,
