--- a/crates/wire-fields/src/error.rs
+++ b/crates/wire-fields/src/error.rs
@@ -73,9 +73,10 @@
         FieldProblem::UnknownValue,
     ];
 
-    /// Returns the text with which a visitor of this crate describes the value that it expects if
-    /// it reports this problem. `serde` puts the text after `, expected ` at the end of its error.
-    /// Problems that no visitor reports in this way share a text that no error ends with.
+    /// Returns the description of the expected value that a visitor of this crate gives for this
+    /// problem. If the visitor finds a value of a wrong type, `serde` ends the text of its error
+    /// with `, expected ` and this description. All problems that are not reported in this way get
+    /// the same placeholder, which no error ends with.
     pub(crate) fn expectation(self) -> &'static str {
         match self {
             FieldProblem::NotAString => "a string",
