--- a/crates/broker/src/discovery.rs
+++ b/crates/broker/src/discovery.rs
@@ -1,5 +1,6 @@
-//! The watch of the endpoint list at the discovery service. At the start of the program it requests
-//! the changes since the revision of the cached list in the platform's configuration.
+//! The watch of the endpoint list at the discovery service. The platform's configuration contains a
+//! cached endpoint list, so at the start of the program the watch requests only the changes since
+//! the revision of that list.
 //!
 //! [`DiscoveryWatch`] owns the one task of the watch. It ends the task when it is dropped or when
 //! it is moved to another address. The task owns the connection to discovery and the revision of
--- a/crates/broker/src/discovery/client.rs
+++ b/crates/broker/src/discovery/client.rs
@@ -15,13 +15,14 @@
 /// Time for which discovery may delay its response while the list does not change. The broker
 /// requests this time with each poll.
 ///
-/// If the broker's watch becomes silent, the discovery protocol counts the broker as notified of a
-/// change of the list at the latest 6 s after that, whether or not the change has arrived. From
-/// then on, apart from a grace period, an attempt that is sent to a draining or removed server
-/// breaks the rule on drains. The broker must therefore have a working watch again before the 6 s
-/// have passed. The sum of the following times must stay well below 6 s: this time and
-/// [`RESPONSE_GRACE`], after which the broker detects that a watch has failed, a backoff delay, a
-/// failed connect and another backoff delay.
+/// A failed watch must be replaced by a working one within 6 s. If a watch becomes silent, the
+/// discovery protocol counts the broker as notified of each change at the latest 6 s after that,
+/// whether or not the change has arrived. From then on, apart from a grace period, an attempt that
+/// is sent to a draining or removed server breaks the rule on drains.
+///
+/// The broker detects a failed watch after `POLL_WAIT` and [`RESPONSE_GRACE`]. If its first attempt
+/// to reconnect fails, a backoff delay, [`CONNECT_TIMEOUT`] and another backoff delay follow. The
+/// sum of these five times must stay well below 6 s.
 pub(super) const POLL_WAIT: Duration = Duration::from_secs(2);
 /// Time limit for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
@@ -114,8 +115,9 @@
     }
 }
 
-/// Checks that a received list can be applied: it must not be older than `current_revision`, the
-/// revision of the current list. If there is no current list, the received list must be a full one.
+/// Checks that a received list can be applied to the current one. If the changes since
+/// `current_revision` were requested, the received list must not be older than this revision.
+/// `None` means that the full list was requested: the received list must then be a full one.
 fn check_list_applies(
     list: &EndpointList,
     current_revision: Option<u64>,
--- a/crates/broker/src/discovery/watcher.rs
+++ b/crates/broker/src/discovery/watcher.rs
@@ -62,17 +62,17 @@
             let is_unchanged = self.revision == Some(list.revision);
             self.on_list(list);
             if is_unchanged && started_at.elapsed() < POLL_WAIT / 2 {
-                // Discovery has responded before the requested wait has passed, although the list
-                // has not changed. If it always does so, polling without a pause would use all the
-                // time of the core.
+                // Discovery has responded after less than half of the requested wait, although the
+                // list has not changed. If it always does so, polling without a pause would use all
+                // the time of the core.
                 Timer::after(MIN_DELAY).await;
             }
         }
         Ok(())
     }
 
-    /// Stores the revision of a received list, resets the backoff, and queues an event for the list
-    /// unless it holds no changes.
+    /// Stores the revision of a received list and resets the backoff. Queues an event for the list
+    /// if it is a full list or holds at least one change.
     fn on_list(&mut self, list: EndpointList) {
         self.revision = Some(list.revision);
         self.backoff.reset();
--- a/crates/broker/src/event_loop/dispatch_queue.rs
+++ b/crates/broker/src/event_loop/dispatch_queue.rs
@@ -1,7 +1,8 @@
 //! The queue of attempts that are sent at the end of an iteration.
 //!
-//! [`DispatchQueue`] owns an attempt from its dispatch by the policy until it is passed to the
-//! server pools, or until its end without having been sent is reported.
+//! [`DispatchQueue`] owns an attempt from its dispatch by the policy until the attempt is passed to
+//! the server pools. If the attempt ends before that, the queue owns it until the end is reported
+//! to the policy.
 
 use crate::upstream::EndedAttempt;
 use broker_types::query::AttemptId;
--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -251,8 +251,9 @@
         self.servers.send_attempts(now, attempts);
     }
 
-    /// Adds the data of the query that the attempt's frame contains to a dispatch. If the attempt
-    /// must not be sent, records that it ended without being sent and returns `None`.
+    /// Prepares a dispatched attempt for sending: adds the data of its query that its frame
+    /// contains. If the attempt must not be sent, records that it ended without being sent and
+    /// returns `None`.
     fn prepare_attempt(&mut self, now: Timestamp, dispatch: Dispatch) -> Option<OutgoingAttempt> {
         let attempt = dispatch.attempt;
         match self.queries.prepare_attempt(now, dispatch) {
--- a/crates/broker/src/event_loop/shutdown.rs
+++ b/crates/broker/src/event_loop/shutdown.rs
@@ -62,9 +62,12 @@
         }
     }
 
-    /// Returns the time at which [`GracefulShutdown::advance`] must be called next: when the
-    /// listeners must be closed or, once they are closed, one `tick` after `now`. Returns `None`
-    /// before the start of the shutdown.
+    /// Returns the time at which [`GracefulShutdown::advance`] must be called next, or `None`
+    /// before the start of the shutdown. Before the listeners are closed, this is the time to close
+    /// them. Once they are closed, it is one `tick` after `now`: no event reports that the last
+    /// connection was closed, so this must be checked at regular intervals.
+    ///
+    /// [`GracefulShutdown::advance`] must have been called for `now` before.
     pub(super) fn next_deadline(
         &self,
         now: Timestamp,
--- a/crates/broker/src/listeners/context.rs
+++ b/crates/broker/src/listeners/context.rs
@@ -93,9 +93,9 @@
         }
     }
 
-    /// Submits a query when it is called, not when the returned future is first polled. The future
-    /// waits for the query's final response. If `client_disconnected` completes first, the query is
-    /// cancelled and the future returns its output as an error.
+    /// Submits a query immediately, before the returned future is polled. The future waits for the
+    /// query's final response. If `client_disconnected` completes first, the query is cancelled,
+    /// and the future returns the output of `client_disconnected` as an error.
     pub(super) fn submit<'a, E: 'a>(
         &'a self,
         connection: ConnectionId,
@@ -110,7 +110,8 @@
         reply.or(cancelled)
     }
 
-    /// Returns the response to a client for which there is no capacity.
+    /// Returns the response to a client that is rejected, because no connection slot is free or the
+    /// broker is shutting down.
     pub(super) fn rejection(&self) -> Response {
         connection_rejected(&self.settings)
     }
--- a/crates/broker/src/listeners/http1/input.rs
+++ b/crates/broker/src/listeners/http1/input.rs
@@ -38,8 +38,7 @@
     decoder: RequestDecoder,
     /// Bytes that have been read and not decoded yet.
     buffer: Vec<u8>,
-    /// When bytes were last read, and so the latest time at which a complete request in the buffer
-    /// can have arrived.
+    /// When bytes were last read. Everything in the buffer arrived at this time or before.
     last_read_at: Instant,
 }
 
@@ -83,7 +82,8 @@
     /// # Errors
     ///
     /// The error of the socket; [`io::ErrorKind::TimedOut`] if nothing arrives for
-    /// [`RECEIVE_TIMEOUT`]; [`io::ErrorKind::UnexpectedEof`] if the client closes its side before
+    /// [`RECEIVE_TIMEOUT`], or if the client does not accept the interim response within
+    /// [`MESSAGE_TIMEOUT`]; [`io::ErrorKind::UnexpectedEof`] if the client closes its side before
     /// the end of the request.
     pub(super) async fn read_request(&mut self) -> io::Result<ReceivedRequest> {
         let mut continue_sent = false;
@@ -102,6 +102,7 @@
             if with_timeout(RECEIVE_TIMEOUT, self.read()).await? == 0 {
                 return Err(io::ErrorKind::UnexpectedEof.into());
             }
+            // Lets other tasks run: a client that sends continuously must not occupy the thread.
             yield_now().await;
         }
     }
--- a/crates/broker/src/listeners/http2/guarded_connection.rs
+++ b/crates/broker/src/listeners/http2/guarded_connection.rs
@@ -1,7 +1,8 @@
 //! The `h2` library's connection together with the flood guard on its input.
 //!
-//! [`GuardedConnection`] owns both, so that it can discard what the library has decoded once the
-//! guard has reported a violation.
+//! [`GuardedConnection`] owns both. When the guard reports a violation, the connection reports the
+//! violation as well, and discards the request that the library has just decoded from the same
+//! input.
 
 use super::guarded_socket::{GuardedSocket, SharedGuard};
 use super::stream::NewStream;
@@ -42,7 +43,8 @@
     /// reported, because the connection is being closed already.
     pub(super) fn poll_event(&mut self, cx: &mut Context<'_>) -> Poll<ProtocolEvent> {
         let accepted = self.h2.poll_accept(cx);
-        // If there is a violation, what the library has just decoded is discarded.
+        // A violation takes precedence over a request that the library has just decoded: the
+        // request is discarded, because the connection is about to be closed.
         let violation = self.guard.borrow().violation();
         if let Some(violation) = violation
             && !self.is_shut_down
@@ -64,8 +66,9 @@
         self.guard.borrow().incomplete_since()
     }
 
-    /// Records in the flood guard that a response with a body of `body_bytes` was sent, which
-    /// permits the client more control frames.
+    /// Records in the flood guard that a response with a body of `body_bytes` was sent. The guard
+    /// then permits the client more control frames, because the client has to send window updates
+    /// to receive a body.
     pub(super) fn on_response_sent(&mut self, body_bytes: usize) {
         self.guard.borrow_mut().on_response_sent(body_bytes);
     }
--- a/crates/broker/src/listeners/http2/guarded_socket.rs
+++ b/crates/broker/src/listeners/http2/guarded_socket.rs
@@ -45,7 +45,8 @@
     }
 
     /// Records in the guard that a response with a body of `body_bytes` was sent. The guard then
-    /// permits the client more control frames.
+    /// permits the client more control frames, because the client has to send window updates to
+    /// receive a body.
     pub(super) fn on_response_sent(&mut self, body_bytes: usize) {
         self.guard.on_response_sent(body_bytes);
     }
--- a/crates/broker/src/listeners/http2/lifetime.rs
+++ b/crates/broker/src/listeners/http2/lifetime.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 
 /// Idle timeout of a connection that has served a valid request. Clients of HTTP/2 keep a
-/// connection open for further requests.
+/// connection open for further requests. Before the first valid request, the shorter
+/// [`RECEIVE_TIMEOUT`] applies.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Maximum time for which a connection without open streams stays open after GOAWAY was sent or its
 /// last stream ended, whichever is later. It gives the client time to receive the frame.
--- a/crates/broker/src/listeners/mod.rs
+++ b/crates/broker/src/listeners/mod.rs
@@ -119,14 +119,16 @@
         }
     }
 
-    /// Starts to drain. From then on readiness checks fail and each connection is closed after its
-    /// requests, but requests that still arrive are served.
+    /// Starts to drain. From then on readiness checks fail, each HTTP/1.1 connection is closed
+    /// after its next response, and each HTTP/2 connection is shut down gracefully. Requests that
+    /// still arrive are served.
     pub fn start_draining(&self) {
         self.context.lifecycle().set_phase(Phase::Draining);
     }
 
-    /// Closes the listening sockets and the idle connections. The connections in the sockets'
-    /// backlogs are accepted first.
+    /// Closes the listening sockets and the idle HTTP/1.1 connections. The connections in the
+    /// sockets' backlogs are accepted first. HTTP/2 connections are not closed here, because they
+    /// start graceful shutdown themselves once the phase is no longer `Phase::Serving`.
     pub async fn close(&mut self) {
         if self.is_closed() {
             return;
--- a/crates/broker/src/listeners/slots/tests.rs
+++ b/crates/broker/src/listeners/slots/tests.rs
@@ -47,6 +47,7 @@
         [true, true, true, true],
     ];
     assert_eq!(order, expected);
+    // A connection whose registration was dropped must no longer be evictable.
     let dropped = slots.evictable(EvictionPriority::Idle);
     drop(dropped);
     assert!(slots.evictable.borrow().is_empty());
--- a/crates/broker/src/net.rs
+++ b/crates/broker/src/net.rs
@@ -80,6 +80,7 @@
     let drain = async {
         while read_some(stream, &mut discarded).await? > 0 {
             discarded.clear();
+            // Lets other tasks run: a client that sends continuously must not occupy the thread.
             yield_now().await;
         }
         Ok(())
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -32,11 +32,12 @@
 /// The reason why a dispatched attempt must not be sent.
 #[derive(Debug, PartialEq, Eq, Error)]
 pub(crate) enum DispatchError {
-    /// The query finished in the same iteration, after the attempt had been dispatched.
+    /// The query finished in the same iteration, after the attempt had been dispatched. Also
+    /// returned if the query has no part with the index of the attempt's part.
     #[error("the query of the attempt is no longer in flight")]
     QueryFinished,
-    /// An earlier attempt under the same idempotency key may have executed the part, and data
-    /// servers could execute it again.
+    /// Data servers could execute the part a second time, because an earlier attempt under the same
+    /// idempotency key may have executed it.
     #[error(transparent)]
     RepetitionForbidden(#[from] RepetitionForbidden),
 }
@@ -48,8 +49,8 @@
 }
 
 impl ClientQueries {
-    /// Creates an empty table. `capacity` is the maximum number of queries and parts in flight,
-    /// both counted together.
+    /// Creates an empty table. `capacity` is the maximum sum of the number of queries in flight and
+    /// the number of their parts.
     pub(crate) fn new(settings: &Settings, capacity: usize) -> Self {
         ClientQueries {
             queries: BTreeMap::new(),
@@ -122,8 +123,8 @@
             .release(now, query.connection(), query.request(), end);
     }
 
-    /// Adds the data of the query that the attempt's frame contains to a dispatch, and records that
-    /// the attempt is sent.
+    /// Prepares a dispatched attempt for sending: adds the data of its query that its frame
+    /// contains, and records that the attempt is sent.
     ///
     /// # Errors
     ///
@@ -158,8 +159,8 @@
     }
 }
 
-/// Returns whether a query with this final response was answered. The register of idempotency keys
-/// needs this: when it is full, it forgets the keys of answered queries first.
+/// Returns how a query with this final response has ended. The register of idempotency keys needs
+/// this: when it is full, it removes only the keys of answered queries to make space.
 fn query_end(response: &FinalResponse) -> QueryEnd {
     match response {
         FinalResponse::Answered { .. } => QueryEnd::Answered,
--- a/crates/broker/src/queries/reservations.rs
+++ b/crates/broker/src/queries/reservations.rs
@@ -33,8 +33,8 @@
 }
 
 impl QueryReservations {
-    /// Creates the reservations of a broker without queries. `capacity` is the maximum number of
-    /// queries and parts in flight, both counted together.
+    /// Creates the reservations of a broker without queries. `capacity` is the maximum sum of the
+    /// number of queries in flight and the number of their parts.
     pub(super) fn new(settings: &Settings, capacity: usize) -> Self {
         QueryReservations {
             request_ids: BTreeSet::new(),
--- a/crates/broker/src/upstream/connection_pool.rs
+++ b/crates/broker/src/upstream/connection_pool.rs
@@ -145,6 +145,8 @@
     ) -> StopResult {
         match self.connections.get_mut(&assignment.connection()) {
             Some(connection) => connection.stop_waiting(now, assignment, reason, &self.timeouts),
+            // Not expected, because all attempts on a connection end when it is removed. There is
+            // no connection that would have to be closed.
             None => StopResult::KeepConnection(reason.into()),
         }
     }
--- a/crates/broker/src/upstream/server_table.rs
+++ b/crates/broker/src/upstream/server_table.rs
@@ -21,8 +21,8 @@
 
 impl ServerTable {
     /// Sets the address of a server. `None` means that the server accepts no further attempts or
-    /// was removed. If the server had a different address before, returns all connections to the
-    /// server, which lead to former addresses.
+    /// was removed. If the server had a different address before, returns the ids of all
+    /// connections to the server, because each of them leads to a former address.
     pub(super) fn set_endpoint(
         &mut self,
         name: &NodeId,
--- a/crates/broker/src/upstream/tests/connections.rs
+++ b/crates/broker/src/upstream/tests/connections.rs
@@ -2,6 +2,10 @@
 
 use super::*;
 
+/// Calls must be spread over up to four connections to a server, but an idle connection must be
+/// reused before another one is opened. A fifth connection must be opened only once each of the
+/// four has its maximum of four parts in flight. In the end 20 parts are in flight, which fill five
+/// connections.
 #[test]
 fn calls_are_spread_over_connections_and_an_idle_one_is_reused() {
     let mut pools = TestPools::new(limits());
--- a/crates/broker/src/upstream/tests/mod.rs
+++ b/crates/broker/src/upstream/tests/mod.rs
@@ -305,8 +305,8 @@
     filled
 }
 
-/// Polls the future that writes the frames of a queue to a socket once. Panics unless it is
-/// pending.
+/// Creates the future that writes the frames of a queue to a socket, and polls it once. Panics
+/// unless it is pending.
 fn poll_write(stream: &Async<TcpStream>, send_queue: &SendQueue) {
     let write = pin!(socket::write_frames(stream, send_queue, Clock::start()));
     let poll = write.poll(&mut Context::from_waker(Waker::noop()));
--- a/crates/broker/src/upstream/timeouts.rs
+++ b/crates/broker/src/upstream/timeouts.rs
@@ -44,8 +44,8 @@
         self.dial
     }
 
-    /// Returns the time without any event after which a connection with an unanswered attempt is
-    /// used for no further attempts.
+    /// Returns the maximum silence of a connection. If an attempt is cancelled or times out after a
+    /// silence of at least this time, the connection is used for no further attempts.
     pub(super) fn max_silence(&self) -> Duration {
         self.dial.saturating_mul(MAX_SILENCE_DIAL_TIMEOUTS)
     }
