--- a/crates/fanout-policy/tests/policy/admission.rs
+++ b/crates/fanout-policy/tests/policy/admission.rs
@@ -30,9 +30,10 @@
 
 #[test]
 fn client_retry_past_its_objective_is_recognized_by_its_shorter_time_left() {
-    // The client timeout of the class, over all attempts of a client, is 4000 ms, and queries
-    // usually arrive with 3500 ms left. One with 2000 ms left is a retry: its first attempt was
-    // sent 2000 ms ago, which is past the latency objective of 1000 ms.
+    // The client timeout of the class is 4000 ms: all attempts of a client at one query share it.
+    // Queries usually arrive with 3500 ms of it left, so that one with 2000 ms left is a retry. Its
+    // first attempt was sent 4000 - 2000 = 2000 ms ago, which exceeds the latency objective of
+    // 1000 ms.
     let mut policy = Harness::new(ring_with_class(class_without_late_weight()), 1);
     policy.answer_queries(20, 3500.0);
     let events = policy.query_events("again", 0, &[0], 2000.0);
@@ -56,9 +57,10 @@
 /// estimates from an overload could reject all later queries although the servers are idle.
 #[test]
 fn past_overload_does_not_reject_queries_of_an_idle_fleet_for_good() {
-    // The queries take 900 ms, much longer than forecast, although the servers answer the parts in
-    // the usual time. The other class has a much larger weight, which reduces the admission limit
-    // of this one to its minimum.
+    // The ends of the parts are reported with the usual elapsed time of 20 ms, but only 900 ms
+    // after the queries have arrived: the queries take much longer than forecast, although the
+    // servers are fast. One query of a class with a much larger weight comes first. It reduces the
+    // admission limit of the class with the low weight nearly to the minimum.
     let low_weight = class_without_late_weight();
     let high_weight = Class {
         priority_weight: 50.0,
@@ -121,6 +123,8 @@
 /// overloaded servers was for such answers.
 #[test]
 fn attempt_ends_at_the_objective_when_late_answers_have_little_weight() {
+    // The timeouts are the latency objective of 1000 ms and the client timeout of 4000 ms, each
+    // less two ticks of 5 ms, which are reserved for the reply to reach the client.
     for (late_weight, timeout, expected) in
         [(0.1, 990.0, vec![rejected("q")]), (0.3, 3990.0, vec![])]
     {
@@ -141,13 +145,14 @@
         let responses = policy.responses_after(995.0, vec![]);
         assert_eq!(
             responses, expected,
-            "995 ms after a query with late weight {late_weight}"
+            "final responses 995 ms after a query with late weight {late_weight}"
         );
     }
 }
 
-/// Guards against wasted work: without the rejection, seventeen parts of a query run although its
-/// eighteenth part has no reachable replica, so that the query cannot be answered.
+/// Guards against wasted work. A query cannot be answered if one of its parts has no reachable
+/// replica. Without the rejection its other parts would still run: seventeen of them if the query
+/// has eighteen parts.
 #[test]
 fn query_is_rejected_immediately_while_a_part_has_no_reachable_replica() {
     let settings = Settings {
@@ -168,8 +173,9 @@
 }
 
 /// Guards against the admission of queries that one slow server makes late. The mean of the
-/// forecasts over many parts hides that server, and where there are many brokers, each may send
-/// only a few hedges to avoid it.
+/// forecasts over all parts hides that server. Hedges could avoid it, but where there are many
+/// brokers, each may send only a few hedges. A query is therefore rejected for one late part if it
+/// needs all its parts and there are many brokers.
 #[test]
 fn query_that_needs_all_parts_is_rejected_for_one_late_part() {
     for (required_share, aggregators, is_rejected) in
@@ -186,6 +192,7 @@
             ..ring_with_class(class)
         };
         let mut policy = Harness::new(settings, 1);
+        // The only server of shard 0 takes longer than the latency objective of 1000 ms.
         for k in 0..30 {
             let sent = policy.attempts_for(&format!("w{k}"), &[k % 6]);
             let elapsed = if k % 6 == 0 { 1100.0 } else { 40.0 };
@@ -210,20 +217,21 @@
     let mut policy = Harness::new(settings, 2);
     policy.answer_queries(10, 4000.0);
     // Each time that both replicas reject a part, they are ejected for longer.
-    let mut last = vec![];
+    let mut sent_for_last_query = vec![];
     for k in 0..12 {
-        let mut open = policy.attempts_for(&format!("q{k}"), &[0]);
-        last = open.clone();
+        let mut in_flight = policy.attempts_for(&format!("q{k}"), &[0]);
+        sent_for_last_query = in_flight.clone();
         let mut attempt = 0;
-        while let Some(SentAttempt { part, .. }) = open.pop() {
+        while let Some(SentAttempt { part, .. }) = in_flight.pop() {
             let actions = policy.end_attempt(&part, attempt, Outcome::Overloaded, 5.0);
-            open.extend(sent_attempts(&actions));
+            in_flight.extend(sent_attempts(&actions));
             attempt += 1;
         }
     }
     assert!(
-        last.is_empty(),
-        "the last query must be rejected at once, since any work for it would be wasted: {last:?}"
+        sent_for_last_query.is_empty(),
+        "the last query must be rejected at once, since any work for it would be wasted; found the \
+         attempts {sent_for_last_query:?}"
     );
     policy.advance(6000.0, vec![]);
     assert!(
--- a/crates/fanout-policy/tests/policy/answers.rs
+++ b/crates/fanout-policy/tests/policy/answers.rs
@@ -48,9 +48,8 @@
         "q.0 counts once, although its end was reported twice"
     );
     policy.end_attempt("q.1", 0, Outcome::Served, 10.0);
-    let mut last = Vec::new();
-    last.extend(policy.run_ticks(250));
-    assert_eq!(final_responses(&last), vec![partial_answer("q")]);
+    let last_actions = policy.run_ticks(250);
+    assert_eq!(final_responses(&last_actions), vec![partial_answer("q")]);
 }
 
 #[test]
@@ -62,7 +61,8 @@
     };
     let mut policy = Harness::new(ring_with_class(class), 1);
     let sent = policy.attempts_for("q", &[0, 1, 2, 3, 4, 5]);
-    // Four of six parts have a weight of 0.667, five have 0.833.
+    // Four of six parts have a weight of 0.667, which is less than the required share; five have
+    // 0.833.
     assert_eq!(sent.len(), 5);
     let error = attempt_ended(&sent[0].part, 0, Outcome::Error, 10.0);
     let more = policy.attempts_after(10.0, vec![error]);
@@ -73,11 +73,11 @@
     );
     let mut events = served(&sent[1..], 0, 20.0);
     events.push(attempt_ended(&more[0].part, 0, Outcome::Served, 5.0));
-    let last = policy.advance(10.0, events);
-    assert_eq!(final_responses(&last), vec![complete_answer("q")]);
+    let last_actions = policy.advance(10.0, events);
+    assert_eq!(final_responses(&last_actions), vec![complete_answer("q")]);
     assert!(
-        cancels_an_attempt(&last),
-        "the attempt that is still in flight must be cancelled: {last:?}"
+        cancels_an_attempt(&last_actions),
+        "the attempt that is still in flight must be cancelled: {last_actions:?}"
     );
 }
 
@@ -95,10 +95,10 @@
     ];
     assert!(
         policy.responses_after(20.0, early).is_empty(),
-        "no answer before the last part, which adds a quarter of the weight"
+        "the partial answer must wait for the last part, which adds a quarter of the weight"
     );
-    let last = policy.advance(100.0, vec![served("q.3")]);
-    assert_eq!(final_responses(&last), vec![partial_answer("q")]);
+    let last_actions = policy.advance(100.0, vec![served("q.3")]);
+    assert_eq!(final_responses(&last_actions), vec![partial_answer("q")]);
 }
 
 #[test]
--- a/crates/fanout-policy/tests/policy/common/harness.rs
+++ b/crates/fanout-policy/tests/policy/common/harness.rs
@@ -44,11 +44,11 @@
         harness
     }
 
-    /// Runs a batch with the events, `after` milliseconds after the latest one. If the timer fires
-    /// before that time, the batches that it triggers run first. Returns the actions of all these
-    /// batches.
-    pub fn advance(&mut self, after: Ms, events: Vec<Event>) -> Vec<Action> {
-        let end = self.now + after;
+    /// Runs a batch with the events, `elapsed` milliseconds after the latest batch. If the timer
+    /// fires before that time, the batches that it triggers run first. Returns the actions of all
+    /// these batches.
+    pub fn advance(&mut self, elapsed: Ms, events: Vec<Event>) -> Vec<Action> {
+        let end = self.now + elapsed;
         let mut actions = Vec::new();
         while self.timer_fires_at < end {
             actions.extend(self.run_batch(self.timer_fires_at, vec![]));
@@ -146,13 +146,13 @@
     }
 
     /// Calls [`Harness::advance`] and returns the attempts that are sent.
-    pub fn attempts_after(&mut self, after: Ms, events: Vec<Event>) -> Vec<SentAttempt> {
-        sent_attempts(&self.advance(after, events))
+    pub fn attempts_after(&mut self, elapsed: Ms, events: Vec<Event>) -> Vec<SentAttempt> {
+        sent_attempts(&self.advance(elapsed, events))
     }
 
     /// Calls [`Harness::advance`] and returns the final responses.
-    pub fn responses_after(&mut self, after: Ms, events: Vec<Event>) -> Vec<Action> {
-        final_responses(&self.advance(after, events))
+    pub fn responses_after(&mut self, elapsed: Ms, events: Vec<Event>) -> Vec<Action> {
+        final_responses(&self.advance(elapsed, events))
     }
 
     /// Advances by `count` ticks, with a batch without events at each, and returns all actions.
@@ -181,9 +181,9 @@
         let mut attempts_by_server = BTreeMap::new();
         for n in 0..count {
             let name = format!("t{}-{n}", self.last_group);
-            let mut open = sent_attempts(&self.submit(&name, &[n % 3]));
+            let mut in_flight = sent_attempts(&self.submit(&name, &[n % 3]));
             let mut attempt = 0;
-            while let Some(SentAttempt { part, node, .. }) = open.pop() {
+            while let Some(SentAttempt { part, node, .. }) = in_flight.pop() {
                 let outcome = if faulty.contains(&node.as_str()) {
                     outcome
                 } else {
@@ -191,7 +191,7 @@
                 };
                 *attempts_by_server.entry(node).or_default() += 1;
                 let end = attempt_ended(&part, attempt, outcome, 30.0);
-                open.extend(sent_attempts(&self.advance(30.0, vec![end])));
+                in_flight.extend(sent_attempts(&self.advance(30.0, vec![end])));
                 attempt += 1;
             }
         }
@@ -199,7 +199,8 @@
     }
 
     /// Submits `count` one-part queries one after the other and serves each after 20 milliseconds.
-    /// The aggregator's estimates of the latency and of the clients' timeout follow from these.
+    /// The aggregator derives its estimates of the latency and of the clients' timeout from these
+    /// queries.
     pub fn answer_queries(&mut self, count: usize, client_timeout: Ms) {
         for n in 0..count {
             let name = format!("u{n}-{client_timeout}");
--- a/crates/fanout-policy/tests/policy/hedging.rs
+++ b/crates/fanout-policy/tests/policy/hedging.rs
@@ -56,10 +56,10 @@
         attempt: 0,
     };
     let mut batches = (0..60).map(|_| policy.advance(10.0, vec![]));
-    let cancelling = batches
+    let cancelling_batch = batches
         .find(|actions| actions.contains(&cancellation))
         .unwrap();
-    assert!(sent_attempts(&cancelling).is_empty());
+    assert!(sent_attempts(&cancelling_batch).is_empty());
     let cancelled = attempt_ended("q.0", 0, Outcome::Cancelled, 300.0);
     let retries = policy.attempts_after(5.0, vec![cancelled]);
     assert_eq!(retries.len(), 1);
@@ -72,15 +72,17 @@
 #[test]
 fn slightly_late_attempt_is_not_cancelled() {
     let mut policy = Harness::new(ring_without_hedging(), 1);
-    // Three replicas receive three parts each. All parts but the last one, which waits behind two
-    // others, are then served: the replicas have no other work.
+    // Three replicas receive three parts each. The last part has two others before it at its
+    // replica, so that its forecast includes their work. All parts but the last are then served:
+    // the replicas have no other work, and a retry would be fast. The last part must not be
+    // cancelled within the first 350 ms after that, and must be cancelled within the next 350 ms.
     let sent: Vec<_> = (0..9)
         .flat_map(|n| policy.attempts_for(&format!("t{n}"), &[0]))
         .collect();
     let ends = served(&sent[..8], 0, 100.0);
     let mut is_cancelled = |batches: usize, events: Vec<Event>| {
-        let first = cancels_an_attempt(&policy.advance(50.0, events));
-        first || (0..batches).any(|_| cancels_an_attempt(&policy.advance(10.0, vec![])))
+        let in_first_batch = cancels_an_attempt(&policy.advance(50.0, events));
+        in_first_batch || (0..batches).any(|_| cancels_an_attempt(&policy.advance(10.0, vec![])))
     };
     assert!(!is_cancelled(30, ends));
     assert!(is_cancelled(30, vec![]));
--- a/crates/fanout-policy/tests/policy/retries.rs
+++ b/crates/fanout-policy/tests/policy/retries.rs
@@ -10,16 +10,16 @@
 #[test]
 fn query_is_rejected_immediately_after_its_last_attempt() {
     let mut policy = Harness::new(ring(), 1);
-    let mut open = policy.attempts_for("q", &[0]);
+    let mut in_flight = policy.attempts_for("q", &[0]);
     let mut attempts = 0;
-    let mut last = Vec::new();
-    while let Some(SentAttempt { part, .. }) = open.pop() {
-        last = policy.end_attempt(&part, attempts, Outcome::Error, 10.0);
-        open.extend(sent_attempts(&last));
+    let mut last_actions = Vec::new();
+    while let Some(SentAttempt { part, .. }) = in_flight.pop() {
+        last_actions = policy.end_attempt(&part, attempts, Outcome::Error, 10.0);
+        in_flight.extend(sent_attempts(&last_actions));
         attempts += 1;
     }
     assert_eq!(attempts, 3);
-    assert_eq!(final_responses(&last), vec![rejected("q")]);
+    assert_eq!(final_responses(&last_actions), vec![rejected("q")]);
 }
 
 #[test]
@@ -43,6 +43,8 @@
             request_times.extend([policy.now + 5.0; 2]);
             policy.submit(&format!("q{k}"), &[k % 6])
         } else {
+            // Ends the latest attempt of every part. The aggregator ignores the ends of attempts
+            // that have ended before.
             let error = |(part, count): (&String, &u32)| {
                 attempt_ended(part, count - 1, Outcome::Error, 5.0)
             };
@@ -55,6 +57,8 @@
                 continue;
             }
             retry_times.push(policy.now);
+            // The budget does not say whether the start of a window belongs to it, and must hold
+            // in both cases. A request at the start is therefore left out, a retry is counted.
             let window_start = policy.now - retry_budget.window;
             let is_recent = |time: &&Ms| **time > window_start;
             let requests = request_times.iter().filter(is_recent).count();
@@ -101,6 +105,8 @@
     );
 }
 
+/// Guards against a healthy query that counts as a poison query: servers have answered four of its
+/// parts, more than the two attempts that have lost their connection.
 #[test]
 fn lost_connections_among_answers_are_retried() {
     let mut policy = Harness::new(ring(), 1);
--- a/crates/fanout-policy/tests/policy/robustness.rs
+++ b/crates/fanout-policy/tests/policy/robustness.rs
@@ -24,10 +24,10 @@
         }),
     ];
     assert!(policy.responses_after(5.0, stray).is_empty());
-    let mut last = policy.submit("empty", &[]);
-    last.extend(policy.run_ticks(900));
+    let mut actions = policy.submit("empty", &[]);
+    actions.extend(policy.run_ticks(900));
     assert_eq!(
-        final_responses(&last).len(),
+        final_responses(&actions).len(),
         1,
         "a query without parts must get exactly one final response"
     );
--- a/crates/fanout-policy/tests/policy/settings/fixture.rs
+++ b/crates/fanout-policy/tests/policy/settings/fixture.rs
@@ -75,7 +75,8 @@
 
 /// Decodes settings that are expected to be valid; panics with the decoder's error otherwise.
 pub fn decode_valid(value: &Value) -> SiteSettings {
-    decode_value(value).unwrap_or_else(|error| panic!("{error}"))
+    decode_value(value)
+        .unwrap_or_else(|error| panic!("expected valid settings, found the error: {error}"))
 }
 
 /// Returns the error text of the settings with one existing field replaced; panics if they are
@@ -83,5 +84,9 @@
 pub fn error_with(pointer: &str, replacement: Value) -> String {
     let mut value = settings();
     *value.pointer_mut(pointer).expect(pointer) = replacement;
-    decode_value(&value).expect_err(pointer).to_string()
+    decode_value(&value)
+        .expect_err(&format!(
+            "the settings must not accept this value of {pointer}"
+        ))
+        .to_string()
 }
--- a/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
+++ b/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
@@ -41,7 +41,7 @@
 /// An operator needs the place of a fault to mend it. Where several fields are faulty, the error
 /// may report any one of them, but has to give that field, its object and its problem.
 #[test]
-fn error_among_several_names_one_of_them() {
+fn error_names_one_of_several_faulty_fields() {
     let mut value = settings_with("/Tick", json!("x"));
     value["FamilyInfo"]["Shards"] = json!(-1);
     value["Services"][0]["Aim"] = Value::Null;
@@ -67,6 +67,7 @@
     ] {
         decode_valid(&settings_with(pointer, json!({"x": [null, 1.5]})));
     }
+    // There is one class, so that the second number of the list is unused.
     decode_valid(&settings_with("/FamilyInfo/ClassNeed", json!([0.9, 0.8])));
 }
 
@@ -88,6 +89,7 @@
         0 => json!([inner]),
         _ => json!({"x": inner}),
     });
+    // `WorthBy` and names may have a value of any type.
     decode_valid(&settings_with("/Unknown", nested.clone()));
     decode_valid(&settings_with("/WorthBy", nested.clone()));
     decode_valid(&settings_with("/Services/0/Name", nested.clone()));
--- a/crates/fanout-policy/tests/policy/settings/missing_fields.rs
+++ b/crates/fanout-policy/tests/policy/settings/missing_fields.rs
@@ -44,7 +44,8 @@
     for (pointer, object) in REQUIRED {
         let field = pointer.rsplit('/').next().unwrap();
         let expected = format!("{object}: field {field} is missing or null");
-        let absent = decode_value(&settings_without(pointer)).expect_err(pointer);
+        let absent = decode_value(&settings_without(pointer))
+            .expect_err(&format!("{pointer} must be required"));
         assert_eq!(absent.to_string(), expected);
         assert_eq!(error_with(pointer, Value::Null), expected);
     }
--- a/crates/fanout-policy/tests/policy/settings/wrong_types.rs
+++ b/crates/fanout-policy/tests/policy/settings/wrong_types.rs
@@ -62,8 +62,8 @@
         let expected = format!("{object}: field {field} {problem}");
         for value in values {
             let error = decode_value(&settings_with(pointer, value.clone()));
-            let error = error.expect_err(&format!("{pointer}: {value}"));
-            assert_eq!(error.to_string(), expected, "{value}");
+            let error = error.expect_err(&format!("{pointer} must not accept {value}"));
+            assert_eq!(error.to_string(), expected, "{pointer} with {value}");
         }
     }
 }
--- a/crates/fanout-policy/tests/policy/warm_up.rs
+++ b/crates/fanout-policy/tests/policy/warm_up.rs
@@ -14,7 +14,7 @@
 const INITIAL_PART_COST: f64 = 40.0;
 
 /// Returns the number of attempts that were sent to the server `node`.
-fn parts_at(sent: &[SentAttempt], node: &str) -> usize {
+fn attempts_at(sent: &[SentAttempt], node: &str) -> usize {
     sent.iter().filter(|attempt| attempt.node == node).count()
 }
 
@@ -29,7 +29,7 @@
     let mut work = 0.0;
     for k in 0..40 {
         let sent = policy.attempts_for(&format!("q{k}"), &[0, 1]);
-        work += parts_at(&sent, "c1n0") as f64 * INITIAL_PART_COST;
+        work += attempts_at(&sent, "c1n0") as f64 * INITIAL_PART_COST;
         policy.advance(10.0, served(&sent, 0, 40.0));
     }
     assert!(
@@ -81,21 +81,21 @@
     );
 }
 
-/// Work that all aggregators together send to a server in the first overload window after its
-/// start, in milliseconds.
+/// Load of a server in the first overload window after its start.
 struct WarmUpLoad {
+    /// Work that all aggregators together send to the server, in milliseconds.
     work: f64,
-    /// Work above which the server fails.
+    /// Work above which the server fails, in milliseconds.
     limit: f64,
 }
 
-/// Measures the load of a server that has just started, beside one that is warm. Each aggregator
-/// submits a query every `interval`, and has done so for `warm_time` before the server starts.
-/// Without such a `warm_time` no query is answered.
+/// Measures the load of a server that has just started, in a cell with one other server, which has
+/// warmed up. Each aggregator submits a query every `interval` milliseconds, from `warm_time`
+/// milliseconds before the start of the server. All queries are answered, or none if `warm_time`
+/// is 0: the fleet is then overloaded.
 fn warm_up_load(aggregators: usize, interval: Ms, warm_time: Ms) -> WarmUpLoad {
     let settings = Settings {
         aggregators,
-
         ..one_cell()
     };
     let mut work = 0.0;
@@ -105,11 +105,11 @@
         policy.update_list(ListUpdate::Snapshot, vec![endpoint("warm", 0)]);
         let mut submit_for = |policy: &mut Harness, duration: Ms| {
             let end = policy.now + duration;
+            // Spreads the queries of the aggregators evenly over the interval.
             policy.advance(interval * seed as f64 / aggregators as f64, vec![]);
             while policy.now < end {
                 let sent = policy.attempts_for(&format!("q{}", policy.now), &[0]);
-                work += parts_at(&sent, "started") as f64 * INITIAL_PART_COST;
-                // An overloaded fleet answers nothing.
+                work += attempts_at(&sent, "started") as f64 * INITIAL_PART_COST;
                 let answers = if warm_time > 0.0 {
                     served(&sent, 0, 40.0)
                 } else {
@@ -122,6 +122,7 @@
         submit_for(&mut policy, warm_time);
         let started = started_endpoint("started", 0, policy.now);
         policy.update_list(ListUpdate::Delta, vec![started]);
+        // The last query arrives within the overload window of 2000 ms.
         submit_for(&mut policy, 1900.0);
     }
     // The overload factor and window, times the capacity at the end of the window.
@@ -136,8 +137,10 @@
 #[test]
 fn many_aggregators_together_stay_below_the_overload_factor() {
     for aggregators in [1, 2, 10, 60, 120] {
-        // Either the aggregators have just started and submit far more than the servers can serve,
-        // or they have long submitted what loads one core.
+        // In the first case the aggregators have just started, and each submits a query every
+        // 100 ms: many aggregators together submit far more than the servers can serve. In the
+        // second case they have submitted queries for 20 s, together one every 50 ms, which loads
+        // one core.
         for (interval, warm_time) in [(100.0, 0.0), (50.0 * aggregators as f64, 20_000.0)] {
             let WarmUpLoad { work, limit } = warm_up_load(aggregators, interval, warm_time);
             assert!(
@@ -192,7 +195,7 @@
     let mut counts = PartCounts { started: 0, all: 0 };
     for k in 0..seconds * 40 {
         let sent = policy.attempts_for(&format!("q{}-{k}", policy.now), &[0]);
-        counts.started += parts_at(&sent, "started");
+        counts.started += attempts_at(&sent, "started");
         counts.all += sent.len();
         policy.advance(20.0, served(&sent, 0, 20.0));
     }
