--- a/crates/http1-codec/tests/rfc9112/accepted_requests.rs
+++ b/crates/http1-codec/tests/rfc9112/accepted_requests.rs
@@ -1,12 +1,12 @@
 //! Requests that RFC 9112 allows.
 
-use crate::support::{decode_at_once, decode_bytewise, expand};
+use crate::support::{decode_bytewise, decode_in_one_read, expand};
 use http::Method;
 
 /// A request that must be accepted, and its expected properties.
 struct AcceptedRequest {
     /// Section of RFC 9112 and description of the case.
-    section: &'static str,
+    description: &'static str,
     template: &'static str,
     path: &'static str,
     body: &'static str,
@@ -14,9 +14,9 @@
 }
 
 /// Creates a case that expects the path `/a`, no body, and a connection that stays open.
-const fn accepted(section: &'static str, template: &'static str) -> AcceptedRequest {
+const fn accepted(description: &'static str, template: &'static str) -> AcceptedRequest {
     AcceptedRequest {
-        section,
+        description,
         template,
         path: "/a",
         body: "",
@@ -121,27 +121,27 @@
 #[test]
 fn allowed_request_is_accepted_up_to_its_end() {
     for case in CASES {
-        let section = case.section;
+        let description = case.description;
         let text = expand(case.template);
-        let at_once = decode_at_once(&format!("{text}GET")).unwrap();
+        let in_one_read = decode_in_one_read(&format!("{text}GET")).unwrap();
         let bytewise = decode_bytewise(&text).unwrap();
-        for message in [at_once.request, bytewise] {
+        for message in [in_one_read.request, bytewise] {
             let message = message.unwrap_or_else(|| {
-                panic!("{section}: expected a complete request, found an incomplete one")
+                panic!("{description}: expected a complete request, found an incomplete one")
             });
-            assert_eq!(message.value.uri().path(), case.path, "{section}");
-            assert_eq!(message.value.body(), case.body.as_bytes(), "{section}");
-            assert_eq!(message.keep_alive, case.keep_alive, "{section}");
+            assert_eq!(message.value.uri().path(), case.path, "{description}");
+            assert_eq!(message.value.body(), case.body.as_bytes(), "{description}");
+            assert_eq!(message.keep_alive, case.keep_alive, "{description}");
         }
         assert_eq!(
-            at_once.rest, b"GET",
-            "{section}: bytes after the request must stay in the input"
+            in_one_read.rest, b"GET",
+            "{description}: bytes after the request must stay in the input"
         );
     }
 }
 
 #[test]
 fn methods_are_case_sensitive_tokens() {
-    let decoded = decode_at_once("get / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
+    let decoded = decode_in_one_read("get / HTTP/1.1\r\nHost: a\r\n\r\n").unwrap();
     assert_ne!(decoded.request.unwrap().value.method(), Method::GET);
 }
--- a/crates/http1-codec/tests/rfc9112/size_limits.rs
+++ b/crates/http1-codec/tests/rfc9112/size_limits.rs
@@ -1,6 +1,6 @@
 //! Limits on the size of heads, chunk framing and trailers.
 
-use crate::support::{LIMITS, decode_at_once};
+use crate::support::{LIMITS, decode_in_one_read};
 use http1_codec::ParseError;
 
 #[test]
@@ -14,14 +14,14 @@
         (format!("GET / HTTP/1.1\r\nHost: a\r\n{many}\r\n"), 431),
     ] {
         assert_eq!(
-            decode_at_once(&text).err().map(ParseError::status),
+            decode_in_one_read(&text).err().map(ParseError::status),
             Some(status)
         );
     }
     let extension =
         format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1;{long}");
     assert_eq!(
-        decode_at_once(&extension).err(),
+        decode_in_one_read(&extension).err(),
         Some(ParseError::MalformedChunk)
     );
     let trailer = format!(
@@ -29,7 +29,7 @@
         long.repeat(9)
     );
     assert_eq!(
-        decode_at_once(&trailer).err(),
+        decode_in_one_read(&trailer).err(),
         Some(ParseError::MalformedTrailer)
     );
 }
@@ -41,7 +41,7 @@
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
     let plain = format!("{head}{}0\r\n\r\n", "1\r\nx\r\n".repeat(LIMITS.body_bytes));
     assert_eq!(
-        decode_at_once(&plain)
+        decode_in_one_read(&plain)
             .unwrap()
             .request
             .unwrap()
@@ -54,5 +54,8 @@
         "{head}{}",
         format!("1;{}\r\nx\r\n", "a".repeat(100)).repeat(LIMITS.body_bytes)
     );
-    assert_eq!(decode_at_once(&padded).err(), Some(ParseError::BodyTooLong));
+    assert_eq!(
+        decode_in_one_read(&padded).err(),
+        Some(ParseError::BodyTooLong)
+    );
 }
--- a/crates/http1-codec/tests/rfc9112/support.rs
+++ b/crates/http1-codec/tests/rfc9112/support.rs
@@ -16,7 +16,7 @@
 }
 
 /// Decodes a text that arrives in one read.
-pub(crate) fn decode_at_once(text: &str) -> Result<Decoded, ParseError> {
+pub(crate) fn decode_in_one_read(text: &str) -> Result<Decoded, ParseError> {
     let mut input = text.as_bytes().to_vec();
     let request = match RequestDecoder::new(LIMITS).decode(&mut input)? {
         Progress::Complete(request) => Some(request),
@@ -50,7 +50,7 @@
 /// A request that must be rejected.
 pub(crate) struct RejectedRequest {
     /// Section of RFC 9112 and description of the defect.
-    section: &'static str,
+    description: &'static str,
     /// Text of the request, for [`expand`].
     template: &'static str,
     /// Expected error.
@@ -59,12 +59,12 @@
 
 /// Creates a [`RejectedRequest`].
 pub(crate) const fn rejected(
-    section: &'static str,
+    description: &'static str,
     template: &'static str,
     error: ParseError,
 ) -> RejectedRequest {
     RejectedRequest {
-        section,
+        description,
         template,
         error,
     }
@@ -73,11 +73,19 @@
 impl RejectedRequest {
     /// Asserts that the request is rejected with its error, both in one read and byte by byte.
     pub(crate) fn check(&self) {
-        let section = self.section;
+        let description = self.description;
         let text = expand(self.template);
-        let at_once = decode_at_once(&text).map(|_| ());
-        assert_eq!(at_once, Err(self.error), "{section}: at once");
+        let in_one_read = decode_in_one_read(&text).map(|_| ());
+        assert_eq!(
+            in_one_read,
+            Err(self.error),
+            "{description}, decoded in one read"
+        );
         let bytewise = decode_bytewise(&text).map(|_| ());
-        assert_eq!(bytewise, Err(self.error), "{section}: byte by byte");
+        assert_eq!(
+            bytewise,
+            Err(self.error),
+            "{description}, decoded byte by byte"
+        );
     }
 }
--- a/crates/http2-flood-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -177,6 +177,8 @@
     );
 }
 
+/// Bytes that start with the method of an HTTP/1 request, in upper case, count as such a request,
+/// even if the rest of them is not valid HTTP/1.
 #[test]
 fn http1_request_is_distinguished_from_invalid_preface() {
     for (bytes, violation) in [
