--- a/crates/operator-config/src/values/tests.rs
+++ b/crates/operator-config/src/values/tests.rs
@@ -22,8 +22,8 @@
         "18446744073709551615s",
     ] {
         let expected = "expected a time from 1us to 1s with its unit (us, ms, s, min)";
-        let error =
-            parse_duration(argument, &(Duration::from_micros(1)..=SECOND)).expect_err(argument);
+        let error = parse_duration(argument, &(Duration::from_micros(1)..=SECOND))
+            .expect_err(&format!("{argument} must be rejected"));
         assert_eq!(error.to_string(), expected, "{argument}");
     }
     let error = parse_size("1kb", &(1..=3 << 20)).unwrap_err();
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -4,6 +4,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
+/// A valid file with every keyword.
 const FULL: &str = "\
 # An installation with both listeners.
 log-format json
@@ -16,6 +17,7 @@
 http2-header-list 16KiB
 ";
 
+/// Returns the error texts of an invalid file whose name is `f`.
 fn errors(text: &str) -> Vec<String> {
     parse("f", text)
         .unwrap_err()
@@ -44,7 +46,7 @@
     );
     assert!(
         KEYWORDS.iter().all(|k| FULL.contains(k.name)),
-        "a keyword is not tested"
+        "the file must contain every keyword"
     );
     assert_eq!(parse("f", "").unwrap(), Settings::default());
 }
--- a/crates/platform-config/src/tests/errors.rs
+++ b/crates/platform-config/src/tests/errors.rs
@@ -26,11 +26,16 @@
     ] {
         let mut config = config();
         *config.pointer_mut(pointer).unwrap() = value;
-        let error = from_json(&config, |_| None).expect_err(pointer).to_string();
-        assert!(error.contains(name), "{pointer}: {error}");
+        let error = from_json(&config, |_| None)
+            .expect_err(&format!("the value of {pointer} must be rejected"))
+            .to_string();
+        assert!(
+            error.contains(name),
+            "{pointer}: expected an error that names {name}, found: {error}"
+        );
     }
     let error = load(|_| None).unwrap_err().to_string();
-    assert!(error.contains("RELAY_CONFIG"));
+    assert!(error.contains("RELAY_CONFIG"), "{error}");
 }
 
 /// Pins whole error texts, because the operator has only the logged text to find the error with.
@@ -90,7 +95,8 @@
     ] {
         let mut config = config();
         *config.pointer_mut(pointer).unwrap() = value;
-        let error = from_json(&config, |_| None).expect_err(pointer);
+        let error = from_json(&config, |_| None)
+            .expect_err(&format!("the value of {pointer} must be rejected"));
         assert_eq!(error.to_string(), text, "{pointer}");
     }
     assert_eq!(
--- a/crates/platform-config/src/tests/fields.rs
+++ b/crates/platform-config/src/tests/fields.rs
@@ -74,7 +74,9 @@
     assert_eq!(seed_of("FF").unwrap(), 255);
     assert_eq!(seed_of("+f").unwrap(), 15);
     for text in ["", "-1", "0x1", " 1", "8c1f30d27a5be9640"] {
-        let error = seed_of(text).expect_err(text).to_string();
+        let error = seed_of(text)
+            .expect_err(&format!("seed {text:?} must be rejected"))
+            .to_string();
         let expected = format!(
             "RELAY_CONFIG: field seed: {text:?} is not a hexadecimal number of at most 64 bits"
         );
--- a/crates/platform-config/src/tests/fixture.rs
+++ b/crates/platform-config/src/tests/fixture.rs
@@ -22,7 +22,9 @@
 /// pointer `object` gets the value, or is removed if there is none.
 pub(super) fn config_with(object: &str, field: &str, value: Option<&Value>) -> Value {
     let mut config = config();
-    let fields = config.pointer_mut(object).expect(object);
+    let fields = config
+        .pointer_mut(object)
+        .unwrap_or_else(|| panic!("the valid configuration has no object at {object:?}"));
     match value {
         Some(value) => fields[field] = value.clone(),
         None => drop(fields.as_object_mut().unwrap().remove(field)),
@@ -33,6 +35,6 @@
 /// Returns the error text of an invalid configuration without environment variables.
 pub(super) fn error_of(config: &Value) -> String {
     from_json(config, |_| None)
-        .expect_err("an error")
+        .expect_err("the configuration must be invalid")
         .to_string()
 }
--- a/crates/platform-config/src/tests/overrides_and_defaults.rs
+++ b/crates/platform-config/src/tests/overrides_and_defaults.rs
@@ -41,7 +41,9 @@
         let environment = |key: &str| (key == variable).then(|| text.to_owned());
         for value in [None, Some(&json!({})), Some(&json!("nowhere"))] {
             let config = config_with("", field, value);
-            from_json(&config, environment).unwrap_or_else(|error| panic!("{field}: {error}"));
+            from_json(&config, environment).unwrap_or_else(|error| {
+                panic!("{field} must not be checked, found the error: {error}")
+            });
         }
     }
 }
@@ -63,6 +65,7 @@
     assert_eq!(fraction.clients.memory_bytes, whole.clients.memory_bytes);
     let huge = config_with("/limits", "memory_mb", Some(&json!(u64::MAX)));
     let huge = from_json(&huge, |_| None).unwrap();
+    // Client connections may use three fifths of the memory limit.
     assert_eq!(huge.clients.memory_bytes, Some(u64::MAX / 5 * 3));
 }
 
@@ -76,7 +79,10 @@
             .unwrap()
             .max_http1_connections
     };
+    // With 2048 MiB of memory, the descriptors are the limit: at most 1024 are used, 32 are
+    // reserved, and two thirds of the others are for clients.
     assert_eq!(slots(&config), 661);
     config["limits"]["memory_mb"] = json!(32);
+    // Three fifths of 32 MiB, divided by the 128 KiB that a connection may take.
     assert_eq!(slots(&config), 153);
 }
--- a/crates/query-api/tests/invalid_request.rs
+++ b/crates/query-api/tests/invalid_request.rs
@@ -1,4 +1,5 @@
-//! Status codes and response texts of invalid requests. Both are part of the protocol.
+//! Status codes and response texts of invalid requests, both of which are part of the protocol, and
+//! the decoding of a valid request.
 
 use broker_types::query::{ClassIndex, FinalResponse, Names, QueryRequest, TenantIndex};
 use fanout_policy::settings::decode as decode_settings;
@@ -8,7 +9,8 @@
 
 const BODY: &str = r#"{"ranges":[{"range":0,"portion":1}],"predicate":"p"}"#;
 
-/// Decodes a request for a site with the settings of the test file.
+/// Decodes a request with the settings of the file `settings.json`, and with the names of the
+/// classes, tenants and zones in it.
 fn decode_request(request: &Request<Vec<u8>>) -> Result<QueryRequest, InvalidRequest> {
     let settings: Value =
         serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
--- a/crates/server-protocol/tests/broker_side.rs
+++ b/crates/server-protocol/tests/broker_side.rs
@@ -76,7 +76,7 @@
         &[0, 0, 0, 5, b'o'],
         &long_line,
     ] {
-        assert!(decode(input).is_err(), "accepted {input:?}");
+        assert!(decode(input).is_err(), "the decoder must reject {input:?}");
     }
 }
 
@@ -100,7 +100,7 @@
     ] {
         assert!(
             decode(&frame(b'q', payload)).is_err(),
-            "accepted {payload:?}"
+            "the decoder must reject {payload:?}"
         );
     }
     assert!(decode(&frame(b'x', b"")).is_err());
--- a/crates/server-protocol/tests/server_side.rs
+++ b/crates/server-protocol/tests/server_side.rs
@@ -105,7 +105,7 @@
     ] {
         assert!(
             decode(&frame(b'm', payload)).is_err(),
-            "accepted {payload:?}"
+            "the decoder must reject {payload:?}"
         );
     }
     assert!(decode(&frame(b'o', b"x")).is_err() && decode(&[255, 0, 0, 0]).is_err());
