--- a/crates/simulator-adapter/tests/adapter/gossip.rs
+++ b/crates/simulator-adapter/tests/adapter/gossip.rs
@@ -39,7 +39,11 @@
     assert_eq!(sent["Dst"], "all");
     let contents = sent["Contents"].as_str().unwrap();
     let is_hexadecimal = contents.chars().all(|c| c.is_ascii_hexdigit());
-    assert!(contents.len() == 6 && is_hexadecimal, "{contents}");
+    // The contents are one entry of three bytes, about the server that the part was sent to.
+    assert!(
+        contents.len() == 6 && is_hexadecimal,
+        "expected six hexadecimal digits, found {contents:?}"
+    );
 
     // A gossip message with malformed contents is dropped and does not end the run.
     let mut second_batch = vec![gossip("abc"), gossip("xyzxyz"), gossip(contents)];
--- a/crates/simulator-adapter/tests/adapter/load_reports.rs
+++ b/crates/simulator-adapter/tests/adapter/load_reports.rs
@@ -52,6 +52,6 @@
         r#","Gauge":40"#,
     ] {
         let attempts = attempts_after_report(malformed);
-        assert_eq!(attempts, without_report, "{malformed}");
+        assert_eq!(attempts, without_report, "malformed report {malformed}");
     }
 }
--- a/crates/simulator-adapter/tests/adapter/message_fields/fixture.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/fixture.rs
@@ -19,14 +19,21 @@
 
 /// Checks that the adapter accepts a message, and returns the messages that it writes.
 pub fn assert_accepted(message: &str) -> Vec<Value> {
-    run_with_message(message).unwrap_or_else(|error| panic!("{message}: {error}"))
+    run_with_message(message)
+        .unwrap_or_else(|error| panic!("the adapter must accept {message}, found: {error}"))
 }
 
 /// Checks that the adapter refuses a message, and that `text` is all that its error says after the
 /// line and the batch.
 pub fn assert_refused(message: &str, text: &str) {
-    let error = run_with_message(message).expect_err(message);
-    assert_eq!(error, format!("simulator-adapter: line 5, batch 1: {text}"));
+    let error = run_with_message(message).expect_err(&format!(
+        "the adapter must refuse {message}, found its output"
+    ));
+    assert_eq!(
+        error,
+        format!("simulator-adapter: line 5, batch 1: {text}"),
+        "{message}"
+    );
 }
 
 /// Returns the message with a field set to `value` or, if that is `None`, removed. In a declared
--- a/crates/simulator-adapter/tests/adapter/message_fields/malformed_messages.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/malformed_messages.rs
@@ -42,8 +42,10 @@
     );
 }
 
+/// The instance of a message is checked before its type: the type is reported as unknown only if
+/// the instance exists.
 #[test]
-fn unknown_message_instance_list_and_class_are_refused_in_this_order() {
+fn unknown_instance_message_type_class_and_list_are_refused() {
     assert_refused(
         r#"{"t":"Surprise"}"#,
         "Surprise: field I is missing or null",
@@ -116,10 +118,10 @@
 }
 
 #[test]
-fn last_of_duplicate_fields_counts() {
+fn last_of_duplicate_fields_is_used() {
     let duplicate = |first: &str, last: &str| {
-        let fields = format!(r#"{{"I":{first},"t":"Dropped","OpId":1,"OpId":"t/q","I":{last}}}"#);
-        run_with_message(&fields)
+        let message = format!(r#"{{"I":{first},"t":"Dropped","OpId":1,"OpId":"t/q","I":{last}}}"#);
+        run_with_message(&message)
     };
     assert!(duplicate("\"x\"", "4").is_ok());
     let error = duplicate("4", "\"x\"").unwrap_err();
--- a/crates/simulator-adapter/tests/adapter/message_fields/values.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/values.rs
@@ -4,8 +4,9 @@
 use crate::script::{attempt_served, declare_endpoint_list, part, query, update_endpoint_list};
 use serde_json::{Value, json};
 
+/// A message with a shard below 0 is a query, which has no shard. Its exact value does not matter.
 #[test]
-fn fractional_shard_is_refused_for_a_part_and_accepted_below_zero_for_a_query() {
+fn shard_of_a_part_must_be_a_whole_number_and_any_number_below_zero_marks_a_query() {
     let expected = "Order: field Slice is not a whole number of at least 0";
     assert_refused(
         &with_field(&part("t/y", 9), "Slice", Some(&json!(0.5))),
