--- a/crates/fanout-policy/src/aggregator.rs
+++ b/crates/fanout-policy/src/aggregator.rs
@@ -152,7 +152,10 @@
     }
 
     /// Adds a query to those in flight. A class index beyond the last class counts as the last
-    /// class. If the settings have no classes, the query fails.
+    /// class. If the settings have no classes, the query fails. For the retry budget, the query and
+    /// each of its parts count as accepted on arrival, before admission control decides. The
+    /// admission controller counts the arrival against the tenant's quota, and returns when the
+    /// client first sent the query.
     fn on_query(&mut self, now: Ms, query: Query, actions: &mut Vec<Action>) {
         if self.settings.classes.is_empty() {
             return actions.push(Action::Fail { query: query.id });
@@ -183,6 +186,9 @@
             .record_outcome(&report.part, report.number, report.outcome);
     }
 
+    /// Ends a query whose client has disconnected: cancels its attempts in flight, if the settings
+    /// allow cancellation, and updates the estimates of its class. Does nothing if the query is not
+    /// in flight.
     fn on_client_disconnected(&mut self, now: Ms, id: &QueryId, actions: &mut Vec<Action>) {
         if let Some(query) = self.queries.remove(id) {
             let batch = BatchContext::new(now, &self.settings);
--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -16,8 +16,8 @@
 use crate::queries::InFlightAttempt;
 use crate::view::{ClassView, OutcomeReport, ServerView};
 
-/// Minimum latency per work of the fleet by which the latency of a server is divided, in ms per ms
-/// of work. It prevents a division by zero.
+/// Lower bound of the fleet's median latency per work where it is the divisor in the relative
+/// latency of a server, in ms per ms of work. It prevents a division by zero.
 const MIN_FLEET_LATENCY_DIVISOR: f64 = 1e-9;
 /// Minimum work that is assumed for each attempt in an outcome report.
 const MIN_REPORTED_WORK_MS: Ms = 1.0;
@@ -92,6 +92,8 @@
                 // The attempt was not sent by this aggregator, so its end must not reduce this
                 // aggregator's outstanding work at the server.
                 work: 0.0,
+                // A report does not state how much work was outstanding at the server. The latency
+                // of its attempts counts as if each had been the only work there.
                 work_ahead: work,
                 // A report states no send times. Its attempts count as sent one mean latency ago,
                 // or one forecast latency ago if that is shorter.
--- a/crates/fanout-policy/src/fleet.rs
+++ b/crates/fanout-policy/src/fleet.rs
@@ -1,4 +1,4 @@
-//! All data servers of the endpoint list.
+//! The data servers of the endpoint list, and those removed from it that are not forgotten yet.
 //!
 //! [`Fleet`] owns the servers, the indexes that find them, and the state that concerns several
 //! servers: the replica rows, the share of unanswered attempts of each zone, the median latency of
@@ -231,7 +231,8 @@
     }
 
     /// Starts a control interval: updates the fleet's latency and the averages of all servers, and
-    /// draws a random number for the slow start of each server.
+    /// draws a random number for the slow start of each server. The number decides whether a
+    /// warming server may be sent an attempt above its allowance in this interval.
     pub(crate) fn start_interval(&mut self, batch: &BatchContext, random: &mut RandomSource) {
         let latencies = self.servers.iter().map(Server::latency);
         self.latency.update(batch.now, latencies);
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -88,11 +88,13 @@
     ///
     /// All attempts of a client at one query share one timeout, so a query that arrives with
     /// less time left than clients usually give it is a retry. The estimated timeout only serves
-    /// to recognize a retry; the first attempt is assumed to have been sent before the deadline by
-    /// the class's client timeout in the settings. If the latency objective of a retry counted from
-    /// the arrival of the retry, a retry storm would fill the fleet with answers that are late
-    /// for the client. Where clients do not mark their retries, retries are recognized only
-    /// once the estimate of the usual timeout is certain.
+    /// to recognize a retry. The time of the first attempt is computed from the settings: it is the
+    /// client's deadline less [`Class::client_timeout`], but not later than now.
+    ///
+    /// If the latency objective of a retry counted from the arrival of the retry, a retry storm
+    /// would fill the fleet with answers that are late for the client. Where clients do not mark
+    /// their retries, retries are recognized only once the estimate of the usual timeout is
+    /// certain.
     pub(crate) fn on_arrival(&mut self, batch: &BatchContext, class: usize, query: &Query) -> Ms {
         self.quotas.record_arrival(batch.now, query.tenant.0);
         let time_left = query.client_deadline - batch.now;
--- a/crates/fanout-policy/src/policy/class_estimates.rs
+++ b/crates/fanout-policy/src/policy/class_estimates.rs
@@ -11,7 +11,9 @@
 const INITIAL_PART_COST_CALLS: f64 = 2.0;
 /// Lower bound of the cost of a call in the initial estimate of the cost of a part.
 const MIN_CALL_COST_MS: Ms = 1.0;
-/// Quantile of the answer times of attempts that is taken as the cost of a part.
+/// Quantile of the answer times of attempts that is taken as the cost of a part. The attempts that
+/// were answered fastest had to wait least at their servers, so a low quantile estimates the cost
+/// of a part without waiting time.
 const PART_COST_QUANTILE: f64 = 0.2;
 /// Step size of the part cost estimate: its relative change per answer is at most this.
 const PART_COST_STEP: f64 = 0.05;
--- a/crates/fanout-policy/src/policy/client_timeout.rs
+++ b/crates/fanout-policy/src/policy/client_timeout.rs
@@ -1,10 +1,14 @@
 //! Estimates the timeout that the clients of a query class usually set.
 //!
+//! The estimate only serves to recognize retries: all attempts of a client at one query share one
+//! timeout, so a query that arrives with less time left than usual is a retry. The time at which
+//! its client first sent it is computed from [`crate::api::Class::client_timeout`] instead.
+//!
 //! [`ClientTimeoutEstimate`] owns the estimate of one class and the number of votes for it.
 
 use crate::api::Ms;
 
-/// A client timeout that is at least this share of the estimate counts as equal to it. The
+/// Shortest client timeout that counts as equal to the estimate, as a share of the estimate. The
 /// tolerance above the estimate is as large as that below it.
 const EQUAL_TIMEOUT_RATIO: f64 = 0.99;
 /// Number of votes that a query with another timeout casts against the estimate. A query with the
--- a/crates/fanout-policy/src/policy/gossip_codec.rs
+++ b/crates/fanout-policy/src/policy/gossip_codec.rs
@@ -8,7 +8,9 @@
 const ENTRY_BYTES: usize = 3;
 /// Status byte of a server that the sender has ejected as unresponsive.
 const FAILING_STATUS: u8 = 255;
-/// Maximum status byte that states work. Work of more steps is published as this number of steps.
+/// Maximum status byte that states outstanding work. The byte is the number of steps, which are the
+/// unit of [`GossipStatus::Work`]. If the work is more than this number of steps, this number is
+/// published.
 const MAX_WORK_STEPS: f64 = 254.0;
 
 /// Status of a server in a gossip entry.
--- a/crates/fanout-policy/src/policy/retry_budget.rs
+++ b/crates/fanout-policy/src/policy/retry_budget.rs
@@ -36,7 +36,8 @@
 }
 
 impl RetryBudget {
-    /// Records a query or a part that has arrived.
+    /// Records a query or a part as accepted. This happens on its arrival, so a query that
+    /// admission control rejects afterwards counts too, and so do its parts.
     pub(crate) fn record_accepted(&mut self, now: Ms) {
         self.accepted.record(now);
     }
--- a/crates/fanout-policy/src/policy/retry_policy.rs
+++ b/crates/fanout-policy/src/policy/retry_policy.rs
@@ -123,8 +123,9 @@
     }
 
     /// Returns whether the last attempt of a part is overdue: older than its forecast latency
-    /// and older than [`MIN_OVERDUE_OBJECTIVES`] times the objective of the current step. Unlike
-    /// for the health of a server, the forecast is not multiplied by [`OVERDUE_FORECAST_FACTOR`].
+    /// and older than [`MIN_OVERDUE_OBJECTIVES`] times the objective of the current step. For
+    /// the health of a server the forecast is multiplied by [`OVERDUE_FORECAST_FACTOR`], here it
+    /// is not. A second attempt has further conditions, see [`RetryPolicy::hedge_decision`].
     pub(crate) fn is_overdue(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let min_age = MIN_OVERDUE_OBJECTIVES * self.limits.step_objective(query);
         part.last_attempt_age(self.batch.now) > part.last_expected_latency().max(min_age)
@@ -152,7 +153,7 @@
         forecast: Ms,
     ) -> HedgeDecision {
         let is_in_time = self.batch.now + forecast <= self.limits.useful_until(query);
-        if !is_in_time || !self.is_hedge_faster(part, forecast) {
+        if !is_in_time || !self.is_late_enough(part, forecast) {
             HedgeDecision::Wait
         } else if self.batch.settings.hedging {
             HedgeDecision::Send
@@ -163,8 +164,9 @@
         }
     }
 
-    /// Returns whether a part that was never sent needs its first attempt now. A deferred part
-    /// does not need it until another part of the query needs a retry.
+    /// Returns [`NextAttempt::First`] if a part that was never sent needs its first attempt now,
+    /// and [`NextAttempt::None`] otherwise. The answer can be complete without the deferred parts,
+    /// so they are sent only once another part of the query needs a retry.
     fn first_attempt(&self, query: &InFlightQuery, part: &PartState) -> NextAttempt {
         let needs_retry = |part: &PartState| self.needs_retry(query, part);
         if part.is_deferred() && !query.parts().iter().any(needs_retry) {
@@ -205,20 +207,23 @@
         }
     }
 
-    /// Returns whether the last attempt of a part is late by more than
+    /// Returns whether the last attempt of a part is late enough for a second one: by more than
     /// [`HEDGE_LATENESS_FACTOR`] times `forecast`, the forecast latency of a hedged request. The
     /// lateness counts from the shorter of the two forecasts, so that a long forecast for an
     /// attempt at a slow server does not delay the hedged request.
-    fn is_hedge_faster(&self, part: &PartState, forecast: Ms) -> bool {
+    fn is_late_enough(&self, part: &PartState, forecast: Ms) -> bool {
         let expected = part.last_expected_latency().min(forecast);
         part.last_attempt_age(self.batch.now) > expected + HEDGE_LATENESS_FACTOR * forecast
     }
 
     /// Returns whether to cancel the overdue attempt of a part so that a retry can replace it. This
-    /// concerns settings without hedging, where the retry is sent only after the overdue attempt
-    /// has ended. A cancellation discards the work that the server has done so far. If the attempt
-    /// is not lost but only slow, that is most of its work. So the attempt must be old, and
-    /// `forecast`, the forecast latency of the retry, must be short.
+    /// concerns settings that allow cancellation but not hedging, where the retry is sent only
+    /// after the overdue attempt has ended. If the settings allow neither, no second attempt is
+    /// considered while one is in flight, see [`RetryPolicy::may_repeat`].
+    ///
+    /// A cancellation discards the work that the server has done so far. If the attempt is not lost
+    /// but only slow, that is most of its work. So the attempt must be old, and `forecast`, the
+    /// forecast latency of the retry, must be short.
     fn may_cancel_overdue(&self, query: &InFlightQuery, part: &PartState, forecast: Ms) -> bool {
         let objective = self.batch.objective(query);
         let overdue_age = OVERDUE_FORECAST_FACTOR * part.last_expected_latency();
--- a/crates/fanout-policy/src/queries/in_flight_query.rs
+++ b/crates/fanout-policy/src/queries/in_flight_query.rs
@@ -207,7 +207,8 @@
 
     /// Returns by how much the first step of a query that ends now took longer than forecast. The
     /// value is negative if the first step was faster. `None` if there is no positive forecast, or
-    /// if the first step ended in the batch in which the query arrived.
+    /// if the first step ended at the time at which the query arrived, so that its duration
+    /// is 0.
     pub(crate) fn forecast_error(&self, now: Ms) -> Option<Ms> {
         let first_end = match self.step {
             Step::First => now,
