--- a/crates/http1-codec/src/decode.rs
+++ b/crates/http1-codec/src/decode.rs
@@ -3,7 +3,7 @@
 use crate::error::ParseError;
 use crate::head::{parse_request_head, parse_response_head};
 use crate::limits::Limits;
-use crate::partial_message::{BodyState, MessageBody, MessageHead, PartialMessage};
+use crate::partial_message::{BodyState, MessageBody, PartialMessage};
 use http::{Request, Response};
 
 /// A complete message.
@@ -133,7 +133,7 @@
             .take()
             .filter(PartialMessage::ends_with_connection)?;
         Some(Message {
-            value: response.into_head_with_body().value,
+            value: response.into_value_with_body(),
             keep_alive: false,
         })
     }
@@ -148,13 +148,14 @@
     let Some(message) = current else {
         return Ok(Progress::incomplete());
     };
+    // This is determined first, because decoding removes the bytes of the body from `input`, and any
+    // of them shows that the client is not waiting.
     let awaits_continue = message.awaits_continue(input);
     let state = message.decode_body(input)?;
     match current.take_if(|_| state == BodyState::Complete) {
         Some(message) => {
-            let MessageHead {
-                value, keep_alive, ..
-            } = message.into_head_with_body();
+            let keep_alive = message.keep_alive();
+            let value = message.into_value_with_body();
             Ok(Progress::Complete(Message { value, keep_alive }))
         }
         None => Ok(Progress::Incomplete { awaits_continue }),
--- a/crates/http1-codec/src/fields.rs
+++ b/crates/http1-codec/src/fields.rs
@@ -57,6 +57,10 @@
 
 /// Parses `Transfer-Encoding`. Only the single coding `chunked` is supported (RFC 9112, section
 /// 6.1).
+///
+/// Other codings before a final `chunked` are valid, but unknown to this decoder. If `chunked` is
+/// absent, is not last or is repeated, the list is invalid, because it does not tell where the body
+/// of a request ends. In HTTP/1.0, which has no transfer codings, every list is invalid.
 fn transfer_coding(fields: &HeaderMap, version: Version) -> Result<BodyFraming, ParseError> {
     if version < Version::HTTP_11 {
         return Err(ParseError::InvalidTransferCoding);
@@ -124,7 +128,8 @@
     }
 }
 
-/// Checks that `Host` is given once and is valid (RFC 9112, section 3.2; RFC 9110, section 7.2).
+/// Checks that `Host` is given once and is valid (RFC 9112, section 3.2; RFC 9110, section 7.2). In
+/// HTTP/1.0 it may be absent.
 pub(crate) fn validate_host(fields: &HeaderMap, version: Version) -> Result<(), ParseError> {
     let mut hosts = fields.get_all(HOST).iter();
     match (hosts.next(), hosts.next()) {
--- a/crates/http1-codec/src/partial_message.rs
+++ b/crates/http1-codec/src/partial_message.rs
@@ -59,6 +59,11 @@
         &self.head.value
     }
 
+    /// Returns whether the connection may carry another message.
+    pub(crate) fn keep_alive(&self) -> bool {
+        self.head.keep_alive
+    }
+
     /// Returns whether the client waits for `100 Continue` before it sends the body. It does not if
     /// part of the body has arrived. `input` contains the bytes received after the decoded ones.
     pub(crate) fn awaits_continue(&self, input: &[u8]) -> bool {
@@ -82,10 +87,10 @@
         self.body.ends_with_connection()
     }
 
-    /// Returns the head, with the body data decoded so far as the body of its request or response.
-    pub(crate) fn into_head_with_body(self) -> MessageHead<T> {
-        let mut head = self.head;
-        *head.value.body_mut() = self.body.into_data();
-        head
+    /// Returns the request or response, with the body data decoded so far.
+    pub(crate) fn into_value_with_body(self) -> T {
+        let mut value = self.head.value;
+        *value.body_mut() = self.body.into_data();
+        value
     }
 }
