--- a/crates/http2-flood-guard/src/frame_scanner.rs
+++ b/crates/http2-flood-guard/src/frame_scanner.rs
@@ -6,8 +6,8 @@
 /// The bytes with which the connection preface of a client starts (RFC 9113, section 3.4). A
 /// SETTINGS frame follows them.
 pub const PREFACE: &[u8; 24] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
-/// Maximum number of received bytes that are searched for the end of an HTTP/1 method. Every
-/// registered method is much shorter.
+/// Maximum number of bytes that are searched for the end of an HTTP/1 method, in addition to those
+/// that match the preface. Every registered method is much shorter.
 const MAX_METHOD_BYTES: usize = 64;
 
 /// Position within the bytes of a connection.
@@ -121,14 +121,16 @@
 /// Classifies a connection whose bytes deviate from the preface, where the first `received` bytes
 /// matched it and `input` follows. A request of HTTP/1 starts with a method and a space, so the
 /// connection counts as HTTP/1 if the bytes before the first space are characters of a method:
-/// capital letters, hyphens and underscores, of which the first is a letter. If no space has
-/// arrived yet, this applies to all bytes that are searched.
+/// capital letters, hyphens and underscores, of which the first is a letter. Only the first
+/// [`MAX_METHOD_BYTES`] of `input` are searched for the space; if they contain none, all of them must
+/// be such characters.
 fn preface_violation(received: usize, input: &[u8]) -> Violation {
     let start = PREFACE[..received]
         .iter()
         .chain(input.iter().take(MAX_METHOD_BYTES));
     let is_method_char = |b: &u8| b.is_ascii_uppercase() || *b == b'-' || *b == b'_';
     let is_method = start.take_while(|b| **b != b' ').all(is_method_char);
+    // Bytes that match the preface start with its first letter.
     let starts_with_letter = received > 0 || input.first().is_some_and(u8::is_ascii_uppercase);
     if is_method && starts_with_letter {
         Violation::Http1Request
