--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -209,7 +209,7 @@
 
 /// Returns a token of the file in a form that is safe in a log line: truncated to
 /// [`MAX_QUOTED_CHARS`], and quoted with escapes if it is empty or contains a double quote or
-/// anything but printable ASCII.
+/// anything but visible ASCII characters.
 fn quote(token: &str) -> String {
     let short: String = token.chars().take(MAX_QUOTED_CHARS).collect();
     let is_plain = short.chars().all(|c| c.is_ascii_graphic() && c != '"');
--- a/crates/platform-config/src/lib.rs
+++ b/crates/platform-config/src/lib.rs
@@ -91,7 +91,8 @@
 ///
 /// `RELAY_DISCOVERY` is ignored, so that the address of discovery always comes from the file. A
 /// running process keeps the environment that it was started with, whereas the file may have been
-/// written since: the file's address is the newer one.
+/// written since: the file's address is the newer one. `RELAY_NAME` and `RELAY_LISTEN` still apply,
+/// because the broker's name and listen address do not change while it runs.
 ///
 /// # Errors
 ///
--- a/crates/platform-config/src/site_checks.rs
+++ b/crates/platform-config/src/site_checks.rs
@@ -17,6 +17,8 @@
     check_tick(site)
 }
 
+/// Checks that there is a class, that every class has a name, and that no class has a second step,
+/// which the protocol does not support.
 fn check_classes(site: &SiteSettings) -> Result<(), ConfigError> {
     if site.class_names.is_empty() || site.class_names.iter().any(String::is_empty) {
         return Err(ConfigError::UnnamedClass);
