--- a/crates/query-api/src/response.rs
+++ b/crates/query-api/src/response.rs
@@ -83,7 +83,9 @@
 
 /// Creates the response to `OPTIONS *`, a request about the broker as a whole.
 pub(crate) fn options_response() -> Response {
-    error_response(204, ALL_METHODS, "")
+    let mut response = empty_response(StatusCode::NO_CONTENT);
+    insert_allow(response.headers_mut(), ALL_METHODS);
+    response
 }
 
 /// Creates a response without a body.
@@ -91,7 +93,7 @@
     response(status.as_u16(), Vec::new())
 }
 
-/// Creates a response with the text `reason` as its body and `allowed_methods` in its `Allow`
+/// Creates an error response with the text `reason` as its body and `allowed_methods` in its `Allow`
 /// header. If either is empty, it is left out.
 pub(crate) fn error_response(status: u16, allowed_methods: &'static str, reason: &str) -> Response {
     let body = if reason.is_empty() {
@@ -101,12 +103,16 @@
     };
     let mut response = response(status, body);
     if !allowed_methods.is_empty() {
-        let allow = HeaderValue::from_static(allowed_methods);
-        response.headers_mut().insert(ALLOW, allow);
+        insert_allow(response.headers_mut(), allowed_methods);
     }
     response
 }
 
+/// Inserts the `Allow` header.
+fn insert_allow(headers: &mut HeaderMap, methods: &'static str) {
+    headers.insert(ALLOW, HeaderValue::from_static(methods));
+}
+
 fn answer_response(is_complete: bool, values: &[ShardValue]) -> Response {
     let body = AnswerBody {
         is_complete,
