--- a/crates/server-protocol/src/error.rs
+++ b/crates/server-protocol/src/error.rs
@@ -1,5 +1,6 @@
 //! Reasons why a frame is invalid.
 
+use crate::broker::MAX_RESPONSE_LINE_LEN;
 use thiserror::Error;
 
 /// Reason why a frame cannot be decoded. The start of the next frame is unknown afterwards, so the
@@ -15,11 +16,12 @@
     /// A part of the frame that must be text is not UTF-8.
     #[error("it is not UTF-8")]
     NotUtf8,
-    /// The first line of a response is longer than allowed, or its frame contains no line feed.
-    #[error("its line does not end")]
+    /// The first line of a response is longer than [`MAX_RESPONSE_LINE_LEN`], or its frame contains
+    /// no line feed.
+    #[error("its first line is longer than {MAX_RESPONSE_LINE_LEN} bytes or has no line feed")]
     UnterminatedResponseLine,
     /// The first line of a response has fewer than four fields.
-    #[error("its line does not have four fields")]
+    #[error("its first line has fewer than four fields")]
     ResponseFieldsMissing,
     /// The status of a response is unknown.
     #[error("its status is unknown")]
