--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -16,8 +16,8 @@
 /// Converts a message into an event for its instance. Returns `None` for messages that need no
 /// action: those about features that the adapter does not use (streamed answers, load probes), and
 /// gossip whose contents are not hexadecimal. `class_count` is the number of classes in the
-/// instance's settings. Fails if the message is unknown, has an invalid field, or refers to a class
-/// or an endpoint list that does not exist.
+/// instance's settings. Fails if the message is neither an event nor one of those, has an
+/// invalid field, or refers to a class or an endpoint list that does not exist.
 pub(crate) fn decode_event(
     message: &Message,
     class_count: usize,
@@ -40,6 +40,7 @@
         }
         Some(MessageKind::Gossip) => Ok(decode_gossip(message)?),
         Some(MessageKind::StreamStarted | MessageKind::ProbeAnswered) => Ok(None),
+        // The callers process all other known kinds of messages themselves.
         _ => Err(MessageError::UnknownMessage {
             message: message.type_name(),
         }),
--- a/crates/simulator-adapter/src/wire/incoming/attempt_ended.rs
+++ b/crates/simulator-adapter/src/wire/incoming/attempt_ended.rs
@@ -101,7 +101,8 @@
     }
 }
 
-/// Deserializes a field that is present as `Some`, even if its value is null.
+/// Deserializes the value of a field as `Some`, even if it is null. Without this function, `serde`
+/// would read null as `None`, so that the field would count as absent.
 fn value_or_null<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Value>, D::Error> {
     Value::deserialize(deserializer).map(Some)
 }
--- a/crates/simulator-adapter/src/wire/incoming/endpoint_list.rs
+++ b/crates/simulator-adapter/src/wire/incoming/endpoint_list.rs
@@ -88,16 +88,19 @@
     update: ListUpdateKindWire,
 }
 
-/// The kind of an update: what the entries of the declared list are, or that there is none because
-/// fetching it failed.
+/// The kind of an update: how the declared list relates to the instance's endpoint list.
 #[derive(Clone, Copy, Debug, Deserialize)]
 enum ListUpdateKindWire {
+    /// The declared list contains only the entries that have changed.
     #[serde(rename = "diff")]
     Delta,
+    /// The declared list is the complete current list.
     #[serde(rename = "snapshot")]
     Snapshot,
+    /// The declared list is the complete list as last written to disk.
     #[serde(rename = "disk")]
     Cached,
+    /// There is no declared list, because fetching one failed.
     #[serde(rename = "error")]
     Failed,
 }
