--- a/crates/query-api/tests/response.rs
+++ b/crates/query-api/tests/response.rs
@@ -1,7 +1,10 @@
-//! Headers of encoded responses.
+//! Status, headers and body of responses.
 
-use broker_types::query::FinalResponse;
-use query_api::{date_header_value, encode_final_response};
+use broker_types::query::{FinalResponse, Names};
+use fanout_policy::settings::decode as decode_settings;
+use http::Request;
+use query_api::{Readiness, Routed, date_header_value, encode_final_response, route};
+use serde_json::Value;
 use std::time::{Duration, SystemTime};
 
 #[test]
@@ -22,6 +25,32 @@
     assert_eq!(response.headers()["allow"], "POST");
 }
 
+#[test]
+fn response_to_options_for_the_whole_broker_names_all_methods_and_has_no_body() {
+    let settings: Value =
+        serde_json::from_str(include_str!("../../broker-types/tests/settings.json")).unwrap();
+    let site = decode_settings("settings", settings.as_object().unwrap()).unwrap();
+    let names = Names {
+        classes: site.class_names,
+        tenants: site.tenant_names,
+        zones: site.zone_names,
+    };
+    let request = Request::options("*").body(Vec::new()).unwrap();
+    let routed = route(&request, Readiness::Ready, &names, &site.settings);
+    let Routed::Immediate {
+        response,
+        is_valid_request,
+    } = routed
+    else {
+        panic!("expected an immediate response, found {routed:?}");
+    };
+    assert!(is_valid_request);
+    assert_eq!(response.status(), 204);
+    assert_eq!(response.headers()["allow"], "GET, HEAD, OPTIONS, POST");
+    assert_eq!(response.headers().len(), 1);
+    assert!(response.body().is_empty());
+}
+
 #[test]
 fn date_header_has_the_preferred_form() {
     let at = SystemTime::UNIX_EPOCH + Duration::from_secs(784_111_777);
