--- a/crates/admission/tests/quota.rs
+++ b/crates/admission/tests/quota.rs
@@ -8,7 +8,8 @@
 const SECOND: ConnectionId = ConnectionId(2);
 const THIRD: ConnectionId = ConnectionId(3);
 
-/// Acquires single units until the quota denies one. Returns how many it acquired.
+/// Acquires one unit of capacity at a time until the quota denies one. Returns the number of units
+/// that were acquired. (A query takes one unit for itself and one for each of its parts.)
 fn acquire_all(quota: &mut ConnectionQuota, connection: ConnectionId) -> usize {
     let before = quota.in_use();
     while quota.try_acquire(connection, 1) {}
@@ -17,6 +18,8 @@
 
 #[test]
 fn one_connection_leaves_capacity_for_others() {
+    // A connection may use at most twice as much as remains free. The first connection can use 200
+    // of the 300 units while 100 remain free, the second can use 66 of those 100 while 34 remain.
     let mut quota = ConnectionQuota::new(300);
     assert_eq!(acquire_all(&mut quota, FIRST), 200);
     assert_eq!(acquire_all(&mut quota, SECOND), 66);
@@ -58,8 +61,9 @@
 
 proptest! {
     /// For any sequence of operations: the total is the sum of what each connection uses; a
-    /// connection that has nothing in use is always admitted; and a connection that acquires units
-    /// for a second query has at most twice as much in use as stays free.
+    /// connection that has nothing in use is always admitted, even if the capacity is exhausted;
+    /// and a connection that acquires units for a second query has at most twice as much in use as
+    /// stays free.
     #[test]
     fn total_is_the_sum_of_all_connections_and_quotas_hold(steps in prop::collection::vec(step(), 0..400)) {
         let mut quota = ConnectionQuota::new(100);
