--- a/crates/broker-types/src/query.rs
+++ b/crates/broker-types/src/query.rs
@@ -52,7 +52,8 @@
 /// A client's request for a query.
 #[derive(Clone, Debug, PartialEq)]
 pub struct QueryRequest {
-    /// Id of the request. The broker sends it to the data servers as a part of each part's id.
+    /// Id of the request. The id under which a data server receives a part of the query consists of
+    /// this id and the shard.
     pub id: Rc<str>,
     /// Class of the query.
     pub class: ClassIndex,
@@ -85,17 +86,19 @@
 pub enum FinalResponse {
     /// The query was served.
     Answered {
-        /// Whether the answer is complete.
+        /// Whether the answer is complete rather than partial: the weights of the served parts add
+        /// up to at least the share that the settings require for the class.
         is_complete: bool,
         /// The values of the parts that were served.
         values: Vec<ShardValue>,
     },
-    /// The query was not served and had no effect, so that the client may retry.
+    /// The query was not served, and the client may safely retry it: none of its parts was
+    /// executed, or repeating them has no further effect.
     Rejected {
         /// Delay after which the client should retry; `None` if the response does not state one.
         retry_after: Option<Duration>,
     },
-    /// The query was not served; whether it had an effect is unknown.
+    /// The query was not served, and a retry may not be safe: parts may have been executed.
     Failed,
     /// The request is malformed or asks for something that does not exist.
     Invalid {
--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -19,7 +19,8 @@
     pub state: ServingState,
     /// Index of the server's zone; `None` if the configuration contains no zone of that name.
     pub zone: Option<usize>,
-    /// Time at which the server's process started; `None` if it started long ago.
+    /// Time at which the server's process started; `None` if the list contains no start time, which
+    /// means that the process started long ago.
     pub started_at: Option<SignedTimestamp>,
 }
 
@@ -60,8 +61,8 @@
     pub cell: usize,
     /// Whether the server accepts requests.
     pub state: ServingState,
-    /// Unix time in milliseconds at which the server's process started; `None` if it started long
-    /// ago.
+    /// Unix time in milliseconds at which the server's process started; `None` if the list contains
+    /// no start time, which means that the process started long ago.
     pub started_unix_ms: Option<i64>,
 }
 
--- a/crates/broker-types/src/server/wire.rs
+++ b/crates/broker-types/src/server/wire.rs
@@ -31,7 +31,7 @@
     cell: usize,
     #[serde(rename = "state")]
     state: EndpointState,
-    /// Zero or negative if the server's process started long ago.
+    /// Zero or negative if there is no start time, because the server's process started long ago.
     #[serde(default, rename = "boot_ms")]
     started_unix_ms: f64,
 }
--- a/crates/broker-types/src/time.rs
+++ b/crates/broker-types/src/time.rs
@@ -36,7 +36,8 @@
         self.micros_since_origin
     }
 
-    /// Returns the time from `earlier` to this point in time; zero if `earlier` is the later one.
+    /// Returns the time from `earlier` to this point in time; zero if this point in time is before
+    /// `earlier`.
     #[must_use]
     pub const fn saturating_since(self, earlier: Timestamp) -> Duration {
         let micros = self.micros_since_origin;
@@ -79,8 +80,8 @@
     }
 }
 
-/// A point in time on the program's clock that may lie before the origin. For example, a data
-/// server may have started before the broker.
+/// A point in time on the program's clock that may lie before the origin. For example, if the origin
+/// is the start of the broker, a data server may have started before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SignedTimestamp {
     micros_since_origin: i64,
