--- a/crates/endpoint-control/src/ejection_quorum.rs
+++ b/crates/endpoint-control/src/ejection_quorum.rs
@@ -51,12 +51,12 @@
     ejected: usize,
 }
 
-/// The number of servers in a zone that proxies have reported about.
+/// Counts of those servers of a zone about which proxies have sent reports.
 #[derive(Clone, Copy, Debug, Default)]
 struct ZoneCount {
-    /// Servers with at least one report.
+    /// Number of servers with at least one report.
     reported: usize,
-    /// Servers that a quorum of proxies cannot reach.
+    /// Number of servers that a quorum of proxies cannot reach.
     unreachable: usize,
 }
 
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Stores a proxy's report about a server in place of the proxy's last one about that server. A
-    /// report without requests is ignored.
+    /// Stores a proxy's report about a server. It replaces the proxy's previous report about that
+    /// server. A report without requests is ignored.
     pub fn on_report(
         &mut self,
         now: Timestamp,
@@ -85,10 +85,10 @@
         }
     }
 
-    /// Ends ejections whose duration has passed, and ejects the servers in `locations` that have
-    /// the votes of a quorum, as far as the limit of their cell allows. Returns the ejected servers
-    /// among them with the end of each ejection. `connected_proxies` is the number of proxies that
-    /// are connected to any control instance.
+    /// Ends ejections whose duration has passed. Then ejects the servers in `locations` that have
+    /// the votes of a quorum, as far as the limit of their cell allows. Returns all servers in
+    /// `locations` that are now ejected, with the end of each ejection. `connected_proxies` is the
+    /// number of proxies that are connected to any control instance.
     pub fn evaluate(
         &mut self,
         now: Timestamp,
@@ -114,7 +114,8 @@
         self.ejections(locations)
     }
 
-    /// Drops outdated reports and ejections, and the records of servers without any.
+    /// Drops reports that have reached their lifetime and past ejections that are old enough to be
+    /// forgotten. Removes the records that then hold neither a report nor an ejection.
     fn drop_outdated(&mut self, now: Timestamp) {
         for record in self.records.values_mut() {
             record.drop_outdated(now, &self.rule);
@@ -122,8 +123,8 @@
         self.records.retain(|_, record| !record.is_empty());
     }
 
-    /// Returns whether a server is not ejected yet and has the votes of a quorum. Votes because the
-    /// server is unreachable don't count if its zone is partitioned.
+    /// Returns whether a server is not ejected yet and has the votes of a quorum. If all votes are
+    /// cast because the server is unreachable, they do not count while its zone is partitioned.
     fn has_votes_to_eject(
         &self,
         location: &ServerLocation,
@@ -164,9 +165,10 @@
         cells
     }
 
-    /// Returns the zones that are assumed to be partitioned: of the servers with reports, the
-    /// rule's share is unreachable. A zone with only one such server is never assumed to be
-    /// partitioned, because that is indistinguishable from a failure of the server.
+    /// Returns the zones that are assumed to be partitioned. In such a zone, the unreachable servers
+    /// make up at least [`EjectionRule::partition_share`] of the servers with reports. A zone with
+    /// only one server with reports is never assumed to be partitioned, because a failure of that
+    /// server would look the same.
     fn partitioned_zones(
         &self,
         locations: &[ServerLocation],
--- a/crates/endpoint-control/src/ejection_quorum/record.rs
+++ b/crates/endpoint-control/src/ejection_quorum/record.rs
@@ -1,4 +1,4 @@
-//! The record of one server: the last report of each proxy, and the server's ejections. Decides
+//! The record of one server: the latest report of each proxy, and the server's ejections. Decides
 //! whether the reports are a quorum to eject the server.
 
 use super::report::ServerReport;
@@ -24,7 +24,7 @@
     report: ServerReport,
 }
 
-/// The last ejection of a server, which may be over.
+/// The latest ejection of a server, which may be over.
 #[derive(Clone, Copy, Debug)]
 struct Ejection {
     duration: Duration,
@@ -34,11 +34,12 @@
 /// The reports about one server, and its ejections.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServerRecord {
-    /// The last report of each proxy.
+    /// The latest report of each proxy.
     reports: BTreeMap<ProxyName, ReceivedReport>,
     /// End of the current ejection; `None` if the server is not ejected.
     ejected_until: Option<Timestamp>,
-    /// The current or last ejection, from which the duration of the next one follows.
+    /// The current ejection or, if the server is not ejected, the previous one. The duration of the
+    /// next ejection follows from it.
     last_ejection: Option<Ejection>,
 }
 
@@ -61,7 +62,7 @@
         self.ejected_until
     }
 
-    /// Stores a proxy's report in place of its last one.
+    /// Stores a proxy's report. It replaces the proxy's previous report.
     pub(super) fn on_report(&mut self, now: Timestamp, proxy: &ProxyName, report: ServerReport) {
         let received = ReceivedReport {
             received_at: now,
@@ -70,8 +71,8 @@
         self.reports.insert(proxy.clone(), received);
     }
 
-    /// Drops reports that have reached the rule's lifetime, and the last ejection once the rule's
-    /// time to forget it has passed since its end.
+    /// Drops reports that have reached [`EjectionRule::report_lifetime`], and the latest ejection
+    /// once [`EjectionRule::forget_after`] has passed since its end.
     pub(super) fn drop_outdated(&mut self, now: Timestamp, rule: &EjectionRule) {
         self.reports
             .retain(|_, report| now.saturating_since(report.received_at) < rule.report_lifetime);
@@ -80,8 +81,8 @@
             .filter(|last| now < last.ends_at + rule.forget_after);
     }
 
-    /// Ejects the server. The ejection lasts twice as long as the last one, up to the rule's
-    /// maximum, or for the rule's first duration if there is no last one.
+    /// Ejects the server. The ejection lasts twice as long as the previous one, up to the rule's
+    /// maximum. Without a previous ejection it lasts for the rule's first duration.
     pub(super) fn eject(&mut self, now: Timestamp, rule: &EjectionRule) {
         let duration = self.last_ejection.map_or(rule.first_duration, |last| {
             (2 * last.duration).min(rule.max_duration)
@@ -101,7 +102,7 @@
         self.last_ejection = Some(Ejection { duration, ends_at });
         self.ejected_until = None;
         // Requests that failed before or during the ejection do not show whether the server works
-        // now. Without this, they could eject it again immediately.
+        // now. If the reports about them were kept, they could eject it again immediately.
         self.reports.clear();
     }
 
@@ -120,10 +121,11 @@
             .collect();
         let reporting = self.reports.len() as f64;
         let share = (rule.min_vote_share * reporting).ceil().max(1.0) as usize;
-        // One proxy alone proves nothing if others are connected: its own link may be at fault. So
-        // the minimum number of votes is needed even if the other proxies send no requests to this
-        // server and cannot contradict. If fewer proxies than the minimum are connected, more votes
-        // are not possible, and the votes of all of them suffice.
+        // A report of one proxy proves nothing if others are connected, because the proxy's own
+        // link may be at fault. So the minimum number of votes is needed even if the other proxies
+        // send no requests to this server and therefore have no reports about it. If fewer proxies
+        // than the minimum are connected, more votes are not possible, and the votes of all of them
+        // suffice.
         let needed = share.max(rule.min_votes.min(connected_proxies));
         if votes.is_empty() || votes.len() < needed {
             return None;
--- a/crates/endpoint-control/src/ejection_quorum/rule.rs
+++ b/crates/endpoint-control/src/ejection_quorum/rule.rs
@@ -8,8 +8,8 @@
     /// Minimum number of votes that eject a server. If fewer proxies are connected, the votes of
     /// all of them are needed.
     pub min_votes: usize,
-    /// Minimum share of the proxies with a report about the server whose votes eject it, from 0 to
-    /// 1.
+    /// Minimum share of votes that eject a server, from 0 to 1: the number of proxies that vote to
+    /// eject it, divided by the number of proxies with a report about it.
     pub min_vote_share: f64,
     /// Minimum share of failed requests with which a report is a vote to eject, from 0 to 1.
     pub min_failure_share: f64,
@@ -22,12 +22,12 @@
     pub first_duration: Duration,
     /// Maximum duration of an ejection.
     pub max_duration: Duration,
-    /// Time after the end of an ejection after which it is forgotten, so that the next one counts
-    /// as the first again.
+    /// Time between the end of an ejection and the moment at which it is forgotten. The next
+    /// ejection of the server then counts as its first one again.
     pub forget_after: Duration,
     /// Maximum share of a cell's servers that are ejected at the same time, from 0 to 1.
     pub max_ejected_share: f64,
-    /// Minimum share of unreachable servers, among the servers of a zone with reports, from which
-    /// the zone is assumed to be partitioned.
+    /// Minimum share of unreachable servers with which a zone is assumed to be partitioned, from 0
+    /// to 1. Only the servers of the zone about which there are reports are counted.
     pub partition_share: f64,
 }
--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -1,13 +1,15 @@
 //! Leases on the requests in flight at a server that is warming up.
 //!
 //! A lease allows one proxy (the holder) a number of requests in flight at one server. The number
-//! is called the units of the lease. The proxy receives the lease as a limit on the server's
-//! cluster with a time to live, so that a disconnected proxy stops sending without being told to.
+//! is called the units of the lease. The control instance sends the lease in a message on the
+//! proxy's stream, and the proxy acknowledges the message on the same stream. The proxy receives
+//! the lease as a limit on the server's cluster with a time to live, so that a disconnected proxy
+//! stops sending without being told to.
 //!
-//! The units of a lease stay reserved until the holder can no longer use them. The time to live
-//! after sending the lease is not enough: the proxy counts the time to live from the moment at
-//! which it *reads* the message, and the message may wait in the proxy's socket while the proxy is
-//! paused. The lease therefore ends as follows:
+//! The units of a lease stay reserved until the holder can no longer use them. They must not be
+//! freed as soon as the time to live has passed since the message was sent: the proxy counts the
+//! time to live from the moment at which it *reads* the message, and the message may wait in the
+//! proxy's socket while the proxy is paused. The lease therefore ends as follows:
 //!
 //! - while the message is not acknowledged and the stream is open, the lease does not end;
 //! - once the message is acknowledged, the lease ends after the time to live, counted from the
@@ -32,7 +34,8 @@
 /// The durations that determine how long the units of a lease stay reserved.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseTimes {
-    /// Time for which a proxy uses a lease after it has read the message with it.
+    /// Time for which a proxy uses a lease, counted from when it reads the message that grants or
+    /// renews the lease.
     pub time_to_live: Duration,
     /// Maximum time for which a request is in flight at a server.
     pub max_request_duration: Duration,
@@ -95,9 +98,10 @@
         }
     }
 
-    /// Grants a lease on the wanted units, or on the free units if there are fewer, or renews the
-    /// holder's lease and adds free units up to the wanted number. A draining lease is not renewed.
-    /// Returns the number of units that the holder may use from now on, which may be 0.
+    /// Grants a lease, or renews the lease that the holder already has. A new lease has the wanted
+    /// units, or the free units if these are fewer. A renewed lease keeps its units, and free units
+    /// are added up to the wanted number. A draining lease is not renewed. Returns the number of
+    /// units that the holder may use from now on, which may be 0.
     ///
     /// If the number is not 0, the caller has to send a message with the lease to the holder, and
     /// later call [`LeaseTable::on_acknowledged`] or [`LeaseTable::on_stream_ended`]. Until then,
@@ -110,8 +114,9 @@
         match leases.get_mut(request.holder) {
             Some(lease) if lease.is_draining() => 0,
             Some(lease) => {
-                // A renewal never reduces the units: until the holder has read the message, it uses
-                // the number of the earlier one, so the difference could not be granted to others.
+                // A renewal never reduces the units: until the holder has read the new message, it
+                // uses the units that the previous message granted, so the difference could not be
+                // granted to other proxies.
                 let missing = request.wanted_units.saturating_sub(lease.units);
                 lease.units += free.min(missing);
                 lease.state = LeaseState::Unacknowledged;
--- a/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
+++ b/crates/endpoint-control/tests/endpoint_control/ejection_quorum.rs
@@ -11,6 +11,9 @@
 use std::time::Duration;
 
 const CONNECTED_PROXIES: usize = 4;
+/// Maximum number of servers that are ejected at the same time: `max_ejected_share` of the four
+/// servers in the cell.
+const MAX_EJECTED_SERVERS: usize = 2;
 const RULE: EjectionRule = EjectionRule {
     min_votes: 2,
     min_vote_share: 0.5,
@@ -61,7 +64,8 @@
 
 /// The same report about one server, sent by several proxies.
 struct SharedReport {
-    /// How many proxies send the report: those with the numbers from 0.
+    /// Number of proxies that send the report. The proxies have the numbers from 0 to one less than
+    /// this number.
     proxies: usize,
     /// Number of the server.
     server: usize,
@@ -77,7 +81,8 @@
     }
 }
 
-fn report_from(proxies: usize, server: usize, report: ServerReport) -> SharedReport {
+/// Creates the report that the first `proxies` proxies send about a server.
+fn report_from_first(proxies: usize, server: usize, report: ServerReport) -> SharedReport {
     SharedReport {
         proxies,
         server,
@@ -125,24 +130,27 @@
 fn ejections_stop_at_the_cap_of_the_cell() {
     let mut quorum = EjectionQuorum::new(RULE);
     for number in 0..4 {
-        report_from(3, number, FAILING).send(&mut quorum, at_micros(0));
+        report_from_first(3, number, FAILING).send(&mut quorum, at_micros(0));
     }
-    assert_eq!(ejected(&mut quorum, at_micros(1)).len(), 2);
+    assert_eq!(
+        ejected(&mut quorum, at_micros(1)).len(),
+        MAX_EJECTED_SERVERS
+    );
 }
 
 #[test]
 fn servers_of_a_partitioned_zone_are_not_ejected_as_unreachable() {
     let mut quorum = EjectionQuorum::new(RULE);
     for number in 0..2 {
-        report_from(3, number, UNREACHABLE).send(&mut quorum, at_micros(0));
+        report_from_first(3, number, UNREACHABLE).send(&mut quorum, at_micros(0));
     }
     for number in 2..4 {
-        report_from(3, number, HEALTHY).send(&mut quorum, at_micros(0));
+        report_from_first(3, number, HEALTHY).send(&mut quorum, at_micros(0));
     }
     assert_eq!(ejected(&mut quorum, at_micros(1)), []);
     // An unreachable server in a zone with a healthy server has failed; the zone is not
     // partitioned.
-    report_from(3, 1, HEALTHY).send(&mut quorum, at_micros(2));
+    report_from_first(3, 1, HEALTHY).send(&mut quorum, at_micros(2));
     assert_eq!(ejected(&mut quorum, at_micros(3)), [server(0)]);
 }
 
@@ -152,7 +160,7 @@
     let mut durations_s = Vec::new();
     let mut now = at_micros(0);
     for _ in 0..4 {
-        report_from(2, 0, FAILING).send(&mut quorum, now);
+        report_from_first(2, 0, FAILING).send(&mut quorum, now);
         let ends_at = quorum.evaluate(now, &locations(), CONNECTED_PROXIES)[&server(0)];
         durations_s.push(ends_at.saturating_since(now).as_secs_f64());
         now = ends_at;
@@ -163,7 +171,7 @@
         );
     }
     assert_eq!(durations_s, [2.0, 4.0, 8.0, 16.0]);
-    report_from(2, 1, FAILING).send(&mut quorum, now);
+    report_from_first(2, 1, FAILING).send(&mut quorum, now);
     assert_eq!(ejected(&mut quorum, now + RULE.report_lifetime), []);
 }
 
@@ -218,7 +226,7 @@
         for ArbitraryReport { proxy: from, server: about, report, delay } in reports {
             now = now + delay;
             quorum.on_report(now, &proxy(from), &server(about), report);
-            prop_assert!(ejected(&mut quorum, now).len() <= 2);
+            prop_assert!(ejected(&mut quorum, now).len() <= MAX_EJECTED_SERVERS);
         }
         let mut healthy = EjectionQuorum::new(RULE);
         for about in 0..4 {
--- a/crates/endpoint-control/tests/endpoint_control/slow_start.rs
+++ b/crates/endpoint-control/tests/endpoint_control/slow_start.rs
@@ -80,9 +80,9 @@
 }
 
 /// Guards against a change of the hash of server names. Control instances divide a limit without
-/// communication, so that the shares of instances of different builds add up to the limit only if
-/// their hashes agree. A limit of one request goes to the instance whose number and the hash of the
-/// server's name add up to the number of instances, which shows the hash.
+/// communication, so the shares of instances of different builds add up to the limit only if their
+/// hashes agree. The test derives the hash from the instance that receives a limit of one request:
+/// the number of that instance is the number of instances minus the hash.
 #[test]
 fn remainder_of_the_limit_goes_by_the_fnv1a_hash_of_the_server_name() {
     const COUNT: u32 = u32::MAX;
@@ -119,8 +119,9 @@
     }
 
     #[test]
-    fn limit_never_decreases_with_age(a in 0u64..30_000_000, b in 0u64..30_000_000) {
-        let (younger, older) = (Duration::from_micros(a.min(b)), Duration::from_micros(a.max(b)));
+    fn limit_never_decreases_with_age(age in 0u64..30_000_000, other_age in 0u64..30_000_000) {
+        let younger = Duration::from_micros(age.min(other_age));
+        let older = Duration::from_micros(age.max(other_age));
         prop_assert!(
             SLOW_START_RULE.max_in_flight(younger) <= SLOW_START_RULE.max_in_flight(older)
         );
--- a/crates/endpoint-control/tests/lease_model/main.rs
+++ b/crates/endpoint-control/tests/lease_model/main.rs
@@ -18,7 +18,7 @@
 #[test]
 fn limit_is_kept_in_any_order_of_events() {
     let checker = check(LeaseModel {
-        acknowledges_when_sent: false,
+        counts_sent_as_acknowledged: false,
     });
     checker.assert_properties();
     let states = checker.unique_state_count();
@@ -30,12 +30,12 @@
 }
 
 /// Guards against a check that finds nothing. In this model the control instance counts the time to
-/// live from when a message was sent, which frees units that a late reader still uses; the check
-/// must find a state with too many requests in flight.
+/// live from when it sends a message. It then frees units that a proxy still uses if the proxy reads
+/// the message late. The check must find a state with too many requests in flight.
 #[test]
 fn time_to_live_counted_from_sending_breaks_the_limit() {
     let checker = check(LeaseModel {
-        acknowledges_when_sent: true,
+        counts_sent_as_acknowledged: true,
     });
     assert!(checker.discovery(LIMIT_IS_KEPT).is_some());
 }
--- a/crates/endpoint-control/tests/lease_model/model.rs
+++ b/crates/endpoint-control/tests/lease_model/model.rs
@@ -42,8 +42,8 @@
 /// The control instance, two proxies and one server that is warming up.
 pub(crate) struct LeaseModel {
     /// Whether the control instance has a fault that the check must find: it treats a lease as
-    /// acknowledged as soon as the lease is sent.
-    pub(crate) acknowledges_when_sent: bool,
+    /// acknowledged as soon as the lease is sent, so it counts the time to live from then.
+    pub(crate) counts_sent_as_acknowledged: bool,
 }
 
 fn server() -> NodeId {
@@ -71,7 +71,7 @@
         let proxy = &mut state.proxies[number];
         proxy.unread_limits.push_back(units);
         proxy.unacknowledged = Some(SentMessage::Lease);
-        if self.acknowledges_when_sent {
+        if self.counts_sent_as_acknowledged {
             state.leases.on_acknowledged(state.now, &holder);
         }
         true
--- a/crates/endpoint-control/tests/lease_model/proxy.rs
+++ b/crates/endpoint-control/tests/lease_model/proxy.rs
@@ -28,8 +28,9 @@
     pub(crate) connected: bool,
     /// Limits that were sent to the proxy and not yet read, in order of sending.
     pub(crate) unread_limits: VecDeque<u32>,
-    /// When the last stream ended; `None` while a stream is open. The proxy can read what was sent
-    /// before that for the maximum pause of a proxy; after that, it never reads it.
+    /// When the previous stream ended; `None` while a stream is open. The proxy may still read the
+    /// messages of that stream until the maximum pause of a proxy has passed since its end. After
+    /// that, it never reads them.
     stream_ended_at: Option<Timestamp>,
     /// The limit that the proxy uses now.
     pub(crate) limit: u32,
@@ -95,7 +96,8 @@
         }
         self.remaining_requests
             .retain(|remaining| now < remaining.until);
-        // Makes states equal that differ only in the order or repetition of remaining requests.
+        // Two states that differ only in the order or repetition of remaining requests become
+        // equal, so that the checker explores them only once.
         self.remaining_requests.sort_unstable();
         self.remaining_requests.dedup();
         self.limit = limit;
@@ -118,7 +120,8 @@
         });
     }
 
-    /// Ends what has expired by the time `now`: the limit, remaining requests and unread messages.
+    /// Updates the proxy after the model has advanced the time to `now`: drops the limit if its time
+    /// to live has ended, the requests that have ended, and the messages that can no longer be read.
     pub(crate) fn on_step(&mut self, now: Timestamp) {
         if self.limit > 0 && self.limit_until <= now {
             self.stop_using_limit(self.limit_until);
@@ -129,8 +132,8 @@
         let is_lost = |ended_at: Timestamp| now > ended_at + TIMES.max_pause;
         if self.stream_ended_at.is_some_and(is_lost) {
             self.unread_limits.clear();
-            // The time at which the stream ended no longer matters. One fixed value makes states
-            // equal that differ only in it.
+            // The time at which the stream ended no longer matters. With one fixed value, states
+            // that differ only in this time become equal, and the checker explores them only once.
             self.stream_ended_at = Some(Timestamp::ORIGIN);
         }
     }
@@ -143,7 +146,7 @@
         self.unacknowledged = None;
     }
 
-    /// Begins a new stream and drops the messages that were not read from the last one.
+    /// Begins a new stream and drops the messages of the previous stream that were not read.
     pub(crate) fn connect(&mut self) {
         self.connected = true;
         self.stream_ended_at = None;
