--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -161,8 +161,9 @@
         expires_at
     }
 
-    /// Returns the latest time, over all parts, at which the first attempt was sent or an attempt
-    /// may still be executed; `now` if there are no parts.
+    /// Returns the time of the latest activity at any part; `now` if there are no parts. The latest
+    /// activity at a part is the sending of its first attempt, or the last moment at which an
+    /// attempt may still be executed if that is later.
     pub(crate) fn latest_activity(&self, now: Timestamp) -> Timestamp {
         let activity = |part: &PartState| part.first_sent_at.unwrap_or(now).max(part.busy_until);
         self.parts.values().map(activity).max().unwrap_or(now)
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -45,8 +45,9 @@
 
     /// Decides whether a query with this key and with parts for `shards` may be served. `deadline`
     /// is the time until which its client waits. If the query is [`KeyAdmission::Admitted`], the
-    /// caller has to call [`IdempotencyRegister::on_query_ended`] when the query ends. Otherwise
-    /// the register does not record the query.
+    /// register records it as in flight, and the caller has to call
+    /// [`IdempotencyRegister::on_query_ended`] when it ends. A query that is not admitted is not
+    /// recorded.
     #[must_use]
     pub fn admit(
         &mut self,
@@ -112,7 +113,10 @@
         }
     }
 
-    /// Records that the query in flight with this key has ended.
+    /// Records that the query in flight with this key has ended. If a part may have been executed or
+    /// an attempt is still in flight, the register keeps the key until it expires; a key whose query
+    /// was [`QueryEnd::Answered`] may be removed earlier to make space for a new key. If
+    /// all parts are known not to have been executed, the key is removed immediately.
     pub fn on_query_ended(&mut self, now: Timestamp, key: &Rc<str>, end: QueryEnd) {
         let Some(state) = self.keys.get_mut(key) else {
             return;
--- a/crates/idempotency/tests/random_retries.rs
+++ b/crates/idempotency/tests/random_retries.rs
@@ -8,7 +8,10 @@
 use std::time::Duration;
 
 const SECOND: Duration = Duration::from_secs(1);
+/// Length of the replay window.
 const WINDOW: Duration = Duration::from_secs(5);
+/// Time after the replay window for which the register keeps a key.
+const RETENTION: Duration = Duration::from_secs(5);
 const KEYS: usize = 4;
 const SHARDS: usize = 2;
 /// One less than the number of keys that clients use, so that the register can be full.
@@ -84,7 +87,7 @@
     fn new() -> Self {
         let limits = RegisterLimits {
             window: WINDOW,
-            retention: WINDOW,
+            retention: RETENTION,
             max_keys: MAX_KEYS,
         };
         Model {
@@ -134,7 +137,7 @@
         if let Some(first_sent_at) = part.first_sent_at {
             let is_within_window = now < first_sent_at + WINDOW;
             // The register keeps the key only as long as clients may retry.
-            let is_after_last_retry = now >= first_sent_at + 2 * WINDOW;
+            let is_after_last_retry = now >= first_sent_at + WINDOW + RETENTION;
             prop_assert!(is_within_window || is_after_last_retry);
         }
         if part.possibly_executed == 0 {
--- a/crates/idempotency/tests/register.rs
+++ b/crates/idempotency/tests/register.rs
@@ -5,7 +5,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Length of the replay window.
 const WINDOW: Duration = Duration::from_secs(5);
+/// Time after the replay window for which the register keeps a key.
+const RETENTION: Duration = Duration::from_secs(5);
 
 /// Returns the time `micros` microseconds after the origin of the clock.
 const fn at(micros: u64) -> Timestamp {
@@ -25,7 +28,7 @@
 fn register(max_keys: usize) -> IdempotencyRegister {
     IdempotencyRegister::new(RegisterLimits {
         window: WINDOW,
-        retention: WINDOW,
+        retention: RETENTION,
         max_keys,
     })
 }
@@ -115,7 +118,7 @@
 /// If a full register removed a key whose client may still retry, the retry would count as a new
 /// query and be served, although its parts may have been executed.
 #[test]
-fn full_register_removes_answered_keys_and_rejects_new_keys_if_there_are_none() {
+fn full_register_removes_an_answered_key_or_else_rejects_the_new_key() {
     let mut register = register(2);
     for number in 0..2 {
         must_admit(&mut register, at(0), number);
@@ -131,12 +134,12 @@
     must_admit(&mut register, at(20), 2);
     assert_eq!(
         admit(&mut register, at(20), 3),
-        KeyAdmission::RetryAt(at(10) + 2 * WINDOW)
+        KeyAdmission::RetryAt(at(10) + WINDOW + RETENTION)
     );
     assert_eq!(
         admit(&mut register, window_end(), 0),
         KeyAdmission::WindowExpired
     );
     assert_eq!(register.key_count(), 2);
-    must_admit(&mut register, at(20) + 2 * WINDOW, 3);
+    must_admit(&mut register, at(20) + WINDOW + RETENTION, 3);
 }
