--- a/crates/logging/src/limiter.rs
+++ b/crates/logging/src/limiter.rs
@@ -26,8 +26,8 @@
 }
 
 impl Limiter {
-    /// Decides whether a line of this event is written at `now`. Returns the number of lines that
-    /// were left out since the event's last line, or `None` if this line has to be left out too.
+    /// Decides whether a line of `event` is written at `now`. Returns the number of lines of the
+    /// event that were left out since its last line, or `None` if this line has to be left out too.
     pub(crate) fn admit(&self, event: &'static str, now: Instant) -> Option<u64> {
         let mut events = self.events.lock().ok()?;
         let Some(state) = events.get_mut(event) else {
--- a/crates/logging/src/mode.rs
+++ b/crates/logging/src/mode.rs
@@ -13,16 +13,16 @@
     Level::TRACE,
 ];
 /// Index of [`Level::INFO`] in [`LEVELS`].
-const DEFAULT_LEVEL: u8 = 2;
+const DEFAULT_LEVEL_INDEX: u8 = 2;
 
 static IS_JSON: AtomicBool = AtomicBool::new(false);
-static LEVEL_INDEX: AtomicU8 = AtomicU8::new(DEFAULT_LEVEL);
+static LEVEL_INDEX: AtomicU8 = AtomicU8::new(DEFAULT_LEVEL_INDEX);
 
 /// Sets the format and the level for all later events.
 pub(crate) fn set(format: Format, level: Level) {
     IS_JSON.store(format == Format::Json, Ordering::Relaxed);
     let index = LEVELS.iter().position(|candidate| *candidate == level);
-    let index = index.map_or(DEFAULT_LEVEL, |index| index as u8);
+    let index = index.map_or(DEFAULT_LEVEL_INDEX, |index| index as u8);
     LEVEL_INDEX.store(index, Ordering::Relaxed);
 }
 
