--- a/crates/policy-engine/src/commands.rs
+++ b/crates/policy-engine/src/commands.rs
@@ -29,10 +29,10 @@
     pub attempt: AttemptId,
     /// How the attempt ended.
     pub outcome: Outcome,
-    /// Time from the dispatch to the end of the attempt.
+    /// Time from the sending of the attempt to its end; zero if it was never sent.
     pub elapsed: Duration,
-    /// Number of requests that the server reported with its answer as waiting or in execution;
-    /// `None` if it reported none.
+    /// Number of requests in flight at the server, waiting or in execution, as the server reported
+    /// it with its response; `None` without a report.
     pub load: Option<f64>,
 }
 
@@ -55,12 +55,14 @@
         /// Whether enough parts were served for a complete answer.
         is_complete: bool,
     },
-    /// The query was not served and had no effect, so that the client may retry.
+    /// The query was not served, and the client may safely retry it: none of its parts was
+    /// executed, or repeating them has no further effect.
     Rejected {
-        /// Delay after which the client should retry; `None` if clients ignore such advice.
+        /// Delay after which the client should retry; `None` if the settings contain no maximum for
+        /// it, for example because retry-after values do not reach the clients.
         retry_after: Option<Duration>,
     },
-    /// The query was not served; whether it had an effect is unknown.
+    /// The query was not served, and a retry may not be safe: parts may have been executed.
     Failed,
 }
 
@@ -73,8 +75,8 @@
     pub outcome: QueryOutcome,
 }
 
-/// The decisions that the caller has to carry out, in the order of the fields: first cancel, then
-/// finish, then dispatch.
+/// The decisions that the caller has to carry out, in this order: cancel attempts, respond to the
+/// clients of finished queries, dispatch attempts. The counts need no action; they are for the log.
 #[derive(Debug, Default, PartialEq)]
 pub struct Decisions {
     /// Attempts to cancel. The caller still has to pass an [`AttemptReport`] for each to the
@@ -86,7 +88,7 @@
     pub dispatches: Vec<Dispatch>,
     /// Number of queries among `finished` that were rejected because the capacity was exhausted.
     pub over_capacity: usize,
-    /// Number of queries among `finished` that failed because the policy had not ended them in time
-    /// before their deadline.
+    /// Number of queries among `finished` that failed because their deadline was at most one tick
+    /// of the settings away and the policy had not ended them.
     pub expired: usize,
 }
--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -3,7 +3,7 @@
 use crate::admitted::{AdmittedQueries, OverCapacity};
 use crate::commands::{AttemptReport, Decisions, Dispatch, FinishedQuery, QueryOutcome, QuerySpec};
 use crate::events::{attempt_ended_event, endpoints_event, query_events, to_policy_time};
-use crate::names::{parse_part, parse_query, query_name};
+use crate::names::{parse_part_id, parse_query_id, policy_query_id};
 use crate::summary::PolicySummary;
 use broker_types::query::{AttemptId, QueryId};
 use broker_types::server::{ListScope, NodeId, ServerInfo};
@@ -49,7 +49,7 @@
     pub fn abandon(&mut self, query: QueryId) {
         if self.admitted.remove(query) {
             self.staged
-                .push(Event::ClientDisconnected(query_name(query)));
+                .push(Event::ClientDisconnected(policy_query_id(query)));
         }
     }
 
@@ -210,7 +210,7 @@
         server: NodeId,
         timeout: Option<Ms>,
     ) -> Option<Dispatch> {
-        let part = parse_part(part)?;
+        let part = parse_part_id(part)?;
         let attempt = self.admitted.start_attempt(part.query, part.part)?;
         let query_deadline = attempt.query_deadline;
         let deadline = timeout.map_or(query_deadline, |timeout| {
@@ -225,7 +225,7 @@
 
     /// Ends a query with this outcome. Returns `None` if the query is no longer in flight.
     fn finish(&mut self, query: &PolicyQueryId, outcome: QueryOutcome) -> Option<FinishedQuery> {
-        let query = parse_query(query)?;
+        let query = parse_query_id(query)?;
         self.admitted
             .remove(query)
             .then_some(FinishedQuery { query, outcome })
@@ -233,7 +233,7 @@
 }
 
 fn cancelled_attempt(part: &PartId, attempt: u32) -> Option<AttemptId> {
-    let part = parse_part(part)?;
+    let part = parse_part_id(part)?;
     Some(AttemptId {
         query: part.query,
         part: part.part,
--- a/crates/policy-engine/src/events.rs
+++ b/crates/policy-engine/src/events.rs
@@ -1,10 +1,13 @@
 //! Translation of the engine's inputs into the policy's events.
 //!
+//! The events of a query and of its parts have the same group number, by which the policy assigns
+//! the parts to the query. The group number is the number of the query.
+//!
 //! The policy represents points in time and durations as floating-point milliseconds. Only
 //! [`from_micros`] converts whole microseconds to this representation.
 
 use crate::commands::{AttemptReport, QuerySpec};
-use crate::names::{part_name, query_name};
+use crate::names::{policy_part_id, policy_query_id};
 use broker_types::query::{PartIndex, PartSpec, QueryId};
 use broker_types::server::{ListScope, ServerInfo};
 use broker_types::time::{Timestamp, whole_micros};
@@ -56,7 +59,7 @@
 /// Returns the event for an attempt that has ended.
 pub(crate) fn attempt_ended_event(report: AttemptReport) -> Event {
     Event::AttemptEnded {
-        part: part_name(report.attempt.query, report.attempt.part),
+        part: policy_part_id(report.attempt.query, report.attempt.part),
         attempt: report.attempt.attempt,
         outcome: report.outcome,
         elapsed: to_policy_duration(report.elapsed),
@@ -73,7 +76,7 @@
 
 fn query_event(query: &QuerySpec) -> Event {
     Event::Query(Query {
-        id: query_name(query.id),
+        id: policy_query_id(query.id),
         group: query.id.0,
         class: query.class,
         tenant: query.tenant,
@@ -84,7 +87,7 @@
 
 fn part_event(query: QueryId, index: PartIndex, part: &PartSpec) -> Event {
     Event::Part(Part {
-        id: part_name(query, index),
+        id: policy_part_id(query, index),
         group: query.0,
         shard: part.shard,
         weight: part.weight,
--- a/crates/policy-engine/src/names.rs
+++ b/crates/policy-engine/src/names.rs
@@ -2,7 +2,7 @@
 //!
 //! The policy processes queries and parts in the order of their ids. The numbers in an id are
 //! padded with zeros, so that queries are sorted in the order of their arrival, and parts in the
-//! order of their index.
+//! order of their index. Without the padding, the text of 10 would come before that of 9.
 
 use broker_types::query::{PartIndex, QueryId};
 use fanout_policy::api::{PartId, QueryId as PolicyQueryId};
@@ -15,23 +15,23 @@
 }
 
 /// Returns the policy's id of a query.
-pub(crate) fn query_name(query: QueryId) -> PolicyQueryId {
+pub(crate) fn policy_query_id(query: QueryId) -> PolicyQueryId {
     PolicyQueryId(format!("{:020}", query.0).into())
 }
 
 /// Returns the policy's id of a part.
-pub(crate) fn part_name(query: QueryId, part: PartIndex) -> PartId {
+pub(crate) fn policy_part_id(query: QueryId, part: PartIndex) -> PartId {
     PartId(format!("{:020}.{:03}", query.0, part.0).into())
 }
 
-/// Parses an id that [`query_name`] has built; returns `None` for any other text.
-pub(crate) fn parse_query(name: &PolicyQueryId) -> Option<QueryId> {
-    name.0.parse().ok().map(QueryId)
+/// Parses an id that [`policy_query_id`] has built; returns `None` for any other text.
+pub(crate) fn parse_query_id(id: &PolicyQueryId) -> Option<QueryId> {
+    id.0.parse().ok().map(QueryId)
 }
 
-/// Parses an id that [`part_name`] has built; returns `None` for any other text.
-pub(crate) fn parse_part(name: &PartId) -> Option<PartKey> {
-    let (query, part) = name.0.split_once('.')?;
+/// Parses an id that [`policy_part_id`] has built; returns `None` for any other text.
+pub(crate) fn parse_part_id(id: &PartId) -> Option<PartKey> {
+    let (query, part) = id.0.split_once('.')?;
     Some(PartKey {
         query: QueryId(query.parse().ok()?),
         part: PartIndex(part.parse().ok()?),
--- a/crates/policy-engine/src/names/tests.rs
+++ b/crates/policy-engine/src/names/tests.rs
@@ -3,19 +3,27 @@
 use super::*;
 
 #[test]
-fn names_are_parsed_back_to_the_numbers_from_which_they_were_built() {
+fn ids_are_parsed_back_to_the_numbers_from_which_they_were_built() {
     let (query, part) = (QueryId(u64::MAX), PartIndex(7));
-    assert_eq!(parse_query(&query_name(query)), Some(query));
+    assert_eq!(parse_query_id(&policy_query_id(query)), Some(query));
     assert_eq!(
-        parse_part(&part_name(query, part)),
+        parse_part_id(&policy_part_id(query, part)),
         Some(PartKey { query, part })
     );
-    assert_eq!(parse_part(&PartId("00000000000000000001".into())), None);
-    assert_eq!(parse_query(&PolicyQueryId("1.000".into())), None);
+    assert_eq!(
+        parse_part_id(&PartId("00000000000000000001".into())),
+        None,
+        "the id of a query must not be parsed as the id of a part"
+    );
+    assert_eq!(
+        parse_query_id(&PolicyQueryId("1.000".into())),
+        None,
+        "the id of a part must not be parsed as the id of a query"
+    );
 }
 
 #[test]
-fn names_sort_in_the_order_of_queries_and_parts() {
-    assert!(query_name(QueryId(9)) < query_name(QueryId(10)));
-    assert!(part_name(QueryId(1), PartIndex(9)) < part_name(QueryId(1), PartIndex(10)));
+fn ids_sort_in_the_order_of_queries_and_parts() {
+    assert!(policy_query_id(QueryId(9)) < policy_query_id(QueryId(10)));
+    assert!(policy_part_id(QueryId(1), PartIndex(9)) < policy_part_id(QueryId(1), PartIndex(10)));
 }
