--- a/crates/broker/src/listeners/slots.rs
+++ b/crates/broker/src/listeners/slots.rs
@@ -65,8 +65,8 @@
     next_registration: Cell<u64>,
     /// The connections that may be evicted. Dropping a connection's sender evicts it.
     evictable: RefCell<BTreeMap<EvictionKey, Sender<()>>>,
-    /// When a new connection first found all slots in use, if none has obtained a slot by
-    /// [`Self::wait_for_slot`] since.
+    /// Time at which a new connection first found all slots in use. `None` if
+    /// [`Self::wait_for_slot`] has returned a slot since then.
     exhausted_since: Cell<Option<Instant>>,
     /// Notified when a slot is freed.
     slot_freed: Notify,
@@ -161,7 +161,7 @@
         Some(ClosingConnection::WithoutSlot(self.clone()))
     }
 
-    /// Takes a slot, even if all slots are in use.
+    /// Takes a slot without a check of the limit: the caller must have checked that one is free.
     pub(super) fn take(self: &Rc<Self>) -> Slot {
         self.in_use.set(self.in_use.get() + 1);
         Slot(self.clone())
--- a/crates/broker/src/upstream/send_queue.rs
+++ b/crates/broker/src/upstream/send_queue.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Minimum time until the deadline with which a part is still sent. A frame contains this time in
-/// whole milliseconds, so any shorter time would be sent as zero.
+/// Minimum time that must be left until a part's deadline when the part is sent. A frame contains
+/// the time left in whole milliseconds, so any shorter time would be sent as zero.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(1);
 
 /// A frame to be written to a connection.
@@ -76,8 +76,8 @@
     writing: RefCell<Option<Vec<String>>>,
     /// Whether the socket accepts no data at present.
     is_socket_full: Cell<bool>,
-    /// Whether the connection was established.
-    is_connected: Cell<bool>,
+    /// Whether the connection was ever established.
+    was_connected: Cell<bool>,
     wake_sender: Sender<()>,
     wake_receiver: Receiver<()>,
 }
@@ -90,7 +90,7 @@
             expired: RefCell::default(),
             writing: RefCell::default(),
             is_socket_full: Cell::new(false),
-            is_connected: Cell::new(false),
+            was_connected: Cell::new(false),
             wake_sender,
             wake_receiver,
         }
@@ -149,12 +149,12 @@
 
     /// Records that the connection is established.
     pub(super) fn on_connected(&self) {
-        self.is_connected.set(true);
+        self.was_connected.set(true);
     }
 
     /// Returns whether the connection was ever established. Stays true after its loss.
     pub(super) fn was_connected(&self) -> bool {
-        self.is_connected.get()
+        self.was_connected.get()
     }
 
     /// Records that the socket accepts no data at present.
@@ -167,7 +167,7 @@
         self.is_socket_full.set(false);
     }
 
-    /// Returns whether the socket does not accept all data of the queued frames at present.
+    /// Returns whether frames are held up at present because the socket accepts no more data.
     ///
     /// The socket task runs between event loop iterations and then writes as much as the socket
     /// accepts. A frame that is still being written during an iteration is therefore held up by the
