--- a/crates/fanout-policy/src/queries/in_flight_query.rs
+++ b/crates/fanout-policy/src/queries/in_flight_query.rs
@@ -27,9 +27,9 @@
 /// Data that the aggregator determines when a query arrives, in addition to the fields of
 /// [`Query`].
 pub(crate) struct Arrival {
-    /// Index of its class in the settings.
+    /// Index of the query's class in the settings.
     pub(crate) class: usize,
-    /// When it arrived.
+    /// Time at which the query arrived.
     pub(crate) arrived_at: Ms,
     /// When the client first sent the query, as far as can be determined: earlier than `arrived_at`
     /// for a retry. The latency objective counts from this time.
@@ -65,12 +65,12 @@
         }
     }
 
-    /// Returns the index of its class.
+    /// Returns the index of the query's class.
     pub(crate) fn class(&self) -> usize {
         self.arrival.class
     }
 
-    /// Returns the index of its tenant.
+    /// Returns the index of the query's tenant.
     pub(crate) fn tenant(&self) -> usize {
         self.tenant
     }
@@ -207,7 +207,8 @@
 
     /// Returns by how much the first step of a query that ends now took longer than forecast. The
     /// value is negative if the first step was faster. `None` if there is no positive forecast, or
-    /// if the first step ended in the batch in which the query arrived.
+    /// if the first step ended at the time at which the query arrived, so that its duration
+    /// is 0.
     pub(crate) fn forecast_error(&self, now: Ms) -> Option<Ms> {
         let first_end = match self.step {
             Step::First => now,
