--- a/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
+++ b/crates/fanout-policy/src/aggregator/attempt_outcomes.rs
@@ -16,13 +16,16 @@
         end: AttemptEnd,
     ) {
         // One random number is drawn for each end of an attempt, whether or not it causes an
-        // ejection.
+        // ejection, so the number of draws does not depend on the outcome.
         let jitter = EjectionJitter::draw(&mut self.random);
         let health = self.fleet.server(attempt.server).health();
         let ended = EndedAttempt::new(batch, attempt, end, health.last_served_sent_at());
         self.gossip.mark_changed(attempt.server);
         self.fleet.record_end(&ended);
         let width = &mut self.fanout_widths[attempt.class];
+        // The signals `None` and `Failure` do not count for the fan-out width, since they indicate
+        // nothing about the load of the server. After an outdated timeout the server has answered
+        // again, so the timeout does not count as a sign of overload.
         match ended.health_signal() {
             HealthSignal::None => {}
             HealthSignal::Answer => {
--- a/crates/fanout-policy/src/api/queries.rs
+++ b/crates/fanout-policy/src/api/queries.rs
@@ -2,7 +2,9 @@
 
 use super::{ClassIndex, Ms, PartId, QueryId, TenantIndex};
 
-/// A query on arrival. The parts of its first step follow in the same batch.
+/// A query on arrival. The parts of its first step follow in the same batch. If its class has a
+/// second step, the parts of that step arrive after the first answer, see
+/// [`Class::has_second_step`](super::Class::has_second_step).
 #[derive(Clone, Debug)]
 pub struct Query {
     /// Identifier of the query.
--- a/crates/fanout-policy/src/fleet/replica_rows.rs
+++ b/crates/fanout-policy/src/fleet/replica_rows.rs
@@ -1,8 +1,10 @@
 //! The replica rows. A row consists of one holder of each shard.
 //!
-//! The holders of a shard form a list in row order: by the distance of their cell from the shard's
-//! home cell, which is the first cell that holds the shard, then by name. Row `r` consists of the
-//! holder at position `r` of each list. If a list is shorter, its positions repeat.
+//! A shard is held by adjacent cells: its home cell and the cells with the next higher indexes,
+//! where cell 0 follows the last cell. The holders of a shard form a list in row order: by cell,
+//! beginning with the home cell, and by name within a cell. Row `r` consists of the holder at
+//! position `r` of each list. If the list of a shard has only `n` holders and `r` is `n` or more,
+//! the row contains the holder at position `r` modulo `n`.
 
 use super::ServerIndex;
 use std::collections::BTreeSet;
@@ -53,7 +55,7 @@
     }
 
     /// Returns the servers that hold the shard, in row order: the server at position `r` is in
-    /// row `r`.
+    /// row `r`. For a row beyond the end of this list, the caller repeats the list from its start.
     pub(crate) fn holders(&self, shard: usize) -> &[ServerIndex] {
         if self.holders.is_empty() {
             &[]
--- a/crates/fanout-policy/src/fleet/server.rs
+++ b/crates/fanout-policy/src/fleet/server.rs
@@ -99,8 +99,9 @@
     }
 
     /// Returns the delay to add to the forecast of an attempt sent now. It is the time by which the
-    /// oldest unanswered attempt is later than its own forecast, plus the time left of an ejection
-    /// for overload or for being unreachable.
+    /// oldest unanswered attempt is later than its own forecast, plus the remaining time of an
+    /// ejection for lack of capacity or because the server was unreachable, see
+    /// [`OutlierDetector::remaining_unavailability`].
     pub(crate) fn known_delay(&self, now: Ms) -> Ms {
         let lateness = self
             .outstanding
--- a/crates/fanout-policy/src/lib.rs
+++ b/crates/fanout-policy/src/lib.rs
@@ -7,7 +7,8 @@
 //! and slow servers from the outcomes of attempts (its own and those that other programs report)
 //! and from the gossip of other aggregators. It sends retries and hedged requests within a budget.
 //! It answers a query as soon as enough parts are served, and rejects a query that is unlikely to
-//! be answered in time.
+//! be answered in time. In some classes a query has two steps: after the answer to the parts of the
+//! first step, further parts arrive, and the query is answered a second time from these.
 //!
 //! The crate performs no input or output: the caller passes events in and carries out the
 //! actions that are returned.
--- a/crates/fanout-policy/src/policy/completion.rs
+++ b/crates/fanout-policy/src/policy/completion.rs
@@ -1,4 +1,5 @@
-//! Decides when a query is answered and when it is given up.
+//! Decides when a query is answered and when it is given up. A query of a class with a second step
+//! is answered once in each step.
 //!
 //! [`Completion`] decides from the progress of the query's parts. It has no state of its own.
 
@@ -56,8 +57,8 @@
     pub(crate) fn decide(&self, query: &InFlightQuery) -> CompletionDecision {
         let progress = self.step_progress(query);
         if self.is_complete(query, &progress) {
-            // If the first answer of a query was partial, its second answer is partial too, even
-            // with all parts of the second step.
+            // If the answer to the first step was partial, the answer to the second step is partial
+            // too, even with all parts of the second step.
             CompletionDecision::Answer(query.first_answer().unwrap_or(AnswerKind::Complete))
         } else if self.should_answer_partially(query, &progress) {
             CompletionDecision::Answer(AnswerKind::Partial)
@@ -126,7 +127,9 @@
             Some(AnswerKind::Partial) => 1.0,
             Some(AnswerKind::Complete) | None => class.partial_weight,
         };
-        // The lower bound prevents a division by zero.
+        // The weight of a partial answer is computed as described at `Class::partial_weight`, with
+        // the required share of the class in both steps, but without the priority weight, which
+        // `late_weight` does not include either. The lower bound prevents a division by zero.
         let required_share = class.required_share.max(SHARE_TOLERANCE);
         let partial_answer_weight = partial_weight * progress.served / required_share;
         let can_complete = progress.possible + SHARE_TOLERANCE >= required_for_step;
--- a/crates/fanout-policy/src/policy/fanout_width.rs
+++ b/crates/fanout-policy/src/policy/fanout_width.rs
@@ -5,9 +5,9 @@
 
 use crate::random::RandomSource;
 
-/// Set point of the controller: the share of attempts that are rejected for lack of capacity or
-/// time out. The relative error is the set point less the measured share, divided by the set point.
-/// It is negative if more attempts fail than the set point allows.
+/// Set point of the controller: the share of failures among the attempts that count for the width,
+/// see [`FanoutWidthController`]. The relative error is the set point less the measured share,
+/// divided by the set point. It is negative if more attempts fail than the set point allows.
 const TARGET_FAILURE_SHARE: f64 = 0.02;
 /// Proportional gain, in units of controller output per unit of relative error. The controller
 /// output is the sum of a proportional and a derivative term, from which the change of the width is
@@ -24,16 +24,21 @@
 
 /// Proportional-derivative (PD) controller of the fan-out width of one query class. A share of
 /// failures below the set point widens the fan-out, and a share above it narrows the fan-out.
+///
+/// An attempt counts if it was answered, rejected for lack of capacity, or timed out. Rejections
+/// and timeouts count as failures, except outdated timeouts, see `HealthSignal::OutdatedTimeout` in
+/// `ended_attempt`. All other attempts do not count, since their ends indicate nothing about the
+/// load of the servers. The same is true of timeouts that are reported after a pause of this
+/// aggregator.
 #[derive(Clone)]
 pub(crate) struct FanoutWidthController {
     /// Number of replica rows that a query contacts on average.
     rows: f64,
-    /// Number of attempts that ended in the current control interval.
-    ended_attempts: u32,
-    /// Number of attempts that were rejected for lack of capacity or timed out in the current
-    /// control interval.
+    /// Number of attempts that count and ended in the current control interval.
+    counted_attempts: u32,
+    /// Number of those attempts that count as failures.
     failed_attempts: u32,
-    /// Relative error of the last control interval in which an attempt ended.
+    /// Relative error of the last control interval in which an attempt counted.
     last_error: f64,
 }
 
@@ -42,7 +47,7 @@
     pub(crate) fn new(rows: usize) -> Self {
         FanoutWidthController {
             rows: rows as f64,
-            ended_attempts: 0,
+            counted_attempts: 0,
             failed_attempts: 0,
             last_error: 0.0,
         }
@@ -53,31 +58,32 @@
         self.rows
     }
 
-    /// Counts an attempt that ended without an indication of overload.
+    /// Counts an attempt that was answered, or whose timeout is outdated.
     pub(crate) fn record_normal_end(&mut self) {
-        self.ended_attempts += 1;
+        self.counted_attempts += 1;
     }
 
-    /// Counts an attempt that was rejected for lack of capacity or timed out.
+    /// Counts an attempt that was rejected for lack of capacity or timed out, if the timeout is not
+    /// outdated.
     pub(crate) fn record_overload(&mut self) {
-        self.ended_attempts += 1;
+        self.counted_attempts += 1;
         self.failed_attempts += 1;
     }
 
     /// Ends a control interval: adjusts the width according to the share of failed attempts, and
     /// limits it to the range from 1 to `max_rows` (1 if that is 0). The width stays the same if
-    /// no attempt ended in the interval.
+    /// no attempt counted in the interval.
     pub(crate) fn adjust(&mut self, max_rows: usize) {
-        if self.ended_attempts == 0 {
+        if self.counted_attempts == 0 {
             return;
         }
-        let failure_share = f64::from(self.failed_attempts) / f64::from(self.ended_attempts);
+        let failure_share = f64::from(self.failed_attempts) / f64::from(self.counted_attempts);
         let error = (TARGET_FAILURE_SHARE - failure_share) / TARGET_FAILURE_SHARE;
         let error = error.max(-MAX_NEGATIVE_ERROR);
         let change = PROPORTIONAL_GAIN * error + DERIVATIVE_GAIN * (error - self.last_error);
         self.rows = (self.rows + STEP_ROWS * change).clamp(1.0, max_rows.max(1) as f64);
         self.last_error = error;
-        self.ended_attempts = 0;
+        self.counted_attempts = 0;
         self.failed_attempts = 0;
     }
 
--- a/crates/fanout-policy/src/policy/latency.rs
+++ b/crates/fanout-policy/src/policy/latency.rs
@@ -13,7 +13,8 @@
 
 /// Minimum latency per work that is used as a divisor, in ms per ms of work.
 pub(crate) const MIN_LATENCY_PER_WORK: f64 = 0.2;
-/// Minimum share of its full capacity that a server is assumed to have after its recovery.
+/// Minimum share of its full capacity that a server is assumed to have after its recovery, see
+/// [`LatencyEstimator::on_recovery`].
 const MIN_INITIAL_CAPACITY_SHARE: f64 = 0.2;
 /// Latency per work before any observation, in ms per ms of outstanding work.
 const INITIAL_LATENCY_PER_WORK: f64 = 0.8;
@@ -84,9 +85,12 @@
         self.last_observed_at = now;
     }
 
-    /// Raises the estimate of a server that has recovered, since the server is slow at first: all
-    /// aggregators send to it again at the same time. The estimate becomes at least that of a
-    /// server with the capacity share `initial_capacity`: the fleet's median divided by this share.
+    /// Raises the estimate of a server that has recovered, that is, another aggregator has
+    /// published that the server answers again. This message ends the ejections of the server at
+    /// all aggregators that receive it, regardless of the random lengths of the ejections. All of
+    /// them then send to the server at the same time, so it is slow at first. The estimate becomes
+    /// at least that of a server with the capacity share `initial_capacity`: the fleet's median
+    /// divided by this share.
     pub(crate) fn on_recovery(&mut self, initial_capacity: f64, fleet: &FleetLatency) {
         let capacity = initial_capacity.max(MIN_INITIAL_CAPACITY_SHARE);
         self.per_work = self.per_work.max(fleet.per_work() / capacity);
--- a/crates/fanout-policy/src/policy/outlier_detection.rs
+++ b/crates/fanout-policy/src/policy/outlier_detection.rs
@@ -8,7 +8,8 @@
 use crate::random::RandomSource;
 
 /// Length of the first ejection after failures, before jitter, in multiples of the shortest latency
-/// objective. It is long enough to spare the queries that would otherwise be sent to the server.
+/// objective. Only the queries that arrive during an ejection are spared an attempt at the failing
+/// server, so the ejection must not be too short.
 const FIRST_EJECTION_OBJECTIVES: f64 = 0.7;
 /// Maximum length of an ejection before jitter, in multiples of the shortest latency objective.
 const MAX_EJECTION_OBJECTIVES: f64 = 4.0;
@@ -19,10 +20,9 @@
 /// of the shortest latency objective. A part that is sent to an overloaded server again waits this
 /// long for each attempt that it has had, see [`capacity_wait`].
 const FIRST_OVERLOAD_EJECTION_OBJECTIVES: f64 = 0.15;
-/// Minimum length of the first ejection of a server that rejected a part for lack of capacity, in
-/// mean intervals between two sends of this aggregator to one server. The ejection has this length
-/// if it is longer than the length that [`FIRST_OVERLOAD_EJECTION_OBJECTIVES`] gives, but at most
-/// the length that [`MAX_EJECTION_OBJECTIVES`] gives.
+/// Like [`FIRST_OVERLOAD_EJECTION_OBJECTIVES`], but in mean intervals between two sends of this
+/// aggregator to one server. The first ejection has the longer of these two lengths, limited to
+/// [`MAX_EJECTION_OBJECTIVES`].
 const FIRST_OVERLOAD_EJECTION_SENDS: f64 = 0.5;
 /// Factor by which each ejection is longer than the previous one, until an attempt is served.
 const EJECTION_GROWTH_FACTOR: f64 = 2.0;
@@ -89,10 +89,11 @@
 pub(crate) struct OutlierDetector {
     /// End of the last ejection, for whatever reason it started.
     ejected_until: Ms,
-    /// End of the last ejection because the server was unreachable; negative infinity once the
-    /// server has served a part since.
+    /// End of the last ejection because the server was unreachable, as set when it started;
+    /// negative infinity once the server has served a part since.
     unreachable_until: Ms,
-    /// End of the last ejection because the server rejected a part for lack of capacity.
+    /// End of the last ejection because the server rejected a part for lack of capacity, as set
+    /// when it started.
     overloaded_until: Ms,
     /// Length of the last ejection before jitter; 0 once the server has served a part since.
     duration: Ms,
@@ -119,14 +120,16 @@
         self.is_ejected(now).then_some(self.ejected_until)
     }
 
-    /// Returns whether the last ejection for lack of capacity still lasts.
+    /// Returns whether the time for which the server was last ejected for lack of capacity is not
+    /// over, even if [`OutlierDetector::on_peer_recovery`] has ended that ejection early.
     pub(crate) fn is_overloaded(&self, now: Ms) -> bool {
         self.overloaded_until > now
     }
 
     /// Returns the remaining time of the ejections for lack of capacity and because the server
-    /// was unreachable, whichever is longer, in ms; 0 if there is none. Forecasts assume that
-    /// the server serves no part before that time has passed.
+    /// was unreachable, whichever is longer, in ms; 0 if there is none. An ejection that
+    /// [`OutlierDetector::on_peer_recovery`] has ended early counts for its full length. Forecasts
+    /// assume that the server serves no part before that time has passed.
     pub(crate) fn remaining_unavailability(&self, now: Ms) -> Ms {
         (self.overloaded_until.max(self.unreachable_until) - now).max(0.0)
     }
@@ -181,7 +184,8 @@
     }
 
     /// Ends the ejection of a server because another aggregator published that it is no longer
-    /// failing.
+    /// failing. [`OutlierDetector::is_overloaded`] and
+    /// [`OutlierDetector::remaining_unavailability`] do not change.
     pub(crate) fn on_peer_recovery(&mut self, now: Ms) {
         self.ejected_until = self.ejected_until.min(now);
     }
--- a/crates/fanout-policy/src/policy/retry_policy.rs
+++ b/crates/fanout-policy/src/policy/retry_policy.rs
@@ -166,7 +166,8 @@
 
     /// Returns [`NextAttempt::First`] if a part that was never sent needs its first attempt now,
     /// and [`NextAttempt::None`] otherwise. The answer can be complete without the deferred parts,
-    /// so they are sent only once another part of the query needs a retry.
+    /// so they are sent only once the last attempt for another part of the query is overdue or has
+    /// ended without an answer.
     fn first_attempt(&self, query: &InFlightQuery, part: &PartState) -> NextAttempt {
         let needs_retry = |part: &PartState| self.needs_retry(query, part);
         if part.is_deferred() && !query.parts().iter().any(needs_retry) {
--- a/crates/fanout-policy/src/policy/row_planner.rs
+++ b/crates/fanout-policy/src/policy/row_planner.rs
@@ -61,9 +61,10 @@
     /// parts gets a random one of the rows. Each further home cell gets the next lower row, and
     /// the highest row follows after the lowest.
     ///
-    /// Where the holders of neighbouring shards overlap, a server that is in row `r` of one
-    /// shard is in row `r - 1` of the next shard. The descending order of the rows therefore
-    /// sends the parts of neighbouring shards to the same server, where they share a call.
+    /// Where each cell has one server and several adjacent cells hold a shard, the holders of
+    /// shards with consecutive numbers overlap: a server that is in row `r` of one shard is in row
+    /// `r - 1` of the next shard, if `r` is not 0. The descending order of the rows therefore
+    /// sends the parts of such shards to the same server, where they share a call.
     fn assign_rows(
         &self,
         query: &mut InFlightQuery,
--- a/crates/fanout-policy/src/policy/slow_start.rs
+++ b/crates/fanout-policy/src/policy/slow_start.rs
@@ -91,10 +91,11 @@
     /// aggregator therefore keeps to its own allowance. This is the product of two values: the
     /// limit for a server with one core, which serves 1 ms of work per ms once it is warm, and
     /// the rate at which a warm server serves the work of this aggregator, in ms of work per ms.
-    /// The rates of all aggregators add up to at most the full speed of one server, which is
-    /// above 1 if it has several cores. Their allowances therefore add up to at most the limit
-    /// of that server. Until this aggregator has measured a higher rate, it uses an even share
-    /// of one core.
+    /// Apart from the work of warming servers, see [`ServedRate`], the rates of all aggregators
+    /// add up to at most the full speed of one server, which is above 1 if it has several cores.
+    /// Allowances that are computed from these rates therefore add up to at most the limit of
+    /// that server. An aggregator with a rate below an even share of one core uses that share
+    /// instead, and the sum of the allowances may then be higher.
     pub(crate) fn allows(
         &self,
         batch: &BatchContext,
@@ -143,10 +144,12 @@
     }
 }
 
-/// Rate at which a warm server serves the work of this aggregator.
+/// Rate at which a warm server serves the work of this aggregator. It is the work that all servers
+/// serve, divided by the number of warm servers. The work that warming servers serve is included,
+/// so the rate is too high while servers warm up.
 #[derive(Default)]
 pub(crate) struct ServedRate {
-    /// Work served by all servers in the current control interval.
+    /// Work served by all servers, warm or not, in the current control interval.
     work_in_interval: Ms,
     /// Moving average of the work served per ms and warm server, in ms of work per ms.
     rate: f64,
@@ -159,7 +162,7 @@
     }
 
     /// Ends a control interval: updates the rate with the work that was served in it, divided
-    /// among `warm_servers` servers.
+    /// by `warm_servers`, the number of warm servers.
     pub(crate) fn end_interval(&mut self, warm_servers: usize) {
         let warm_servers = warm_servers.max(1) as f64;
         let work = std::mem::take(&mut self.work_in_interval);
--- a/crates/fanout-policy/src/policy/time_limits.rs
+++ b/crates/fanout-policy/src/policy/time_limits.rs
@@ -12,7 +12,8 @@
 /// Late weight of a class up to which its queries are given up at the end of their latency
 /// objective. Otherwise overloaded servers would spend much of their time on late answers of little
 /// weight. The value is multiplied by the share of the servers' load that the aggregator does not
-/// observe, so that it is 0 for an aggregator that observes all of the load.
+/// observe. An aggregator that observes all of the load thus gives up queries at the end of their
+/// objective only if the late weight of their class is 0.
 const MIN_LATE_WEIGHT: f64 = 0.2;
 /// Time reserved before a client's deadline, in ticks. It covers the transmission of the reply to
 /// the client and the batch in which the end of an attempt is processed.
@@ -69,9 +70,10 @@
     }
 
     /// Returns the timeout of an attempt that is sent now: the time for which an answer to the
-    /// query stays useful, and at least one tick. `None` if answers stay useful until the
-    /// client's deadline, which then ends the attempt; since the margin for the reply is
-    /// subtracted, this requires a margin of 0 or an infinite deadline.
+    /// query stays useful, and at least one tick. `None` if answers stay useful up to the
+    /// client's deadline, so that no earlier timeout is needed. Since [`TimeLimits::useful_until`]
+    /// subtracts the margin for the reply, this requires that the margin is 0 or that the deadline
+    /// is infinite.
     pub(crate) fn attempt_timeout(&self, query: &InFlightQuery) -> Option<Ms> {
         let end = self.useful_until(query).min(query.client_deadline());
         let wait = (end - self.batch.now).max(self.batch.settings.tick);
--- a/crates/fanout-policy/src/queries/part_state.rs
+++ b/crates/fanout-policy/src/queries/part_state.rs
@@ -15,8 +15,7 @@
     /// Attempts so far, in order of sending. The number of an attempt is its index here.
     attempts: Vec<Attempt>,
     is_served: bool,
-    /// Whether the part is not sent until another part needs a retry, since the answer can be
-    /// complete without it.
+    /// Whether the part is deferred, see [`PartState::defer`].
     is_deferred: bool,
 }
 
@@ -84,7 +83,8 @@
         self.is_deferred
     }
 
-    /// Defers the part: it is not sent until another part needs a retry.
+    /// Defers the part, since the answer can be complete without it: it is not sent until the last
+    /// attempt for another part of the query is overdue or has ended without an answer.
     pub(crate) fn defer(&mut self) {
         self.is_deferred = true;
     }
