--- a/crates/broker/src/clock.rs
+++ b/crates/broker/src/clock.rs
@@ -1,5 +1,5 @@
-//! The clock of the program, which measures the time since its start with the system's monotonic
-//! clock, and a time limit for asynchronous operations.
+//! The program's clock, and a function that runs an asynchronous operation with a time limit. The
+//! clock measures the time since it was started, by the system's monotonic clock.
 
 use async_io::Timer;
 use broker_types::time::{SignedTimestamp, Timestamp, whole_micros};
--- a/crates/broker/src/event_loop.rs
+++ b/crates/broker/src/event_loop.rs
@@ -4,7 +4,8 @@
 //! An iteration handles all queued events. It then reports ended attempts to the policy, submits
 //! new queries to it and polls it, in this order. The policy's decisions in each of these steps are
 //! executed before the next step, except that dispatched attempts are sent at the end of the
-//! iteration, so that attempts to the same server share a call.
+//! iteration. Attempts to the same server can then be combined into one call, which is one frame
+//! that requests several parts.
 //!
 //! - `iteration`: the steps of an iteration, and the time at which the next iteration starts;
 //! - `query_processor`: the policy, the clients' queries and the server pools, with
--- a/crates/broker/src/event_loop/query_processor.rs
+++ b/crates/broker/src/event_loop/query_processor.rs
@@ -26,8 +26,10 @@
     queries: ClientQueries,
     servers: ServerPools,
     dispatches: DispatchQueue,
-    /// Queries that ended and parts that were served in this iteration. Their attempts that have
-    /// not been sent are cancelled at the end of the iteration.
+    /// Queries that ended and parts that were served in this iteration. At the end of the
+    /// iteration, their unsent attempts that the policy has not cancelled are withdrawn. The policy
+    /// cancels attempts only if the settings allow it, but an unsent attempt may always be
+    /// withdrawn, because it never reaches a server.
     completed: Vec<CompletedQueryOrPart>,
 }
 
@@ -160,10 +162,10 @@
         self.execute(now, decisions);
     }
 
-    /// Ends an iteration: cancels the unsent attempts that are not needed any more, sends the
+    /// Ends an iteration: withdraws the unsent attempts that are not needed any more, sends the
     /// dispatched attempts, closes expired connections and logs the policy's state if that is due.
     pub(super) fn end_iteration(&mut self, now: Timestamp) {
-        self.cancel_unneeded_attempts(now);
+        self.withdraw_unneeded_attempts(now);
         self.send_dispatches(now);
         self.servers.close_expired_connections(now);
         let server_connections = self.servers.open_connections();
@@ -196,9 +198,9 @@
         self.dispatches.extend(decisions.dispatches);
     }
 
-    /// Logs the numbers of queries that ended without a decision of the policy: those that were
-    /// rejected for lack of capacity, and those that failed because the policy had not decided
-    /// before their deadline.
+    /// Logs the numbers of queries that the [`PolicyEngine`] ended itself, without a decision of
+    /// the policy that it runs: those that it rejected for lack of capacity, and those that it
+    /// failed because the policy had not ended them shortly before their deadline.
     fn log_undecided_queries(&self, decisions: &Decisions) {
         if decisions.over_capacity > 0 {
             warn!(
@@ -235,8 +237,9 @@
         });
     }
 
-    /// Cancels the unsent attempts of the queries and parts that were completed in this iteration.
-    fn cancel_unneeded_attempts(&mut self, now: Timestamp) {
+    /// Withdraws the unsent attempts of the queries and parts that were completed in this
+    /// iteration.
+    fn withdraw_unneeded_attempts(&mut self, now: Timestamp) {
         for CompletedQueryOrPart { query, part } in std::mem::take(&mut self.completed) {
             self.servers.cancel_unsent(now, query, part);
         }
@@ -260,9 +263,10 @@
             Ok(outgoing) => return Some(outgoing),
             Err(DispatchError::QueryFinished) => {}
             Err(DispatchError::RepetitionForbidden(_)) => {
-                // The part may have been executed for an earlier query with the same key. It must
-                // not be executed again, so the query cannot be served. Nor can the query be
-                // rejected, because a rejection tells the client that nothing was executed.
+                // An earlier attempt under the same key may have executed the part or may still
+                // execute it. The part must not be executed again, so the query cannot be served.
+                // Nor can the query be rejected, because a rejection tells the client that nothing
+                // was executed.
                 self.policy.abandon(attempt.query);
                 self.queries
                     .finish(now, attempt.query, |_| FinalResponse::Failed);
--- a/crates/broker/src/listeners/http1/mod.rs
+++ b/crates/broker/src/listeners/http1/mod.rs
@@ -34,7 +34,8 @@
     /// has already been cancelled.
     async fn serve(self: Rc<Self>, stream: Async<TcpStream>, slot: Slot) {
         let linger_time = self.serve_requests(&stream).await.unwrap_or(LINGER);
-        // Counts the connection as open until it is closed, but frees its slot now if possible.
+        // The connection counts as open until `_closing` is dropped. Its slot is freed for another
+        // connection now, unless too many connections without a slot are already being closed.
         let _closing = slot.close();
         let _ = linger(&stream, linger_time).await;
     }
--- a/crates/broker/src/queries.rs
+++ b/crates/broker/src/queries.rs
@@ -8,8 +8,8 @@
 //! - `attempt_log`: the attempts of one query, formatted for the log;
 //! - `reservations`: the reservations of a query: its request id, units of its connection's quota
 //!   and its idempotency key;
-//! - `idempotency_guard`: for queries with an idempotency key, whether an attempt may be sent and
-//!   whether an ended attempt may have been executed.
+//! - `idempotency_guard`: for queries with an idempotency key, ensures that data servers do not
+//!   execute a part twice under the same key.
 
 mod attempt_log;
 mod client_query;
--- a/crates/broker/src/queries/idempotency_guard.rs
+++ b/crates/broker/src/queries/idempotency_guard.rs
@@ -1,5 +1,9 @@
-//! The idempotency keys of queries: whether an attempt may be sent under its key, and whether an
-//! ended attempt may have been executed.
+//! Ensures that data servers do not execute a part twice under the same idempotency key.
+//!
+//! Data servers drop repetitions of a part only during a replay window after the first attempt. The
+//! [`IdempotencyRegister`] therefore decides which queries are admitted and which attempts are
+//! sent. [`IdempotencyGuard`] notifies it of each attempt that is sent and, once the attempt has
+//! ended, of whether it may have been executed.
 
 use broker_types::query::{AttemptId, PartSpec};
 use broker_types::server::Outcome;
@@ -41,10 +45,10 @@
 }
 
 impl IdempotencyGuard {
-    /// Creates a guard for the classes of the settings. The register has a single replay window:
-    /// the shortest one of all classes with idempotency keys applies to each of them. After the
-    /// window the register keeps a key for the longest client timeout of all classes, so that it
-    /// can still reject a late retry.
+    /// Creates a guard for the classes of the settings. The register has a single replay window for
+    /// all classes with idempotency keys. It is the shortest of their windows, so that no part is
+    /// sent after the window of its own class. After the window the register keeps a key for the
+    /// longest client timeout of all classes, so that it can still reject a late retry.
     pub(super) fn new(settings: &Settings) -> Self {
         let windows = settings
             .classes
--- a/crates/broker/src/upstream/attempt.rs
+++ b/crates/broker/src/upstream/attempt.rs
@@ -33,7 +33,7 @@
     pub send_before: Option<Timestamp>,
     /// Idempotency key of the query, if its class uses one.
     pub idempotency_key: Option<Rc<str>>,
-    /// Text of the query.
+    /// Predicate of the query, which the broker sends to data servers with each part.
     pub text: Rc<str>,
 }
 
--- a/crates/broker/src/upstream/connection.rs
+++ b/crates/broker/src/upstream/connection.rs
@@ -251,8 +251,8 @@
     /// Handles a response: finds the attempt that it belongs to.
     ///
     /// The response to a cancelled part may still arrive and is ignored. A response to any other
-    /// part violates the protocol: the server has sent it in place of a response that is
-    /// outstanding and will therefore not arrive.
+    /// part violates the protocol. The server may have sent it in place of the response to one of
+    /// the parts in flight, which would then never arrive.
     fn on_response(&mut self, response: PartResponse) -> EventEffect {
         if let Some(&attempt) = self.in_flight.get(&response.id) {
             EventEffect::EndAttempt { attempt, response }
--- a/crates/broker/src/upstream/mod.rs
+++ b/crates/broker/src/upstream/mod.rs
@@ -12,8 +12,9 @@
 //!   written) and `socket`.
 //!
 //! Two modules make decisions without state of their own: `selection` chooses the connection for a
-//! call, and `timeouts` computes how long a connection may be idle, silent or stalled.
-//! `assignment`, `attempt` and `connection_event` hold plain data types.
+//! call (one frame that requests one or several parts), and `timeouts` computes how long a
+//! connection may be idle, silent or stalled. `assignment`, `attempt` and `connection_event` hold
+//! plain data types.
 //!
 //! Each socket is served by a task of its own, which reports what happens as events in the event
 //! queue. The event loop takes the events from the queue and passes them to the pools.
--- a/crates/broker/src/upstream/selection.rs
+++ b/crates/broker/src/upstream/selection.rs
@@ -91,8 +91,8 @@
     }
 
     /// Returns whether a further connection to a server may be opened although an existing one has
-    /// capacity. Calls are spread over as many connections as the server's equal share of the
-    /// connections to all servers, but over at least one and at most
+    /// capacity. Each server has an equal share of the maximum number of connections. The calls to
+    /// a server are spread over as many connections as its share, but over at least one and at most
     /// [`MAX_SPREAD_CONNECTIONS_PER_SERVER`]. No other connection is closed for this purpose.
     fn may_open_to_spread(&self, server: &NodeId) -> bool {
         let max_open = self.limits.max_connections;
--- a/crates/broker/src/upstream/tests/responses.rs
+++ b/crates/broker/src/upstream/tests/responses.rs
@@ -4,7 +4,7 @@
 use server_protocol::InvalidFrame;
 
 /// If a server responds to a part that is not in flight, the response to one of the parts in flight
-/// will not arrive, and the attempt at that part must not wait until its deadline. However many
+/// may never arrive, and the attempt at that part must not wait until its deadline. However many
 /// attempts are in flight, this must count as one failure of the server and not as a failure of
 /// their queries.
 #[test]
