--- a/crates/load-generator/src/http1.rs
+++ b/crates/load-generator/src/http1.rs
@@ -43,9 +43,12 @@
         })
     }
 
-    /// Sends a request and waits for its response. If the connection fails before any byte of the
-    /// response has arrived, connects again and sends the request once more: the broker may have
-    /// closed the idle connection before the request arrived (RFC 9112, section 9.3.1).
+    /// Sends a request and waits for its response. If the connection fails and no received bytes
+    /// are left to decode, connects again and sends the request once more. The broker has then
+    /// usually closed the idle connection before the request arrived (RFC 9112, section 9.3.1).
+    ///
+    /// A connection that fails immediately after a complete response head is treated in the same
+    /// way, because the decoder has already removed the head from the received bytes.
     ///
     /// # Errors
     ///
--- a/crates/load-generator/src/open_loop.rs
+++ b/crates/load-generator/src/open_loop.rs
@@ -21,7 +21,8 @@
 use std::time::{Duration, Instant};
 use transport::Transport;
 
-/// Time after the end of the load during which outcomes of queries still count.
+/// Time after the end of the load during which outcomes of queries are still counted. Queries that
+/// end later, or not at all, are neither served nor unserved in the report.
 const ANSWER_GRACE: Duration = Duration::from_secs(5);
 
 /// Destination of the load.
@@ -43,7 +44,8 @@
         connections: usize,
     },
     /// A data server at this address, over the protocol that brokers use with data servers. It
-    /// gives a baseline without a broker. Only one query can be in flight at a time.
+    /// gives a baseline without a broker. The connection carries one query at a time: a query that
+    /// is sent while another is in flight fails and counts as unserved.
     Direct(SocketAddr),
 }
 
@@ -113,6 +115,8 @@
             Timer::at(due).await;
         }
         slots.acquire().await;
+        // Without a rate, a query is due when its slot is free, so that its latency does not include
+        // the wait for the slot.
         if profile.rate.is_none() {
             due = Instant::now();
         }
@@ -160,7 +164,8 @@
     }
 
     /// Takes `count` slots as they become free. Gives up if one of them does not become free within
-    /// [`ANSWER_GRACE`].
+    /// [`ANSWER_GRACE`] after the one before it. The wait may therefore be longer than
+    /// [`ANSWER_GRACE`] in total, but the recorder ignores outcomes after that time.
     async fn wait_until_free(&self, count: usize) {
         for _ in 0..count {
             let acquired = async {
--- a/crates/load-generator/src/raw_http2/fields.rs
+++ b/crates/load-generator/src/raw_http2/fields.rs
@@ -67,12 +67,13 @@
     encode_fields(&fields)
 }
 
-/// Decodes the status of a response from its HEADERS frame. The status is the first field.
+/// Decodes the status of a response from its HEADERS frame. The status must be the first field,
+/// encoded as an indexed field or as a literal with an indexed name. The name of a literal is not
+/// checked.
 ///
 /// # Panics
 ///
-/// Panics if the first field is not a status in an encoding that this decoder supports: indexed, or
-/// a literal whose name is indexed.
+/// Panics if the field block is too short or the value of a literal is not a number.
 #[must_use]
 pub fn response_status(headers: &Frame) -> u16 {
     // The block may start with updates of the dynamic table's size (section 6.3).
