--- a/crates/test-fleet/src/fault.rs
+++ b/crates/test-fleet/src/fault.rs
@@ -17,7 +17,8 @@
     /// The server has no fault.
     #[default]
     None,
-    /// The server takes longer for each part, by this time at full speed.
+    /// The server takes longer for each part. The value is the additional time at full speed; while
+    /// the server warms up, the additional time is longer, like the rest of the part's duration.
     Slow(Duration),
     /// The server accepts parts and never responds to them. It responds to probes.
     Hang,
--- a/crates/test-fleet/src/fleet/runtime.rs
+++ b/crates/test-fleet/src/fleet/runtime.rs
@@ -13,7 +13,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Time between two measurements of the thread's lag.
+/// Time between two measurements of the thread's lag, by which its timers fire late on a busy
+/// machine. The check of a broker's attempts tolerates larger differences of time if the lag is
+/// large.
 const LAG_MEASUREMENT_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Command for the fleet's thread. Each contains the index of a server in [`Fleet::servers`].
@@ -55,8 +57,8 @@
 }
 
 impl FleetRuntime {
-    /// Creates the data servers, starts to accept their connections once [`FleetRuntime::run`] is
-    /// called, and publishes their endpoints.
+    /// Creates the data servers and publishes their endpoints. The servers accept connections only
+    /// once [`FleetRuntime::run`] is called.
     pub(super) fn start(
         plan: FleetPlan,
         started_servers: Vec<StartedServer>,
@@ -141,7 +143,8 @@
         }
     }
 
-    /// Restarts the server if it is down and its address can be bound again.
+    /// Restarts the server if it is down and its address can be bound again. Otherwise the command
+    /// has no effect, is not reported to its sender and is not repeated.
     fn restart(&mut self, number: usize) {
         let Some(down) = self
             .servers
@@ -187,7 +190,8 @@
     }
 }
 
-/// Records by how much timers of this thread fire late, until the task is dropped.
+/// Measures repeatedly by how much a timer of this thread fires late, and records each lag, until the
+/// task is dropped.
 async fn measure_lag(attempt_log: Arc<Mutex<AttemptLog>>) {
     loop {
         let due = Instant::now() + LAG_MEASUREMENT_INTERVAL;
--- a/crates/test-fleet/src/server/connection.rs
+++ b/crates/test-fleet/src/server/connection.rs
@@ -33,7 +33,9 @@
     stream: &'a Async<TcpStream>,
     /// Attempts in flight, by the ids of their parts.
     in_flight: RefCell<BTreeMap<String, AttemptNumber>>,
-    /// Parts that will be finished. A cancelled part stays here until then, and is skipped.
+    /// Parts that the server will finish, which are all parts except those that arrive while its
+    /// fault is [`Fault::Hang`]. A cancelled part stays here until it would be finished; it is then
+    /// removed without a response.
     scheduled: RefCell<Schedule>,
     /// Signalled after each message, because it may have changed the schedule.
     schedule_changed: Signal,
