--- a/crates/query-broker/src/bench/broker_build.rs
+++ b/crates/query-broker/src/bench/broker_build.rs
@@ -23,7 +23,8 @@
 /// What determines the time between two iterations of the broker's event loop.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Pacing {
-    /// The iterations are one tick apart, which is the default without an operator's file.
+    /// The iterations are at least one tick apart, which is the default without an operator's file.
+    /// The tick is a setting of the platform; the default [`Deployment`] sets it to 5 ms.
     Ticks,
     /// Each iteration waits for the batch window (`gather-time` in the operator's file) to gather
     /// events.
@@ -76,6 +77,7 @@
     fn operator_config(&self, pacing: Pacing) -> String {
         let mut text = String::new();
         if self.listeners == Listeners::Http1AndHttp2 {
+            // No measurement has more than 400 queries in flight on one connection.
             text += "listen-http2 127.0.0.1:0\nhttp2-streams 400\n";
         }
         match pacing {
--- a/crates/query-broker/src/cli/tests.rs
+++ b/crates/query-broker/src/cli/tests.rs
@@ -61,7 +61,11 @@
         assert_eq!(arguments.servers, servers, "{text}");
     }
     for text in ["", "0", "65", "65537", "-1", "4.0", "1e1", "four", " 4"] {
-        assert!(parse_demo("--servers", text).is_err(), "{text:?}");
+        let result = parse_demo("--servers", text);
+        assert!(
+            result.is_err(),
+            "expected --servers {text:?} to be rejected, found {result:?}"
+        );
     }
 }
 
@@ -86,7 +90,11 @@
         "::1:80",
     ] {
         for option in ["--listen", "--http2"] {
-            assert!(parse_demo(option, text).is_err(), "{option} {text:?}");
+            let result = parse_demo(option, text);
+            assert!(
+                result.is_err(),
+                "expected {option} {text:?} to be rejected, found {result:?}"
+            );
         }
     }
 }
--- a/crates/query-broker/tests/http2/arbitrary_frames.rs
+++ b/crates/query-broker/tests/http2/arbitrary_frames.rs
@@ -31,7 +31,8 @@
         .prop_map(|(kind, flags, stream, payload)| encode_frame(kind, flags, stream, &payload))
 }
 
-/// Generates the HEADERS frame of a query, some without their flags.
+/// Generates HEADERS frames with the header fields of a query. The flags `END_HEADERS` and
+/// `END_STREAM` are each set or missing; a HEADERS frame of a valid query has only `END_HEADERS`.
 fn headers_frame() -> impl Strategy<Value = Vec<u8>> {
     let flags = prop::sample::select(vec![END_HEADERS, END_HEADERS | END_STREAM, 0, END_STREAM]);
     (stream_ids(), flags, 0u32..1000).prop_map(|(stream, flags, id)| {
@@ -40,7 +41,9 @@
     })
 }
 
-/// Generates a DATA frame with the end of a query's body, some with the flag for padding.
+/// Generates DATA frames that contain a query's body without its first bytes. A frame has no flag,
+/// `END_STREAM` or PADDED. With PADDED, the first byte of the payload counts as the length of the
+/// padding.
 fn data_frame() -> impl Strategy<Value = Vec<u8>> {
     let flags = prop::sample::select(vec![0, END_STREAM, PADDED]);
     (stream_ids(), flags, 0..QUERY_BODY.len())
--- a/crates/query-broker/tests/http2/fault_injection.rs
+++ b/crates/query-broker/tests/http2/fault_injection.rs
@@ -200,10 +200,14 @@
         *counts.entry(ends[0]).or_default() += 1;
     }
     let count = |end| counts.get(&end).copied().unwrap_or(0);
-    assert!(count(QueryEnd::Answered) > ends.len() / 3, "{counts:?}");
+    assert!(
+        count(QueryEnd::Answered) > ends.len() / 3,
+        "expected more than a third of {} queries to be answered, found {counts:?}",
+        ends.len()
+    );
     assert!(
         count(QueryEnd::Reset) > 100 && count(QueryEnd::NotOpened) == 0,
-        "{counts:?} {:?}",
+        "expected more than 100 reset queries and none without a stream, found {counts:?}; log: {:?}",
         fixture.broker.log_lines()
     );
 }
@@ -222,6 +226,9 @@
         let has_expired = log
             .iter()
             .any(|line| line.contains("event=queries_expired"));
-        assert!(!has_expired, "{log:?}");
+        assert!(
+            !has_expired,
+            "expected no event queries_expired, found one in the log {log:?}"
+        );
     }
 }
--- a/crates/query-broker/tests/http2/floods.rs
+++ b/crates/query-broker/tests/http2/floods.rs
@@ -3,23 +3,28 @@
 
 use crate::fixture::{Fixture, WAIT_TIMEOUT, query_headers};
 use load_generator::raw_http2::{
-    CONTINUATION, DATA, END_HEADERS, GOAWAY, HEADERS, PING, PREFACE, QUERY_BODY, RST_STREAM,
-    RawHttp2Client, SETTINGS, WINDOW_UPDATE, encode_fields, encode_frame, query_fields,
+    CONTINUATION, DATA, END_HEADERS, END_STREAM, GOAWAY, HEADERS, PING, PREFACE, QUERY_BODY,
+    RST_STREAM, RawHttp2Client, SETTINGS, WINDOW_UPDATE, encode_fields, encode_frame, query_fields,
     query_frames,
 };
 use std::time::{Duration, Instant};
 
 /// The error code `ENHANCE_YOUR_CALM` (RFC 9113, section 7).
 const ENHANCE_YOUR_CALM: u32 = 11;
-/// Time limit within which the broker has to close a flooded or silent connection.
+/// The error code CANCEL (RFC 9113, section 7).
+const CANCEL: u32 = 8;
+/// Type of PRIORITY frames (RFC 9113, section 6.3).
+const PRIORITY: u8 = 2;
+/// Time for which a test waits until the broker closes a flooded or silent connection. It is far
+/// longer than the broker needs, even on a slow machine.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Floods a connection until the broker closes it, and then checks that other clients are served.
 /// `bytes` returns the n-th piece of the flood, counted from 0, which is one frame or a few frames.
 /// `flood_name` is for messages.
 ///
-/// The broker has to close the connection within three seconds. A slow machine needs longer, so the
-/// time limit of the test is far longer; `query-broker bench` shows the real duration.
+/// The broker has to close the connection within three seconds, but the test fails only after
+/// [`CLOSE_TIMEOUT`]. `query-broker bench` shows the real duration.
 fn flood(fixture: &Fixture, flood_name: &str, bytes: impl Fn(u32) -> Vec<u8>) {
     let mut raw = fixture.connect_raw();
     let start = Instant::now();
@@ -39,6 +44,8 @@
         "{flood_name}: the connection has not been closed within {CLOSE_TIMEOUT:?}"
     );
     let frames = raw.frames_until_close(CLOSE_TIMEOUT);
+    // The GOAWAY may be missing: if the broker closes the connection while bytes of the flood are
+    // unread, the connection is reset, and the reset may discard the GOAWAY before it is read here.
     if let Some(goaway) = frames.iter().rfind(|f| f.frame_type == GOAWAY) {
         assert_eq!(goaway.error_code(), ENHANCE_YOUR_CALM, "{flood_name}");
     }
@@ -52,7 +59,7 @@
     for (flood_name, bytes) in [
         ("PING", encode_frame(PING, 0, 0, &[0; 8])),
         ("SETTINGS", encode_frame(SETTINGS, 0, 0, &[])),
-        ("PRIORITY", encode_frame(2, 0, 1, &[0, 0, 0, 3, 1])),
+        ("PRIORITY", encode_frame(PRIORITY, 0, 1, &[0, 0, 0, 3, 1])),
         (
             "WINDOW_UPDATE",
             encode_frame(WINDOW_UPDATE, 0, 0, &1u32.to_be_bytes()),
@@ -77,7 +84,7 @@
         let stream = 1 + 2 * n;
         [
             query_frames(stream, &format!("r{n}")),
-            encode_frame(RST_STREAM, 0, stream, &8u32.to_be_bytes()),
+            encode_frame(RST_STREAM, 0, stream, &CANCEL.to_be_bytes()),
         ]
         .concat()
     });
@@ -134,14 +141,16 @@
     block.extend([b'x'; 120]);
     block.extend([0xbe; 2000]);
     raw.send(&encode_frame(HEADERS, END_HEADERS, 1, &block));
-    raw.send(&encode_frame(DATA, 1, 1, QUERY_BODY));
+    raw.send(&encode_frame(DATA, END_STREAM, 1, QUERY_BODY));
     raw.send(&query_frames(3, "usual"));
-    let mut ended_streams = Vec::new();
+    // The broker may reject the request on stream 1, or close the whole connection. Waits until the
+    // valid query on stream 3 has a response or is reset, or until the broker announces the close.
+    let mut responded_streams = Vec::new();
     while let Some(next) = raw.next_frame(WAIT_TIMEOUT) {
         if next.frame_type == HEADERS || next.frame_type == RST_STREAM {
-            ended_streams.push(next.stream_id);
+            responded_streams.push(next.stream_id);
         }
-        if next.frame_type == GOAWAY || ended_streams.contains(&3) {
+        if next.frame_type == GOAWAY || responded_streams.contains(&3) {
             break;
         }
     }
@@ -187,8 +196,9 @@
         .unwrap();
 }
 
-/// Silent connections take all slots. Guards against shutting out regular clients: for a connection
-/// that sends a query, the broker must close one that has sent nothing.
+/// Connections that send nothing take all slots. Guards against a broker that rejects regular clients
+/// for this reason: when a client connects and sends a query, the broker must close one of the silent
+/// connections and use its slot.
 #[test]
 fn silent_connections_are_evicted_when_slots_are_exhausted() {
     let fixture = Fixture::start(
--- a/crates/query-broker/tests/http2/requests.rs
+++ b/crates/query-broker/tests/http2/requests.rs
@@ -56,8 +56,9 @@
             let over_http1 = http1.send(&request).await;
             assert_eq!(over_http2.status().as_u16(), expected, "{method} {path}");
             assert!(over_http2.headers().contains_key("date"), "{method} {path}");
-            // The status of HEAD is not compared. Its response has no body whatever its length says,
-            // and the HTTP/1.1 client of the test would wait for one.
+            // The status of HEAD is not compared. A response to HEAD has no body, whatever length it
+            // declares, but the HTTP/1.1 client of the test waits for a body of the declared length.
+            // It does not wait here because the declared length is 0.
             if method != "HEAD" {
                 assert_eq!(
                     over_http1.unwrap().status(),
@@ -122,7 +123,8 @@
 fn oversized_body_is_answered_before_it_has_arrived() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let mut raw = fixture.connect_raw();
-    // The windows in the broker's SETTINGS apply once these are acknowledged.
+    // Until the client acknowledges the broker's SETTINGS, the flow-control window of a stream is
+    // 65,535 bytes (RFC 9113, section 6.9.2). The body on stream 3 is longer and would exceed it.
     raw.expect_frame(SETTINGS);
     raw.send(&encode_frame(SETTINGS, 1, 0, &[]));
     raw.send(&query_headers(1, "a", &[("content-length", "60000000")]));
@@ -160,12 +162,15 @@
     let text = http1.text_until_close();
     assert!(
         text.starts_with("HTTP/1.1 400 ") && text.contains("HTTP/2 by prior knowledge"),
-        "{text}"
+        "expected status 400 and a text that asks for HTTP/2 by prior knowledge, found {text:?}"
     );
     let mut http2 = RawHttp2Client::connect(fixture.broker.http1);
     http2.send(&[PREFACE, &encode_frame(SETTINGS, 0, 0, &[])].concat());
     let text = http2.text_until_close();
-    assert!(text.starts_with("HTTP/1.1 505 "), "{text}");
+    assert!(
+        text.starts_with("HTTP/1.1 505 "),
+        "expected status 505, found {text:?}"
+    );
     // The start of a TLS handshake.
     let mut tls = fixture.connect_silent();
     tls.send(b"\x16\x03\x01\x02\x00\x01\x00");
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -253,6 +253,9 @@
         assert_eq!(http2.peer_stream_limit(), 2);
         let queries: Vec<_> = (0..6).map(|n| lookup(&format!("k{n}"), &[n])).collect();
         let answers = send_all(&http2, &queries).await;
-        assert!(answers.iter().all(is_complete), "{answers:?}");
+        assert!(
+            answers.iter().all(is_complete),
+            "expected only complete answers, found {answers:?}"
+        );
     });
 }
--- a/crates/query-broker/tests/scenarios/clients.rs
+++ b/crates/query-broker/tests/scenarios/clients.rs
@@ -4,7 +4,8 @@
 use crate::testbed::Testbed;
 use serde_json::{Value, json};
 
-/// Returns the HTTP/1.1 request of a query.
+/// Returns the HTTP/1.1 request of a query. Each shard contributes the same share (`portion`) of the
+/// answer.
 pub(crate) fn request(query: &Query) -> Vec<u8> {
     let Query {
         id,
@@ -37,6 +38,7 @@
             id: name.to_string(),
             class: "lookup".to_owned(),
             shards: vec![0],
+            // 60,000 milliseconds.
             deadline: "60000m".to_owned(),
         };
         testbed.connection(name).send(&request(&query));
--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -31,8 +31,8 @@
         }
     }
 
-    /// Delays further connections: fills the listener's queue, upon which the system no longer
-    /// answers connection requests.
+    /// Delays further connections: fills the listener's queue, upon which the kernel no longer
+    /// answers connection requests (SYN).
     pub(crate) fn delay_connections(&mut self) {
         // With a backlog of 0 the queue holds a single connection.
         rustix::net::listen(&self.listener, 0).unwrap();
@@ -41,7 +41,7 @@
     }
 
     /// Ends the delay: frees the listener's queue. Delayed connections are established when the
-    /// system repeats their connection requests.
+    /// kernel repeats their connection requests, which it does one second after the first.
     pub(crate) fn accept_delayed(&mut self) {
         drop(Connection::accept(&[&self.listener]));
         self.queue_filler = None;
--- a/crates/query-broker/tests/scenarios/discovery.rs
+++ b/crates/query-broker/tests/scenarios/discovery.rs
@@ -47,7 +47,10 @@
 /// Waits for a request for the full list.
 pub(crate) fn expect_full_list(connection: &mut Connection) {
     let request = connection.read_http_message();
-    assert!(request.starts_with("GET /api/targets"), "{request}");
+    assert!(
+        request.starts_with("GET /api/targets"),
+        "expected a request for the full list, found {request}"
+    );
     assert!(
         !request.contains('?'),
         "expected a request for the full list, found {request}"
--- a/crates/query-broker/tests/scenarios/main.rs
+++ b/crates/query-broker/tests/scenarios/main.rs
@@ -31,7 +31,8 @@
 //! close PEER                        closes the connection
 //! reset PEER                        closes the connection with a reset
 //! delay-connections sN              new connections to sN are no longer established
-//! accept-delayed sN                 delayed connections are established when the system repeats their requests
+//! accept-delayed sN                 delayed connections are established when the kernel repeats their requests
+//!                                   (SYN), one second after the first
 //! replace-config d1|d2              replaces the address of discovery in the configuration file
 //! replace-config raw TEXT           replaces the text of the configuration file
 //! signal TERM|HUP|STOP|CONT         sends the program a signal
--- a/crates/query-broker/tests/scenarios/parser.rs
+++ b/crates/query-broker/tests/scenarios/parser.rs
@@ -38,8 +38,8 @@
 ///
 /// # Errors
 ///
-/// The first line that is neither a setting, a step, a comment nor empty, or that has a wrong
-/// argument.
+/// The first line that is invalid: it is neither a setting, a step, a comment nor empty, has a wrong
+/// argument, is a setting after a step, or names a data server that the script does not have.
 pub(crate) fn parse_script(file: &str, text: &str) -> Result<Script, ScriptError> {
     let mut script = Script {
         file: file.to_owned(),
@@ -69,6 +69,8 @@
         script.settings.apply(setting);
         return Ok(());
     }
+    // The text after `raw` is taken from the whole line: it keeps its spaces, and `#` begins no comment
+    // in it.
     let step = parse_step(&words, text)?;
     check_server_numbers(&step, script.settings.servers)?;
     script.steps.push(ScriptStep {
--- a/crates/query-broker/tests/scenarios/parser/server_numbers.rs
+++ b/crates/query-broker/tests/scenarios/parser/server_numbers.rs
@@ -5,11 +5,11 @@
 
 /// Returns an error if a step names a data server whose number is not below `servers`.
 pub(super) fn check_server_numbers(step: &Step, servers: usize) -> Result<(), LineError> {
-    let of_connection = |name: &ConnectionName| match name.peer {
+    let server_of_connection = |name: &ConnectionName| match name.peer {
         PeerName::Server(server) => vec![server],
         _ => Vec::new(),
     };
-    let named = match step {
+    let named_servers = match step {
         Step::Within { step, .. } => return check_server_numbers(step, servers),
         Step::DelayConnections(server) | Step::AcceptDelayed(server) => vec![*server],
         Step::SendEndpoints(_, update) => update
@@ -20,7 +20,7 @@
         Step::SendPartOutcome { server: name, .. }
         | Step::SendRaw(name, _)
         | Step::Close(name)
-        | Step::Reset(name) => of_connection(name),
+        | Step::Reset(name) => server_of_connection(name),
         Step::Expect(Expectation::Connecting(servers)) => servers.clone(),
         Step::Expect(
             Expectation::Call { server: name, .. }
@@ -28,10 +28,10 @@
             | Expectation::Cancel { server: name, .. }
             | Expectation::Closed(name)
             | Expectation::ClosedWithoutReset(name),
-        ) => of_connection(name),
+        ) => server_of_connection(name),
         _ => Vec::new(),
     };
-    match named.into_iter().find(|server| *server >= servers) {
+    match named_servers.into_iter().find(|server| *server >= servers) {
         Some(server) => Err(LineError::UnknownServer { server, servers }),
         None => Ok(()),
     }
--- a/crates/query-broker/tests/scenarios/parser_tests.rs
+++ b/crates/query-broker/tests/scenarios/parser_tests.rs
@@ -50,7 +50,7 @@
     let error = parse(line).unwrap_err();
     assert!(
         matches!(error.cause, LineError::Malformed { .. }),
-        "{error}"
+        "expected the error of a malformed argument, found: {error}"
     );
     assert_eq!(error.line, 1);
 }
--- a/crates/query-broker/tests/scenarios/script.rs
+++ b/crates/query-broker/tests/scenarios/script.rs
@@ -100,7 +100,8 @@
     /// New connections to this data server are no longer established.
     DelayConnections(usize),
     /// Connections to this data server are established again. One that was requested during the
-    /// delay is established when the system repeats its request.
+    /// delay is established when the kernel repeats the connection request (SYN), which it does one
+    /// second after the first.
     AcceptDelayed(usize),
     /// The platform's configuration file is replaced.
     ReplaceConfig(NewConfig),
@@ -171,7 +172,8 @@
     pub(crate) class: String,
     /// The shards of the query, among which the portions are divided evenly.
     pub(crate) shards: Vec<u64>,
-    /// The value of the header `X-Deadline`.
+    /// The value of the header `X-Deadline`: the time for which the client waits, such as `2500m` for
+    /// 2500 milliseconds.
     pub(crate) deadline: String,
 }
 
