--- a/crates/platform-config/src/tests/overrides_and_defaults.rs
+++ b/crates/platform-config/src/tests/overrides_and_defaults.rs
@@ -43,7 +43,9 @@
         let environment = |key: &str| (key == variable).then(|| text.to_owned());
         for value in [None, Some(&json!({})), Some(&json!("nowhere"))] {
             let config = config_with("", field, value);
-            from_json(&config, environment).unwrap_or_else(|error| panic!("{field}: {error}"));
+            from_json(&config, environment).unwrap_or_else(|error| {
+                panic!("{field} must not be checked, found the error: {error}")
+            });
         }
     }
 }
@@ -79,9 +81,10 @@
             .unwrap()
             .max_http1_connections
     };
-    // Two thirds of the 992 descriptors for connections; the memory would suffice for more.
+    // With 2048 MiB of memory, the descriptors are the limit: at most 1024 are used, 32 are
+    // reserved, and two thirds of the others are for clients.
     assert_eq!(max_connections(&config), 661);
     config["limits"]["memory_mb"] = json!(32);
-    // Three fifths of 32 MiB, with 128 KiB for each connection.
+    // Three fifths of 32 MiB, divided by the 128 KiB that a connection may take.
     assert_eq!(max_connections(&config), 153);
 }
