--- a/crates/http1-codec/src/decode.rs
+++ b/crates/http1-codec/src/decode.rs
@@ -3,7 +3,7 @@
 use crate::error::ParseError;
 use crate::head::{parse_request_head, parse_response_head};
 use crate::limits::Limits;
-use crate::partial_message::{BodyState, MessageBody, PartialMessage};
+use crate::partial_message::{BodyState, HttpMessage, PartialMessage};
 use http::{Request, Response};
 
 /// A complete message.
@@ -141,7 +141,7 @@
 
 /// Continues to decode the body of the current message. Returns the message and clears `current`
 /// when the body is complete.
-fn decode_body<T: MessageBody>(
+fn decode_body<T: HttpMessage>(
     current: &mut Option<PartialMessage<T>>,
     input: &mut Vec<u8>,
 ) -> Result<Progress<T>, ParseError> {
--- a/crates/http1-codec/src/encode.rs
+++ b/crates/http1-codec/src/encode.rs
@@ -22,12 +22,15 @@
 
 /// Encodes a response with a complete body.
 ///
-/// Adds `Content-Length` and `Connection`, which `response` must not contain.
+/// Adds `Content-Length`, unless the status is 1xx or 204, and `Connection`, if the connection is to
+/// be closed or stays open after an HTTP/1.0 request. `response` must contain neither field.
 #[must_use]
 pub fn encode_response(response: &Response<Vec<u8>>, options: ResponseOptions) -> Vec<u8> {
     let status = response.status();
     let body = response.body();
-    let has_body = !status.is_informational() && status.as_u16() != 204;
+    // Responses with the status 1xx or 204 have neither a body nor `Content-Length` (RFC 9110,
+    // section 8.6). A response with the status 304 has no body either, but the broker sends none.
+    let may_have_body = !status.is_informational() && status.as_u16() != 204;
     let mut encoded = Vec::with_capacity(HEAD_CAPACITY_BYTES + body.len());
     // Writing into a vector does not fail.
     let _ = write!(
@@ -42,7 +45,7 @@
         encoded.extend_from_slice(value.as_bytes());
         encoded.extend_from_slice(b"\r\n");
     }
-    if has_body {
+    if may_have_body {
         let _ = write!(encoded, "Content-Length: {}\r\n", body.len());
     }
     if !options.keep_alive {
@@ -51,7 +54,7 @@
         encoded.extend_from_slice(b"Connection: keep-alive\r\n");
     }
     encoded.extend_from_slice(b"\r\n");
-    if has_body && !options.head_only {
+    if may_have_body && !options.head_only {
         encoded.extend_from_slice(body);
     }
     encoded
--- a/crates/http1-codec/src/head.rs
+++ b/crates/http1-codec/src/head.rs
@@ -11,7 +11,8 @@
 /// Text before the minor version in a start line.
 const VERSION_PREFIX: &[u8; 7] = b"HTTP/1.";
 
-/// A parsed head, as a message whose body is still to be decoded.
+/// Result of parsing a head: the message, whose body is still to be decoded, and the length of the
+/// head.
 #[derive(Debug)]
 pub(crate) struct ParsedHead<T> {
     /// The message, without any of its body.
@@ -170,7 +171,8 @@
     Ok(PartialMessage::new(head, body))
 }
 
-/// Converts a minor version of HTTP/1.
+/// Returns the HTTP version for the minor version that `httparse` found in a complete head, which is
+/// `Some(0)` or `Some(1)`.
 fn http_version(minor: Option<u8>) -> Version {
     if minor == Some(0) {
         Version::HTTP_10
--- a/crates/http1-codec/src/partial_message.rs
+++ b/crates/http1-codec/src/partial_message.rs
@@ -4,25 +4,26 @@
 use crate::error::ParseError;
 use http::{Request, Response};
 
-/// A message type whose body can be replaced: a request or response.
-pub(crate) trait MessageBody {
+/// A request or response, whose body can be replaced.
+pub(crate) trait HttpMessage {
     /// Returns the body for modification.
     fn body_mut(&mut self) -> &mut Vec<u8>;
 }
 
-impl MessageBody for Request<Vec<u8>> {
+impl HttpMessage for Request<Vec<u8>> {
     fn body_mut(&mut self) -> &mut Vec<u8> {
         Request::body_mut(self)
     }
 }
 
-impl MessageBody for Response<Vec<u8>> {
+impl HttpMessage for Response<Vec<u8>> {
     fn body_mut(&mut self) -> &mut Vec<u8> {
         Response::body_mut(self)
     }
 }
 
-/// A parsed head: a request or response without its body, and properties of the connection.
+/// The part of a [`PartialMessage`] that its head determines: the request or response without its
+/// body, and what the head says about the connection and about `100 Continue`.
 #[derive(Debug)]
 pub(crate) struct MessageHead<T> {
     /// The request or response. Its body is empty until it has been decoded.
@@ -48,7 +49,7 @@
     body: BodyDecoder,
 }
 
-impl<T: MessageBody> PartialMessage<T> {
+impl<T: HttpMessage> PartialMessage<T> {
     /// Creates a message from its head and a decoder that has decoded nothing yet.
     pub(crate) fn new(head: MessageHead<T>, body: BodyDecoder) -> Self {
         PartialMessage { head, body }
