--- a/crates/http2-flood-guard/src/guard.rs
+++ b/crates/http2-flood-guard/src/guard.rs
@@ -6,8 +6,8 @@
 use crate::violation::Violation;
 use broker_types::time::Timestamp;
 
-/// Number of tokens that [`FloodLimits::new`] grants in addition to two for each stream, for the
-/// control frames of an ordinary client.
+/// Part of [`FloodLimits::burst_tokens`] that does not depend on the number of streams. It suffices
+/// for the control frames of an ordinary client.
 const BASE_BURST_TOKENS: u32 = 200;
 /// Refill rate that [`FloodLimits::new`] sets, in tokens per second.
 const TOKENS_PER_SECOND: u32 = 100;
@@ -18,7 +18,11 @@
 /// has to send window updates to receive a long body.
 const BODY_BYTES_PER_WINDOW_UPDATE: usize = 1024;
 
-/// Limits on frames that cause work without carrying any part of a request.
+/// Limits that a [`FloodGuard`] enforces on one connection.
+///
+/// Each frame that causes work without carrying any part of a request takes a token from a bucket,
+/// and so does each CONTINUATION frame. A frame for which the bucket has no token is a violation.
+/// The length of a header block is limited separately.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FloodLimits {
     /// Number of tokens that a new connection has, which is also the maximum that it can hold.
@@ -37,6 +41,9 @@
     /// lists of at most `max_header_list_bytes`. The initial tokens include two for each stream, so
     /// that a client can reset all of its streams twice in immediate succession without exceeding
     /// the limits.
+    ///
+    /// `max_header_list_bytes` refers to the decoded header list. The guard counts the bytes of the
+    /// encoded header block, of which there may be twice as many.
     #[must_use]
     pub fn new(max_streams: u32, max_header_list_bytes: u32) -> Self {
         FloodLimits {
@@ -121,8 +128,9 @@
     /// none is. The preface includes the client's first SETTINGS frame, and counts as incomplete
     /// from the creation of the guard.
     ///
-    /// The time is kept until the bytes of a call of [`Self::on_received`] end with nothing
-    /// incomplete, so it may be earlier than the start of the current frame.
+    /// Only the end of the bytes of each call of [`Self::on_received`] counts. While every call ends
+    /// within a frame or a header block, the time remains that of the first of these calls, even if
+    /// frames have been completed since.
     #[must_use]
     pub fn incomplete_since(&self) -> Option<Timestamp> {
         self.incomplete_since
@@ -160,8 +168,9 @@
 /// Returns the number of tokens that a frame costs.
 fn token_cost(frame: FrameHeader) -> u32 {
     match frame.kind {
-        // HEADERS carries a request, and the limit on concurrent streams bounds the number of
-        // requests.
+        // HEADERS carries a request. The limit on concurrent streams bounds the number of open
+        // requests, and a client that resets streams to open more of them needs a token for each
+        // RST_STREAM.
         FrameKind::Headers => 0,
         // A DATA frame carries a part of a request if it has a payload or ends the request.
         FrameKind::Data => u32::from(frame.payload_bytes == 0 && !frame.ends_stream()),
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -13,8 +13,8 @@
 //! constant rate and by every response. A client that sends requests and reads the responses never
 //! empties the bucket.
 //!
-//! The guard also reports since when a frame or a header block has been incomplete, and detects
-//! clients that do not speak HTTP/2.
+//! The guard also reports since when the preface, a frame or a header block has been incomplete, and
+//! detects clients that do not speak HTTP/2.
 //!
 //! ```
 //! use broker_types::time::Timestamp;
