--- a/crates/operator-config/src/grammar.rs
+++ b/crates/operator-config/src/grammar.rs
@@ -28,13 +28,15 @@
 
 /// Parses the lines of a text, without those that contain only blanks and comments.
 ///
-/// Every text can be parsed: an unexpected character becomes part of a token, and the settings
-/// parser reports that token as an unknown keyword or an invalid argument.
+/// An unexpected character becomes part of a token, and the settings parser reports that token as an
+/// unknown keyword or an invalid argument. A comment that contains a carriage return without a line
+/// feed ends the parsing: its line and all later lines are missing from the result, and no error is
+/// reported.
 pub(crate) fn parse_lines(text: &str) -> Vec<KeywordLine> {
     let mut input = LocatingSlice::new(text);
     let mut lines = Vec::new();
     while !input.is_empty() {
-        // The line parser accepts every text. The `break` only guarantees that the loop ends.
+        // The line parser rejects only a comment with a carriage return that no line feed follows.
         let Ok(tokens) = parse_line(&mut input) else {
             break;
         };
@@ -52,6 +54,8 @@
 fn parse_line(input: &mut Input<'_>) -> Result<Vec<Token>, EmptyError> {
     let tokens = repeat(0.., preceded(space0, parse_token));
     let comment = preceded('#', till_line_ending);
+    // `line_ending` accepts a carriage return only before a line feed. Tokens cannot contain one, so
+    // a carriage return without a line feed is accepted as the end of a line, too.
     let end_of_line = alt((line_ending, eof, "\r"));
     terminated(tokens, (space0, opt(comment), end_of_line)).parse_next(input)
 }
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -9,7 +9,7 @@
 //! with its position.
 //!
 //! ```
-//! let text = "listen-http2 127.0.0.1:8443\nhttp2-streams 100 # a connection\n";
+//! let text = "listen-http2 127.0.0.1:8443\nhttp2-streams 100 # per connection\n";
 //! let settings = operator_config::parse("query-broker.conf", text).unwrap();
 //! assert_eq!(settings.http2.unwrap().streams, Some(100));
 //! let errors = operator_config::parse("query-broker.conf", "http2-stream 100").unwrap_err();
--- a/crates/operator-config/src/settings.rs
+++ b/crates/operator-config/src/settings.rs
@@ -107,6 +107,8 @@
         }
     }
 
+    /// Returns the settings of the HTTP/2 listener in effect. `listen` and `connections`, whose
+    /// keywords have [`Effect::Restart`], keep the values of `self`.
     fn adopt_http2(&self, new: &Settings) -> Option<Http2Settings> {
         match (self.http2, new.http2) {
             (Some(old), Some(new)) => Some(Http2Settings {
