--- a/crates/platform-config/src/environment.rs
+++ b/crates/platform-config/src/environment.rs
@@ -1,6 +1,7 @@
 //! Environment variables that locate the configuration file or override its fields.
 
-/// Holds the path of the configuration file. Error messages refer to the file by this name.
+/// Holds the path of the configuration file. Error messages refer to the file by the name of this
+/// variable.
 pub(crate) const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
 /// Overrides the field `name`, the broker's name.
 pub(crate) const NAME_VARIABLE: &str = "RELAY_NAME";
--- a/crates/platform-config/src/wire.rs
+++ b/crates/platform-config/src/wire.rs
@@ -37,8 +37,8 @@
     ///
     /// # Errors
     ///
-    /// The first field that is missing, has a wrong type or cannot be decoded. For a field that an
-    /// environment variable can override, this is checked only when the field is read.
+    /// The first field that is missing, has a wrong type or cannot be decoded. A field that an
+    /// environment variable can override causes no error here, but only when its value is used.
     pub(crate) fn decode(fields: &Map<String, Value>) -> Result<Self, ConfigError> {
         wire_fields::decode::<PlatformFileWire>(CONFIG_VARIABLE, fields)?.try_into()
     }
