--- a/crates/query-api/src/method.rs
+++ b/crates/query-api/src/method.rs
@@ -2,8 +2,8 @@
 
 use http::Method;
 
-/// Returns whether RFC 9110, section 9, or RFC 5789 defines the method. A request with any other
-/// method has the status 501 (not implemented).
+/// Returns whether RFC 9110, section 9, or RFC 5789 defines the method. The response to a request
+/// with any other method has the status 501 (not implemented).
 pub(crate) fn is_standard_method(method: &Method) -> bool {
     [
         Method::GET,
--- a/crates/query-api/src/route.rs
+++ b/crates/query-api/src/route.rs
@@ -32,8 +32,10 @@
     Immediate {
         /// The response.
         response: Response,
-        /// Whether the request is valid. Listeners close an idle connection sooner, and evict it
-        /// earlier, if it has not had a valid request.
+        /// Whether the request is valid. An idle connection on which no valid request has arrived
+        /// has a shorter idle timeout than one that has had a valid request. If the listener has to
+        /// close idle connections to make room for new ones, it closes the former before the
+        /// latter.
         is_valid_request: bool,
     },
 }
@@ -56,8 +58,8 @@
     }
 }
 
-/// Decodes a query from a request, or creates the immediate response to another or an invalid
-/// request.
+/// Decodes the query in a request. If the request is not a query, or is invalid, creates the
+/// immediate response to it.
 #[must_use]
 pub fn route(
     request: &Request<Vec<u8>>,
@@ -65,6 +67,7 @@
     names: &Names,
     settings: &Settings,
 ) -> Routed {
+    // This is `OPTIONS *`: the HTTP/1.1 codec rejects the target `*` with any other method.
     if request.uri() == "*" {
         return Routed::valid(options_response());
     }
