--- a/crates/server-protocol/src/fields.rs
+++ b/crates/server-protocol/src/fields.rs
@@ -7,5 +7,6 @@
 
 /// Entry of a load report: the number of requests in flight at the server.
 pub(crate) const REQUESTS_IN_FLIGHT_ENTRY: &str = "inflight";
-/// Name of the same entry in load reports that use the names of the broker's settings.
+/// Another name of the same entry, from the vocabulary of the broker's settings and of the
+/// simulator's messages. The broker accepts both names.
 pub(crate) const REQUESTS_IN_FLIGHT_SETTINGS_ENTRY: &str = "rif";
