--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -48,7 +48,8 @@
     /// An endpoint list update refers to a slot for which no list was declared.
     #[error("PeersKnown: field Slot names a slot whose list was never declared by a Ledger")]
     UnknownEndpointList,
-    /// The class of a query or part is not in the settings of the instance.
+    /// The class in an arrival is not in the settings of the instance. Queries and parts arrive in
+    /// the same type of message, `Order`, so the text does not distinguish them.
     #[error("Order: field Service is not the index of a class in the instance's settings")]
     UnknownClass,
     /// A field of the message is missing or invalid.
