--- a/crates/wire-fields/src/deferred.rs
+++ b/crates/wire-fields/src/deferred.rs
@@ -1,4 +1,4 @@
-//! Fields whose type is checked only when the program uses their value.
+//! Fields for which a wrong type becomes an error only when the program uses their value.
 
 use crate::{FieldError, FieldProblem};
 use serde::de::{Deserialize, Deserializer};
@@ -6,7 +6,8 @@
 
 /// The value of a field, or the problem with it. Decoding the object succeeds in both cases; the
 /// problem becomes an error only when [`Deferred::required`] or [`Deferred::optional`] is called.
-/// This suits a field that another source may override, so that its value may not be used.
+/// This suits a field whose value is not always used, for example because an environment variable
+/// can override it. A problem with a field that is not used is then ignored.
 #[derive(Clone, Debug)]
 pub struct Deferred<T>(Result<T, FieldProblem>);
 
@@ -42,7 +43,7 @@
     }
 }
 
-/// Deserializes a number whose type is checked when the value is used.
+/// Deserializes a number. A value of a wrong type becomes an error only when it is used.
 ///
 /// # Errors
 ///
@@ -57,7 +58,7 @@
     }))
 }
 
-/// Deserializes a string whose type is checked when the value is used.
+/// Deserializes a string. A value of a wrong type becomes an error only when it is used.
 ///
 /// # Errors
 ///
--- a/crates/wire-fields/src/scalars.rs
+++ b/crates/wire-fields/src/scalars.rs
@@ -6,9 +6,10 @@
 use serde_json::Value;
 use std::fmt;
 
-/// Floating-point numbers of this size or larger are rejected as whole numbers. The limit is just
-/// above 2^63 (about 9.22e18) and below 2^64, so every accepted number fits into a `u64`. A number
-/// that is written without a fraction or an exponent is not subject to it.
+/// Upper limit of the floating-point numbers that are accepted as whole numbers; the limit itself is
+/// rejected. It is just above 2^63 (about 9.22e18) and below 2^64, so every accepted number fits
+/// into a `u64`. `serde_json` reads a number as floating-point if it has a fraction or an exponent or
+/// exceeds `u64::MAX`. The limit does not apply to other numbers.
 const WHOLE_NUMBER_LIMIT: f64 = 9.3e18;
 
 /// Deserializes a required number.
