--- a/crates/fanout-policy/src/aggregator/query_driver.rs
+++ b/crates/fanout-policy/src/aggregator/query_driver.rs
@@ -153,7 +153,8 @@
 
     /// Sends a hedged request for a part whose attempt in flight is overdue. Where the settings do
     /// not allow hedging, cancels that attempt instead, so that a retry can follow. Does neither if
-    /// a second attempt would not be useful, see [`RetryPolicy::hedge_decision`].
+    /// the retry budget is used up, if no server can be selected for a second attempt, or if that
+    /// attempt would not be useful, see [`RetryPolicy::hedge_decision`].
     fn hedge(&mut self, query: &mut InFlightQuery, index: usize) {
         let part = &query.parts()[index];
         if !self.retry_policy().is_overdue(query, part) {
@@ -182,8 +183,10 @@
     fn select_for_hedge(&self, query: &InFlightQuery, part: &PartState) -> Option<ServerIndex> {
         let selector = self.selector();
         let server = selector.select(query, part)?;
-        // The selection has checked that slow start allows the part's work. What remains to be
-        // checked is independent of the work, which is therefore given as 0.
+        // If no holder is eligible, the selection returns an ineligible one, for example one that
+        // is ejected. No hedged request is sent to such a server. The selection has already checked
+        // that slow start allows the part's work. The other conditions of eligibility do not depend
+        // on the work, which is therefore given as 0.
         let is_usable = !part.is_in_flight_to(server) && selector.is_eligible(server, 0.0);
         is_usable.then_some(server)
     }
--- a/crates/fanout-policy/src/api/settings.rs
+++ b/crates/fanout-policy/src/api/settings.rs
@@ -86,11 +86,11 @@
     /// How the endpoint list reaches the aggregator.
     pub list_source: EndpointListSource,
     /// Time within which the aggregator has to poll the endpoint list again; infinite if the
-    /// deployment sets none. An aggregator that has not polled for this time is treated as informed
-    /// of each change that has been in the list for this time. After a failed poll, four times this
-    /// time applies instead. The grace period of a server that starts to drain counts from the time
-    /// at which the aggregator is treated as informed of this change. The policy derives the delays
-    /// after failed polls from this setting.
+    /// deployment sets none. If an aggregator has not polled for this time, the deployment's rules
+    /// treat it as informed of each change that has been in the list for this time. After a failed
+    /// poll, four times this time applies instead. The grace period of a server that starts to
+    /// drain counts from the time at which the rules treat the aggregator as informed of this
+    /// change. The policy derives the delays after failed polls from this setting.
     pub list_poll_deadline: Ms,
     /// Limit on retries and hedged requests; `None` if the deployment sets none, so that the policy
     /// uses its default budget.
--- a/crates/fanout-policy/src/policy/admission.rs
+++ b/crates/fanout-policy/src/policy/admission.rs
@@ -125,11 +125,12 @@
         let limit = self.limit_share(batch, query, forecast.work, quota_use);
         let class = batch.class_of(query);
         let latency = expected_latency(batch, class, &forecast);
-        // The more weight a partial answer has relative to a complete one in time, the more of the
-        // time left the forecast latency may take. The more weight a partial or a late answer has,
-        // the less of the expected forecast error is added to the forecast. Neither applies unless
-        // the client waits longer than the objective: the retries of clients that give up earlier
-        // would fill the fleet.
+        // The greater the weight of a partial answer, as a fraction of the weight of a complete
+        // answer within the objective, the more of the time left the forecast latency may take. The
+        // greater the weight of a partial or a late answer, the less of the expected forecast error
+        // is added to the forecast. Neither applies if the client waits no longer than the
+        // objective. When an admitted query then takes longer than forecast, the client gives up
+        // and retries, and such retries would fill the fleet.
         let client_waits_for_objective = query.client_deadline() > batch.objective_end(query);
         let (partial_weight, late_weight) = if client_waits_for_objective {
             (min_partial_answer_weight(class), class.late_weight)
--- a/crates/fanout-policy/src/policy/ended_attempt.rs
+++ b/crates/fanout-policy/src/policy/ended_attempt.rs
@@ -36,8 +36,9 @@
     /// the stall still time out when the server answers again.
     OutdatedTimeout,
     /// The server returned an error, the connection could not be made or was lost, or the attempt
-    /// was cancelled when it was overdue. This indicates nothing about the load of the server: a
-    /// server that returns errors may do so quickly.
+    /// was cancelled when it was overdue and the server had answered no attempt that was sent at
+    /// the same time or later. This indicates nothing about the load of the server: a server that
+    /// returns errors may do so quickly.
     Failure,
 }
 
--- a/crates/fanout-policy/src/policy/retry_budget.rs
+++ b/crates/fanout-policy/src/policy/retry_budget.rs
@@ -75,8 +75,10 @@
     }
 
     /// Returns an estimate of the mean time between two sends of this aggregator to one server, in
-    /// ms. It assumes that the queries and parts accepted recently are spread evenly over
-    /// `servers` servers.
+    /// ms. It assumes that the queries and parts accepted within the length of the default window
+    /// ([`DEFAULT_WINDOW_OBJECTIVES`]) are spread evenly over `servers` servers. This length
+    /// applies even if the settings have a budget with another window. If that window is shorter,
+    /// requests from before it may have been discarded, and then do not count.
     pub(crate) fn mean_send_interval(&self, batch: &BatchContext, servers: usize) -> Ms {
         let window = DEFAULT_WINDOW_OBJECTIVES * batch.shortest_objective();
         let accepted = self.accepted.count_since(batch.now - window);
@@ -97,7 +99,8 @@
 }
 
 /// Returns the budget of the settings, or else the default budget. The numbers of attempts that the
-/// default allows are multiplied by `default_share`; its window is not.
+/// default allows are multiplied by `default_share`, but the number per accepted request does not
+/// fall below [`MIN_HEDGES_PER_REQUEST`]. The window of the default is not multiplied.
 fn budget(batch: &BatchContext, default_share: f64) -> BudgetSettings {
     batch.settings.retry_budget.unwrap_or(BudgetSettings {
         free_attempts: DEFAULT_FREE_ATTEMPTS * default_share,
--- a/crates/fanout-policy/src/policy/server_health.rs
+++ b/crates/fanout-policy/src/policy/server_health.rs
@@ -20,8 +20,9 @@
 /// attempt that was sent later than the failed one, or that was sent earlier by less than this
 /// tolerance. The lost connection then says little about the server.
 const RECENT_ANSWER_OBJECTIVES: f64 = 0.25;
-/// Time without answers after which an unresponsive server that answers again is assumed to have
-/// restarted, in multiples of the shortest latency objective.
+/// An unresponsive server that answers again is assumed to have restarted if the answered attempt
+/// was sent later than the newest attempt served before by more than this time, in multiples of the
+/// shortest latency objective.
 const RESTART_SILENCE_OBJECTIVES: f64 = 2.5;
 
 /// State of a server after a failed attempt, on which its ejection depends.
--- a/crates/fanout-policy/src/settings/wire.rs
+++ b/crates/fanout-policy/src/settings/wire.rs
@@ -48,7 +48,8 @@
     tick_ms: f64,
 }
 
-/// Layout of the data over the servers. Each list has one number for each class.
+/// Layout of the data over the servers, maximum size and cost of a call to a server, and rules for
+/// the answers and the second step of each class. Each list has one number for each class.
 #[derive(Clone, Debug, Deserialize)]
 struct DataLayoutWire {
     #[serde(rename = "ClassNeed", deserialize_with = "numbers")]
@@ -91,20 +92,24 @@
         deserialize_with = "deferred_number"
     )]
     max_retry_after_ms: Deferred<f64>,
+    /// Maximum number of queries and parts in flight at one aggregator, added together.
     #[serde(
         rename = "MaxOpen",
         default,
         deserialize_with = "optional_whole_number"
     )]
     max_in_flight: Option<u64>,
+    /// Maximum number of parts in flight on one connection to a server.
     #[serde(
         rename = "Multiplex",
         default,
         deserialize_with = "optional_whole_number"
     )]
     max_parts_per_connection: Option<u64>,
+    /// Maximum time to establish a connection to a server.
     #[serde(rename = "DialTimeout", default, deserialize_with = "optional_number")]
     dial_timeout_ms: Option<f64>,
+    /// Time after which a server closes an idle connection.
     #[serde(rename = "Keepalive", default, deserialize_with = "optional_number")]
     idle_timeout_ms: Option<f64>,
 }
