--- a/crates/admission/src/quota.rs
+++ b/crates/admission/src/quota.rs
@@ -18,8 +18,11 @@
 /// This is the dynamic threshold algorithm with which network switches share a buffer among their
 /// ports (Choudhury and Hahne, IEEE/ACM Transactions on Networking 6(2), 1998). With a factor of 2,
 /// a single busy connection can use up to two thirds of the capacity, and two busy connections can
-/// use up to two fifths each. Some capacity therefore always stays free for connections that have
-/// nothing in use yet. The algorithm needs no estimate of the number of connections.
+/// use up to two fifths each. The rest stays free for connections that have nothing in use yet. The
+/// algorithm needs no estimate of the number of connections.
+///
+/// The quota does not apply to a connection that has nothing in use, so that a single large query
+/// can exceed these shares.
 const MAX_MULTIPLE_OF_FREE: usize = 2;
 
 /// The capacity for queries and parts, and how much of it each connection uses.
@@ -47,7 +50,8 @@
     /// connection would exceed its quota.
     ///
     /// A connection that has nothing in use always acquires its units, even if the capacity is
-    /// exhausted: the policy engine checks whether the total capacity suffices.
+    /// exhausted. The quota only divides the capacity among the connections; the policy engine
+    /// checks whether the total capacity suffices.
     #[must_use]
     pub fn try_acquire(&mut self, connection: ConnectionId, units: usize) -> bool {
         let used = self.in_use_by(connection);
