--- a/crates/broker-types/src/lib.rs
+++ b/crates/broker-types/src/lib.rs
@@ -4,7 +4,7 @@
 //! - [`time`]: points in time, as a type that differs from that of durations;
 //! - [`query`]: queries as clients request them, their parts and attempts, and the final response;
 //! - [`server`]: the list of data servers, as discovery sends it and in the form that the policy
-//!   takes;
+//!   engine takes;
 //! - [`limits`]: limits of the connections to data servers.
 
 pub mod limits;
--- a/crates/broker-types/src/query.rs
+++ b/crates/broker-types/src/query.rs
@@ -37,7 +37,7 @@
     pub attempt: u32,
 }
 
-/// One part of a query, in the form that the policy takes.
+/// One part of a query, in the form that the policy engine takes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PartSpec {
     /// Index of the shard that the part is for.
--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -1,4 +1,4 @@
-//! The list of data servers, as discovery sends it and in the form that the policy takes.
+//! The list of data servers, as discovery sends it and in the form that the policy engine takes.
 
 mod wire;
 
@@ -8,7 +8,7 @@
 
 pub use fanout_policy::api::{NodeId, Outcome, ServingState};
 
-/// A data server, in the form that the policy takes.
+/// A data server, in the form that the policy engine takes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerInfo {
     /// Name of the server.
@@ -67,7 +67,7 @@
 }
 
 impl EndpointList {
-    /// Returns which servers the list contains, in the form that the policy takes.
+    /// Returns which servers the list contains, in the form that the policy engine takes.
     #[must_use]
     pub fn scope(&self) -> ListScope {
         if self.is_snapshot {
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Converts the entries to the form that the policy takes. `zones` are the configured names of
-    /// the zones, in the order of their indices. `from_unix_ms` converts a Unix time in
+    /// Converts the entries to the form that the policy engine takes. `zones` are the configured
+    /// names of the zones, in the order of their indices. `from_unix_ms` converts a Unix time in
     /// milliseconds to the program's clock.
     pub fn servers(
         &self,
--- a/crates/broker-types/tests/endpoint_list.rs
+++ b/crates/broker-types/tests/endpoint_list.rs
@@ -21,9 +21,10 @@
 #[test]
 fn list_with_missing_and_unknown_fields_is_decoded() {
     let list: EndpointList = serde_json::from_str(CHANGES).unwrap();
-    let servers = list.servers(&["x".to_owned(), "y".to_owned()], |unix_ms| {
-        SignedTimestamp::from_micros(unix_ms - 1)
-    });
+    // Stands for the conversion of a Unix time to the program's clock. It changes the number, so
+    // that the test fails if a start time is not converted.
+    let from_unix_ms = |unix_ms: i64| SignedTimestamp::from_micros(unix_ms - 1);
+    let servers = list.servers(&["x".to_owned(), "y".to_owned()], from_unix_ms);
     let draining = ServerInfo {
         zone: Some(1),
         ..server("a", 3, ServingState::Draining)
