--- a/crates/endpoint-control/src/ejection_quorum/record.rs
+++ b/crates/endpoint-control/src/ejection_quorum/record.rs
@@ -11,7 +11,8 @@
 /// The reason why a quorum votes to eject a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum QuorumReason {
-    /// At least one of the voting proxies had an answer from the server.
+    /// Too many requests to the server failed or had no answer, but at least one of the voting
+    /// proxies had an answer from it. So the server is reachable.
     Failing,
     /// None of the voting proxies had an answer from the server.
     Unreachable,
@@ -93,6 +94,10 @@
     }
 
     /// Ends the ejection once its duration has passed.
+    ///
+    /// [`ServerRecord::drop_outdated`] is called first. If it was not called for a long time, it
+    /// has dropped the latest ejection although the server is still marked as ejected. The ejection
+    /// is then recorded again, with the rule's first duration.
     pub(super) fn readmit(&mut self, now: Timestamp, rule: &EjectionRule) {
         let Some(ends_at) = self.ejected_until.filter(|until| *until <= now) else {
             return;
@@ -119,15 +124,15 @@
             .map(|received| &received.report)
             .filter(|report| report.is_vote_to_eject(rule))
             .collect();
-        let reporting = self.reports.len() as f64;
-        let share = (rule.min_vote_share * reporting).ceil().max(1.0) as usize;
+        let reporting_proxies = self.reports.len() as f64;
+        let min_share_votes = (rule.min_vote_share * reporting_proxies).ceil().max(1.0) as usize;
         // A report of one proxy proves nothing if others are connected, because the proxy's own
         // link may be at fault. So the minimum number of votes is needed even if the other proxies
         // send no requests to this server and therefore have no reports about it. If fewer proxies
         // than the minimum are connected, more votes are not possible, and the votes of all of them
         // suffice.
-        let needed = share.max(rule.min_votes.min(connected_proxies));
-        if votes.is_empty() || votes.len() < needed {
+        let needed_votes = min_share_votes.max(rule.min_votes.min(connected_proxies));
+        if votes.is_empty() || votes.len() < needed_votes {
             return None;
         }
         if votes.iter().all(|report| report.is_unreachable()) {
--- a/crates/endpoint-control/src/endpoint_assignment.rs
+++ b/crates/endpoint-control/src/endpoint_assignment.rs
@@ -2,15 +2,16 @@
 //!
 //! Each cell becomes a cluster: its servers hold the same shards, so each of them can answer
 //! requests for these shards, and no server of another cell can. All proxies receive the same
-//! clusters of warmed-up servers.
+//! clusters of cells.
 //!
 //! An endpoint includes the server's row, which is its position among the servers of its cell in
 //! the order of their names. A proxy that can route by row sends all parts of a query to the same
 //! row.
 //!
-//! A server that is warming up is not an endpoint of its cell's cluster. It is a cluster of its
-//! own, which only the proxies that hold a lease on it receive. The units of the lease are the
-//! proxy's limit of requests in flight at that server.
+//! A serving server that is warming up is not an endpoint of its cell's cluster. It is a cluster of
+//! its own, which only the proxies that hold a lease on it receive. The units of the lease are the
+//! proxy's limit of requests in flight at that server. A server that drains before it has warmed up
+//! takes no new requests, so it needs no such limit and stays in its cell's cluster.
 
 mod slow_start_assigner;
 
@@ -42,7 +43,8 @@
     Unhealthy,
 }
 
-/// A server that is not warming up, in the form in which all proxies receive it.
+/// A server in the form in which all proxies receive it. A serving server that is warming up is
+/// assigned as a [`SlowStartEndpoint`] instead.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct AssignedEndpoint {
     /// Name of the server.
@@ -65,7 +67,8 @@
 pub struct CellCluster {
     /// Index of the cell.
     pub cell: usize,
-    /// The servers of the cell that are not warming up, in the order of their names.
+    /// The servers of the cell in the order of their names, without those that are removed or that
+    /// are serving and warming up.
     pub endpoints: Vec<AssignedEndpoint>,
 }
 
--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -14,6 +14,11 @@
 //!   other is connected), and limits how many servers of a cell are ejected;
 //! - [`endpoint_assignment`] builds the clusters and endpoints that the proxies receive.
 //!
+//! The assignments are made by one or more control instances. A proxy opens a stream to a control
+//! instance, which sends the proxy its assignments on this stream. Each instance may grant only a
+//! fixed share of the limit of a server that is warming up ([`slow_start::ControlInstance`]), so
+//! that the instances together keep to the limit without communication.
+//!
 //! ```
 //! use broker_types::server::NodeId;
 //! use broker_types::time::Timestamp;
--- a/crates/endpoint-control/tests/endpoint_control/leases.rs
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -73,6 +73,8 @@
 fn lease_stays_reserved_until_its_holder_cannot_use_it() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
     grant(&mut leases, at_micros(0), GrantRequest::all_units(0, 3));
+    // Acknowledged after 1 s, the lease ends after 3 s (time to live 2 s), and its last request has
+    // ended after 7 s (maximum duration of a request 4 s).
     leases.on_acknowledged(at_seconds(1), &proxy(0));
     assert_eq!(
         grant(&mut leases, at_seconds(3), GrantRequest::all_units(1, 3)),
@@ -92,6 +94,7 @@
         grant(&mut leases, at_seconds(7), GrantRequest::all_units(1, 3)),
         3
     );
+    // Released after 8 s, the lease has no request in flight after 12 s.
     leases.on_released(at_seconds(8), &server(), &proxy(1));
     assert_eq!(
         grant(
@@ -118,6 +121,8 @@
         grant(&mut leases, at_seconds(1000), GrantRequest::all_units(1, 3)),
         0
     );
+    // The units stay reserved for another 16 s: the maximum pause (10 s), the time to live (2 s)
+    // and the maximum duration of a request (4 s).
     leases.on_stream_ended(at_seconds(1000), &proxy(0));
     assert_eq!(
         grant(
--- a/crates/endpoint-control/tests/endpoint_control/parameters.rs
+++ b/crates/endpoint-control/tests/endpoint_control/parameters.rs
@@ -5,8 +5,9 @@
 use endpoint_control::slow_start::SlowStartRule;
 use std::time::Duration;
 
-/// Servers with two cores, requests of one part (90 ms of work) and its call (36 ms of work), and
-/// the published parameters of overload.
+/// Servers with two cores, which do two million microseconds of work per second, and requests that
+/// take 126,000 microseconds of work: 90 ms for their one part and 36 ms for its call.
+/// `overload_multiple` and `overload_window` are the published parameters of overload.
 pub(crate) const SLOW_START_RULE: SlowStartRule = SlowStartRule {
     initial_share: 0.18,
     warm_up_duration: Duration::from_secs(16),
--- a/crates/endpoint-control/tests/lease_model/model.rs
+++ b/crates/endpoint-control/tests/lease_model/model.rs
@@ -39,7 +39,7 @@
     Connect(usize),
 }
 
-/// The control instance, two proxies and one server that is warming up.
+/// The model of one control instance, two proxies and one server that is warming up.
 pub(crate) struct LeaseModel {
     /// Whether the control instance has a fault that the check must find: it treats a lease as
     /// acknowledged as soon as the lease is sent, so it counts the time to live from then.
@@ -93,7 +93,9 @@
         let holder = proxy_name(number);
         match proxy.unacknowledged.take() {
             Some(SentMessage::Lease) => self.leases.on_acknowledged(self.now, &holder),
-            Some(SentMessage::Release) => self.leases.on_released(self.now, &server(), &holder),
+            Some(SentMessage::Revocation) => {
+                self.leases.on_released(self.now, &server(), &holder);
+            }
             None => {}
         }
     }
@@ -101,7 +103,7 @@
     fn revoke(&mut self, number: usize) {
         let proxy = &mut self.proxies[number];
         proxy.unread_limits.push_back(0);
-        proxy.unacknowledged = Some(SentMessage::Release);
+        proxy.unacknowledged = Some(SentMessage::Revocation);
     }
 
     /// Returns the number of requests that all proxies together may have in flight.
@@ -111,6 +113,8 @@
     }
 
     /// Returns whether the proxies use the whole limit, either half each or the first proxy alone.
+    /// The second proxy alone is not considered: the proxies are alike, and the property requires
+    /// only one state in which the whole limit is used.
     fn whole_limit_is_used(&self) -> bool {
         let used = |number: usize| self.proxies[number].max_in_flight(self.now);
         (0..PROXIES).all(|number| used(number) == SERVER_LIMIT / 2) || used(0) == SERVER_LIMIT
--- a/crates/endpoint-control/tests/lease_model/proxy.rs
+++ b/crates/endpoint-control/tests/lease_model/proxy.rs
@@ -10,8 +10,8 @@
 pub(crate) enum SentMessage {
     /// Grants or renews a lease.
     Lease,
-    /// Revokes a lease.
-    Release,
+    /// Revokes a lease by setting the proxy's limit to 0.
+    Revocation,
 }
 
 /// Requests that were sent under an earlier limit and may still be in flight.
