--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -32,6 +32,8 @@
             ExecutionEvidence::NotExecuted => {}
             ExecutionEvidence::Executed => {
                 self.possibly_executed += 1;
+                // The execution has finished by the time at which its response has arrived, so the
+                // part is not busy until the deadline of the attempt.
                 self.busy_until = now;
             }
             ExecutionEvidence::PossiblyExecuted => self.possibly_executed += 1,
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -1,4 +1,5 @@
-//! Register of idempotency keys: decides whether a client's retry may be served, and until when.
+//! Register of idempotency keys: decides whether a client's retry may be served, and until when its
+//! parts may be sent.
 //!
 //! Data servers drop repeated parts of a class with idempotency keys, but only during a replay
 //! window after the first attempt. Within one query, the policy sends no part after its window has
