--- a/crates/logging/src/layer.rs
+++ b/crates/logging/src/layer.rs
@@ -14,8 +14,9 @@
 use tracing_subscriber::layer::{Context, Layer};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Packages whose events are logged. Events of libraries are left out.
-const PROJECT_PACKAGES: [&str; 6] = [
+/// Packages whose events are logged. Events of all other packages are left out, so that libraries
+/// cannot write to the log. A package of the project has to be listed here before it can log.
+const LOGGED_PACKAGES: [&str; 6] = [
     "admission",
     "broker",
     "idempotency",
@@ -40,11 +41,11 @@
     }
 }
 
-/// Returns `true` if an event or span comes from one of the project's packages and has a level that
-/// is logged.
+/// Returns `true` if an event or span comes from one of [`LOGGED_PACKAGES`] and has a level that is
+/// logged.
 fn is_logged(metadata: &Metadata<'_>) -> bool {
     let package = metadata.target().split("::").next().unwrap_or_default();
-    *metadata.level() <= mode::level() && PROJECT_PACKAGES.contains(&package)
+    *metadata.level() <= mode::level() && LOGGED_PACKAGES.contains(&package)
 }
 
 impl<S, W> Layer<S> for LineLayer<W>
--- a/crates/logging/tests/lines.rs
+++ b/crates/logging/tests/lines.rs
@@ -22,13 +22,19 @@
     };
     init(format, Level::INFO);
     info!(name: "plain", target: "broker::test", count = 3, words = "two", server = %"s1");
+    // The line feed and the quotes in the value must not begin a new line or field.
     warn!(name: "forged", target: "broker::test", words = "x\nlevel=error event=fire a=\"b\"");
+    // Left out, because the level is INFO.
     debug!(name: "below", target: "broker::test", n = 1);
+    // Only the first line is written: an event has at most one line per second.
     (0..3).for_each(|n| error!(name: "often", target: "broker::test", n));
     reconfigure(format, Level::DEBUG);
+    // The line contains the fields of the span, except `conn`: the event has a field of that name.
     let span = debug_span!(target: "broker::test", "query", query = 7, conn = 2);
     span.in_scope(|| debug!(name: "sent", target: "broker::test", conn = 9, part = 1));
+    // Left out, because `h2` is a library.
     warn!(name: "foreign", target: "h2::proto", n = 1);
+    // Truncated: the value has 600 characters of two bytes each, and the maximum is 512 bytes.
     info!(name: "long", target: "broker::test", words = "\u{e9}".repeat(600));
 }
 
@@ -59,7 +65,9 @@
     ];
     assert_eq!(lines[..4], expected);
     assert!(
-        lines[4].starts_with("level=info event=long words=\"") && lines[4].chars().count() < 300
+        lines[4].starts_with("level=info event=long words=\"") && lines[4].chars().count() < 300,
+        "expected the event `long` with its value truncated, found: {}",
+        lines[4]
     );
     assert_eq!(lines.len(), 5);
 }
