--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -35,6 +35,7 @@
             settings,
             admitted: AdmittedQueries::new(max_in_flight),
             staged: Vec::new(),
+            // The first timer event is due at the first call of `poll`.
             timer_at: Some(Timestamp::ORIGIN),
         }
     }
@@ -99,7 +100,8 @@
     }
 
     /// Returns the time by which [`PolicyEngine::poll`] has to be called next; `None` if there is
-    /// nothing to do before another input arrives.
+    /// nothing to do before another input arrives. If the time has passed, the call is due
+    /// immediately.
     #[must_use]
     pub fn next_deadline(&self) -> Option<Timestamp> {
         let earliest_deadline = self.admitted.earliest_deadline();
@@ -107,6 +109,7 @@
         let run_at = if self.staged.is_empty() {
             self.timer_at
         } else {
+            // A time that has passed: the staged events are due immediately.
             Some(Timestamp::ORIGIN)
         };
         [fail_at, run_at].into_iter().flatten().min()
@@ -124,8 +127,8 @@
         self.admitted.in_use()
     }
 
-    /// Returns how long before its deadline a query fails that the policy has not ended: one tick
-    /// of the settings.
+    /// Returns how long before its deadline a query fails if the policy has not ended it by then:
+    /// one tick of the settings.
     fn expiry_margin(&self) -> Duration {
         millis(self.settings.tick)
     }
@@ -143,6 +146,9 @@
     fn fail_expiring_queries(&mut self, now: Timestamp, decisions: &mut Decisions) {
         let latest = now + self.expiry_margin();
         while let Some(query) = self.admitted.first_due_by(latest) {
+            // The policy has no event for a query that the engine fails. The event of a
+            // disconnected client is used instead: on it, the policy ends the query and cancels its
+            // attempts.
             self.abandon(query);
             decisions.finished.push(FinishedQuery {
                 query,
