--- a/crates/load-generator/src/query.rs
+++ b/crates/load-generator/src/query.rs
@@ -23,7 +23,8 @@
     pub id: String,
     /// Name of the query's class.
     pub class: String,
-    /// Shards that the query reads. Each has the same portion of the query's value.
+    /// Shards that the query reads. The request gives each of them the same share (`portion`) of the
+    /// complete answer.
     pub shards: Vec<usize>,
     /// Time for which the client waits for the answer.
     pub client_timeout: Duration,
@@ -58,7 +59,9 @@
         self
     }
 
-    /// Returns the query as an HTTP request with an absolute URI.
+    /// Returns the query as an HTTP request with an absolute URI. If the id, the class or the
+    /// idempotency key has a character that a URI or a header field must not contain, returns the
+    /// default request of the `http` library instead: `GET /` without header fields and body.
     #[must_use]
     pub fn request(&self) -> Request<Vec<u8>> {
         let body = self.body();
@@ -122,7 +125,8 @@
 }
 
 impl QueryOutcome {
-    /// Returns the outcome that an HTTP response stands for.
+    /// Returns the outcome of the query that received this HTTP response. If a response with status
+    /// 200 has no valid JSON body, the outcome is an incomplete answer without values.
     #[must_use]
     pub fn from_response(response: &Response<Vec<u8>>) -> Self {
         match response.status().as_u16() {
@@ -152,6 +156,8 @@
     }
 }
 
+/// Decodes an entry in the list of values. A missing or invalid shard is read as 0, and a missing or
+/// invalid value as an empty text.
 fn shard_value(answer: &Value) -> ShardValue {
     ShardValue {
         shard: answer[SHARD_FIELD].as_u64().unwrap_or(0) as usize,
--- a/crates/load-generator/src/wire.rs
+++ b/crates/load-generator/src/wire.rs
@@ -43,7 +43,7 @@
 /// Shard in the body of a query.
 #[derive(Debug, Serialize)]
 pub(crate) struct ShardWire {
-    /// Portion of the query's value that the shard contributes, from 0 to 1.
+    /// Share of the complete answer that the shard contributes, from 0 to 1.
     pub(crate) portion: f64,
     #[serde(rename = "range")]
     pub(crate) shard: usize,
