--- a/crates/test-fleet/src/attempt_log/tests.rs
+++ b/crates/test-fleet/src/attempt_log/tests.rs
@@ -35,8 +35,8 @@
     violations_with_lag(cases, Duration::ZERO)
 }
 
-/// Returns the texts of the violations in a log of these attempts, whose fleet recorded `lag` as
-/// its largest lag.
+/// Returns the texts of the violations in a log of these attempts. `lag` is the longest time by which
+/// a timer of the fleet's thread fired late; times in the log may be late by as much.
 fn violations_with_lag(cases: &[AttemptCase], lag: Duration) -> Vec<String> {
     let mut log = AttemptLog::default();
     log.record_lag(lag);
@@ -112,8 +112,9 @@
         drain_published_ms: Some(0),
         ..attempt("b", received_ms, Some(received_ms + 1))
     };
-    // By default the tolerance is 50 ms and the grace period of a drain 250 ms. The tolerance in
-    // effect is twice the lag if that is longer.
+    // The log tolerates overlaps and delays that are no longer than the tolerance, because its times
+    // are inexact. By default the tolerance is 50 ms and the grace period of a drain 250 ms. The
+    // tolerance in effect is twice the lag if that is longer.
     for (lag_ms, tolerance_ms) in [(0, 50), (6, 50), (25, 50), (26, 52), (100, 200)] {
         let lag = Duration::from_millis(lag_ms);
         let latest_end = 10 + tolerance_ms;
--- a/crates/test-fleet/src/fault/tests.rs
+++ b/crates/test-fleet/src/fault/tests.rs
@@ -21,14 +21,14 @@
 #[test]
 fn restarted_server_starts_at_a_fifth_of_full_speed_and_reaches_it_after_the_warm_up() {
     let started_at = Instant::now();
-    let duration = Duration::from_secs(10);
+    let warm_up_duration = Duration::from_secs(10);
     let mut restarted = injection();
-    restarted.on_restart(started_at, duration);
+    restarted.on_restart(started_at, warm_up_duration);
     assert_eq!(restarted.part_duration_at(started_at), 5 * PART_DURATION);
-    let warmed_up = started_at + duration;
+    let warmed_up = started_at + warm_up_duration;
     assert_eq!(restarted.part_duration_at(warmed_up), PART_DURATION);
     assert_eq!(
-        restarted.part_duration_at(warmed_up + duration),
+        restarted.part_duration_at(warmed_up + warm_up_duration),
         PART_DURATION
     );
 }
