--- a/crates/query-broker/src/bench/report.rs
+++ b/crates/query-broker/src/bench/report.rs
@@ -86,7 +86,8 @@
         );
     }
     text + "Latency is measured from the time at which a query was due. CPU us is the broker's processor time for each query.\n\
-         Each query has two parts, and the data servers respond immediately.\n"
+         Each query has two parts, and the data servers respond immediately.\n\
+         offered/s all: no fixed rate; each query is sent as soon as an earlier one has ended.\n"
 }
 
 /// Returns the name of the listener in the figures of memory.
--- a/crates/query-broker/tests/http2/fault_injection.rs
+++ b/crates/query-broker/tests/http2/fault_injection.rs
@@ -1,7 +1,7 @@
 //! A test with many concurrent queries under injected faults. Three connections have a hundred streams
-//! each. Clients reset random streams, data servers fail, and one is drained in the middle; a seed
-//! determines the random choices. Guards against queries that never end or end twice, for the client
-//! or at the data servers.
+//! each. While queries are sent, clients reset random streams, data servers fail, one data server is
+//! drained, and another one is killed and restarted; a seed determines the random choices. Guards
+//! against queries that never end or end twice, for the client or at the data servers.
 
 use crate::fixture::Fixture;
 use async_io::Timer;
@@ -116,8 +116,9 @@
     );
 }
 
-/// Injects faults that are chosen by the seed. In the middle, drains one data server, and kills and
-/// restarts another one.
+/// Injects faults that are chosen by the seed, in eight steps. Three of the steps drain server 0, and
+/// kill and restart server 1. The others set a fault at a random server, but never at these two: if
+/// such a step chooses server 1, it does nothing.
 async fn inject_faults(fixture: &Fixture, seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let faults = [
--- a/crates/query-broker/tests/http2/graceful_shutdown.rs
+++ b/crates/query-broker/tests/http2/graceful_shutdown.rs
@@ -1,5 +1,8 @@
-//! Tests of the graceful shutdown on SIGTERM: the broker sends GOAWAY twice, answers the queries that
-//! it has accepted, and exits.
+//! Tests of the graceful shutdown on SIGTERM (RFC 9113, section 6.8). The broker sends GOAWAY with the
+//! highest stream id, and a PING. It still serves streams that the client opens before it acknowledges
+//! the PING, because the client may not have received the GOAWAY yet. After the acknowledgement the
+//! broker sends a second GOAWAY with the id of the last stream that it serves. It answers the queries
+//! that it has accepted, and exits.
 
 use crate::fixture::{Fixture, WAIT_TIMEOUT, complete_answer, lookup, send_all};
 use load_generator::raw_http2::{
@@ -69,8 +72,9 @@
     fixture.check_invariants();
 }
 
-/// A client never acknowledges the PING. Guards against a shutdown that waits for it: later streams of
-/// this client must be refused, and the process must exit.
+/// A client never acknowledges the PING that follows the first GOAWAY. Guards against a shutdown that
+/// waits for the acknowledgement: later streams of this client must be refused, and the process must
+/// exit.
 #[test]
 fn late_streams_are_refused_and_the_process_ends_without_ping_ack() {
     // The part takes so long that the first query is still being served when the second arrives.
@@ -92,9 +96,13 @@
     assert_eq!(response_status(&raw.expect_frame(HEADERS)), 200);
     raw.frames_until_close(CLOSE_TIMEOUT);
     assert!(fixture.broker.wait_for_exit().unwrap().success());
-    fixture
-        .fleet
-        .attempt_log(|log| assert!(log.attempts().iter().all(|a| a.part_id.starts_with("a."))));
+    fixture.fleet.attempt_log(|log| {
+        let attempts = log.attempts();
+        assert!(
+            attempts.iter().all(|a| a.part_id.starts_with("a.")),
+            "expected attempts at parts of query a only, found {attempts:?}"
+        );
+    });
 }
 
 /// Guards against an exit that waits for clients without queries: one that has sent only its preface,
--- a/crates/query-broker/tests/http2/malformed_requests.rs
+++ b/crates/query-broker/tests/http2/malformed_requests.rs
@@ -1,5 +1,6 @@
 //! Tests of malformed requests (RFC 9113, section 8.1.1). The broker must reject such a request without
-//! sending a call for it, and go on serving the other streams of the connection.
+//! sending a call for it, and go on serving the other streams of the connection. Only if a field's name
+//! is invalid may it close the connection.
 
 use crate::fixture::{Fixture, WAIT_TIMEOUT, query_headers};
 use load_generator::raw_http2::{
@@ -18,7 +19,7 @@
     /// Header fields that are replaced or added; an empty value leaves the field out.
     changes: &'static [(&'static str, &'static str)],
     /// Whether the broker may close the connection. Its HTTP/2 library does so if it cannot decode a
-    /// field's name, which RFC 9113 allows (section 5.4.2).
+    /// field's name, which RFC 9113 allows (section 5.4.1).
     may_end_connection: bool,
 }
 
@@ -63,25 +64,35 @@
         "a pseudo-header of responses in a request",
         &[(":method", "POST"), ("a", "b"), (":status", "200")],
     ),
-    malformed("connection", &[("connection", "close")]),
-    malformed("keep-alive", &[("keep-alive", "1")]),
-    malformed("transfer-encoding", &[("transfer-encoding", "chunked")]),
-    malformed("upgrade", &[("upgrade", "h2c")]),
-    malformed("te", &[("te", "gzip")]),
+    // Fields that are specific to a connection (RFC 9113, section 8.2.2).
+    malformed("a field connection", &[("connection", "close")]),
+    malformed("a field keep-alive", &[("keep-alive", "1")]),
+    malformed(
+        "a field transfer-encoding",
+        &[("transfer-encoding", "chunked")],
+    ),
+    malformed("a field upgrade", &[("upgrade", "h2c")]),
+    malformed(
+        "a field te with a value other than trailers",
+        &[("te", "gzip")],
+    ),
     malformed("capitals in a name", &[("X-Odd", "1")]).with_invalid_name(),
     malformed(
-        "a length that is more than DATA",
+        "a content-length greater than the length of DATA",
         &[("content-length", "1000")],
     ),
     malformed(
-        "a length that is less than DATA",
+        "a content-length less than the length of DATA",
         &[("content-length", "3")],
     ),
-    malformed("a length that is not a number", &[("content-length", "x")]),
+    malformed(
+        "a content-length that is not a number",
+        &[("content-length", "x")],
+    ),
 ];
 
 #[test]
-fn malformed_requests_end_only_their_stream() {
+fn malformed_requests_are_rejected_and_others_served() {
     let fixture = Fixture::with_part_duration(Duration::ZERO);
     let mut raw = fixture.connect_raw();
     for (number, request) in (0..).zip(&MALFORMED_REQUESTS) {
--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -172,7 +172,8 @@
     }
 }
 
-/// Sends a query on each of these connections once the data servers have received ten attempts.
+/// Sends a query on each of these connections once the data servers have received ten attempts, so that
+/// the queries of the connection that exceeds its quota are in flight at that time.
 async fn send_on_others(
     fixture: &Fixture,
     others: &[Http2Client],
--- a/crates/query-broker/tests/scenarios/connection.rs
+++ b/crates/query-broker/tests/scenarios/connection.rs
@@ -1,4 +1,4 @@
-//! A connection of the program to a client, a data server or discovery, at the end of that peer.
+//! A connection between the program and a client, a data server or discovery, as that peer uses it.
 
 use crate::WAIT_TIMEOUT;
 use std::io::{ErrorKind, Read, Write};
@@ -69,8 +69,8 @@
         }
     }
 
-    /// Waits until the program closes the connection, and checks that no bytes are left that no step
-    /// has consumed.
+    /// Waits until the program closes the connection, and checks that the steps have consumed all bytes
+    /// that arrived on it.
     pub(crate) fn expect_closed(&mut self) {
         while self.read_more() {}
         assert!(
--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -99,7 +99,8 @@
     frame
 }
 
-/// Waits for a call that has only this part, and checks that its time left is at most `at_most_ms`.
+/// Waits for a call that has only this part, and checks that its time left, for which the broker waits
+/// for the response, is at most `at_most_ms` milliseconds.
 pub(crate) fn expect_call_with_time_left(connection: &mut Connection, part: &str, at_most_ms: u64) {
     let frame = expect_call(connection, &[part.to_owned()]);
     let (_, time_left) = frame.text.split_once(" d=").unwrap();
--- a/crates/query-broker/tests/scenarios/parser/arguments.rs
+++ b/crates/query-broker/tests/scenarios/parser/arguments.rs
@@ -28,12 +28,12 @@
     fn from_str(word: &str) -> Result<Self, LineError> {
         let malformed = || {
             LineError::malformed(
-                "a connection: cN, sN, any, d1 or d2, and .N for the Nth connection to it",
+                "a connection: cN, sN, any, d1 or d2; with .N after it for the peer's Nth connection",
                 word,
             )
         };
-        let (peer, count) = match word.split_once('.') {
-            Some((peer, count)) => (peer, number(count)?),
+        let (peer, connection_number) = match word.split_once('.') {
+            Some((peer, digits)) => (peer, number(digits)?),
             None => (word, 1),
         };
         let peer = match peer {
@@ -52,7 +52,7 @@
         };
         Ok(ConnectionName {
             peer,
-            number: count,
+            number: connection_number,
         })
     }
 }
--- a/crates/query-broker/tests/scenarios/script.rs
+++ b/crates/query-broker/tests/scenarios/script.rs
@@ -131,8 +131,8 @@
         server: ConnectionName,
         parts: Vec<String>,
     },
-    /// A data server receives a call that has only this part, with a time left of at most
-    /// `at_most_ms` milliseconds.
+    /// A data server receives a call that has only this part, with a time left (for which the broker
+    /// waits for the response) of at most `at_most_ms` milliseconds.
     CallWithTimeLeft {
         server: ConnectionName,
         part: String,
@@ -155,7 +155,7 @@
     Connecting(Vec<usize>),
     /// The broker logs a line that contains all these words.
     LogLine(Vec<String>),
-    /// The broker closes a connection, and has sent no bytes on it that no step has consumed.
+    /// The broker closes a connection, and earlier steps have consumed all bytes that it sent there.
     Closed(ConnectionName),
     /// The broker closes a connection without a reset, whatever it has sent before.
     ClosedWithoutReset(ConnectionName),
@@ -170,7 +170,7 @@
 pub(crate) struct Query {
     pub(crate) id: String,
     pub(crate) class: String,
-    /// The shards of the query, among which the portions are divided evenly.
+    /// The shards of the query. Each contributes the same share of the complete answer.
     pub(crate) shards: Vec<u64>,
     /// The value of the header `X-Deadline`: the time for which the client waits, such as `2500m` for
     /// 2500 milliseconds.
