--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -79,7 +79,10 @@
             break;
         }
     }
-    assert!(length > 10);
+    assert!(
+        length > 10,
+        "expected a response that exceeds the initial window of 10 bytes, found {length} bytes"
+    );
     let reset = raw.expect_frame(RST_STREAM);
     assert_eq!(
         (reset.stream_id, reset.error_code()),
--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -123,7 +123,8 @@
 
 /// Returns the ids of a call's parts, and checks that each part has a time left and the query's text
 /// unchanged. A part has the form `ID SHARD OPTIONS LENGTH`, a line break and the text. The option `d`
-/// is the time left in milliseconds, and 8 is the length of the text.
+/// is the time left, for which the broker waits for the response, in milliseconds; 8 is the length of
+/// the text.
 fn called_parts(mut rest: &str) -> Vec<String> {
     let mut ids = Vec::new();
     while let Some((line, text)) = rest.split_once('\n') {
--- a/crates/test-fleet/src/attempt_log/tests.rs
+++ b/crates/test-fleet/src/attempt_log/tests.rs
@@ -119,14 +119,21 @@
         let lag = Duration::from_millis(lag_ms);
         let latest_end = 10 + tolerance_ms;
         assert_eq!(violations_with_lag(&concurrent(latest_end), lag), [""; 0]);
-        assert!(!violations_with_lag(&concurrent(latest_end + 1), lag).is_empty());
+        assert!(
+            !violations_with_lag(&concurrent(latest_end + 1), lag).is_empty(),
+            "expected a violation: attempts overlap by {} ms, the tolerance is {tolerance_ms} ms",
+            tolerance_ms + 1
+        );
         let latest_arrival = 250 + tolerance_ms;
         assert_eq!(
             violations_with_lag(&[sent_to_draining_server(latest_arrival)], lag),
             [""; 0]
         );
         assert!(
-            !violations_with_lag(&[sent_to_draining_server(latest_arrival + 1)], lag).is_empty()
+            !violations_with_lag(&[sent_to_draining_server(latest_arrival + 1)], lag).is_empty(),
+            "expected a violation: an attempt arrives {} ms after the drain, the maximum is \
+             {latest_arrival} ms",
+            latest_arrival + 1
         );
     }
 }
