--- a/crates/query-broker/tests/http2/streams.rs
+++ b/crates/query-broker/tests/http2/streams.rs
@@ -79,7 +79,10 @@
             break;
         }
     }
-    assert!(length > 10);
+    assert!(
+        length > 10,
+        "expected a response that exceeds the initial window of 10 bytes, found {length} bytes"
+    );
     let reset = raw.expect_frame(RST_STREAM);
     assert_eq!(
         (reset.stream_id, reset.error_code()),
@@ -172,7 +175,8 @@
     }
 }
 
-/// Sends a query on each of these connections once the data servers have received ten attempts.
+/// Sends a query on each of these connections once the data servers have received ten attempts, so that
+/// the queries of the connection that exceeds its quota are in flight at that time.
 async fn send_on_others(
     fixture: &Fixture,
     others: &[Http2Client],
