--- a/crates/fanout-policy/tests/policy/answers.rs
+++ b/crates/fanout-policy/tests/policy/answers.rs
@@ -18,6 +18,8 @@
     while policy.now + 5.0 < client_deadline {
         responses.extend(policy.responses_after(5.0, vec![]));
     }
+    // No part has been served. The class is idempotent, so the client may retry: the query is
+    // rejected and does not fail.
     assert_eq!(responses, vec![rejected("q")]);
     let late_events = vec![
         attempt_ended("q.0", 0, Outcome::Served, 1500.0),
@@ -71,13 +73,15 @@
         2,
         "expected the part that was deferred and a retry of the failed one: {more:?}"
     );
+    // The deferred part, which is the first of the two, is served with the four others. Five parts
+    // make the answer complete, so the retry, which is still in flight, is no longer needed.
     let mut events = served(&sent[1..], 0, 20.0);
     events.push(attempt_ended(&more[0].part, 0, Outcome::Served, 5.0));
     let last_actions = policy.advance(10.0, events);
     assert_eq!(final_responses(&last_actions), vec![complete_answer("q")]);
     assert!(
         cancels_an_attempt(&last_actions),
-        "the attempt that is still in flight must be cancelled: {last_actions:?}"
+        "the retry that is still in flight must be cancelled: {last_actions:?}"
     );
 }
 
@@ -133,7 +137,8 @@
     }
 }
 
-/// Creates the event that a part of the second step of query number `group` has arrived.
+/// Creates the event that a part of the second step of a query has arrived. `group` is the number
+/// of the query; [`Harness`] numbers queries from 1.
 fn second_step_part(name: &str, group: u64, weight: f64) -> Event {
     Event::Part(Part {
         id: part_id(name),
@@ -144,10 +149,11 @@
     })
 }
 
-/// Guards against a query that ends between the answer to its first step and the arrival of its
-/// second step's parts, when it has no attempt in flight.
+/// Guards against a query that is ended too early. Between the answer to the first step and the
+/// arrival of the second step's parts, the query has no attempt in flight. A batch in that time
+/// must not take the second step for one that cannot be answered.
 #[test]
-fn second_step_is_not_ended_by_a_batch_before_its_parts() {
+fn second_step_is_not_ended_before_its_parts_arrive() {
     let mut policy = Harness::new(second_step_settings(), 1);
     policy.submit("q", &[0]);
     let first_step = policy.end_attempt("q.0", 0, Outcome::Served, 20.0);
@@ -182,6 +188,6 @@
     let first_answer = policy.now - submitted;
     assert!(
         first_answer > 600.0 && first_answer < 750.0,
-        "partial answer after {first_answer} ms"
+        "partial answer after {first_answer} ms, expected between 600 and 750 ms"
     );
 }
--- a/crates/fanout-policy/tests/policy/backoff.rs
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -55,6 +55,9 @@
     let first = policy.attempts_for("q", &[0]);
     let overloaded = first[0].node.clone();
     policy.end_attempt("q.0", 0, Outcome::Overloaded, 5.0);
+    // The mean interval between two parts for one server is 4500 ms, computed as in the next test.
+    // The ejection lasts half of that, times a jitter factor of at least 0.75: at least 1687 ms. The
+    // loop checks a shorter time.
     for k in 0..12 {
         let sent = policy.attempts_for(&format!("n{k}"), &[0]);
         let is_avoided = sent.iter().all(|attempt| attempt.node != overloaded);
--- a/crates/fanout-policy/tests/policy/common/settings.rs
+++ b/crates/fanout-policy/tests/policy/common/settings.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// Creates the same class, except that an answer after the latency objective has no weight.
+/// Creates the class of [`class`], except that an answer after the latency objective has no weight.
 pub fn class_without_late_weight() -> Class {
     Class {
         late_weight: 0.0,
--- a/crates/fanout-policy/tests/policy/endpoint_list.rs
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -53,6 +53,7 @@
             .contains(&Action::PollEndpointList),
         "the poll must not be repeated in the batch of its failure"
     );
+    // Within the next 10 s the poll is repeated once. Its answer never arrives.
     let batch_times = (1..2000).map(|k| 10.0 + f64::from(k) * 5.0);
     let batches = batch_times.map(|time| aggregator.on_batch(time, vec![]));
     assert_eq!(
--- a/crates/fanout-policy/tests/policy/idempotency.rs
+++ b/crates/fanout-policy/tests/policy/idempotency.rs
@@ -80,8 +80,9 @@
 
 #[test]
 fn query_with_idempotency_key_is_rejected_only_if_the_client_retry_is_within_its_window() {
-    // The only attempt may have run. The window of 1000 ms still covers the client's retry, the one
-    // of 250 ms has ended by then.
+    // The only attempt ends in an error after 200 ms and may have run. The client is assumed to
+    // retry within twice the retry-after value of 50 ms, so at most 300 ms after that attempt was
+    // sent. A window of 1000 ms covers such a retry, a window of 250 ms does not.
     let response = |window: Ms| {
         let class = class_with_idempotency_key(window);
         let mut policy = Harness::new(ring_without_retries(class), 1);
--- a/crates/fanout-policy/tests/policy/load_reports.rs
+++ b/crates/fanout-policy/tests/policy/load_reports.rs
@@ -168,6 +168,7 @@
         let mut parts_sent = 0;
         for n in 0..200 {
             for SentAttempt { part, node, .. } in policy.attempts_for(&format!("q{n}"), &[0]) {
+                // The first queries are not counted: until then the aggregator has few reports.
                 parts_sent += usize::from(node == "a" && n > 20);
                 let load = if node == "a" { reported_load(n) } else { 0.0 };
                 policy.advance(30.0, vec![served_with_load(&part, 30.0, load)]);
--- a/crates/fanout-policy/tests/policy/outlier_detection.rs
+++ b/crates/fanout-policy/tests/policy/outlier_detection.rs
@@ -30,18 +30,19 @@
 #[test]
 fn server_with_fast_errors_is_ejected_and_used_again_later() {
     let mut policy = Harness::new(ring(), 1);
-    let first = policy.run_traffic(60, &["c1n0"], Outcome::Error)["c1n0"];
+    let attempts_while_failing = policy.run_traffic(60, &["c1n0"], Outcome::Error)["c1n0"];
     assert!(
-        first < 20,
-        "{first} attempts for 60 queries at the failing server, expected fewer than 20"
+        attempts_while_failing < 20,
+        "{attempts_while_failing} attempts for 60 queries at the failing server, expected fewer \
+         than 20"
     );
     for _ in 0..100 {
         policy.advance(100.0, vec![]);
     }
-    let later = policy.run_traffic(60, &[], Outcome::Served);
+    let attempts_by_server = policy.run_traffic(60, &[], Outcome::Served);
     assert!(
-        later.get("c1n0").is_some_and(|n| *n > 3),
-        "the recovered server c1n0 must receive more than 3 attempts: {later:?}"
+        attempts_by_server.get("c1n0").is_some_and(|n| *n > 3),
+        "the recovered server c1n0 must receive more than 3 attempts: {attempts_by_server:?}"
     );
 }
 
@@ -51,9 +52,11 @@
 fn pause_of_the_aggregator_ejects_no_server() {
     // Returns how many of 12 queries use a server whose attempt has timed out. `receive` delivers
     // the timeouts, either on time or after a pause of the aggregator.
-    let attempts_after = |receive: fn(&mut Harness, Vec<Event>)| {
+    let queries_at_timed_out_server = |receive: fn(&mut Harness, Vec<Event>)| {
         let mut policy = Harness::new(ring(), 1);
         policy.answer_queries(10, 4000.0);
+        // The same three cells hold these four shards: shard `s` is held by cell `s % 6` and the two
+        // cells after it.
         let sent = policy.attempts_for("q", &[0, 6, 12, 18]);
         receive(&mut policy, all_ended(&sent, 0, Outcome::TimedOut, 900.0));
         let timed_out_node = &sent[0].node;
@@ -62,14 +65,17 @@
             .filter(|actions| servers_of(actions).contains(timed_out_node))
             .count()
     };
-    let after_pause = attempts_after(|policy, timeouts| {
+    // A single batch after 900 ms is much later than the aggregator's timer was due, which shows the
+    // aggregator that it was paused.
+    let after_pause = queries_at_timed_out_server(|policy, timeouts| {
         policy.run_batch(policy.now + 900.0, timeouts);
     });
     assert!(
         after_pause > 0,
         "the server must not be avoided, since the aggregator was paused and not the server"
     );
-    let in_time = attempts_after(|policy, timeouts| {
+    // Here the timer fires as usual in the 900 ms.
+    let in_time = queries_at_timed_out_server(|policy, timeouts| {
         policy.advance(900.0, timeouts);
     });
     assert_eq!(
@@ -141,6 +147,8 @@
         let events = policy.query_events(&format!("q{k}"), k % 2, &[0], 4000.0);
         let sent = policy.attempts_after(5.0, events);
         let is_faulty = sent[0].node == faulty;
+        // The first queries are not counted: until the class has failed a few times at the server,
+        // the server is not avoided.
         attempts_by_class[k % 2] += usize::from(is_faulty && k > 40);
         // At the faulty server half of the first class's parts fail. All other parts are served, so
         // that the server never fails twice in a row and is not ejected for all classes.
@@ -159,9 +167,11 @@
     );
 }
 
-/// Guards against the ejection of a healthy server that leaves a single part unanswered.
+/// Guards against a healthy server that is avoided for good because it has left a single part
+/// unanswered. Here that applies to both servers. If the lost part still counted after a server has
+/// answered later ones, the forecasts for both servers would grow until queries are rejected.
 #[test]
-fn single_lost_part_does_not_eject_its_server() {
+fn single_lost_part_at_each_server_does_not_reject_later_queries() {
     let settings = Settings {
         hedging: false,
         ..one_cell()
@@ -178,9 +188,11 @@
     }
 }
 
-/// Guards against healthy servers and queries that count as faulty because of a few lost
-/// connections. Servers close single connections at any time. A server that continues to answer
-/// must not be ejected, and a query that has lost two connections must be retried.
+/// Servers close single connections at any time. Guards against two wrong conclusions from a lost
+/// connection to a server that continues to answer. First, the server must not be ejected as
+/// unreachable: it holds its shards alone, so that later queries would be rejected. Second, a query
+/// with two lost connections must not count as a poison query, which seems to crash servers and is
+/// therefore rejected without a retry. In both cases expected retries would be missing.
 #[test]
 fn lost_connection_among_answers_neither_ejects_the_server_nor_ends_the_query() {
     let settings = Settings {
--- a/crates/fanout-policy/tests/policy/replica_selection.rs
+++ b/crates/fanout-policy/tests/policy/replica_selection.rs
@@ -102,21 +102,23 @@
         ..ring()
     };
     let mut overloaded = Harness::new(settings.clone(), 1);
-    let wide = servers_of(&overloaded.submit("before", &ADJACENT_SHARDS)).len();
+    // The wider the fan-out, the fewer servers the parts of adjacent shards go to.
+    let servers_before = servers_of(&overloaded.submit("before", &ADJACENT_SHARDS)).len();
     submit_queries_with_outcome(&mut overloaded, Outcome::Overloaded, 6000.0);
     overloaded.advance(2000.0, vec![]);
-    let narrow = servers_of(&overloaded.submit("after", &ADJACENT_SHARDS)).len();
+    let servers_after_overload = servers_of(&overloaded.submit("after", &ADJACENT_SHARDS)).len();
     assert!(
-        narrow > wide,
-        "servers contacted by a query: {narrow} after overload, {wide} before"
+        servers_after_overload > servers_before,
+        "servers contacted by a query: {servers_after_overload} after overload, {servers_before} \
+         before; expected more after overload"
     );
 
     let mut healthy = Harness::new(settings, 1);
     submit_queries_with_outcome(&mut healthy, Outcome::Served, 500.0);
-    let still_wide = servers_of(&healthy.submit("after", &ADJACENT_SHARDS)).len();
+    let servers_after_answers = servers_of(&healthy.submit("after", &ADJACENT_SHARDS)).len();
     assert!(
-        still_wide <= 3,
-        "{still_wide} servers contacted by a query after answers, expected at most 3"
+        servers_after_answers <= 3,
+        "{servers_after_answers} servers contacted by a query after answers, expected at most 3"
     );
 }
 
--- a/crates/fanout-policy/tests/policy/robustness.rs
+++ b/crates/fanout-policy/tests/policy/robustness.rs
@@ -10,7 +10,8 @@
 #[test]
 fn unexpected_events_are_ignored_and_empty_query_is_ended() {
     let mut policy = Harness::new(ring(), 1);
-    // Events about queries and parts that don't exist, with values that are not finite.
+    // Events about queries and parts that don't exist, two of them with values that are not finite,
+    // and the firing of a timer that is not due.
     let stray = vec![
         attempt_ended("nobody", 7, Outcome::Served, f64::NAN),
         Event::ClientDisconnected(query_id("nobody")),
--- a/crates/fanout-policy/tests/policy/settings/decoded_values.rs
+++ b/crates/fanout-policy/tests/policy/settings/decoded_values.rs
@@ -1,12 +1,12 @@
 //! The values that valid settings decode to, defaults included.
 
-use super::fixture::{decode_valid, decode_value, settings, settings_with};
+use super::fixture::{decode_valid, settings, settings_with, try_decode};
 use fanout_policy::api::{EndpointListSource, RetrySafety};
 use serde_json::{Value, json};
 
 #[test]
 fn all_fields_are_decoded() {
-    let site = decode_value(&settings()).unwrap();
+    let site = try_decode(&settings()).unwrap();
     assert_eq!(site.class_names, ["save"]);
     assert_eq!(site.tenant_names, ["acme"]);
     assert_eq!(site.zone_names, ["near", "far"]);
@@ -75,8 +75,9 @@
     value["Rules"]["AskWithin"] = Value::Null;
     value["Rules"]["ExtraRatio"] = Value::Null;
     value["Rules"]["RatioSpan"] = Value::Null;
+    // Without `RetryAfter`, the field `MaxRetryAfter` of the settings has no effect.
     value["Allowed"]["RetryAfter"] = json!(false);
-    let site = decode_value(&value).unwrap();
+    let site = try_decode(&value).unwrap();
     assert!(site.tenant_names.is_empty() && site.zone_names.is_empty());
     let policy = site.settings;
     assert!(policy.tenants.is_empty() && policy.zone.is_none() && policy.retry_budget.is_none());
--- a/crates/fanout-policy/tests/policy/settings/fixture.rs
+++ b/crates/fanout-policy/tests/policy/settings/fixture.rs
@@ -68,14 +68,14 @@
     serde_json::from_str(&others.replacen('{', &duplicates, 1)).unwrap()
 }
 
-/// Decodes settings. Errors call the outermost object `Env`.
-pub fn decode_value(value: &Value) -> Result<SiteSettings, FieldError> {
+/// Decodes settings that may be invalid. Errors call the outermost object `Env`.
+pub fn try_decode(value: &Value) -> Result<SiteSettings, FieldError> {
     decode("Env", value.as_object().unwrap())
 }
 
 /// Decodes settings that are expected to be valid; panics with the decoder's error otherwise.
 pub fn decode_valid(value: &Value) -> SiteSettings {
-    decode_value(value)
+    try_decode(value)
         .unwrap_or_else(|error| panic!("expected valid settings, found the error: {error}"))
 }
 
@@ -84,7 +84,7 @@
 pub fn error_with(pointer: &str, replacement: Value) -> String {
     let mut value = settings();
     *value.pointer_mut(pointer).expect(pointer) = replacement;
-    decode_value(&value)
+    try_decode(&value)
         .expect_err(&format!(
             "the settings must not accept this value of {pointer}"
         ))
--- a/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
+++ b/crates/fanout-policy/tests/policy/settings/malformed_objects.rs
@@ -2,7 +2,7 @@
 //! errors.
 
 use super::fixture::{
-    decode_valid, decode_value, error_with, settings_with, settings_with_duplicate,
+    decode_valid, error_with, settings_with, settings_with_duplicate, try_decode,
 };
 use serde_json::{Value, json};
 
@@ -45,7 +45,7 @@
     let mut value = settings_with("/Tick", json!("x"));
     value["FamilyInfo"]["Shards"] = json!(-1);
     value["Services"][0]["Aim"] = Value::Null;
-    let error = decode_value(&value).unwrap_err().to_string();
+    let error = try_decode(&value).unwrap_err().to_string();
     let faults = [
         "Env: field Tick is not a number",
         "FamilyInfo: field Shards is not a whole number of at least 0",
@@ -76,7 +76,7 @@
     let value = settings_with_duplicate("PeersTotal", "\"x\"", "9");
     assert_eq!(decode_valid(&value).settings.aggregators, 9);
     let value = settings_with_duplicate("PeersTotal", "9", "\"x\"");
-    let error = decode_value(&value).unwrap_err().to_string();
+    let error = try_decode(&value).unwrap_err().to_string();
     assert_eq!(
         error,
         "Env: field PeersTotal is not a whole number of at least 0"
--- a/crates/fanout-policy/tests/policy/settings/missing_fields.rs
+++ b/crates/fanout-policy/tests/policy/settings/missing_fields.rs
@@ -1,6 +1,6 @@
 //! Fields that are absent or null, and fields that are required only together with others.
 
-use super::fixture::{decode_valid, decode_value, error_with, settings_with, settings_without};
+use super::fixture::{decode_valid, error_with, settings_with, settings_without, try_decode};
 use fanout_policy::api::RetrySafety;
 use serde_json::{Value, json};
 
@@ -44,7 +44,7 @@
     for (pointer, object) in REQUIRED {
         let field = pointer.rsplit('/').next().unwrap();
         let expected = format!("{object}: field {field} is missing or null");
-        let absent = decode_value(&settings_without(pointer))
+        let absent = try_decode(&settings_without(pointer))
             .expect_err(&format!("{pointer} must be required"));
         assert_eq!(absent.to_string(), expected);
         assert_eq!(error_with(pointer, Value::Null), expected);
@@ -91,7 +91,7 @@
     value["Rules"]["RatioSpan"] = Value::Null;
     assert!(decode_valid(&value).settings.retry_budget.is_none());
     value["Rules"]["SpareAttempts"] = json!(1);
-    let error = decode_value(&value).unwrap_err().to_string();
+    let error = try_decode(&value).unwrap_err().to_string();
     assert_eq!(error, "Rules: field RatioSpan is missing or null");
 }
 
--- a/crates/fanout-policy/tests/policy/settings/wrong_types.rs
+++ b/crates/fanout-policy/tests/policy/settings/wrong_types.rs
@@ -1,6 +1,6 @@
 //! Fields whose value has the wrong type, is out of range, or is none of the allowed texts.
 
-use super::fixture::{decode_value, settings_with};
+use super::fixture::{settings_with, try_decode};
 use serde_json::{Value, json};
 
 const WHOLE_NUMBERS: [&str; 9] = [
@@ -61,7 +61,7 @@
         let object = path.split('/').find(|key| !key.is_empty()).unwrap_or("Env");
         let expected = format!("{object}: field {field} {problem}");
         for value in values {
-            let error = decode_value(&settings_with(pointer, value.clone()));
+            let error = try_decode(&settings_with(pointer, value.clone()));
             let error = error.expect_err(&format!("{pointer} must not accept {value}"));
             assert_eq!(error.to_string(), expected, "{pointer} with {value}");
         }
