--- a/crates/http1-codec/tests/any_bytes.rs
+++ b/crates/http1-codec/tests/any_bytes.rs
@@ -101,7 +101,7 @@
     }
 
     #[test]
-    fn arbitrary_responses_do_not_panic(bytes in request_fragments()) {
+    fn arbitrary_responses_cause_no_panic(bytes in request_fragments()) {
         let mut input = [b"HTTP/1.1 200 OK\r\n".to_vec(), bytes].concat();
         let mut decoder = ResponseDecoder::new(LIMITS);
         while let Ok(Progress::Complete(_)) = decoder.decode(&mut input) {}
--- a/crates/http1-codec/tests/rfc9112/accepted_requests.rs
+++ b/crates/http1-codec/tests/rfc9112/accepted_requests.rs
@@ -7,6 +7,7 @@
 struct AcceptedRequest {
     /// Section of RFC 9112 and description of the case.
     description: &'static str,
+    /// Text of the request, for [`expand`].
     template: &'static str,
     path: &'static str,
     body: &'static str,
--- a/crates/http1-codec/tests/rfc9112/consecutive_requests.rs
+++ b/crates/http1-codec/tests/rfc9112/consecutive_requests.rs
@@ -3,7 +3,7 @@
 use crate::support::LIMITS;
 use http1_codec::{Progress, RequestDecoder};
 
-/// RFC 9112, section 9.3.2.
+/// RFC 9112, section 9.3.2: a client may send requests before it has received earlier responses.
 #[test]
 fn pipelined_requests_are_decoded_one_by_one() {
     let mut input =
--- a/crates/http1-codec/tests/rfc9112/main.rs
+++ b/crates/http1-codec/tests/rfc9112/main.rs
@@ -1,4 +1,6 @@
-//! Requirements of RFC 9112 on a server. Each case names the section that it is based on.
+//! Requirements of RFC 9112 on the decoding of requests and on the encoding and decoding of
+//! responses, and the size limits of the codec. Each accepted or rejected request names the section
+//! that it is based on.
 
 mod accepted_requests;
 mod consecutive_requests;
--- a/crates/http1-codec/tests/rfc9112/responses.rs
+++ b/crates/http1-codec/tests/rfc9112/responses.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn response_framing_depends_on_request() {
+fn response_framing_depends_on_request_and_status() {
     let mut response = http::Response::new(b"xy".to_vec());
     response
         .headers_mut()
@@ -71,6 +71,7 @@
         head_bytes: 1024,
         body_bytes: 3,
     };
+    // In the texts, `~` stands for a line end.
     for (text, body) in [
         ("HTTP/1.1 200 OK~~xy", Some("xy")),
         ("HTTP/1.1 200 OK~~", Some("")),
@@ -90,9 +91,10 @@
         let ended = ended.map(|m| m.value.into_body());
         assert_eq!(ended.as_deref(), body.map(str::as_bytes), "{text}");
     }
-    let mut endless = b"HTTP/1.1 200 OK\r\n\r\nwxyz".to_vec();
+    // A body of four bytes without a declared length exceeds the limit of three.
+    let mut over_limit = b"HTTP/1.1 200 OK\r\n\r\nwxyz".to_vec();
     assert_eq!(
-        ResponseDecoder::new(limits).decode(&mut endless).err(),
+        ResponseDecoder::new(limits).decode(&mut over_limit).err(),
         Some(ParseError::BodyTooLong)
     );
 }
--- a/crates/http1-codec/tests/rfc9112/size_limits.rs
+++ b/crates/http1-codec/tests/rfc9112/size_limits.rs
@@ -18,6 +18,7 @@
             Some(status)
         );
     }
+    // A chunk extension and a trailer section over their limits have errors of their own.
     let extension =
         format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1;{long}");
     assert_eq!(
