--- a/crates/http2-flood-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -11,12 +11,12 @@
     max_header_block_bytes: 100,
 };
 
-/// Returns the time this many microseconds after the origin.
+/// Returns the timestamp `micros` microseconds after the origin of the clock.
 const fn at(micros: u64) -> Timestamp {
     Timestamp::from_micros(micros)
 }
 
-/// Returns the time this many seconds after the origin.
+/// Returns the timestamp `seconds` seconds after the origin of the clock.
 const fn seconds(seconds: u64) -> Timestamp {
     Timestamp::from_micros(seconds * 1_000_000)
 }
@@ -260,7 +260,7 @@
     }
 
     #[test]
-    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), preface in any::<bool>()) {
+    fn arbitrary_bytes_cause_no_panic(bytes in prop::collection::vec(any::<u8>(), 0..200), preface in any::<bool>()) {
         let mut guard = FloodGuard::new(at(0), LIMITS);
         if preface { guard.on_received(at(0), PREFACE).unwrap(); }
         let _ = guard.on_received(at(0), &bytes);
