--- a/crates/operator-config/src/values/tests.rs
+++ b/crates/operator-config/src/values/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the parsers of arguments.
+//! Tests of the parsers of the arguments that follow a keyword in the operator's file.
 
 use super::*;
 
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -91,6 +91,7 @@
     );
     // A change that needs a restart is reported each time the file is read until the restart.
     assert_eq!(adopted.changes(&new).restart_required, ["listen-http2"]);
+    // The removal of the HTTP/2 listener needs a restart, too.
     assert_eq!(old.adopt(&parse("f", "").unwrap()).http2, old.http2);
     assert!(KEYWORDS.iter().any(|k| k.effect == Effect::NewConnections));
 }
--- a/crates/platform-config/src/tests/overrides_and_defaults.rs
+++ b/crates/platform-config/src/tests/overrides_and_defaults.rs
@@ -9,9 +9,11 @@
 use std::time::Duration;
 
 #[test]
-fn environment_overrides_file_and_limits_come_from_settings() {
+fn environment_overrides_file_and_pool_limits_come_from_settings() {
     let env = |key: &str| (key == "RELAY_LISTEN").then(|| "127.0.0.1:3".to_owned());
     let config = from_json(&config(), env).unwrap();
+    // The port of `listen` is from the environment; the port of `discovery` and the name are from
+    // the file.
     assert_eq!(
         (
             config.listen.port(),
@@ -20,7 +22,9 @@
         ),
         (3, 2, "n3")
     );
-    // The file's limit on descriptors exceeds the maximum that the broker uses.
+    // The file's limit of 4096 descriptors exceeds the maximum that the broker uses. Client
+    // connections and connections to data servers together get less than this maximum, because some
+    // descriptors are reserved.
     assert!(config.clients.descriptors + (config.pool.max_connections as u64) < MAX_DESCRIPTORS);
     // Fields `Batch`, `DialTimeout` and `MaxOpen` of the settings.
     assert_eq!(
@@ -67,7 +71,8 @@
     assert_eq!(fraction.clients.memory_bytes, whole.clients.memory_bytes);
     let huge = config_with("/limits", "memory_mb", Some(&json!(u64::MAX)));
     let huge = from_json(&huge, |_| None).unwrap();
-    // In bytes, the limit exceeds 64 bits. Client connections get three fifths of the maximum.
+    // In bytes, this limit does not fit into 64 bits, so that `u64::MAX` bytes is used instead.
+    // Client connections get three fifths of that.
     assert_eq!(huge.clients.memory_bytes, Some(u64::MAX / 5 * 3));
 }
 
--- a/crates/query-api/tests/response.rs
+++ b/crates/query-api/tests/response.rs
@@ -51,8 +51,9 @@
     assert!(response.body().is_empty());
 }
 
+/// RFC 9110, section 5.6.7: senders must use this form of a date, which the RFC calls IMF-fixdate.
 #[test]
-fn date_header_has_the_preferred_form() {
+fn date_header_has_the_form_of_rfc_9110() {
     let at = SystemTime::UNIX_EPOCH + Duration::from_secs(784_111_777);
     assert_eq!(date_header_value(at), "Sun, 06 Nov 1994 08:49:37 GMT");
 }
