--- a/crates/server-protocol/tests/broker_side.rs
+++ b/crates/server-protocol/tests/broker_side.rs
@@ -71,9 +71,13 @@
 fn invalid_frame_is_detected_from_its_first_bytes() {
     let long_line = [&[0, 1, 0, 0, b'q'][..], &[b'x'; MAX_RESPONSE_LINE_LEN + 1]].concat();
     for input in [
+        // A length above the maximum.
         &[179, 0, 0, 0][..],
+        // An unknown kind.
         &[0, 0, 0, 72, 1],
+        // A response to a probe. Brokers send no probes.
         &[0, 0, 0, 5, b'o'],
+        // A response whose line exceeds the maximum length.
         &long_line,
     ] {
         assert!(decode(input).is_err(), "the decoder must reject {input:?}");
@@ -90,12 +94,19 @@
         Some(3.5)
     );
     for payload in [
+        // No line feed after the line.
         &b"9b.3 good 1 -"[..],
+        // No score.
         b"9b.3 good -\n",
+        // An unknown status.
         b"9b.3 fine 1 -\n",
+        // An empty status.
         b"9b.3  1 -\n",
+        // A score that is not a number.
         b"9b.3 good x -\n",
+        // An id that is not UTF-8.
         b"\xff good 1 -\n",
+        // A value that is not UTF-8.
         b"9b.3 good 1 -\n\xff",
     ] {
         assert!(
--- a/crates/server-protocol/tests/server_side.rs
+++ b/crates/server-protocol/tests/server_side.rs
@@ -95,12 +95,19 @@
 #[test]
 fn malformed_call_is_rejected() {
     for payload in [
+        // No part.
         &b""[..],
+        // A text shorter than its declared length.
         b"a 1 d=1 5\nabc",
+        // No length of the text.
         b"a 1 d=1\nabc",
+        // A shard that is not a number.
         b"a x d=1 0\n",
+        // An unknown option.
         b"a 1 e=1 0\n",
+        // No line feed after the line of the part.
         b"a 1 d=1 0",
+        // An id that is not UTF-8.
         b"\xff 1 d=1 0\n",
     ] {
         assert!(
@@ -108,6 +115,8 @@
             "the decoder must reject {payload:?}"
         );
     }
+    // A health probe with a payload, and a length above the maximum.
     assert!(decode(&frame(b'o', b"x")).is_err() && decode(&[255, 0, 0, 0]).is_err());
+    // A call of which only the length and the kind have arrived.
     assert_eq!(decode(&[0, 0, 0, 9, b'm']), Ok(None));
 }
