--- a/crates/simulator-adapter/tests/adapter/batches.rs
+++ b/crates/simulator-adapter/tests/adapter/batches.rs
@@ -29,6 +29,8 @@
 fn instances_are_independent_and_a_relaunched_one_has_no_earlier_queries() {
     let mut two_instances = start_instance();
     two_instances.extend([launch(5), update_endpoint_list(5)]);
+    // The third batch comes after the deadline of the query's client, 4100.5 ms. An instance that
+    // still had the query would reject it then.
     let destroy = r#"{"t":"Destroy","I":4}"#.to_owned();
     let restart = [destroy, launch(4), update_endpoint_list(4)];
     let messages = Script::default()
--- a/crates/simulator-adapter/tests/adapter/invalid_input.rs
+++ b/crates/simulator-adapter/tests/adapter/invalid_input.rs
@@ -30,6 +30,7 @@
     vec![
         case(&[&begin, "{nonsense"], &["batch 12", "not JSON"]),
         case(&[&begin, "[1]"], &["batch 12", "not an object"]),
+        // Instance 4 was never launched. The instance is checked before the type of the message.
         case(&[&begin, unknown_message], &["batch 12", "Surprise", "I"]),
         case(
             &[&begin, &launch, unknown_message],
--- a/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/optional_fields.rs
@@ -42,15 +42,19 @@
         (r#"{"t":"Probed","I":4}"#.to_owned(), "OpId"),
         (r#"{"t":"Destroy","I":4}"#.to_owned(), "Env"),
     ] {
+        // A declaration of a list has no instance. `with_field` would change the first entry of the
+        // list instead of the message.
         if field == "I" {
             assert_accepted(&message.replacen('{', r#"{"I":"x","#, 1));
         } else {
             assert_accepted(&with_field(&message, field, Some(&wrong)));
         }
     }
+    // A failed list update brings no list, so that its slot is not used.
     let failed = with_field(&update_endpoint_list(4), "Mode", Some(&json!("error")));
     assert_accepted(&with_field(&failed, "Slot", Some(&wrong)));
     assert_accepted(&with_field(&failed, "Slot", None));
+    // Gossip with malformed contents is dropped before its sender is read.
     let malformed = with_field(&gossip(), "Contents", Some(&json!("0")));
     assert_accepted(&with_field(&malformed, "Who", Some(&wrong)));
     assert_accepted(&with_field(&malformed, "Who", None));
--- a/crates/simulator-adapter/tests/adapter/script.rs
+++ b/crates/simulator-adapter/tests/adapter/script.rs
@@ -5,7 +5,8 @@
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
-/// The settings of each instance that the tests launch: one class, two shards and two cells.
+/// The settings of each instance that the tests launch: one class, two shards and two cells. The
+/// adapter must ignore the unknown field `Unheard`.
 const SETTINGS: &str = r#"{
 "Allowed":{"Cancel":true,"SendCap":3,"SecondCopies":true,"RetryAfter":true,"MaxRetryAfter":500.0,
 "Unheard":[1]},
@@ -56,6 +57,8 @@
             .unwrap();
         let mut input = String::new();
         for line in &self.lines {
+            // The adapter reads one message per line, but the settings and the endpoint list are
+            // written over several lines here.
             input += &line.replace('\n', "");
             input += "\n";
         }
