--- a/crates/endpoint-control/src/endpoint_assignment/slow_start_assigner.rs
+++ b/crates/endpoint-control/src/endpoint_assignment/slow_start_assigner.rs
@@ -69,13 +69,17 @@
         assigned
     }
 
-    /// Returns the request of a proxy for a lease on a server that is warming up.
+    /// Returns the request of a proxy for a lease on a server that is warming up. The proxy wants
+    /// an equal share of the server's whole limit; the lease table grants no more units than remain
+    /// of this control instance's share of the limit.
     fn lease_request<'a>(
         &self,
         now: Timestamp,
         view: &'a ServerView,
         holder: &'a ProxyName,
     ) -> LeaseRequest<'a> {
+        // Each server that is warming up has a start time. The fallback is an age of zero, for
+        // which the limit is lowest.
         let age = now.saturating_since(view.started_at.unwrap_or(now));
         let limit = self.rule.max_in_flight(age);
         LeaseRequest {
--- a/crates/endpoint-control/src/slow_start.rs
+++ b/crates/endpoint-control/src/slow_start.rs
@@ -3,11 +3,11 @@
 //! A server is overloaded if the work sent to it in a window of time exceeds a multiple of the work
 //! that it can do in that window. Endpoint weights cannot prevent this: a weight gives the server a
 //! share of the total traffic, and the total is unknown and changes with the traffic of each proxy.
-//! A limit on the requests *in flight* can prevent it. A request that is sent to the server within
-//! a window takes one of the `K` places of the limit: a place that is free at the beginning of the
-//! window, or one that another request frees by ending within the window. The work of the requests
-//! that end within the window is at most what the server can do. So with at most `K` requests in
-//! flight at any moment, each of at most `w` work,
+//! A limit on the requests *in flight* can prevent it. Of the requests that are sent to the server
+//! within a window, some are still in flight at its end: at most `K`, the limit. The others are
+//! sent and end within the window, so the server does all their work within it, and their work is
+//! at most what the server can do in that time. So with at most `K` requests in flight at any
+//! moment, each of at most `w` work,
 //!
 //! ```text
 //! work sent in a window <= K * w + capacity * window
@@ -42,7 +42,8 @@
     /// Maximum time after its start until a server has its full capacity.
     pub warm_up_duration: Duration,
     /// A server is overloaded if the work sent to it within one
-    /// [`overload_window`](Self::overload_window) exceeds this multiple of its capacity.
+    /// [`overload_window`](Self::overload_window) exceeds this multiple of the work that it can do
+    /// in that window.
     pub overload_multiple: f64,
     /// Length of the window of time over which overload is measured.
     pub overload_window: Duration,
--- a/crates/endpoint-control/tests/endpoint_control/leases.rs
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -111,8 +111,8 @@
 }
 
 /// Guards against units that are granted again while a proxy may still read an old message about
-/// them. A message that is not acknowledged may be read until the maximum pause of a proxy after
-/// the end of its stream, and only then does the time to live begin.
+/// them. A paused proxy may read a message after its stream has ended, until the maximum pause has
+/// passed, and the time to live begins only when the proxy reads the message.
 #[test]
 fn unacknowledged_lease_stays_reserved_until_its_stream_has_ended() {
     let mut leases = LeaseTable::new(LEASE_TIMES);
--- a/crates/endpoint-control/tests/endpoint_control/slow_start.rs
+++ b/crates/endpoint-control/tests/endpoint_control/slow_start.rs
@@ -74,7 +74,7 @@
     }
     assert!(
         requests.len() > 100,
-        "only {} requests were sent",
+        "expected more than 100 requests during the warm-up, but {} were sent",
         requests.len()
     );
 }
