--- a/crates/policy-engine/src/admitted.rs
+++ b/crates/policy-engine/src/admitted.rs
@@ -12,8 +12,9 @@
 /// A query that was admitted.
 struct AdmittedQuery {
     /// Number of attempts started so far, by part; the next attempt at the part has this number.
-    /// The policy's actions do not contain it: the policy counts attempts in the order in which it
-    /// sends them.
+    /// The policy numbers the attempts at a part in the order in which it sends them. The number is
+    /// missing in its action that sends an attempt, but its action that cancels an attempt contains
+    /// it. The engine therefore counts in the same order, so that both mean the same attempt.
     attempts: Vec<u32>,
     /// Time at which the client stops waiting.
     deadline: Timestamp,
--- a/crates/policy-engine/src/engine/tests.rs
+++ b/crates/policy-engine/src/engine/tests.rs
@@ -102,8 +102,10 @@
     assert_eq!(engine.poll(at(2_000_000)).finished, []);
 }
 
-/// The policy does not expect queries beyond the capacity, because the simulator never submits more
-/// than `MaxOpen`. The engine therefore rejects them without passing them to the policy.
+/// The policy also runs in a simulator, which never submits more than the setting `MaxOpen` allows,
+/// so the policy does not expect queries beyond the capacity. The engine therefore rejects them
+/// without passing them to the policy. The capacity counts queries and parts: the first query and
+/// its two parts use all 3 units.
 #[test]
 fn query_over_capacity_is_rejected_with_retry_after_and_capacity_is_released() {
     let mut engine = engine(3);
@@ -133,6 +135,8 @@
     engine.submit(at(1000), vec![query(1, &[0])]);
     // The new policy has no record of the query, and thus never ends it.
     engine.policy = Aggregator::new(engine.settings.clone(), 7);
+    // The engine fails a query one tick before its deadline, so that the client receives the
+    // response in time. The settings of these tests have a tick of 5 ms.
     let tick = Duration::from_millis(5);
     let next_deadline = engine.next_deadline();
     assert!(next_deadline.is_some_and(|next| next <= DEADLINE - tick));
--- a/crates/policy-engine/tests/summary.rs
+++ b/crates/policy-engine/tests/summary.rs
@@ -1,4 +1,4 @@
-//! Tests of the text of figures by class in the log.
+//! Tests of [`PerClass`]: how the log shows a figure that has one value for each class.
 
 use policy_engine::PerClass;
 
