--- a/crates/admission/src/resource_limits.rs
+++ b/crates/admission/src/resource_limits.rs
@@ -30,7 +30,8 @@
 /// The resources that the platform assigns to client connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientResources {
-    /// Number of file descriptors; each connection takes one.
+    /// Number of file descriptors; each connection takes one. At least 1 if there is an HTTP/2
+    /// listener, which always gets one.
     pub descriptors: u64,
     /// Memory in bytes; `None` if only the descriptors limit the number of connections.
     pub memory_bytes: Option<u64>,
@@ -108,7 +109,8 @@
     pub http2: Option<Http2Limits>,
 }
 
-/// The operator's settings for HTTP/2 need more resources than the platform assigns.
+/// The limits of the HTTP/2 listener, which the operator sets or which are defaults, need more
+/// resources than are available to that listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AllocationError {
     /// The memory of the HTTP/2 listener does not suffice for a single connection.
@@ -147,8 +149,8 @@
 ///
 /// # Errors
 ///
-/// Returns an [`AllocationError`] if the operator's settings for HTTP/2 need more resources than
-/// are available to the HTTP/2 listener.
+/// Returns an [`AllocationError`] if the operator's settings for HTTP/2, or the defaults in their
+/// place, need more resources than are available to the HTTP/2 listener.
 pub fn allocate(
     resources: ClientResources,
     http2: Option<Http2Overrides>,
@@ -173,6 +175,8 @@
     overrides: Http2Overrides,
 ) -> Result<Http2Limits, AllocationError> {
     let available_bytes = resources.memory_or_unlimited() / HTTP2_MEMORY_DIVISOR;
+    // With fewer than `HTTP2_DESCRIPTOR_DIVISOR` descriptors the quotient is 0. The listener gets
+    // one all the same, so that only a lack of memory leads to `ConnectionTooLarge`.
     let available_descriptors = (resources.descriptors / HTTP2_DESCRIPTOR_DIVISOR).max(1);
     let mut limits = Http2Limits {
         max_connections: 0,
