--- a/crates/broker-types/src/limits.rs
+++ b/crates/broker-types/src/limits.rs
@@ -13,6 +13,8 @@
     pub max_parts_per_connection: usize,
     /// Maximum time for establishing a connection.
     pub dial_timeout: Duration,
-    /// Time after which a server closes an idle connection.
+    /// Time after which a server closes an idle connection. The broker closes its idle connections
+    /// earlier: an attempt that is sent while the server closes the connection ends with a
+    /// connection reset, which does not show whether the part ran.
     pub idle_timeout: Duration,
 }
