--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -4,8 +4,8 @@
 //! for which operators search the log. Each event is limited to one line per second, so that a
 //! repeated fault cannot flood the log; the next line of the event states how many lines were left
 //! out. Field values are quoted and escaped where necessary, so that text from clients or servers
-//! cannot forge a field or a line. Only events of certain packages of the project are logged;
-//! events of libraries are left out at every level.
+//! cannot forge a field or a line. Only events of the packages in `layer::LOGGED_PACKAGES` are
+//! logged; events of libraries are left out at every level.
 
 mod layer;
 mod limiter;
