--- a/crates/fanout-policy/src/aggregator/views.rs
+++ b/crates/fanout-policy/src/aggregator/views.rs
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Updates the statistics with each sample of a report as if `attempt` had ended with it.
+    /// Updates the statistics with each sample outcome of a report, as if an attempt with the data
+    /// of `attempt` had ended with that outcome.
     fn apply_outcome_report(&mut self, now: Ms, attempt: &InFlightAttempt, report: &OutcomeReport) {
         let batch = BatchContext::new(now, &self.settings);
         let elapsed = report.mean_latency.unwrap_or(attempt.expected_latency);
--- a/crates/fanout-policy/src/api/identifiers.rs
+++ b/crates/fanout-policy/src/api/identifiers.rs
@@ -21,7 +21,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClassIndex(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). A query whose tenant is
-/// not listed there is accepted and has no quota.
+/// Index of a tenant in [`Settings::tenants`](super::Settings::tenants). A query may have a tenant
+/// that is not listed there; such a tenant has no quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TenantIndex(pub usize);
--- a/crates/fanout-policy/src/policy/gossip_codec.rs
+++ b/crates/fanout-policy/src/policy/gossip_codec.rs
@@ -15,7 +15,8 @@
 
 /// Status of a server in a gossip entry.
 pub(crate) enum GossipStatus {
-    /// Attempts of the sender failed without an answer, and it has ejected the server.
+    /// The sender has ejected the server as unresponsive: one of its attempts timed out or found
+    /// the server unreachable, and none has been served since.
     Failing,
     /// The sender has not ejected the server as unresponsive.
     Work {
--- a/crates/fanout-policy/src/policy/outstanding_work.rs
+++ b/crates/fanout-policy/src/policy/outstanding_work.rs
@@ -28,7 +28,8 @@
 /// State of a server as another aggregator published it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum PeerReport {
-    /// The attempts of that aggregator failed without an answer, and it has ejected the server.
+    /// That aggregator has ejected the server as unresponsive: one of its attempts timed out or
+    /// found the server unreachable, and none has been served since.
     Failing {
         /// Time for which this aggregator ejects the server.
         ejection: Ms,
--- a/crates/fanout-policy/src/policy/retry_policy.rs
+++ b/crates/fanout-policy/src/policy/retry_policy.rs
@@ -34,9 +34,11 @@
     None,
     /// The part needs its first attempt.
     First,
-    /// The part needs a retry: its earlier attempts have all ended without an answer.
+    /// The part needs a retry: its earlier attempts have all ended, and none was served.
     Retry,
-    /// The part needs a hedged request if its attempt in flight is overdue.
+    /// An attempt of the part is in flight. Once that attempt is overdue, the part may need a
+    /// hedged request or, where hedging is not allowed, the cancellation of that attempt so that a
+    /// retry can replace it.
     Hedge,
 }
 
@@ -123,9 +125,11 @@
     }
 
     /// Returns whether the last attempt of a part is overdue: older than its forecast latency
-    /// and older than [`MIN_OVERDUE_OBJECTIVES`] times the objective of the current step. For
-    /// the health of a server the forecast is multiplied by [`OVERDUE_FORECAST_FACTOR`], here it
-    /// is not. A second attempt has further conditions, see [`RetryPolicy::hedge_decision`].
+    /// and older than [`MIN_OVERDUE_OBJECTIVES`] times the objective of the current step.
+    ///
+    /// The statistics of a server use a higher limit: there an attempt is overdue only once its age
+    /// exceeds [`OVERDUE_FORECAST_FACTOR`] times its forecast latency. A second attempt has further
+    /// conditions, see [`RetryPolicy::hedge_decision`].
     pub(crate) fn is_overdue(&self, query: &InFlightQuery, part: &PartState) -> bool {
         let min_age = MIN_OVERDUE_OBJECTIVES * self.limits.step_objective(query);
         part.last_attempt_age(self.batch.now) > part.last_expected_latency().max(min_age)
@@ -166,8 +170,8 @@
 
     /// Returns [`NextAttempt::First`] if a part that was never sent needs its first attempt now,
     /// and [`NextAttempt::None`] otherwise. The answer can be complete without the deferred parts,
-    /// so they are sent only once the last attempt for another part of the query is overdue or has
-    /// ended without an answer.
+    /// so they are sent only once the last attempt for another part of the query is overdue, or has
+    /// ended and that part was not served.
     fn first_attempt(&self, query: &InFlightQuery, part: &PartState) -> NextAttempt {
         let needs_retry = |part: &PartState| self.needs_retry(query, part);
         if part.is_deferred() && !query.parts().iter().any(needs_retry) {
@@ -222,9 +226,9 @@
     /// after the overdue attempt has ended. If the settings allow neither, no second attempt is
     /// considered while one is in flight, see [`RetryPolicy::may_repeat`].
     ///
-    /// A cancellation discards the work that the server has done so far. If the attempt is not lost
-    /// but only slow, that is most of its work. So the attempt must be old, and `forecast`, the
-    /// forecast latency of the retry, must be short.
+    /// The work that the server has done for an attempt is wasted when the attempt is cancelled. If
+    /// the attempt is not lost but only slow, that is most of its work. So the attempt must be old,
+    /// and `forecast`, the forecast latency of the retry, must be short.
     fn may_cancel_overdue(&self, query: &InFlightQuery, part: &PartState, forecast: Ms) -> bool {
         let objective = self.batch.objective(query);
         let overdue_age = OVERDUE_FORECAST_FACTOR * part.last_expected_latency();
--- a/crates/fanout-policy/src/policy/row_planner.rs
+++ b/crates/fanout-policy/src/policy/row_planner.rs
@@ -100,7 +100,7 @@
     /// Defers parts of the first step that the answer does not need, where the class requires
     /// a share below 1. The parts with the longest forecast latency are deferred first. A
     /// deferred part is sent once another part of the query is overdue, or the last attempt of
-    /// another part has ended without an answer.
+    /// another part has ended and that part was not served.
     fn defer_spare_parts(&self, query: &mut InFlightQuery) {
         let mut spare_share = 1.0 - self.batch.class_of(query).required_share;
         if query.in_second_step() || spare_share <= SHARE_TOLERANCE {
--- a/crates/fanout-policy/src/queries/in_flight_query.rs
+++ b/crates/fanout-policy/src/queries/in_flight_query.rs
@@ -46,7 +46,8 @@
     step: Step,
     /// Whether the parts of the current step have been assigned to rows.
     is_planned: bool,
-    /// Latency that was forecast on admission; `None` if the query has not been admitted.
+    /// Latency that was forecast when the query was last admitted; `None` if it has not been
+    /// admitted or was rejected since.
     forecast: Option<Ms>,
 }
 
@@ -155,8 +156,9 @@
         self.forecast = Some(forecast);
     }
 
-    /// Discards the forecast of a query that is not admitted, so that the query does not change
-    /// the average of forecast errors.
+    /// Discards the forecast of a query that is rejected, so that the query does not change the
+    /// average of forecast errors. An admitted query can still be rejected: admission is decided
+    /// again when a further part of the first step arrives.
     pub(crate) fn discard_forecast(&mut self) {
         self.forecast = None;
     }
--- a/crates/fanout-policy/src/queries/part_state.rs
+++ b/crates/fanout-policy/src/queries/part_state.rs
@@ -84,7 +84,7 @@
     }
 
     /// Defers the part, since the answer can be complete without it: it is not sent until the last
-    /// attempt for another part of the query is overdue or has ended without an answer.
+    /// attempt for another part of the query is overdue, or has ended and that part was not served.
     pub(crate) fn defer(&mut self) {
         self.is_deferred = true;
     }
--- a/crates/fanout-policy/src/settings/wire/conversion.rs
+++ b/crates/fanout-policy/src/settings/wire/conversion.rs
@@ -1,7 +1,8 @@
 //! Conversion of the settings object into the settings that the policy uses.
 //!
 //! Fields that are required only because of the presence or value of another field are checked
-//! here, all others when the object is decoded.
+//! here, all others when the object is decoded. Errors name objects and fields as the settings
+//! object does, see the `rename` attributes in [`super`].
 
 use super::{
     ClassWire, DataLayoutWire, EndpointListSourceWire, PermissionsWire, RetrySafetyWire, RulesWire,
