--- a/crates/http1-codec/src/body.rs
+++ b/crates/http1-codec/src/body.rs
@@ -206,8 +206,8 @@
         }
         let size = chunk_size(&rest[..line_length])?;
         self.chunk_overhead_bytes += line_length + CHUNK_LINE_ENDS_BYTES;
-        // The limit is at least that for a body of `MAX_CHUNK_LINE_BYTES`, so that a small maximum
-        // body length does not reject a chunk line of an allowed length.
+        // If `max_bytes` is small, its multiple can be less than the length of one valid chunk
+        // line. The limit is therefore calculated with at least `MAX_CHUNK_LINE_BYTES`.
         let max_overhead = MAX_CHUNK_OVERHEAD_RATIO * self.max_bytes.max(MAX_CHUNK_LINE_BYTES);
         let remaining = self.max_bytes - self.data.len();
         if size > remaining as u64 || self.chunk_overhead_bytes > max_overhead {
--- a/crates/http1-codec/src/error.rs
+++ b/crates/http1-codec/src/error.rs
@@ -12,8 +12,8 @@
     /// The start line or a field line violates the grammar (RFC 9112, sections 2.2, 3 and 5).
     #[error("the head is malformed")]
     MalformedHead,
-    /// The version is not HTTP/1.x (section 2.3). The connection preface of HTTP/2 also causes this
-    /// error.
+    /// The version is not HTTP/1.x (section 2.3). HTTP/1.0 is accepted, although the text names
+    /// only HTTP/1.1. The connection preface of HTTP/2 also causes this error.
     #[error("the version is not HTTP/1.1")]
     UnsupportedVersion,
     /// The request line is too long (section 3).
@@ -36,8 +36,8 @@
     /// 6.3).
     #[error("the length is malformed, given twice or beside a transfer coding")]
     InvalidContentLength,
-    /// The transfer codings do not end in exactly one `chunked`, or the message is HTTP/1.0
-    /// (section 6.1).
+    /// The transfer codings do not end in exactly one `chunked`, or a message of HTTP/1.0, which
+    /// has no transfer codings, declares one (section 6.1).
     #[error("the transfer codings do not end in chunked")]
     InvalidTransferCoding,
     /// A transfer coding before `chunked` is not implemented (section 6.1).
--- a/crates/http2-flood-guard/src/lib.rs
+++ b/crates/http2-flood-guard/src/lib.rs
@@ -4,9 +4,9 @@
 //! the flow-control windows, and the size of header lists. The protocol does not limit the number
 //! of frames that cause work without carrying any part of a request (RFC 9113, section 10.5): PING,
 //! SETTINGS, PRIORITY, empty DATA frames that do not end a request, window updates (a client may
-//! enlarge the window by one byte at a time), and stream resets (a client may reset each stream as
-//! soon as it has opened it). It does not limit the number of CONTINUATION frames in a header block
-//! either.
+//! enlarge the window by one byte at a time), stream resets (a client may reset each stream as soon
+//! as it has opened it), GOAWAY, and frames of unknown types. It does not limit the number of
+//! CONTINUATION frames in a header block either.
 //!
 //! The [`FloodGuard`] reads the frame headers in the bytes that a client sends. Each frame of these
 //! kinds, except an acknowledgement, takes a token from a token bucket, which is refilled at a
@@ -14,7 +14,8 @@
 //! empties the bucket.
 //!
 //! The guard also reports since when the preface, a frame or a header block has been incomplete, and
-//! detects clients that do not speak HTTP/2.
+//! detects clients that do not speak HTTP/2. The preface includes the client's first SETTINGS
+//! frame, which follows the bytes of [`PREFACE`].
 //!
 //! ```
 //! use broker_types::time::Timestamp;
--- a/crates/server-protocol/src/broker.rs
+++ b/crates/server-protocol/src/broker.rs
@@ -147,6 +147,7 @@
         return Err(InvalidFrame::ResponseFieldsMissing);
     };
     let status = PartStatus::from_wire(status)?;
+    // The protocol requires a number as score, but the broker has no use for its value.
     if utf8(score)?.parse::<f64>().is_err() {
         return Err(InvalidFrame::InvalidScore);
     }
@@ -159,7 +160,8 @@
 }
 
 /// Returns the number of requests in flight in a load report, or `None` if the report does not
-/// contain a valid one. A malformed load report does not make its frame invalid.
+/// contain a valid one. The entry with the number may have either of two names; the first entry
+/// with one of them counts. A malformed load report does not make its frame invalid.
 fn parse_requests_in_flight(load_report: &[u8]) -> Option<f64> {
     let load_report = utf8(load_report).ok()?;
     let names = [REQUESTS_IN_FLIGHT_ENTRY, REQUESTS_IN_FLIGHT_SETTINGS_ENTRY];
--- a/crates/server-protocol/src/server.rs
+++ b/crates/server-protocol/src/server.rs
@@ -8,7 +8,8 @@
 /// Maximum length of the kind and payload of a frame from a broker, in bytes. It suffices for a
 /// call with the maximum number of parts, each with a text of the maximum length.
 const MAX_BODY_LEN: usize = 4 << 20;
-/// Score in each response. Brokers ignore its value.
+/// Score in each response. The protocol requires a number here; brokers check that it is one, but
+/// do not use its value.
 const SCORE: u32 = 1;
 
 /// One part of a decoded call.
--- a/crates/simulator-adapter/src/instances.rs
+++ b/crates/simulator-adapter/src/instances.rs
@@ -30,7 +30,9 @@
 
 impl Instances {
     /// Processes a message of the open batch: declares an endpoint list, launches or destroys an
-    /// instance, or adds an event to those of its instance.
+    /// instance, or adds an event to those of its instance. A message without an event, such as one
+    /// about a feature that the adapter does not use, also causes the aggregator to be called at
+    /// the end of the batch.
     pub(crate) fn on_message(&mut self, message: &Message) -> Result<(), MessageError> {
         let kind = message.kind();
         if kind == Some(MessageKind::ListDeclaration) {
--- a/crates/simulator-adapter/src/session.rs
+++ b/crates/simulator-adapter/src/session.rs
@@ -60,6 +60,7 @@
 
     fn begin_batch(&mut self, message: &Message) -> Result<(), MessageError> {
         let number: u64 = message.decode::<BatchNumberWire>()?.into();
+        // Set before the time is decoded, so that an error about the time names this batch.
         self.last_batch = Some(number);
         let time: Ms = message.decode::<BatchTimeWire>()?.into();
         if self.open_batch.is_some() {
--- a/crates/simulator-adapter/src/wire/incoming/arrival.rs
+++ b/crates/simulator-adapter/src/wire/incoming/arrival.rs
@@ -66,7 +66,8 @@
     id: Arc<str>,
     #[serde(rename = "Slice", deserialize_with = "whole_number")]
     shard: u64,
-    /// Weight of the part in the answer, as a share of the total weight of the step's parts.
+    /// Weight of the part in the answer, as a share of the total weight of the parts of the same
+    /// step. The parts that arrive after the first answer to a query form its second step.
     #[serde(rename = "Measure", deserialize_with = "number")]
     weight: f64,
     /// Approximate work of the part.
--- a/crates/simulator-adapter/src/wire/incoming/launch.rs
+++ b/crates/simulator-adapter/src/wire/incoming/launch.rs
@@ -32,8 +32,10 @@
         self.seed
     }
 
-    /// Returns the settings of the instance. Fails if a field that another field requires is
-    /// missing or has a wrong type, or if a list of the data layout has no entry for a class.
+    /// Returns the settings of the instance. Some fields are checked only here, because it depends
+    /// on other fields whether they are required or used at all. Fails if such a field is required
+    /// and missing, or is used and has a wrong type, or if a list in `FamilyInfo` has no entry for
+    /// a class.
     pub(crate) fn site_settings(self) -> Result<SiteSettings, FieldError> {
         self.settings.try_into()
     }
