--- a/crates/query-broker/src/check.rs
+++ b/crates/query-broker/src/check.rs
@@ -26,8 +26,9 @@
         match read_text(file) {
             Err(error) => CheckResult::Unreadable(error),
             Ok(text) => match parse(&file.display().to_string(), &text) {
-                // `parse` fails only with at least one error. An empty list would mean a valid
-                // file, as in the JSON report.
+                // `parse` returns `Err` only with at least one error. An empty list would be
+                // treated as a valid file here because the JSON report does so too: the exit
+                // code and the report must agree.
                 Err(errors) if !errors.errors.is_empty() => CheckResult::Invalid(errors),
                 _ => CheckResult::Valid,
             },
--- a/crates/query-broker/src/serve.rs
+++ b/crates/query-broker/src/serve.rs
@@ -14,8 +14,9 @@
 /// Runs a broker with the configuration that `load` returns, and calls `started` with the addresses
 /// for clients once the broker listens on them.
 ///
-/// The signal handlers are installed before `load` is called. A SIGHUP that arrives before they are
-/// installed ends the program, which is the default effect of the signal.
+/// The signal handlers are installed before `load` is called, so that a SIGHUP during the loading
+/// does not end the program: it is handled once the broker runs. A SIGHUP that arrives before the
+/// handlers are installed ends the program, which is the default effect of the signal.
 pub(crate) fn run_with(
     load: impl FnOnce() -> Result<Configuration, ConfigurationError>,
     started: impl FnOnce(ListenAddresses),
--- a/crates/query-broker/tests/scenarios/broker_process.rs
+++ b/crates/query-broker/tests/scenarios/broker_process.rs
@@ -30,9 +30,10 @@
 }
 
 impl BrokerProcess {
-    /// Writes `config` to a file, starts the program with it, and waits until the program listens. The
-    /// environment variable `RELAY_DISCOVERY` overrides the address of discovery in the file with
-    /// `discovery`.
+    /// Writes `config` to a file, starts the program with it, and waits until the program listens.
+    /// At the start, the environment variable `RELAY_DISCOVERY` overrides the address of discovery
+    /// in the file with `discovery`. At a reload the program ignores the variable and uses the
+    /// address in the file, which [`Self::replace_discovery`] can change.
     pub(crate) fn start(config: Value, discovery: SocketAddr) -> Self {
         let file = std::env::temp_dir().join(format!(
             "query-broker-{}-{discovery}.json",
--- a/crates/query-broker/tests/scenarios/main.rs
+++ b/crates/query-broker/tests/scenarios/main.rs
@@ -11,6 +11,8 @@
 //! - `d2`: another discovery, to which `replace-config` can move the program.
 //!
 //! A name alone stands for the first connection to that peer, `s0.2` for the second one to `s0`.
+//! PEER stands for the name of any connection. PART is the id of a part: the query's id, a dot and
+//! the shard, such as `a1.0`.
 //!
 //! ```text
 //! servers N                         N data servers, each of which holds all four shards; default 1
@@ -27,12 +29,16 @@
 //! send sN error PART                ends an attempt at a part with an error
 //! send sN overloaded PART           rejects an attempt at a part because the server is overloaded
 //! send d1|d2 full-list|changes REVISION [sN=active|draining|removed ...]
+//!                                   sends the full endpoint list, or only its changes, with the
+//!                                   list's new revision and the state of each of these servers
 //! busy-clients N                    N clients connect, and each sends a query and waits for its response
 //! close PEER                        closes the connection
 //! reset PEER                        closes the connection with a reset
 //! delay-connections sN              new connections to sN are no longer established
 //! accept-delayed sN                 delayed connections are established when the kernel repeats their requests
-//!                                   (SYN), one second after the first
+//!                                   (SYN), one second after the first; a script that waits for
+//!                                   that sets /Allowed/DialTimeout, because the default of 250 ms
+//!                                   ends the attempt to connect before the repeated request
 //! replace-config d1|d2              replaces the address of discovery in the configuration file
 //! replace-config raw TEXT           replaces the text of the configuration file
 //! signal TERM|HUP|STOP|CONT         sends the program a signal
--- a/crates/test-fleet/src/wire/configuration.rs
+++ b/crates/test-fleet/src/wire/configuration.rs
@@ -36,6 +36,7 @@
     pub(crate) data_layout: DataLayoutWire,
     #[serde(rename = "MembershipMode")]
     pub(crate) list_source: EndpointListSourceWire,
+    /// Factor on the priority weight of queries whose tenant exceeds its quota.
     #[serde(rename = "OverShareWorth")]
     pub(crate) over_quota_weight: f64,
     #[serde(rename = "PeersTotal")]
@@ -61,6 +62,7 @@
     pub(crate) cancellation: bool,
     #[serde(rename = "DialTimeout")]
     pub(crate) dial_timeout_ms: f64,
+    /// Time after which a data server closes an idle connection.
     #[serde(rename = "Keepalive")]
     pub(crate) idle_timeout_ms: f64,
     #[serde(rename = "MaxOpen")]
@@ -93,20 +95,25 @@
 pub(crate) struct DataLayoutWire {
     #[serde(rename = "Batch")]
     pub(crate) max_parts_per_call: usize,
+    /// Work of a call at its server, in addition to the work of its parts.
     #[serde(rename = "Call")]
     pub(crate) call_cost_ms: f64,
+    /// Minimum shares of the total part weight that make an answer complete.
     #[serde(rename = "ClassNeed")]
     pub(crate) required_shares: Vec<f64>,
     #[serde(rename = "FetchParts")]
     pub(crate) second_step_parts: Vec<u32>,
+    /// Minimum shares of the total part weight with which a partial answer may be given.
     #[serde(rename = "MinShare")]
     pub(crate) minimum_shares: Vec<f64>,
+    /// Factors on the weight of partial answers.
     #[serde(rename = "PartialEarns")]
     pub(crate) partial_weights: Vec<f64>,
     #[serde(rename = "Positions")]
     pub(crate) cells: usize,
     #[serde(rename = "Shards")]
     pub(crate) shards: usize,
+    /// Number of adjacent cells that hold each shard.
     #[serde(rename = "Width")]
     pub(crate) replica_cells: usize,
 }
@@ -125,14 +132,20 @@
 /// Rules of the deployment for polls of the endpoint list, overload and warm-ups.
 #[derive(Debug, Serialize)]
 pub(crate) struct RulesWire {
+    /// Time without a poll after which the rules treat the broker as informed of each change that
+    /// has been in the endpoint list for this time.
     #[serde(rename = "AskWithin")]
     pub(crate) list_poll_deadline_ms: f64,
+    /// Time from its start after which a server has its full capacity.
     #[serde(rename = "Cold")]
     pub(crate) warm_up_ms: f64,
+    /// Minimum share of its full capacity that a server has when it starts.
     #[serde(rename = "ColdFrom")]
     pub(crate) initial_capacity: f64,
+    /// Length of the overload after which a warming server fails, see `overload_factor`.
     #[serde(rename = "Fall")]
     pub(crate) overload_window_ms: f64,
+    /// Multiple of its current capacity above which a warming server is overloaded.
     #[serde(rename = "FallMultiple")]
     pub(crate) overload_factor: f64,
 }
@@ -148,6 +161,7 @@
     pub(crate) client_timeout_ms: f64,
     #[serde(rename = "Gain")]
     pub(crate) priority_weight: f64,
+    /// Weight of an answer after the latency objective, as a fraction of the priority weight.
     #[serde(rename = "LateWorth")]
     pub(crate) late_weight: f64,
     #[serde(rename = "Semantics")]
