--- a/crates/fanout-policy/src/settings/wire/conversion.rs
+++ b/crates/fanout-policy/src/settings/wire/conversion.rs
@@ -12,8 +12,9 @@
 use crate::settings::SiteSettings;
 use wire_fields::{FieldError, FieldProblem};
 
-/// The conversion fails if a field that another field requires is missing or has a wrong type, or
-/// if a list of the data layout has no entry for a class.
+/// Some fields are checked only here, because it depends on other fields whether they are required
+/// or used at all. The conversion fails if such a field is required and missing, or is used and has
+/// a wrong type, or if a list of the data layout has no entry for a class.
 impl TryFrom<SettingsWire> for SiteSettings {
     type Error = FieldError;
 
--- a/crates/http1-codec/src/decode.rs
+++ b/crates/http1-codec/src/decode.rs
@@ -28,7 +28,7 @@
 }
 
 impl<T> Progress<T> {
-    /// Returns the progress of an incomplete message whose sender does not wait for a response.
+    /// Returns the progress of an incomplete message whose sender does not wait for `100 Continue`.
     fn incomplete() -> Self {
         Progress::Incomplete {
             awaits_continue: false,
@@ -125,8 +125,9 @@
         decode_body(&mut self.current, input)
     }
 
-    /// Handles the orderly end of the connection; must not be called for a reset. Returns the
-    /// response that the end completes, if any (RFC 9112, section 6.3).
+    /// Handles the orderly end of the connection. Returns the response that the end completes, if
+    /// any (RFC 9112, section 6.3). Must not be called when the connection is reset: the reset may
+    /// have cut the body short, and the truncated response would count as complete.
     pub fn finish(&mut self) -> Option<Message<Response<Vec<u8>>>> {
         let response = self
             .current
--- a/crates/http1-codec/src/fields.rs
+++ b/crates/http1-codec/src/fields.rs
@@ -60,7 +60,9 @@
 ///
 /// Other codings before a final `chunked` are valid, but unknown to this decoder. If `chunked` is
 /// absent, is not last or is repeated, the list is invalid, because it does not tell where the body
-/// of a request ends. In HTTP/1.0, which has no transfer codings, every list is invalid.
+/// of a request ends. Such a list is rejected in a response, too, although RFC 9112 lets the end of
+/// the connection delimit the body of a response whose list does not end in `chunked`. In HTTP/1.0,
+/// which has no transfer codings, every list is invalid.
 fn transfer_coding(fields: &HeaderMap, version: Version) -> Result<BodyFraming, ParseError> {
     if version < Version::HTTP_11 {
         return Err(ParseError::InvalidTransferCoding);
--- a/crates/http2-flood-guard/src/frame_scanner.rs
+++ b/crates/http2-flood-guard/src/frame_scanner.rs
@@ -65,7 +65,8 @@
     };
 
     /// Scans the given bytes up to the end of the current element: the preface, a frame header or a
-    /// payload. At least one byte is scanned if `input` is not empty.
+    /// payload. At least one byte is scanned if `input` is not empty. Fails only if the bytes
+    /// deviate from the preface.
     pub(crate) fn scan(&mut self, input: &[u8]) -> Result<ScanStep, Violation> {
         match self {
             FrameScanner::Preface { received } => {
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -65,12 +65,13 @@
         /// Description of valid arguments.
         expected: InvalidValue,
     },
-    /// A keyword has no effect, because the file lacks another keyword that it requires.
+    /// A keyword has no effect, because another keyword that it requires is absent from the file or
+    /// does not have exactly one argument.
     #[error("{keyword} has no effect")]
     MissingRequirement {
         /// Name of the keyword.
         keyword: &'static str,
-        /// Name of the absent keyword.
+        /// Name of the required keyword.
         requires: &'static str,
     },
 }
--- a/crates/operator-config/src/parser.rs
+++ b/crates/operator-config/src/parser.rs
@@ -220,7 +220,8 @@
         })
     }
 
-    /// Reports keywords that have no effect because the file lacks a keyword that they require.
+    /// Reports keywords that have no effect because a keyword that they require is absent from the
+    /// file or does not have exactly one argument.
     fn check_requirements(&mut self) {
         for keyword in KEYWORDS {
             let Some(requires) = keyword.requires else {
--- a/crates/platform-config/src/site_checks.rs
+++ b/crates/platform-config/src/site_checks.rs
@@ -18,7 +18,8 @@
 }
 
 /// Checks that there is a class, that every class has a name, and that no class has a second step,
-/// which the protocol does not support.
+/// in which further parts are requested after the first answer. The HTTP protocol between clients
+/// and the broker does not support this: each query has one final response.
 fn check_classes(site: &SiteSettings) -> Result<(), ConfigError> {
     if site.class_names.is_empty() || site.class_names.iter().any(String::is_empty) {
         return Err(ConfigError::UnnamedClass);
--- a/crates/platform-config/src/wire.rs
+++ b/crates/platform-config/src/wire.rs
@@ -13,7 +13,9 @@
     optional_whole_number, text,
 };
 
-/// The decoded configuration file. Its fields have the right types; their values are checked when
+/// The decoded configuration file. A field that an environment variable can override may still be
+/// missing or have a wrong type, which becomes an error only when its value is used. All other
+/// fields have the right types; whether the broker can serve with their values is checked when
 /// [`Config`](crate::Config) is built.
 pub(crate) struct PlatformFile {
     /// Name of the broker.
--- a/crates/query-api/src/response.rs
+++ b/crates/query-api/src/response.rs
@@ -68,7 +68,9 @@
     }
 }
 
-/// Creates the response to a client whose connection is rejected because too many are open.
+/// Creates the response to a client that is rejected because too many connections are open or the
+/// broker is shutting down. The response has no `Retry-After` header if the settings have no
+/// `max_retry_after`.
 #[must_use]
 pub fn connection_rejected(settings: &Settings) -> Response {
     let max_retry_after = settings.max_retry_after.map(millis);
--- a/crates/simulator-adapter/src/decode.rs
+++ b/crates/simulator-adapter/src/decode.rs
@@ -40,7 +40,8 @@
         }
         Some(MessageKind::Gossip) => Ok(decode_gossip(message)?),
         Some(MessageKind::StreamStarted | MessageKind::ProbeAnswered) => Ok(None),
-        // The callers process all other known kinds of messages themselves.
+        // The callers process all other known kinds of messages themselves, so only a message of an
+        // unknown type gets here.
         _ => Err(MessageError::UnknownMessage {
             message: message.type_name(),
         }),
@@ -80,8 +81,8 @@
     }
 }
 
-/// Decodes a gossip message. Returns `None` if the contents are not pairs of hexadecimal digits;
-/// the sender is not decoded in that case.
+/// Decodes a gossip message. Returns `None` if the contents are not pairs of hexadecimal digits.
+/// The sender is not decoded in that case, so a missing or invalid sender is not an error then.
 fn decode_gossip(message: &Message) -> Result<Option<Event>, FieldError> {
     let contents: GossipContentsWire = message.decode()?;
     let Some(bytes) = contents.bytes() else {
