--- a/crates/fanout-policy/tests/policy/backoff.rs
+++ b/crates/fanout-policy/tests/policy/backoff.rs
@@ -55,9 +55,10 @@
     let first = policy.attempts_for("q", &[0]);
     let overloaded = first[0].node.clone();
     policy.end_attempt("q.0", 0, Outcome::Overloaded, 5.0);
-    // The mean interval between two parts for one server is 4500 ms, computed as in the next test.
-    // The ejection lasts half of that, times a jitter factor of at least 0.75: at least 1687 ms. The
-    // loop checks a shorter time.
+    // The policy estimates the mean interval between two parts for one server. It has accepted two
+    // requests, the query and its part, in the last 1500 ms: one every 750 ms. Spread evenly over
+    // six servers, that is one for each server every 4500 ms. The ejection lasts half of that,
+    // times a jitter factor of at least 0.75: at least 1687 ms. The loop checks a shorter time.
     for k in 0..12 {
         let sent = policy.attempts_for(&format!("n{k}"), &[0]);
         let is_avoided = sent.iter().all(|attempt| attempt.node != overloaded);
@@ -84,9 +85,10 @@
         .iter()
         .find_map(|view| view.ejected_until)
         .unwrap();
-    // The policy has accepted two requests, the query and its part, in a window of 1.5 latency
-    // objectives. Over six servers that makes an interval of 4.5 objectives between the parts for
-    // one server. Jitter shortens the ejection to 0.75 of that or more.
+    // The latency objective is 1000 ms. The policy has accepted two requests, the query and its
+    // part, in a window of 1.5 objectives: one every 750 ms. Spread evenly over six servers, that
+    // is one for each server every 4500 ms. Jitter shortens the ejection to 0.75 of that or more,
+    // which is at least 3375 ms.
     assert!(
         until - policy.now > 3000.0,
         "the server is ejected for {} ms only",
--- a/crates/fanout-policy/tests/policy/endpoint_list.rs
+++ b/crates/fanout-policy/tests/policy/endpoint_list.rs
@@ -87,7 +87,8 @@
         policy.aggregator.server_record_count()
     );
     // Servers with attempts in flight are kept, so that the late ends of these attempts are
-    // attributed to the right server.
+    // attributed to the right server. After these ends the policy must still serve queries, each
+    // with one attempt.
     policy.advance(1500.0, all_ended(&in_flight, 0, Outcome::TimedOut, 4000.0));
     assert_eq!(
         policy
--- a/crates/fanout-policy/tests/policy/load_reports.rs
+++ b/crates/fanout-policy/tests/policy/load_reports.rs
@@ -1,8 +1,9 @@
-//! Reports of load that this aggregator did not send itself: gossip of other aggregators, and the
-//! load reports that servers put into their answers.
+//! Information about the load of servers that doesn't come from this aggregator's own attempts in
+//! flight: gossip of other aggregators, and the load reports that servers put into their answers.
 //!
 //! A gossip message consists of entries of three bytes: two bytes of the server's short name, then
-//! its status, which is outstanding work in steps or 255 for a server that fails.
+//! its status. The status is 255 for a server that fails. Otherwise it is the sender's outstanding
+//! work at the server, in steps of 1/128 of the shortest latency objective.
 
 use crate::common::{
     Harness, SentAttempt, all_ended, endpoint, one_cell, part_id, ring, ring_with_gossip,
--- a/crates/fanout-policy/tests/policy/replica_selection.rs
+++ b/crates/fanout-policy/tests/policy/replica_selection.rs
@@ -27,7 +27,7 @@
     }
     assert!(
         servers_of(&actions).len() <= 3,
-        "the parts of each of three rows must share a call to one server: {sent:?}"
+        "six parts must go to at most three servers, which parts of adjacent shards share: {sent:?}"
     );
 }
 
@@ -80,8 +80,11 @@
     );
 }
 
-/// Adjacent shards of a query that makes the fan-out width visible: its parts go to six servers
-/// when the query contacts one replica row, and to fewer servers when it contacts more rows.
+/// Adjacent shards of a query whose number of servers shows the fan-out width. On the ring, the
+/// six shards have six different servers in any one replica row: a query that contacts one row
+/// sends its parts to six servers. A server holds three of the shards, each in a different row.
+/// Only a query that contacts several rows can therefore send the parts of adjacent shards to one
+/// server, and so contact fewer servers.
 const ADJACENT_SHARDS: [usize; 6] = [0, 1, 2, 3, 4, 5];
 
 /// Submits a one-part query every `interval` milliseconds, twelve in all, and ends the attempt of
@@ -102,7 +105,7 @@
         ..ring()
     };
     let mut overloaded = Harness::new(settings.clone(), 1);
-    // The wider the fan-out, the fewer servers the parts of adjacent shards go to.
+    // The wider the fan-out, the fewer servers the parts go to, see `ADJACENT_SHARDS`.
     let servers_before = servers_of(&overloaded.submit("before", &ADJACENT_SHARDS)).len();
     submit_queries_with_outcome(&mut overloaded, Outcome::Overloaded, 6000.0);
     overloaded.advance(2000.0, vec![]);
@@ -122,9 +125,12 @@
     );
 }
 
-/// Traffic across zones has a cost, which counts like a higher latency when replicas are compared.
-/// Rows are selected at random nevertheless: a replica in another zone receives its share of the
-/// parts as long as it is not slower.
+/// Traffic across zones has a cost, so a penalty is added to the forecast latency of a server in
+/// another zone. Each part is first assigned to a random row. If no server is ejected, it moves to
+/// another server only if that server is better by more than a margin. The penalty alone is below
+/// the margin: at equal latency, servers in other zones receive their share of the parts. In this
+/// test they become slower by 30 ms. The penalty and this difference together exceed the margin,
+/// and the server in the same zone is preferred.
 #[test]
 fn same_zone_replica_is_preferred_when_it_is_not_slower() {
     let settings = Settings {
@@ -144,8 +150,8 @@
         even.values().all(|n| *n > 15),
         "attempts by server at equal latency: {even:?}"
     );
-    // Replicas in other zones are now slower, by a difference that would not move parts between two
-    // replicas of the same zone.
+    // Replicas in other zones are now slower by 30 ms. Between two replicas of the same zone, this
+    // difference would be below the margin and would move no parts.
     let mut attempts_by_server = BTreeMap::new();
     for n in 0..90 {
         for SentAttempt { part, node, .. } in policy.attempts_for(&format!("u{n}"), &[0]) {
@@ -163,8 +169,9 @@
     );
 }
 
-/// Guards against a cost hint that is far too large and makes the forecast exceed the admission
-/// limit.
+/// Guards against the rejection of a query because of a cost hint that is far too large: unlimited,
+/// the hint would raise the query's forecast latency above the admission limit. The policy limits
+/// the hint to a multiple of its own estimate of a part's cost.
 #[test]
 fn absurd_cost_hint_does_not_reject_the_query() {
     let mut policy = Harness::new(ring(), 1);
--- a/crates/http1-codec/tests/rfc9112/size_limits.rs
+++ b/crates/http1-codec/tests/rfc9112/size_limits.rs
@@ -6,6 +6,7 @@
 #[test]
 fn head_over_size_limit_has_status_414_or_431() {
     let long = "a".repeat(LIMITS.head_bytes);
+    // More fields than the 64 that a head may have, but fewer bytes than its limit.
     let many: String = (0..65).map(|n| format!("A{n}: 1\r\n")).collect();
     for (text, status) in [
         (format!("GET /{long} HTTP/1.1\r\n"), 414),
@@ -18,7 +19,8 @@
             Some(status)
         );
     }
-    // A chunk extension and a trailer section over their limits have errors of their own.
+    // A chunk extension and a trailer section over their limits have errors of their own. The
+    // limits are 256 bytes for the line that starts a chunk, and 8 KiB for the trailer section.
     let extension =
         format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n1;{long}");
     assert_eq!(
--- a/crates/http2-flood-guard/tests/guard.rs
+++ b/crates/http2-flood-guard/tests/guard.rs
@@ -138,7 +138,8 @@
 }
 
 /// Guards against "rapid reset" floods, in which a client cancels each request immediately after
-/// sending it. A client that gets a response for each cancelled request is not limited.
+/// sending it. A client that gets a response for each cancelled request is not limited, since each
+/// response grants two tokens, more than the one that a reset takes.
 #[test]
 fn resets_are_limited_by_responses() {
     let request_and_reset = [
@@ -153,6 +154,7 @@
     let mut ordinary = guard_after_settings();
     for _ in 0..1000 {
         ordinary.on_received(at(0), &request_and_reset).unwrap();
+        // The response has no body, which would grant further tokens for window updates.
         ordinary.on_response_sent(0);
     }
 }
--- a/crates/operator-config/tests/files.rs
+++ b/crates/operator-config/tests/files.rs
@@ -93,6 +93,8 @@
     assert_eq!(adopted.changes(&new).restart_required, ["listen-http2"]);
     // The removal of the HTTP/2 listener needs a restart, too.
     assert_eq!(old.adopt(&parse("f", "").unwrap()).http2, old.http2);
+    // Some keywords, such as `http2-streams` above, take effect for new connections only. A change
+    // of such a keyword counts as effective, so there must be one for this test to cover the case.
     assert!(KEYWORDS.iter().any(|k| k.effect == Effect::NewConnections));
 }
 
--- a/crates/simulator-adapter/tests/adapter/load_reports.rs
+++ b/crates/simulator-adapter/tests/adapter/load_reports.rs
@@ -46,6 +46,8 @@
         r#","Gauge":{"rif":-5}"#,
         r#","Gauge":[1]"#,
         r#","Gauge":{"rate":99}"#,
+        // In a load report, null doesn't count as absent. A malformed number in flight invalidates
+        // the report, even if the number of waiting requests is valid.
         r#","Gauge":{"rif":null,"q":38}"#,
         r#","Gauge":{"rif":"many","q":38}"#,
         r#","Gauge":null"#,
--- a/crates/simulator-adapter/tests/adapter/message_fields/fixture.rs
+++ b/crates/simulator-adapter/tests/adapter/message_fields/fixture.rs
@@ -24,7 +24,8 @@
 }
 
 /// Checks that the adapter refuses a message, and that `text` is all that its error says after the
-/// line and the batch.
+/// line and the batch. The message is in line 5 of the input: the beginning of the batch and the
+/// three messages that start the instance come before it.
 pub fn assert_refused(message: &str, text: &str) {
     let error = run_with_message(message).expect_err(&format!(
         "the adapter must refuse {message}, found its output"
--- a/crates/wire-fields/tests/fields.rs
+++ b/crates/wire-fields/tests/fields.rs
@@ -246,9 +246,10 @@
     assert_eq!(error, "Env: field whole is not a string");
 }
 
-/// Guards against a problem that depends on the text of a value. The crate finds the problem by
-/// searching the text of `serde`'s error, which quotes the value. A string value with words of the
-/// crate's own errors must not be mistaken for the words that describe the problem.
+/// Guards against an error that reports the wrong `FieldProblem` because of the text of a value.
+/// The crate finds the problem by searching the text of `serde`'s error, which quotes the value. A
+/// string value with words of the crate's own errors must not be mistaken for the words that
+/// describe the problem.
 #[test]
 fn text_of_a_value_does_not_change_the_problem() {
     for text in [
