--- a/crates/fanout-policy/tests/policy/admission.rs
+++ b/crates/fanout-policy/tests/policy/admission.rs
@@ -6,6 +6,10 @@
 };
 use fanout_policy::api::{Action, Class, Ms, Outcome, Settings};
 
+/// Guards against the admission of ever more queries by an aggregator whose servers answer nothing.
+/// The test reports the end of no attempt. The forecast latency of a query includes the outstanding
+/// work at the servers and the time by which their oldest attempt is late, and soon exceeds the
+/// admission limit.
 #[test]
 fn queries_are_rejected_with_retry_after_while_no_part_is_served() {
     let settings = Settings {
@@ -30,10 +34,12 @@
 
 #[test]
 fn client_retry_past_its_objective_is_recognized_by_its_shorter_time_left() {
-    // The client timeout of the class is 4000 ms: all attempts of a client at one query share it.
-    // Queries usually arrive with 3500 ms of it left, so that one with 2000 ms left is a retry. Its
-    // first attempt was sent 4000 - 2000 = 2000 ms ago, which exceeds the latency objective of
-    // 1000 ms.
+    // All attempts of a client at one query share the client timeout, which is 4000 ms in the
+    // settings of the class. The first 20 queries arrive with 3500 ms of it left, so the aggregator
+    // takes this to be the usual time left, and takes a query with 2000 ms left to be a retry. From
+    // the timeout in the settings it computes that the client sent its first attempt
+    // 4000 - 2000 = 2000 ms ago. The latency objective of 1000 ms counts from that time and has
+    // passed, so the retry is rejected.
     let mut policy = Harness::new(ring_with_class(class_without_late_weight()), 1);
     policy.answer_queries(20, 3500.0);
     let events = policy.query_events("again", 0, &[0], 2000.0);
@@ -59,8 +65,10 @@
 fn past_overload_does_not_reject_queries_of_an_idle_fleet_for_good() {
     // The ends of the parts are reported with the usual elapsed time of 20 ms, but only 900 ms
     // after the queries have arrived: the queries take much longer than forecast, although the
-    // servers are fast. One query of a class with a much larger weight comes first. It reduces the
-    // admission limit of the class with the low weight nearly to the minimum.
+    // servers are fast. The admission limit of a query depends on the ratio of its weight per work
+    // to the maximum of all queries so far. One query of a class with a much larger weight comes
+    // first and sets this maximum. This reduces the limit of the class with the low weight nearly
+    // to the minimum.
     let low_weight = class_without_late_weight();
     let high_weight = Class {
         priority_weight: 50.0,
@@ -123,6 +131,10 @@
 /// overloaded servers was for such answers.
 #[test]
 fn attempt_ends_at_the_objective_when_late_answers_have_little_weight() {
+    // The policy ends attempts at the objective if the late weight is at most 0.2 times the share
+    // of the servers' load that the aggregator does not observe. That share is 0.96 with a hundred
+    // aggregators, so the limit is 0.192, between the two late weights.
+    //
     // The timeouts are the latency objective of 1000 ms and the client timeout of 4000 ms, each
     // less two ticks of 5 ms, which are reserved for the reply to reach the client.
     for (late_weight, timeout, expected) in
@@ -161,6 +173,8 @@
         ..ring()
     };
     let mut policy = Harness::new(settings, 1);
+    // One attempt with this outcome is enough to eject the only replica of shard 0. The forecast
+    // for a part of that shard assumes that no part is served before the ejection has ended.
     policy.submit("q", &[0]);
     policy.end_attempt("q.0", 0, Outcome::Unreachable, 5.0);
     let actions = policy.submit("next", &[0, 1]);
@@ -168,6 +182,7 @@
         (sent_attempts(&actions), final_responses(&actions)),
         (vec![], vec![rejected("next")])
     );
+    // After this time the ejection has ended, and queries are admitted again.
     policy.advance(8000.0, vec![]);
     assert_eq!(policy.attempts_for("later", &[0, 1]).len(), 2);
 }
@@ -216,7 +231,10 @@
     };
     let mut policy = Harness::new(settings, 2);
     policy.answer_queries(10, 4000.0);
-    // Each time that both replicas reject a part, they are ejected for longer.
+    // A part has only one attempt, so one replica rejects it. This ejects the replica, each time
+    // for about twice as long as the time before, up to a maximum, because no part is served in
+    // between. The forecast latency of a query includes the rest of the ejection and in the end
+    // exceeds the admission limit.
     let mut sent_for_last_query = vec![];
     for k in 0..12 {
         let mut in_flight = policy.attempts_for(&format!("q{k}"), &[0]);
--- a/crates/fanout-policy/tests/policy/hedging.rs
+++ b/crates/fanout-policy/tests/policy/hedging.rs
@@ -39,6 +39,10 @@
 
 /// At overloaded servers all attempts are late. If each of a hundred brokers sent as many hedges as
 /// suit a fleet of three brokers, the hedges would double the load of those servers.
+///
+/// The ten queries and their ten parts count as 20 requests. The default budget of one of three
+/// brokers is 6 hedges and 0.3 per request: all ten parts are hedged. The budget of one of a
+/// hundred brokers is 0.24 hedges and 0.1 per request, which allows two.
 #[test]
 fn hedges_of_many_aggregators_together_are_limited() {
     assert_eq!([3, 100].map(hedges_of_one_aggregator), [10, 2]);
--- a/crates/fanout-policy/tests/policy/replica_selection.rs
+++ b/crates/fanout-policy/tests/policy/replica_selection.rs
@@ -132,7 +132,7 @@
 /// test they become slower by 30 ms. The penalty and this difference together exceed the margin,
 /// and the server in the same zone is preferred.
 #[test]
-fn same_zone_replica_is_preferred_when_it_is_not_slower() {
+fn same_zone_replica_is_preferred_when_other_zones_are_slower() {
     let settings = Settings {
         zone: Some(1),
         max_parts_per_call: 1,
--- a/crates/fanout-policy/tests/policy/retries.rs
+++ b/crates/fanout-policy/tests/policy/retries.rs
@@ -79,7 +79,9 @@
 }
 
 /// Guards against a poison query that crashes one server after the other: each retry would crash
-/// one more.
+/// one more. The policy recognizes it by its attempts that lost the connection to a server that has
+/// not answered since: at least two, and more than it has parts that were served. Here two of four
+/// attempts lose their connection, and no part was served.
 #[test]
 fn poison_query_is_rejected_and_not_retried() {
     let mut policy = Harness::new(ring(), 1);
--- a/crates/fanout-policy/tests/policy/warm_up.rs
+++ b/crates/fanout-policy/tests/policy/warm_up.rs
@@ -67,6 +67,11 @@
         .sum()
 }
 
+/// Guards against the overload of a server that has restarted before the endpoint list shows it:
+/// the server has to warm up again. A restart is assumed if attempts have timed out, and the next
+/// served attempt was sent more than 2.5 latency objectives, 2500 ms, after the last one served
+/// before. A server that was silent for a shorter time must not be limited to its warm-up
+/// allowance.
 #[test]
 fn server_warms_up_again_after_a_long_silence_and_not_after_a_short_one() {
     assert_eq!(
@@ -158,7 +163,9 @@
 #[test]
 fn busiest_aggregator_loads_a_warming_up_server_in_proportion_to_warm_ones() {
     // One of sixty aggregators has nearly all the traffic. With an equal share of the server's
-    // allowance it would send that server one part in ten seconds.
+    // allowance it would send that server one part in ten seconds. Its share is therefore the rate
+    // at which one warm server serves its work, in ms of work per ms, if that is more than the
+    // equal share.
     let settings = Settings {
         aggregators: 60,
         ..one_cell()
--- a/crates/http1-codec/tests/rfc9112/consecutive_requests.rs
+++ b/crates/http1-codec/tests/rfc9112/consecutive_requests.rs
@@ -4,6 +4,8 @@
 use http1_codec::{Progress, RequestDecoder};
 
 /// RFC 9112, section 9.3.2: a client may send requests before it has received earlier responses.
+/// The empty line after the body of the first request must be skipped (section 2.2): some clients
+/// send one there.
 #[test]
 fn pipelined_requests_are_decoded_one_by_one() {
     let mut input =
