--- a/crates/fanout-policy/tests/policy/outlier_detection.rs
+++ b/crates/fanout-policy/tests/policy/outlier_detection.rs
@@ -27,6 +27,9 @@
     }
 }
 
+/// Guards against a server that returns errors as quickly as other servers return answers, so that
+/// its response times do not show the fault, and that keeps receiving its share of the queries.
+/// Also guards against an ejection that does not end after the server has recovered.
 #[test]
 fn server_with_fast_errors_is_ejected_and_used_again_later() {
     let mut policy = Harness::new(ring(), 1);
@@ -36,6 +39,8 @@
         "{attempts_while_failing} attempts for 60 queries at the failing server, expected fewer \
          than 20"
     );
+    // Ten seconds without queries are longer than any ejection for errors: at most four latency
+    // objectives of one second, which the random factor extends to at most five seconds.
     for _ in 0..100 {
         policy.advance(100.0, vec![]);
     }
@@ -55,8 +60,9 @@
     let queries_at_timed_out_server = |receive: fn(&mut Harness, Vec<Event>)| {
         let mut policy = Harness::new(ring(), 1);
         policy.answer_queries(10, 4000.0);
-        // The same three cells hold these four shards: shard `s` is held by cell `s % 6` and the two
-        // cells after it.
+        // The same three cells hold these four shards: shard `s` is held by cell `s % 6` and the
+        // two cells after it. The aggregator does not compare shard numbers with the number of
+        // shards in the settings, which is 12.
         let sent = policy.attempts_for("q", &[0, 6, 12, 18]);
         receive(&mut policy, all_ended(&sent, 0, Outcome::TimedOut, 900.0));
         let timed_out_node = &sent[0].node;
@@ -150,8 +156,10 @@
         // The first queries are not counted: until the class has failed a few times at the server,
         // the server is not avoided.
         attempts_by_class[k % 2] += usize::from(is_faulty && k > 40);
-        // At the faulty server half of the first class's parts fail. All other parts are served, so
-        // that the server never fails twice in a row and is not ejected for all classes.
+        // At the faulty server, the parts of every second query of the first class fail. All other
+        // parts are served. An ejection, which applies to all classes, would need several failures
+        // in a row and a high error rate of the server. Each served part, of either class, ends a
+        // run of failures and lowers that rate.
         let outcome = if is_faulty && k % 4 == 0 {
             Outcome::Error
         } else {
