--- a/crates/batch-window/tests/batch_window.rs
+++ b/crates/batch-window/tests/batch_window.rs
@@ -23,8 +23,8 @@
 
 /// A client that sends one query after another never has more than one query in flight. Its queries
 /// cannot share a call, so waiting gains nothing. Guards against a window that depends on the
-/// arrival rate: queries that are processed immediately arrive at a high rate, which would make the
-/// client's later queries wait.
+/// arrival rate: the faster such a client's queries are answered, the more often it sends the next
+/// one. The high arrival rate would lengthen the window, and the client's later queries would wait.
 #[test]
 fn client_that_sends_one_query_after_another_never_waits() {
     let window = BatchWindow::Adaptive(Duration::from_micros(5000));
--- a/crates/endpoint-control/src/ejection_quorum.rs
+++ b/crates/endpoint-control/src/ejection_quorum.rs
@@ -2,7 +2,8 @@
 //!
 //! The reports of one proxy may be wrong: its own network link may be down, its clock may have
 //! stopped, or it may send false reports. A server is therefore ejected for all proxies only if a
-//! quorum of the proxies that have recently sent it requests report failures.
+//! quorum reports failures. The size of the quorum depends on how many proxies have recently sent
+//! the server requests and reported on them, and on how many proxies are connected.
 //!
 //! - If all or a large share of a zone's servers are unreachable at the same time, the zone is
 //!   assumed to be partitioned from the proxies rather than failed. Its servers are then not
--- a/crates/endpoint-control/src/ejection_quorum/rule.rs
+++ b/crates/endpoint-control/src/ejection_quorum/rule.rs
@@ -2,13 +2,14 @@
 
 use std::time::Duration;
 
-/// The thresholds and durations of ejections.
+/// The thresholds and durations of ejections. A server is ejected only if the votes reach both
+/// [`min_votes`](Self::min_votes) and [`min_vote_share`](Self::min_vote_share).
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EjectionRule {
-    /// Minimum number of votes that eject a server. If fewer proxies are connected, the votes of
-    /// all of them are needed.
+    /// Minimum number of votes to eject a server. If fewer proxies are connected, the minimum is
+    /// the number of connected proxies.
     pub min_votes: usize,
-    /// Minimum share of votes that eject a server, from 0 to 1: the number of proxies that vote to
+    /// Minimum share of votes to eject a server, from 0 to 1: the number of proxies that vote to
     /// eject it, divided by the number of proxies with a report about it.
     pub min_vote_share: f64,
     /// Minimum share of failed requests with which a report is a vote to eject, from 0 to 1.
--- a/crates/endpoint-control/src/leases.rs
+++ b/crates/endpoint-control/src/leases.rs
@@ -2,9 +2,10 @@
 //!
 //! A lease allows one proxy (the holder) a number of requests in flight at one server. The number
 //! is called the units of the lease. The control instance sends the lease in a message on the
-//! proxy's stream, and the proxy acknowledges the message on the same stream. The proxy receives
-//! the lease as a limit on the server's cluster with a time to live, so that a disconnected proxy
-//! stops sending without being told to.
+//! proxy's stream, and the proxy acknowledges the message on the same stream. The message assigns
+//! the server to the proxy as a cluster of its own, and limits the proxy's requests in flight in
+//! this cluster to the units. The limit has a time to live, so that a disconnected proxy stops
+//! sending without being told to.
 //!
 //! The units of a lease stay reserved until the holder can no longer use them. They must not be
 //! freed as soon as the time to live has passed since the message was sent: the proxy counts the
--- a/crates/endpoint-control/tests/endpoint_control/leases.rs
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -79,7 +79,7 @@
     assert_eq!(
         grant(&mut leases, at_seconds(3), GrantRequest::all_units(1, 3)),
         0,
-        "the time to live has ended, the requests sent before have not"
+        "the time to live has ended, but requests that were sent before may still be in flight"
     );
     assert_eq!(
         grant(
--- a/crates/endpoint-control/tests/lease_model/main.rs
+++ b/crates/endpoint-control/tests/lease_model/main.rs
@@ -25,7 +25,7 @@
     eprintln!("{states} states");
     assert!(
         states > 10_000,
-        "the model has only {states} states, so that the check explores too little"
+        "expected more than 10,000 states, but the checker explored only {states}"
     );
 }
 
--- a/crates/endpoint-control/tests/lease_model/proxy.rs
+++ b/crates/endpoint-control/tests/lease_model/proxy.rs
@@ -17,6 +17,7 @@
 /// Requests that were sent under an earlier limit and may still be in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct RemainingRequests {
+    /// The earlier limit, which is the maximum number of these requests.
     units: u32,
     /// When the last of the requests has ended.
     until: Timestamp,
@@ -39,7 +40,8 @@
     remaining_requests: Vec<RemainingRequests>,
     /// Whether an acknowledgement has been sent to the control instance and has not arrived.
     pub(crate) acknowledgement_sent: bool,
-    /// The last message that the proxy has not acknowledged.
+    /// The message on the open stream that the proxy has not acknowledged; `None` if there is no
+    /// such message or no stream is open.
     pub(crate) unacknowledged: Option<SentMessage>,
     /// Whether the proxy ever held the whole limit of the server.
     pub(crate) held_whole_limit: bool,
--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -33,7 +33,7 @@
             ExecutionEvidence::Executed => {
                 self.possibly_executed += 1;
                 // The execution has finished by the time at which its response has arrived, so the
-                // part is not busy until the deadline of the attempt.
+                // part is no longer busy, even if the deadline of the attempt has not passed.
                 self.busy_until = now;
             }
             ExecutionEvidence::PossiblyExecuted => self.possibly_executed += 1,
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -16,8 +16,11 @@
     /// Length of the replay window: time after the first attempt at a part during which servers
     /// drop repetitions of the part.
     pub window: Duration,
-    /// Time after the replay window during which clients may still retry. The register keeps a key
-    /// until the end of this time, so that it can reject such a retry.
+    /// Time after the replay window during which clients may still retry. So that it can reject
+    /// such a retry, the register keeps a key under which a part may have been executed at least
+    /// until the end of this time. Only the key of an answered query may be removed earlier. The
+    /// register keeps keys for the sum of `window` and `retention` after the latest activity at any
+    /// part, which is at or after the first attempt.
     pub retention: Duration,
     /// Maximum number of keys in the register.
     pub max_keys: usize,
--- a/crates/policy-engine/src/commands.rs
+++ b/crates/policy-engine/src/commands.rs
@@ -58,8 +58,8 @@
     /// The query was not served, and the client may safely retry it: none of its parts was
     /// executed, or repeating them has no further effect.
     Rejected {
-        /// Delay after which the client should retry; `None` if the settings contain no maximum for
-        /// it, for example because retry-after values do not reach the clients.
+        /// Delay after which the client should retry; `None` if retry-after values do not reach
+        /// the clients or the settings contain no maximum for them.
         retry_after: Option<Duration>,
     },
     /// The query was not served, and a retry may not be safe: parts may have been executed.
@@ -88,7 +88,7 @@
     pub dispatches: Vec<Dispatch>,
     /// Number of queries among `finished` that were rejected because the capacity was exhausted.
     pub over_capacity: usize,
-    /// Number of queries among `finished` that failed because their deadline was at most one tick
-    /// of the settings away and the policy had not ended them.
+    /// Number of queries among `finished` that the engine itself failed: the policy had not ended
+    /// them, and their deadline was at most one tick (`Settings::tick`) away.
     pub expired: usize,
 }
--- a/crates/policy-engine/src/engine.rs
+++ b/crates/policy-engine/src/engine.rs
@@ -84,7 +84,7 @@
     }
 
     /// Runs the policy if its timer is due or if events are staged, and fails the queries whose
-    /// deadline is at most one tick away.
+    /// deadline is at most one tick (`Settings::tick`) away.
     pub fn poll(&mut self, now: Timestamp) -> Decisions {
         let is_timer_due = self.timer_at.take_if(|at| now >= *at).is_some();
         if is_timer_due {
@@ -128,7 +128,7 @@
     }
 
     /// Returns how long before its deadline a query fails if the policy has not ended it by then:
-    /// one tick of the settings.
+    /// one tick (`Settings::tick`).
     fn expiry_margin(&self) -> Duration {
         millis(self.settings.tick)
     }
