--- a/crates/broker-types/src/server.rs
+++ b/crates/broker-types/src/server.rs
@@ -17,10 +17,11 @@
     pub cell: usize,
     /// Whether the server accepts requests.
     pub state: ServingState,
-    /// Index of the server's zone; `None` if the configuration contains no zone of that name.
+    /// Index of the server's zone among the configured zones; `None` if the endpoint list names no
+    /// zone for the server, or one that the configuration does not contain.
     pub zone: Option<usize>,
-    /// Time at which the server's process started; `None` if the list contains no start time, which
-    /// means that the process started long ago.
+    /// Time at which the server's process started; `None` if the list contains no start time, or
+    /// one that is not positive, which means that the process started long ago.
     pub started_at: Option<SignedTimestamp>,
 }
 
@@ -53,7 +54,8 @@
 pub struct Endpoint {
     /// Name of the server.
     pub name: String,
-    /// Address to which the broker connects; a removed server may have none.
+    /// Address to which the broker connects; `None` if the entry contains no address, which is
+    /// accepted in every state of the server. The broker sends no attempts to a server without one.
     pub address: Option<SocketAddr>,
     /// Name of the server's zone.
     pub zone: String,
@@ -62,12 +64,14 @@
     /// Whether the server accepts requests.
     pub state: ServingState,
     /// Unix time in milliseconds at which the server's process started; `None` if the list contains
-    /// no start time, which means that the process started long ago.
+    /// no start time, or one that is not positive, which means that the process started long ago.
     pub started_unix_ms: Option<i64>,
 }
 
 impl EndpointList {
-    /// Returns which servers the list contains, in the form that the policy engine takes.
+    /// Returns which servers the list contains, in the form that the policy engine takes. The
+    /// result is never [`ListScope::Cached`]: the list does not show whether it is a stored copy,
+    /// so a caller that reads a stored copy passes that scope itself.
     #[must_use]
     pub fn scope(&self) -> ListScope {
         if self.is_snapshot {
--- a/crates/broker-types/src/server/wire.rs
+++ b/crates/broker-types/src/server/wire.rs
@@ -31,8 +31,8 @@
     cell: usize,
     #[serde(rename = "state")]
     state: EndpointState,
-    /// Unix time in milliseconds at which the server's process started. Zero or negative if the
-    /// list contains no start time, which means that the process started long ago.
+    /// Unix time in milliseconds at which the server's process started. Zero if the list contains
+    /// no start time. A value that is not positive means that the process started long ago.
     #[serde(default, rename = "boot_ms")]
     started_unix_ms: f64,
 }
--- a/crates/endpoint-control/src/ejection_quorum/record.rs
+++ b/crates/endpoint-control/src/ejection_quorum/record.rs
@@ -72,8 +72,8 @@
         self.reports.insert(proxy.clone(), received);
     }
 
-    /// Drops reports that have reached [`EjectionRule::report_lifetime`], and the latest ejection
-    /// once [`EjectionRule::forget_after`] has passed since its end.
+    /// Drops reports whose age has reached [`EjectionRule::report_lifetime`], and the latest
+    /// ejection once [`EjectionRule::forget_after`] has passed since its end.
     pub(super) fn drop_outdated(&mut self, now: Timestamp, rule: &EjectionRule) {
         self.reports
             .retain(|_, report| now.saturating_since(report.received_at) < rule.report_lifetime);
@@ -95,9 +95,11 @@
 
     /// Ends the ejection once its duration has passed.
     ///
-    /// [`ServerRecord::drop_outdated`] is called first. If it was not called for a long time, it
-    /// has dropped the latest ejection although the server is still marked as ejected. The ejection
-    /// is then recorded again, with the rule's first duration.
+    /// The caller calls [`ServerRecord::drop_outdated`] before this function. If this function is
+    /// called so late that [`EjectionRule::forget_after`] has already passed since the end of the
+    /// ejection, `drop_outdated` has removed `last_ejection` although the server is still marked as
+    /// ejected. The ejection's duration is then lost, so the ejection is recorded again with the
+    /// rule's first duration.
     pub(super) fn readmit(&mut self, now: Timestamp, rule: &EjectionRule) {
         let Some(ends_at) = self.ejected_until.filter(|until| *until <= now) else {
             return;
--- a/crates/endpoint-control/src/endpoint_assignment.rs
+++ b/crates/endpoint-control/src/endpoint_assignment.rs
@@ -11,7 +11,8 @@
 //! A serving server that is warming up is not an endpoint of its cell's cluster. It is a cluster of
 //! its own, which only the proxies that hold a lease on it receive. The units of the lease are the
 //! proxy's limit of requests in flight at that server. A server that drains before it has warmed up
-//! takes no new requests, so it needs no such limit and stays in its cell's cluster.
+//! takes no new requests, so it needs no such limit. It is an endpoint of its cell's cluster, like
+//! any other draining server.
 
 mod slow_start_assigner;
 
@@ -51,7 +52,7 @@
     pub name: NodeId,
     /// Address on which it listens.
     pub address: SocketAddr,
-    /// Index of its zone.
+    /// Index of its zone, if it has one.
     pub zone: Option<usize>,
     /// Position of the server among the servers of its cell, in the order of their names.
     pub row: usize,
--- a/crates/endpoint-control/src/lib.rs
+++ b/crates/endpoint-control/src/lib.rs
@@ -66,7 +66,7 @@
     pub address: SocketAddr,
     /// Index of its cell; the servers of a cell hold the same shards.
     pub cell: usize,
-    /// Index of its zone.
+    /// Index of its zone, if it has one.
     pub zone: Option<usize>,
     /// State of the server in the endpoint list.
     pub state: ServingState,
--- a/crates/endpoint-control/tests/endpoint_control/parameters.rs
+++ b/crates/endpoint-control/tests/endpoint_control/parameters.rs
@@ -5,9 +5,10 @@
 use endpoint_control::slow_start::SlowStartRule;
 use std::time::Duration;
 
-/// Servers with two cores, which do two million microseconds of work per second, and requests that
-/// take 126,000 microseconds of work: 90 ms for their one part and 36 ms for its call.
-/// `overload_multiple` and `overload_window` are the published parameters of overload.
+/// The rule for servers with two cores, which do two million microseconds of work per second
+/// (`capacity`), and for requests that take 126,000 microseconds of work (`request_work`): 90 ms
+/// for the one part of a request and 36 ms for the request's call. `overload_multiple` and
+/// `overload_window` are the published parameters of overload.
 pub(crate) const SLOW_START_RULE: SlowStartRule = SlowStartRule {
     initial_share: 0.18,
     warm_up_duration: Duration::from_secs(16),
--- a/crates/idempotency/src/lib.rs
+++ b/crates/idempotency/src/lib.rs
@@ -7,8 +7,8 @@
 //! query again with the same key, the policy treats it as a new query and might send a part that
 //! the servers no longer recognize as a repetition. [`IdempotencyRegister`] prevents this. While a
 //! query with the same key is in flight, or a cancelled attempt may still be executed, a retry is
-//! rejected together with the time at which the client may retry. After the window of a part that
-//! may have been executed, the part is not sent again, and a retry fails.
+//! rejected, and the rejection states the time at which the client may retry. After the window of a
+//! part that may have been executed, the part is not sent again, and a retry fails.
 //!
 //! The caller has to notify the register of each attempt that is sent
 //! ([`IdempotencyRegister::on_attempt_sent`]) and of the end of each attempt
--- a/crates/policy-engine/src/summary.rs
+++ b/crates/policy-engine/src/summary.rs
@@ -31,13 +31,14 @@
     pub serving: usize,
     /// Number of servers that are ejected because of failures or overload.
     pub ejected: usize,
-    /// Number of servers that may be warming up.
+    /// Number of servers that may still be warming up, judged by the time since their processes
+    /// started or probably restarted. The policy does not observe whether a server has warmed up.
     pub warming_up: usize,
     /// Median over the fleet of a server's latency per unit of outstanding work.
     pub latency_per_work: f64,
     /// Number of servers whose latency per unit of outstanding work is more than twice the median.
     pub slow: usize,
-    /// Number of replica rows that a query contacts, by class.
+    /// Average number of replica rows that a query contacts, by class.
     pub touched_rows: PerClass,
     /// Estimated work of a part in milliseconds, by class.
     pub part_cost_ms: PerClass,
