--- a/crates/batch-window/src/lib.rs
+++ b/crates/batch-window/src/lib.rs
@@ -7,10 +7,10 @@
 //! the number of queries in flight: a single query is processed immediately, and each additional
 //! query lengthens the window up to its maximum.
 //!
-//! The window does not depend on the arrival rate, because it would oscillate. A client that sends
-//! one query after another raises the arrival rate if its queries are processed immediately. The
-//! higher rate would lengthen the window, so that the client has to wait and the rate falls, which
-//! would shorten the window again.
+//! The window does not depend on the arrival rate: if it did, it would oscillate. A client that
+//! sends one query after another raises the arrival rate if its queries are processed immediately.
+//! The higher rate would lengthen the window, so that the client has to wait and the rate falls,
+//! which would shorten the window again.
 //!
 //! ```
 //! use batch_window::BatchWindow;
--- a/crates/endpoint-control/tests/endpoint_control/leases.rs
+++ b/crates/endpoint-control/tests/endpoint_control/leases.rs
@@ -94,7 +94,9 @@
         grant(&mut leases, at_seconds(7), GrantRequest::all_units(1, 3)),
         3
     );
-    // Released after 8 s, the lease has no request in flight after 12 s.
+    // The proxy acknowledges after 8 s that it no longer holds the lease, so the time to live no
+    // longer counts. A request that it sent just before has ended after 12 s (maximum duration of a
+    // request 4 s).
     leases.on_released(at_seconds(8), &server(), &proxy(1));
     assert_eq!(
         grant(
@@ -152,6 +154,8 @@
         );
         leases.on_acknowledged(at_seconds(second), &proxy(0));
     }
+    // A released lease is draining until 14 s: requests that the proxy sent under it may still be
+    // in flight. Until then its unit is not granted again, not even to the same proxy.
     leases.on_released(at_seconds(10), &server(), &proxy(0));
     assert_eq!(
         grant(&mut leases, at_seconds(11), GrantRequest::all_units(0, 1)),
--- a/crates/endpoint-control/tests/endpoint_control/slow_start.rs
+++ b/crates/endpoint-control/tests/endpoint_control/slow_start.rs
@@ -81,8 +81,10 @@
 
 /// Guards against a change of the hash of server names. Control instances divide a limit without
 /// communication, so the shares of instances of different builds add up to the limit only if their
-/// hashes agree. The test derives the hash from the instance that receives a limit of one request:
-/// the number of that instance is the number of instances minus the hash.
+/// hashes agree. `share_of_limit` does not return the hash, so the test finds it through the
+/// instance that receives a limit of one request: its number plus the hash is a multiple of the
+/// number of instances. The number of instances is `u32::MAX`, which exceeds each of these hashes,
+/// so the number of that instance is the number of instances minus the hash.
 #[test]
 fn remainder_of_the_limit_goes_by_the_fnv1a_hash_of_the_server_name() {
     const COUNT: u32 = u32::MAX;
@@ -102,7 +104,11 @@
             instance.share_of_limit(1, server)
         };
         let holder = COUNT - hash;
-        assert_eq!([share(holder - 1), share(holder)], [0, 1], "{server:?}");
+        assert_eq!(
+            [share(holder - 1), share(holder)],
+            [0, 1],
+            "instance {holder}, not the one before it, must receive the limit of server {server:?}"
+        );
     }
 }
 
--- a/crates/idempotency/tests/random_retries.rs
+++ b/crates/idempotency/tests/random_retries.rs
@@ -10,7 +10,8 @@
 const SECOND: Duration = Duration::from_secs(1);
 /// Length of the replay window.
 const WINDOW: Duration = Duration::from_secs(5);
-/// Time after the replay window for which the register keeps a key.
+/// Time after the replay window during which clients may still retry. Until its end the register
+/// keeps a key under which a part may have been executed, unless its query was answered.
 const RETENTION: Duration = Duration::from_secs(5);
 const KEYS: usize = 4;
 const SHARDS: usize = 2;
@@ -72,6 +73,7 @@
     in_flight: u32,
     /// Time at which the first attempt that may have been executed was sent.
     first_sent_at: Option<Timestamp>,
+    /// Number of ended attempts that were executed or may have been executed.
     possibly_executed: u32,
 }
 
@@ -79,6 +81,7 @@
 struct Model {
     register: IdempotencyRegister,
     now: Timestamp,
+    /// Whether a query under the key is in flight, by key.
     has_query: [bool; KEYS],
     parts: [[PartModel; SHARDS]; KEYS],
 }
@@ -136,7 +139,8 @@
         prop_assert_eq!(part.in_flight, 0);
         if let Some(first_sent_at) = part.first_sent_at {
             let is_within_window = now < first_sent_at + WINDOW;
-            // The register keeps the key only as long as clients may retry.
+            // After the last retry the register may have removed the key. It then has no record of
+            // the earlier attempt, and allows the part to be sent.
             let is_after_last_retry = now >= first_sent_at + WINDOW + RETENTION;
             prop_assert!(is_within_window || is_after_last_retry);
         }
--- a/crates/idempotency/tests/register.rs
+++ b/crates/idempotency/tests/register.rs
@@ -7,7 +7,8 @@
 
 /// Length of the replay window.
 const WINDOW: Duration = Duration::from_secs(5);
-/// Time after the replay window for which the register keeps a key.
+/// Time after the replay window during which clients may still retry. Until its end the register
+/// keeps a key under which a part may have been executed, unless its query was answered.
 const RETENTION: Duration = Duration::from_secs(5);
 
 /// Returns the time `micros` microseconds after the origin of the clock.
--- a/crates/policy-engine/src/engine/tests.rs
+++ b/crates/policy-engine/src/engine/tests.rs
@@ -121,9 +121,11 @@
     ));
     assert_eq!(engine.in_flight(), 3);
     assert_eq!((both.dispatches.len(), both.over_capacity), (2, 1));
+    // The second call must not release the capacity again.
     engine.abandon(QueryId(1));
     engine.abandon(QueryId(1));
     assert_eq!(engine.in_flight(), 0);
+    // The next batch also cancels the attempts at the two parts of the abandoned query.
     let next = engine.submit(at(6000), vec![query(3, &[2])]);
     assert_eq!(engine.in_flight(), 2);
     assert_eq!((next.cancellations.len(), next.dispatches.len()), (2, 1));
