--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -9,7 +9,8 @@
 /// The state of one part that was sent under a key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PartState {
-    /// Time at which the first attempt that may have been executed was sent.
+    /// Time at which the first attempt was sent. It stays the same if that attempt was not executed
+    /// but a later one is in flight or may have been executed.
     first_sent_at: Option<Timestamp>,
     /// Number of attempts in flight.
     in_flight: u32,
--- a/crates/idempotency/src/register.rs
+++ b/crates/idempotency/src/register.rs
@@ -20,7 +20,8 @@
     /// such a retry, the register keeps a key under which a part may have been executed at least
     /// until the end of this time. Only the key of an answered query may be removed earlier. The
     /// register keeps keys for the sum of `window` and `retention` after the latest activity at any
-    /// part, which is at or after the first attempt.
+    /// part. That is long enough, because the latest activity is never before the first attempt at
+    /// any part.
     pub retention: Duration,
     /// Maximum number of keys in the register.
     pub max_keys: usize,
