--- a/crates/idempotency/src/key_state.rs
+++ b/crates/idempotency/src/key_state.rs
@@ -9,7 +9,8 @@
 /// The state of one part that was sent under a key.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct PartState {
-    /// Time at which the first attempt that may have been executed was sent.
+    /// Time at which the first attempt was sent. It stays the same if that attempt was not executed
+    /// but a later one is in flight or may have been executed.
     first_sent_at: Option<Timestamp>,
     /// Number of attempts in flight.
     in_flight: u32,
@@ -33,7 +34,7 @@
             ExecutionEvidence::Executed => {
                 self.possibly_executed += 1;
                 // The execution has finished by the time at which its response has arrived, so the
-                // part is not busy until the deadline of the attempt.
+                // part is no longer busy, even if the deadline of the attempt has not passed.
                 self.busy_until = now;
             }
             ExecutionEvidence::PossiblyExecuted => self.possibly_executed += 1,
