--- a/crates/query-broker/tests/scenarios/data_servers.rs
+++ b/crates/query-broker/tests/scenarios/data_servers.rs
@@ -99,7 +99,8 @@
     frame
 }
 
-/// Waits for a call that has only this part, and checks that its time left is at most `at_most_ms`.
+/// Waits for a call that has only this part, and checks that its time left, for which the broker waits
+/// for the response, is at most `at_most_ms` milliseconds.
 pub(crate) fn expect_call_with_time_left(connection: &mut Connection, part: &str, at_most_ms: u64) {
     let frame = expect_call(connection, &[part.to_owned()]);
     let (_, time_left) = frame.text.split_once(" d=").unwrap();
@@ -122,7 +123,8 @@
 
 /// Returns the ids of a call's parts, and checks that each part has a time left and the query's text
 /// unchanged. A part has the form `ID SHARD OPTIONS LENGTH`, a line break and the text. The option `d`
-/// is the time left in milliseconds, and 8 is the length of the text.
+/// is the time left, for which the broker waits for the response, in milliseconds; 8 is the length of
+/// the text.
 fn called_parts(mut rest: &str) -> Vec<String> {
     let mut ids = Vec::new();
     while let Some((line, text)) = rest.split_once('\n') {
